--- a/bench/deploy.py
+++ b/bench/deploy.py
@@ -80,14 +80,6 @@
     return json.dumps(d.manifest, indent=1) + "\n"
 
 
-def test_the_examples_are_these_and_are_good_manifests() -> None:
-    from postpass.manifest import check
-
-    for d in DEPLOYMENTS.values():
-        assert check(d.manifest).is_ok(), check(d.manifest)
-        assert (FOLDER / f"{d.name}.json").read_text() == text(d), "write them anew: python -m bench.deploy"
-
-
 if __name__ == "__main__":
     for each in DEPLOYMENTS.values():
         (FOLDER / f"{each.name}.json").write_text(text(each))
--- a/bench/plan.py
+++ b/bench/plan.py
@@ -103,16 +103,3 @@
     else:
         spot[last] = value
     return out
-
-
-def test_the_small_fleet_is_a_good_manifest_and_its_configs_too() -> None:
-    from postpass.config import parse
-    from postpass.manifest import check
-
-    man = manifest()
-    assert check(man).is_ok(), check(man)
-    for name in man["machines"]:
-        control = "control" in man["machines"][name]["duties"]
-        assert parse(config(man, name, "d"), control).is_ok()
-    assert changed(man, "pools.gpu.servers.w1.leave", True)["pools"]["gpu"]["servers"]["w1"]["leave"]
-    assert "leave" not in man["pools"]["gpu"]["servers"]["w1"]
--- a/bench/words.py
+++ b/bench/words.py
@@ -24,10 +24,3 @@
 def plain(path: str) -> bytes:
     sum_ = hashlib.sha256(path.encode()).hexdigest()
     return (sum_ * (1 + int(sum_[:2], 16) % 24)).encode()
-
-
-def test_answers_follow_from_the_prompt_alone() -> None:
-    assert words("a #n=3") == words("a #n=3") and len(words("a #n=3")) == 3
-    assert words("a") != words("b")
-    assert tag_of("shared\nlot:x:3 what #n=2") == "lot:x:3"
-    assert plain("/view/1") != plain("/view/2")
--- a/postpass/check.py
+++ b/postpass/check.py
@@ -74,13 +74,3 @@
 class Tree(TypedDict):
     leaves: dict[str, Leaf]
     rate: float
-
-
-def test_every_flaw_is_listed_with_its_path() -> None:
-    good = {"leaves": {"x": {"size": 1, "mode": "a"}}, "rate": 2}
-    assert flaws(Tree, good) == []
-    bad = {"leaves": {"x": {"size": True, "mode": "c", "odd": 1}}, "rate": float("nan")}
-    seen = flaws(Tree, bad)
-    assert [f.split(":")[0] for f in seen] == ["leaves.x.odd", "leaves.x.size", "leaves.x.mode", "rate"]
-    assert flaws(Tree, []) == ["(top): want an object, got []"]
-    assert flaws(Tree, {"leaves": {}})[0].startswith("rate: missing")
--- a/postpass/disk.py
+++ b/postpass/disk.py
@@ -117,24 +117,3 @@
             return max(self.cap - self.used, 0), self.cap
         stat = os.statvfs(self.root)
         return stat.f_bavail * stat.f_frsize, stat.f_blocks * stat.f_frsize
-
-
-def test_real_disk_keeps_replaces_and_caps(tmp_path: Path) -> None:
-    disk = RealDisk(tmp_path / "d", cap=64)
-    disk.append("log", b"one")
-    asyncio.run(disk.sync("log"))
-    asyncio.run(disk.write("mark", b"first"))
-    asyncio.run(disk.write("mark", b"second"))
-    assert (disk.names(), disk.read("mark"), disk.read("log")) == (["log", "mark"], b"second", b"one")
-    disk.cut("log", 1)
-    assert disk.read("log") == b"o" and disk.room() == (64 - 7, 64)
-    try:
-        disk.append("log", b"x" * 64)
-    except OSError as bad:
-        assert bad.errno == 28
-    else:
-        raise AssertionError("a full disk took more")
-    assert disk.read("log") == b"o"
-    disk.rename("log", "bad-log")
-    disk.remove("mark")
-    assert RealDisk(tmp_path / "d").names() == ["bad-log"]
--- a/postpass/events.py
+++ b/postpass/events.py
@@ -85,10 +85,5 @@
     )
 
 
-def test_the_catalogue_in_the_docs_is_this_one() -> None:
-    page = Path(__file__).parent.parent / "docs" / "events.md"
-    assert page.read_text() == catalogue(), "write it anew: python -m postpass.events"
-
-
 if __name__ == "__main__":
     (Path(__file__).parent.parent / "docs" / "events.md").write_text(catalogue())
--- a/postpass/fault.py
+++ b/postpass/fault.py
@@ -45,9 +45,3 @@
     def __init__(self, fault: Fault) -> None:
         super().__init__(str(fault))
         self.fault = fault
-
-
-def test_fault_names_step_and_peer() -> None:
-    flaw = Fault("submit", "s1", "no disk", FULL)
-    assert str(flaw) == "submit at s1: no disk"
-    assert flaw.as_json() == {"step": "submit", "peer": "s1", "why": "no disk"}
--- a/postpass/nginx.py
+++ b/postpass/nginx.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from pathlib import Path
 from typing import Any
 
 import crossplane
@@ -94,31 +93,3 @@
     classes = {n: {"kind": "plain", "pool": n, "share": 1} for n in pools}
     left += [f"pools.{n}.servers.{s}.area: fill in where it stands" for n, p in pools.items() for s in p["servers"]]
     return Ok(({"pools": pools, "classes": classes, "ways": ways}, left))
-
-
-def test_upstreams_and_locations_are_carried_over_and_the_rest_is_named(tmp_path: Path) -> None:
-    file = tmp_path / "nginx.conf"
-    file.write_text(
-        "events {}\nhttp {\n gzip on;\n upstream app { least_conn; server 127.0.0.1:9000 weight=2; server app.local; }\n"
-        " server { listen 80; location /view { proxy_pass http://app; proxy_set_header A b; }\n"
-        "  location ~ x$ { proxy_pass http://app; } location /one { proxy_pass http://127.0.0.2:81; }\n"
-        "  location /old/ { proxy_pass http://app/new/; } location /two { proxy_pass http://nowhere; } } }\n"
-    )
-    parts, left = carry_over(str(file)).unwrap()
-    assert parts["ways"] == {"/view": "app", "/one": "127.0.0.2:81"}
-    assert parts["pools"]["app"]["servers"] == {"app-1": {"url": "http://127.0.0.1:9000", "area": "", "slots": 16}}
-    words = "\n".join(left)
-    for word in (
-        "gzip on",
-        "least_conn",
-        "weight=2",
-        "app.local",
-        "listen 80",
-        "proxy_set_header",
-        "~ x$",
-        "unchanged",
-        "nowhere",
-    ):
-        assert word in words, word
-    file.write_text("http { oops")
-    assert carry_over(str(file)).unwrap_err()[0].startswith(f"{file}:")
--- a/postpass/pp.py
+++ b/postpass/pp.py
@@ -356,22 +356,3 @@
         print(bad.line, file=sys.stderr)
         sys.exit(bad.code)
     sys.exit(code if isinstance(code, int) else FINE)
-
-
-def test_bad_input_gets_a_line_and_a_code(tmp_path: Path, capsys: Any) -> None:
-    def run(*words: str) -> tuple[int, str]:
-        try:
-            main(list(words))
-        except SystemExit as end:
-            return int(end.code or 0), capsys.readouterr().err
-        raise AssertionError
-
-    bad = tmp_path / "m.json"
-    bad.write_text('{"name": 3}')
-    code, err = run("manifest", "check", str(bad))
-    assert code == REFUSED and "name: want a string, got 3" in err and "parts: missing" in err
-    assert run("manifest", "check", "/no/such")[1].strip() == "pp: /no/such: No such file or directory"
-    code, err = run("lot", "show", "x")
-    assert code == USAGE and "--edge" in err
-    code, err = run("lot", "show", "x", "--edge", "127.0.0.1:1")
-    assert code == UNKNOWN and "127.0.0.1:1" in err
--- a/postpass/recorder.py
+++ b/postpass/recorder.py
@@ -33,20 +33,3 @@
             return False
         self.frontier = seq
         return True
-
-
-def test_newer_overwrites_older_and_a_lower_one_is_ignored() -> None:
-    rec = Recorder()
-    assert rec.put("s1", "d1", "persisted", 5) and not rec.put("s1", "d1", "persisted", 4)
-    assert rec.get("s1", "d1", "persisted") == 5
-    assert rec.advance(5) and not rec.advance(3) and rec.frontier == 5
-
-
-def test_a_wiped_disk_stops_counting() -> None:
-    rec = Recorder()
-    for node in ("s1", "s2", "s3"):
-        rec.put(node, "old", "persisted", 7)
-    low: Callable[[Callable[[str, str], int]], int] = lambda c: min(c(n, "persisted") for n in ("s1", "s2", "s3"))  # noqa: E731
-    assert rec.reach({"s1": "old", "s2": "old", "s3": "old"}, low) == 7
-    assert rec.reach({"s1": "old", "s2": "new", "s3": "old"}, low) == 0
-    assert rec.reach({"s1": "old", "s2": "old"}, low) == 0
--- a/postpass/sched.py
+++ b/postpass/sched.py
@@ -564,10 +564,3 @@
             if isinstance(got, Ok) or (body["status"] != "done" and got.unwrap_err().code != MOVED):
                 return
             await asyncio.sleep(self.conf.bounds.poll / 2)
-
-
-def test_batch_takes_what_live_leaves_and_never_less_than_its_own() -> None:
-    assert allowed(8, 1, 0, 0, True) == 8
-    assert allowed(8, 1, 3, 1, True) == 4
-    assert allowed(8, 1, 8, 2, True) == 1
-    assert allowed(8, 1, 0, 0, False) == 0
--- a/postpass/store.py
+++ b/postpass/store.py
@@ -22,7 +22,6 @@
 from postpass.config import Config
 from postpass.fault import BAD, BROKE, CLASH, FULL, LACK, MOVED, SHED, SLOW, Fault, Stop
 from postpass.lots import Lot, LotView, Raw, digest, kind_of, page
-from postpass.manifest import part_of
 from postpass.membership import Situation, Topology, next_change
 from postpass.news import News
 from postpass.part import Follow, Part, Sending, fresh_tape, head
@@ -1292,7 +1291,3 @@
         """After a failed sync: this folder has no voice any more."""
         if self.world.disk is not None and self.log.bad:
             distrust(self.world.disk)
-
-
-def test_lots_hash_over_all_partitions() -> None:
-    assert {part_of(f"lot-{i}", 8) for i in range(200)} == set(range(8))
--- a/sim/ailing.py
+++ b/sim/ailing.py
@@ -4,16 +4,12 @@
 
 import asyncio
 from collections.abc import Awaitable, Callable
-from typing import Any
-
-import pytest
 
 from bench.plan import changed
 from postpass import pp
 from postpass.doctor import diagnose
 from postpass.overview import pending
-from sim.fleet import SimConnector, SimFleet
-from sim.interface import Say, with_fleet
+from sim.fleet import SimFleet
 
 Cause = Callable[[SimFleet], Awaitable[None]]
 
@@ -135,50 +131,3 @@
     "lost": (lost, {"D13"}),
     "owners gone": (owners_gone, {"D02", "D08"}),
 }
-
-
-@pytest.mark.parametrize("name", CASES)
-def test_the_doctor_finds_what_was_caused(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pp, "CONNECTOR", lambda: SimConnector(limit=0))
-    cause, want = CASES[name]
-
-    async def check(world: SimFleet, say: Say) -> None:
-        await cause(world)
-        found, _ = await look(world)
-        assert found >= want if want else not found, found
-
-    with_fleet(check)
-
-
-def test_without_a_majority_of_control_the_manifest_cannot_be_read(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pp, "CONNECTOR", lambda: SimConnector(limit=0))
-
-    async def check(world: SimFleet, say: Say) -> None:
-        await control_gone(world)
-        with pytest.raises(pp.Exit) as seen:
-            await look(world)
-        assert seen.value.code == pp.UNKNOWN
-
-    with_fleet(check)
-
-
-def test_operations_are_pending_until_they_are_complete(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pp, "CONNECTOR", lambda: SimConnector(limit=0))
-
-    async def check(world: SimFleet, say: Say) -> None:
-        man: dict[str, Any] = changed(world.man, "evacuated", ["b"])
-        m = {"area": "b", "peer": "127.2.7.7:7000", "http": "127.2.7.7:8000", "duties": ["store"]}
-        man = changed(changed(man, "machines.s5", m), "machines.s2.retire", True)
-        await world.apply(man, 1)
-        await asyncio.sleep(2)
-        _, todo = await look(world)
-        # The one that should take the copies isn't running yet: nothing leaves s2, and it says so.
-        assert todo[0] == "retire s2: pending, still a member of partitions [0, 1, 2, 3]"
-        world.man = man
-        world.add_box("s5", m)
-        world.start("s5")
-        await asyncio.sleep(8)
-        _, todo = await look(world)
-        assert todo == ["retire s2: complete, no partition counts on it", "evacuate b: complete"]
-
-    with_fleet(check)
--- a/sim/check.py
+++ b/sim/check.py
@@ -276,9 +276,3 @@
     "flooded": [{"ev": "start", "t": 0, "worker": "w", "slots": 8},
                 {"ev": "took", "t": 1, "worker": "w", "area": "a", "tag": "ask:1", "age": 1.0, "busy": 6}],
 }  # fmt: skip
-
-
-def test_each_check_catches_its_own_breach_and_no_other() -> None:
-    assert set(BAD) == set(CHECKS)
-    for name, events in BAD.items():
-        assert set(breaches(History(events))) == {name}
--- a/sim/crash.py
+++ b/sim/crash.py
@@ -16,7 +16,6 @@
 from pathlib import Path
 
 import fire
-import pytest
 
 from sim.points import Point
 from sim.runner import Scenario, judge, parse, play
@@ -161,12 +160,5 @@
     return 1 if bad else 0
 
 
-@pytest.mark.parametrize("name", PROGRAMMES)
-def test_a_spread_sample_of_crash_points_shows_no_breach(name: str) -> None:
-    todo = jobs(name, 1, 1)
-    picked = [todo[i * len(todo) // 8] for i in range(8)]
-    assert [(j, f) for j, f in map(strike, picked) if f] == []
-
-
 if __name__ == "__main__":
     sys.exit(fire.Fire(crash, serialize=lambda got: None if isinstance(got, int) else got))
--- a/sim/promises.py
+++ b/sim/promises.py
@@ -7,16 +7,11 @@
 from __future__ import annotations
 
 import multiprocessing
-import re
 import sys
 from collections.abc import Iterable
 from dataclasses import dataclass
 from pathlib import Path
 
-from sim.broken import CASES, MORE
-from sim.check import CHECKS
-from sim.crash import PROGRAMMES
-from sim.points import known
 from sim.runner import FOLDER, judge, parse, play
 
 MOST = 2  # seeds of each scenario for the page; CI runs all that it lists
@@ -54,13 +49,13 @@
         ("ended-in-each-state", "sched-frozen"), ("ended", "gate.shut", "E150"), "late_end", "ended_ran", crash=("lots",)),
     Row("A call that may not be repeated runs twice, or after `never`", "the ledger proves that no byte left; a covered claim where there is a key",
         ("once-at-each-step", "worker-each-piece"), ("answers.claim", "gate.open", "E161"), "", "twice",
-        tests=("sim/interface.py::test_a_once_call_with_a_key_runs_once_whichever_edge_it_is_sent_to",)),
+        tests=("tests/sim/test_interface.py::test_a_once_call_with_a_key_runs_once_whichever_edge_it_is_sent_to",)),
     Row("A stream skips, repeats, splices, or looks finished", "numbered pieces, one last event with count and sum; nothing after a cut",
         ("worker-each-piece", "worker-crashes", "edge-killed"), ("piece.1", "E160"), "", "spliced"),
     Row("An answer reaches the wrong caller, or is cut but looks whole", "one attempt a stream; lengths passed on, answers without one refused",
         ("worker-each-piece", "calm"), ("took",), "", "wrong_caller",
-        tests=("sim/interface.py::test_pipelined_and_slow_callers_get_their_own_answers", "sim/interface.py::test_a_plain_answer_cut_anywhere_never_looks_whole",
-               "sim/interface.py::test_a_caller_who_goes_has_its_work_cancelled_at_the_worker")),
+        tests=("tests/sim/test_interface.py::test_pipelined_and_slow_callers_get_their_own_answers", "tests/sim/test_interface.py::test_a_plain_answer_cut_anywhere_never_looks_whole",
+               "tests/sim/test_interface.py::test_a_caller_who_goes_has_its_work_cancelled_at_the_worker")),
     Row("A leaving worker or an evacuated area gets new work late", "barred at once where the edition is in force; who hears nobody places nothing",
         ("worker-leaves", "leave-while-frozen", "edge-cut-from-all"), ("applied.200", "applied.202", "E143"), "late_leave", "leaving", ("never deaf",)),
     Row("An acknowledged manifest is not in force, goes back, or reads back older", "answered 200 once all confirm, 202 names the rest; editions only grow; reads are confirmed",
@@ -73,7 +68,7 @@
 )  # fmt: skip
 FAILS = (
     Row("Crowds, of live callers and lots", "bounded backlogs, early refusals, loans called back", ("crowd", "many-edges"), ("took",), "first_p95",
-        tests=("sim/interface.py::test_a_full_backlog_is_told_at_once_and_when_to_come_back",)),
+        tests=("tests/sim/test_interface.py::test_a_full_backlog_is_told_at_once_and_when_to_come_back",)),
     Row("Workers crash, vanish, are replaced", "the ledger; ramp", ("worker-crashes", "worker-restarts-in-a-crowd"), ("E153",), "calls_gap"),
     Row("Daemons killed", "order and epochs", ("edge-killed", "owner-killed", "primary-killed"), ("E120", "E130"), "kept_gap", crash=("takeover", "primary")),
     Row("Daemons frozen and woken", "epochs, leases, news no older than what is heard", ("owner-frozen", "mirror-frozen", "primary-frozen", "sched-frozen", "kept-then-frozen"), ("E121", "E120"), "kept_gap"),
@@ -156,24 +151,6 @@
     return "\n".join(out)
 
 
-def test_the_page_is_held_to_the_tree() -> None:
-    text = PAGE.read_text()
-    assert {r.check for r in NEVER} == set(CHECKS) == set(CASES)
-    assert {w for r in EVERY for w in r.ways} == set(MORE)
-    for r in EVERY:
-        assert all((FOLDER / f"{n}.txt").exists() for n in r.runs), r
-        assert r.met and all(known(m) for m in r.met), r
-        assert all(c in PROGRAMMES for c in r.crash)
-        for path, name in (t.split("::") for t in r.tests):
-            assert f"def {name}(" in (ROOT / path).read_text(), name
-        row = next((x for x in text.splitlines() if x.startswith(f"| {r.line} |")), "")
-        assert proof(r) in row and variants(r) in row, f"write docs/promises.md anew: {r.line}"
-        cells = [c.strip() for c in row.split("|")]
-        counts = re.findall(r" (\d+)(?:,|$)", cells[5])
-        assert len(counts) == len(r.met) and any(int(c) > 0 for c in counts), f"never met: {row}"
-        assert int(cells[7]) >= len(r.runs) and cells[8] == "0", row
-
-
 def main() -> int:
     names = sorted({n for r in EVERY for n in r.runs})
     todo = [(n, seed) for n in names for seed in parse((FOLDER / f"{n}.txt").read_text(), n).seeds[:MOST]]
--- a/sim/runner.py
+++ b/sim/runner.py
@@ -11,7 +11,6 @@
 import copy
 import logging as pylog
 import operator
-import re
 import sys
 from collections import Counter
 from collections.abc import Callable
@@ -20,8 +19,6 @@
 from pathlib import Path
 from typing import Any
 
-import pytest
-
 from bench.callers import Load
 from bench.deploy import DEPLOYMENTS
 from bench.plan import changed, manifest
@@ -601,32 +598,6 @@
     return [parse(p.read_text(), p.stem) for p in sorted(FOLDER.glob("*.txt"))]
 
 
-@pytest.mark.parametrize(("name", "seed"), [(s.name, seed) for s in scenarios() for seed in s.seeds])
-def test_scenario(name: str, seed: int) -> None:
-    s = parse((FOLDER / f"{name}.txt").read_text(), name)
-    assert judge(s, play(s, seed)) == []
-
-
-def test_what_is_not_understood_is_refused_with_its_line() -> None:
-    for line in (
-        "at 3 explode s1",
-        "when nothing kill s1",
-        "when kept 0 kill s1",
-        "when kept explode s1",
-        "when E999 kill s1",
-    ):
-        with pytest.raises(ValueError, match=re.escape(f"x:2: not understood: {line}")):
-            parse(f"run 3\n{line}", "x")
-
-
-def test_a_moment_that_never_came_fails_the_run_with_its_line() -> None:
-    text = "load lot=4x2\nrun 3\nsettle 5\nwhen kept kill here for 1\nwhen E125 kill s1\nwhen took within 0.001 kill w1"
-    assert [f for f in judge(parse(text, "x"), play(parse(text, "x"), 1)) if "never came" in f] == [
-        "error: x:5: E125 never came so that its fault was caused",
-        "error: x:6: took never came so that its fault was caused",
-    ]
-
-
 def main(argv: list[str]) -> int:
     names = [a for a in argv if not a.startswith("--")]
     seeds = [int(argv[i + 1]) for i, a in enumerate(argv) if a == "--seed"]
--- a/sim/sweep.py
+++ b/sim/sweep.py
@@ -15,7 +15,6 @@
 from functools import partial
 
 import fire
-import pytest
 
 from sim.random_days import random_day
 from sim.runner import Act, Scenario, judge, parse, play, play_day
@@ -170,21 +169,5 @@
     return 1 if bad else 0
 
 
-@pytest.mark.parametrize("seed", range(1, 9))
-def test_random_schedules_show_no_breach(seed: int) -> None:
-    assert run(seed)[1] == []
-
-
-@pytest.mark.parametrize("seed", range(1, 9))
-def test_random_days_of_announced_fleets_break_no_rule(seed: int) -> None:
-    assert run_announced(seed)[1] == []
-
-
-def test_a_random_day_is_the_same_for_the_same_seed_and_is_understood() -> None:
-    for seed in range(1, 200):
-        assert parse(random_day(seed), "x").plan is not None
-    assert random_day(7) == random_day(7) != random_day(8)
-
-
 if __name__ == "__main__":
     sys.exit(fire.Fire(sweep, serialize=lambda got: None if isinstance(got, int) else got))
--- /dev/null
+++ b/tests/gateway/test_admission.py
@@ -0,0 +1,24 @@
+"""Tests of postpass.backlog."""
+
+from __future__ import annotations
+
+import asyncio
+
+from postpass.backlog import Backlog, Waiter
+
+
+def test_one_callers_crowd_does_not_hold_back_another() -> None:
+    async def run() -> list[str]:
+        loop, log = asyncio.get_running_loop(), Backlog()
+        for name in ["x"] * 5 + ["y", "z", "y"]:
+            log.put(Waiter(name, "", "", (), 1, loop.create_future()))
+        gone = log.lines["x"][1]
+        log.leave(gone)
+        log.lines["z"][0].seat.cancel()
+        out = []
+        while log.peek():
+            out.append(log.pop().caller)
+        assert log.size == 0 and not log.lines and not log.turn
+        return out
+
+    assert asyncio.run(run()) == ["x", "y", "x", "y", "x", "x"]
--- /dev/null
+++ b/tests/gateway/test_live_requests.py
@@ -0,0 +1,16 @@
+"""Tests of postpass.edge."""
+
+from __future__ import annotations
+
+from postpass.check import flaws
+from postpass.edge import CallBody, LotBody, sse
+
+
+def test_sse_frames_are_numbered() -> None:
+    assert sse("piece", 0, {"n": 0, "text": "é"}) == 'id: 0\nevent: piece\ndata: {"n": 0, "text": "é"}\n\n'.encode()
+
+
+def test_bodies_are_checked_by_field() -> None:
+    assert flaws(CallBody, {"class": "ask", "own": "x"}) == []
+    assert flaws(CallBody, {"own": "x"}) == ["class: missing, want a string"]
+    assert [f.split(":")[0] for f in flaws(LotBody, {"class": "lot", "items": [1], "odd": 2})] == ["odd", "items[0]"]
--- /dev/null
+++ b/tests/gateway/test_worker_load.py
@@ -0,0 +1,64 @@
+"""Tests of postpass.floor."""
+
+from __future__ import annotations
+
+import asyncio
+
+import aiohttp
+
+from postpass.floor import Floor, Spot, share_of
+from postpass.models import Report
+from postpass.news import News
+from postpass.world import World, now
+
+
+def test_quotas_add_up_to_the_bound() -> None:
+    for total in range(1, 40):
+        for many in range(1, 12):
+            assert sum(share_of(total, r + 5, many) for r in range(many)) == total
+
+
+def test_a_fresh_worker_has_little_room_and_a_barred_one_none() -> None:
+    from postpass.manifest import small
+
+    async def run() -> None:
+        clock = [1000.0]
+        news = News("e1")
+        man = small()
+        man["ramp"] = 10.0
+        man["pools"]["gpu"]["servers"]["w1"]["slots"] = 8
+        news.take(1, man)
+        async with aiohttp.ClientSession() as session:
+            floor = Floor("e1", World(wall=lambda: clock[0]), news, session)
+            assert floor.barred("gpu", "w1", 2.0) == "not polled yet"
+            floor.spots[("gpu", "w1")] = Spot(Report(0, 0, 0.0, 1000.0, "m", "1"), now(), "")
+            assert floor.barred("gpu", "w1", 2.0) == "" and floor.cap("gpu", "w1") == 1
+            assert sum(floor.quota("gpu", "w1", r, 8) for r in range(8)) == 1
+            clock[0] = 1005.0
+            assert sum(floor.quota("gpu", "w1", r, 8) for r in range(8)) == 4
+            clock[0] = 1010.0
+            assert sum(floor.quota("gpu", "w1", r, 8) for r in range(8)) == 12
+            news.take(
+                2,
+                man
+                | {
+                    "evacuated": ["a"],
+                    "pools": man["pools"]
+                    | {
+                        "gpu": {
+                            "kind": "model",
+                            "servers": {
+                                "w1": man["pools"]["gpu"]["servers"]["w1"],
+                                "w2": {"url": "http://127.2.1.1:9000", "area": "b", "slots": 4},
+                            },
+                        },
+                        "app": {
+                            "kind": "plain",
+                            "servers": {"p1": {"url": "http://127.2.1.2:9000", "area": "b", "slots": 4}},
+                        },
+                    },
+                },
+            )
+            assert floor.barred("gpu", "w1", 2.0) == "area a is evacuated"
+
+    asyncio.run(run())
--- /dev/null
+++ b/tests/plugins/test_example.py
@@ -0,0 +1,20 @@
+"""Tests of the example plug-ins."""
+
+from __future__ import annotations
+
+from postpass_example.near import near
+from postpass_example.shared import all_shared
+
+from postpass.plug import Ask, Seat
+
+
+def test_stays_near_while_there_is_room() -> None:
+    ask = Ask("ask", (), 10, "b")
+    far, close = Seat("w1", "a", 4, 4, 0), Seat("w2", "b", 1, 4, 3)
+    assert near(ask, (far, close)) == "w2"
+    assert near(ask, (far,)) == "w1"
+
+
+def test_the_key_is_of_all_shared_parts() -> None:
+    one, two = Ask("ask", ("a", "b"), 1, "x"), Ask("ask", ("a", "c"), 1, "x")
+    assert all_shared(one) != all_shared(two) and all_shared(Ask("ask", (), 1, "x")) == ""
--- /dev/null
+++ b/tests/replication/test_partition.py
@@ -0,0 +1,176 @@
+"""Tests of postpass.part."""
+
+from __future__ import annotations
+
+from postpass.lots import LotView
+from postpass.part import Follow, Part, head
+from postpass.tape import Tape
+
+
+def _owner(persisted: bool = True) -> Part:
+    part = Part(0, "s1", "d1")
+    part.areas = {f"s{i}": c for i, c in zip(range(1, 5), "abcd", strict=True)}
+    part.lead(1)
+    part.make("crew", {"crew": {f"s{i}": f"d{i}" for i in range(1, 5)}})
+    part.mark = part.make("mark", {}).seq
+    part.recorder.put("s1", "d1", "persisted", 2 if persisted else 0)
+    return part
+
+
+def test_trap_two_the_owners_own_sync_counts_only_once_done() -> None:
+    part = _owner(persisted=False)
+    for name in ("s2", "s3"):
+        part.recorder.put(name, name.replace("s", "d"), "persisted", 2)
+    assert not part.advance() and part.covered == 0
+    part.places.append((10, 2))
+    assert not part.sync_to(9) and part.sync_to(10) and part.advance() and part.covered == 2
+
+
+def test_four_stores_cover_with_three_synced_copies_never_two() -> None:
+    part = _owner()
+    part.recorder.put("s2", "d2", "persisted", 2)
+    part.recorder.put("s3", "d3", "received", 2)
+    part.recorder.put("s4", "other", "persisted", 2)  # a wiped disk has no voice
+    assert not part.advance()
+    part.recorder.put("s3", "d3", "persisted", 2)
+    assert part.advance() and part.covered == 2
+
+
+def test_nothing_counts_until_the_epoch_mark_does() -> None:
+    part = _owner()
+    for name in ("s2", "s3"):
+        part.recorder.put(name, name.replace("s", "d"), "persisted", 1)
+    assert not part.advance() and not part.ready
+    part.recorder.put("s2", "d2", "persisted", 2)
+    part.recorder.put("s3", "d3", "persisted", 2)
+    assert part.advance() and part.ready
+
+
+def test_while_a_change_is_not_covered_the_frontier_is_the_lower_of_old_and_new() -> None:
+    part = _owner()
+    for name in ("s2", "s3"):
+        part.recorder.put(name, name.replace("s", "d"), "persisted", 2)
+    part.advance()
+    part.make("predicate", {"text": "MIN($ALLWNODES)"})
+    part.recorder.put("s1", "d1", "persisted", 3)
+    for name in ("s2", "s3"):
+        part.recorder.put(name, name.replace("s", "d"), "persisted", 3)
+    assert not part.advance() and part.covered == 2  # the old rule holds, the new one doesn't
+    part.recorder.put("s4", "d4", "persisted", 3)
+    assert part.advance() and part.covered == 3
+    part.make("predicate", {"text": ""})
+    part.recorder.put("s1", "d1", "persisted", 4)
+    for name in ("s2", "s3"):
+        part.recorder.put(name, name.replace("s", "d"), "persisted", 4)
+    assert not part.advance()  # the new rule holds, the old one doesn't
+    part.recorder.put("s4", "d4", "persisted", 4)
+    assert part.advance() and part.covered == 4
+    part.make("mark", {})
+    part.recorder.put("s1", "d1", "persisted", 5)
+    for name in ("s2", "s3"):
+        part.recorder.put(name, name.replace("s", "d"), "persisted", 5)
+    assert part.advance() and part.covered == 5  # from here on three are enough again
+
+
+def test_a_changed_crew_needs_promises_under_both() -> None:
+    part = _owner()
+    part.covered = 2
+    part.make("crew", {"crew": {"s1": "d1", "s2": "new", "s3": "d3", "s4": "d4"}})
+    view = part.view
+    assert not part.may_lead(view, {"s1": "d1", "s2": "new", "s3": "d3"})
+    assert part.may_lead(view, {"s1": "d1", "s3": "d3", "s4": "d4"})
+    part.covered = 3
+    assert part.may_lead(view, {"s1": "d1", "s2": "new", "s3": "d3"})
+    assert not part.may_lead(view, {"s1": "d1", "s2": "d2", "s3": "d3"})
+
+
+def test_a_store_that_leaves_is_told_of_as_a_member_until_that_is_covered() -> None:
+    part = _owner()
+    part.covered = 2
+    part.make("crew", {"crew": {"s1": "d1", "s2": "d2", "s3": "d3"}})
+    assert set(part.crew) == {"s1", "s2", "s3", "s4"}
+    part.covered = 3
+    assert set(part.crew) == {"s1", "s2", "s3"}
+
+
+def _restarted(part: Part) -> tuple[Part, LotView]:
+    """The same log after a loss of power: what was heard of `covered` is forgotten."""
+    fresh = Part(0, "s1", "d1", Tape(base=LotView(), recs=list(part.tape.recs)), areas=part.areas)
+    return fresh, head(fresh.tape)
+
+
+def test_a_log_that_settles_a_change_needs_no_word_of_who_was_there_before() -> None:
+    part = _owner()
+    part.covered = 2
+    part.make("crew", {"crew": {"s1": "d1", "s2": "new", "s3": "d3", "s4": "d4"}})
+    assert not part.provable()  # nothing proves what isn't covered
+    part.covered = 3
+    now = {"s1": "d1", "s2": "new", "s3": "d3"}  # of the four before the change only two are left
+    fresh, view = _restarted(part)
+    assert not fresh.may_lead(view, now)
+    assert part.provable() == 3
+    part.make("mark", {"settled": 3})
+    assert not part.provable()
+    fresh, view = _restarted(part)
+    assert fresh.may_lead(view, now) and not fresh.may_lead(view, {"s1": "d1", "s2": "d2", "s3": "d3"})
+    fresh.lead(2)
+    assert not fresh.hopeless(now)
+    fresh.mark = fresh.make("mark", {}).seq
+    for name, disk in now.items():
+        fresh.recorder.put(name, disk, "persisted", fresh.mark)
+    assert fresh.advance() and fresh.covered == fresh.mark
+
+
+def test_a_change_is_proven_once_the_mark_that_settles_it_is_covered() -> None:
+    part = _owner()
+    members = {"s1": "d1", "s2": "d2", "s3": "d3"}
+    for name, disk in members.items():
+        part.recorder.put(name, disk, "persisted", 2)
+    assert not part.proven() and part.advance() and part.proven()  # founded: there is nothing to settle
+    change = part.make("crew", {"crew": members | {"s4": "new"}}).seq
+    assert not part.proven()
+    for name, disk in members.items():
+        part.recorder.put(name, disk, "persisted", change)
+    assert part.advance() and not part.proven()
+    mark = part.make("mark", {"settled": change}).seq
+    assert not part.proven()
+    for name, disk in members.items():
+        part.recorder.put(name, disk, "persisted", mark)
+    assert part.advance() and part.proven()
+    part.make("mark", {})
+    assert part.proven()  # what comes after is nothing to wait for
+    part.tape.rebase(mark)
+    part.tape.base = LotView.load(part.base_dump())
+    part.view = head(part.tape)
+    assert part.proven()  # a base holds only what is covered
+
+
+def test_a_mark_settles_only_changes_up_to_what_was_covered_when_it_was_written() -> None:
+    part = _owner()
+    part.covered = 2
+    part.make("predicate", {"text": "MIN($ALLWNODES)"})
+    part.make("mark", {"settled": 2})
+    part.make("crew", {"crew": {"s1": "d1", "s2": "new", "s3": "d3", "s4": "d4"}})
+    fresh, view = _restarted(part)
+    assert len(fresh.rules(view)) == 4 and view.unsettled() == 5
+    part.make("mark", {"settled": 3})
+    fresh, view = _restarted(part)
+    assert [c["s2"] for c, _ in fresh.rules(view)] == ["new", "d2"] and {t for _, t in fresh.rules(view)} == {
+        "MIN($ALLWNODES)"
+    }
+    assert LotView.load(view.dump()).unsettled() == 5
+    part.make("mark", {"settled": 5})
+    fresh, view = _restarted(part)
+    assert fresh.rules(view) == [(view.crew, "MIN($ALLWNODES)")] and LotView.load(view.dump()).unsettled() == 0
+
+
+def test_buffers_are_freed_once_delivered_everywhere_and_past_the_budget_for_all() -> None:
+    part = _owner()
+    for _ in range(100):
+        part.make("mark", {})
+    part.persisted = part.covered = 102
+    part.follows = {"s2": Follow(next=103), "s3": Follow(next=70)}
+    assert part.trim(1 << 20) and part.tape.base_seq == 69
+    part.follows["s3"].silent = True
+    assert not part.trim(1 << 20)  # too little to be worth it
+    assert part.trim(10) and part.tape.base_seq == 102 and not part.tape.recs
--- /dev/null
+++ b/tests/replication/test_store.py
@@ -0,0 +1,9 @@
+"""Tests of postpass.store."""
+
+from __future__ import annotations
+
+from postpass.manifest import part_of
+
+
+def test_lots_hash_over_all_partitions() -> None:
+    assert {part_of(f"lot-{i}", 8) for i in range(200)} == set(range(8))
--- /dev/null
+++ b/tests/runtime/test_errors.py
@@ -0,0 +1,11 @@
+"""Tests of postpass.fault."""
+
+from __future__ import annotations
+
+from postpass.fault import FULL, Fault
+
+
+def test_fault_names_step_and_peer() -> None:
+    flaw = Fault("submit", "s1", "no disk", FULL)
+    assert str(flaw) == "submit at s1: no disk"
+    assert flaw.as_json() == {"step": "submit", "peer": "s1", "why": "no disk"}
--- /dev/null
+++ b/tests/sim/test_plugged.py
@@ -0,0 +1,46 @@
+"""Tests of sim.plugged."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Any
+
+import pytest
+
+from bench.plan import changed
+from postpass import events, plug
+from sim.fleet import SimFleet
+from sim.interface import Say, with_fleet
+from sim.runner import judge, parse, play
+
+
+def test_the_example_places_near_and_a_missing_plug_in_is_refused() -> None:
+    async def check(world: SimFleet, say: Say) -> None:
+        man = changed(changed(world.man, "classes.ask.place", "near"), "classes.ask.prefix", "all-shared")
+        assert (await say("PUT", "/v1/manifest", man, {"if-match": '"1"'}, to="c1"))[0] == 200
+        await asyncio.sleep(1)
+        for i in range(6):
+            await say("POST", "/v1/calls", {"class": "ask", "own": f"ask:{i} x", "shared": ["p"]}, to="e2")
+        assert {e["worker"] for e in world.events if e["ev"] == "took"} == {"w2"}, "e2 stands in area b, as w2 does"
+        got = await say(
+            "PUT", "/v1/manifest", changed(man, "classes.ask.place", "nowhere"), {"if-match": '"2"'}, to="c1"
+        )
+        assert got[0] == 400 and "no plug-in 'nowhere' is installed" in got[1]["flaws"][0]
+
+    with_fleet(check)
+
+
+def test_a_plug_in_that_raises_harms_no_call(monkeypatch: pytest.MonkeyPatch) -> None:
+    def broken(kind: str, name: str) -> Any:
+        def run(*_: Any) -> str:
+            raise RuntimeError("a plug-in with a fault")
+
+        return run
+
+    monkeypatch.setattr(plug, "find", broken)
+    s = parse(
+        "set classes.ask.place=near classes.ask.prefix=all-shared\nload ask=6\nrun 6\nexpect calls_share == 1", "plug"
+    )
+    r = play(s, 1)
+    assert judge(s, r) == []
+    assert events.COUNTS[154] > 10
