--- a/bench/brittle.py
+++ b/bench/brittle.py
@@ -10,7 +10,7 @@
 import os
 from dataclasses import dataclass
 
-from postpass.disk import RealDisk
+from postpass.runtime.disk import RealDisk
 
 
 @dataclass
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -30,16 +30,17 @@
 
 import fire
 
-from postpass import lotdesk, wire
+from postpass.batch import job_api
+from postpass.batch.job import Lot, LotView, digest, packed
+from postpass.batch.job_service import Routed
+from postpass.configuration.configuration import part_of
 from postpass.control import Control, Held
 from postpass.control.epochs import Pair
-from postpass.lots import Lot, LotView, digest, packed
-from postpass.manifest import part_of
-from postpass.part import Part
-from postpass.placing import Prefix, Seat, choose, readers
-from postpass.roster import PARTS, State
-from postpass.routed import Routed
-from postpass.tape import Record
+from postpass.gateway.load_balancing import Prefix, Seat, choose, readers
+from postpass.membership.registry import PARTS, State
+from postpass.replication.partition import Part
+from postpass.replication.record_log import Record
+from postpass.rpc import peer_links
 from sim.announced import AnnouncedFleet, Sizes, module
 from sim.clients import Clients, Kind
 from sim.hollow import hand_in, patient, taken_lot
@@ -180,7 +181,7 @@
 
 @contextmanager
 def metered() -> Iterator[Meter]:
-    meter, run, send, message = Meter(), loop_events.Handle._run, Pipe._send, wire._message
+    meter, run, send, message = Meter(), loop_events.Handle._run, Pipe._send, peer_links._message
 
     def measured(handle: Any) -> Any:
         began = time.thread_time_ns()
@@ -205,7 +206,7 @@
 
     loop_events.Handle._run = measured  # type: ignore[assignment,method-assign]
     Pipe._send = sending  # type: ignore[assignment,method-assign]
-    wire._message = told
+    peer_links._message = told
     # Else a collection over all processes of the fleet would be charged to whichever of them happened to cause it.
     gc.collect()
     gc.freeze()
@@ -215,7 +216,7 @@
         gc.unfreeze()
         loop_events.Handle._run = run  # type: ignore[method-assign]
         Pipe._send = send  # type: ignore[method-assign]
-        wire._message = message
+        peer_links._message = message
 
 
 def resident_bytes() -> int:
@@ -350,7 +351,7 @@
     the platform's limit on the items of a lot."""
     pylog.disable(pylog.CRITICAL)
     if lifted:
-        lotdesk.lot_flaw.__defaults__ = (10**9,)
+        job_api.lot_flaw.__defaults__ = (10**9,)
 
     async def main(loop: SimLoop) -> Row:
         sizes = Sizes(edges=2, stores=8, cores=3, zones=4, models=8, plains=2, slots=32)
--- a/bench/control_state.py
+++ b/bench/control_state.py
@@ -23,12 +23,12 @@
 from typing import Any, cast
 
 from bench.capacity import Meter, Row, metered, more_routes, roles
+from postpass.configuration.json_delta import patch
 from postpass.control import Control
 from postpass.control.journal import Image, StateJournal, Tree
-from postpass.delta import patch
-from postpass.disk import RealDisk
-from postpass.roster import Standing
-from postpass.vault import open_vault
+from postpass.membership.registry import Standing
+from postpass.runtime.disk import RealDisk
+from postpass.storage.data_directory import open_vault
 from sim.announced import AnnouncedFleet, Sizes
 from sim.disk import SimDisk
 from sim.loop import HOST, SimLoop, run_sim
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -29,7 +29,7 @@
 from bench.callers import Callers, Load
 from bench.deploy import DEPLOYMENTS, Deployment
 from bench.plan import changed, config
-from postpass.manifest import part_of
+from postpass.configuration.configuration import part_of
 from sim.check import CHECKS, Bounds, History, breaches
 
 Event = dict[str, Any]
--- a/bench/lag.py
+++ b/bench/lag.py
@@ -144,14 +144,14 @@
     LagLoop.area = next((f.split("=", 1)[1].split(".")[1] for f in flags if f.startswith("--peer=")), "")
     asyncio.set_event_loop_policy(Policy())
     sys.argv = [program, *flags]
-    import postpass.ppd
+    import postpass.daemon.data_plane_command
     from bench.brittle import BrittleDisk
 
-    setattr(postpass.ppd, "RealDisk", BrittleDisk)  # noqa: B010
+    setattr(postpass.daemon.data_plane_command, "RealDisk", BrittleDisk)  # noqa: B010
     if program == "ppd":
-        from postpass.ppd import main as run
+        from postpass.daemon.data_plane_command import main as run
     else:
-        from postpass.ppc import main as run
+        from postpass.daemon.control_plane_command import main as run
     run()
 
 
--- a/bench/measure.py
+++ b/bench/measure.py
@@ -22,8 +22,8 @@
 
 from bench.callers import Load
 from bench.plan import changed, grid, manifest
-from postpass.daemon import Daemon
-from postpass.data import Data
+from postpass.daemon.data_plane import Data
+from postpass.daemon.process import Daemon
 from sim.fleet import SimFleet
 from sim.loop import SimLoop, run_sim
 from sim.runner import parse, play, rank
@@ -85,7 +85,7 @@
         return [(t - start, d) for t, d in out]
 
     # The weaker predicates are refused at apply, rightly; for the comparison that check is put aside.
-    with patch("postpass.manifest.loss_flaw", lambda *_: ""):
+    with patch("postpass.configuration.configuration.loss_flaw", lambda *_: ""):
         got: list[tuple[float, float]] = run_sim(main, seed)
     return got
 
@@ -429,22 +429,23 @@
 
 def size_run(job: tuple[int, int, bool]) -> tuple[int, int, bool, dict[str, float]]:
     """Traffic of a quiet fleet of many daemons and routes, and of one change of the manifest."""
-    from postpass import floor, wire
+    from postpass.gateway import worker_load
+    from postpass.rpc import peer_links
 
     edges, routes, shared = job
-    floor.FEW = 16 if shared else 10**6
+    worker_load.FEW = 16 if shared else 10**6
     pylog.disable(pylog.CRITICAL)
 
     async def main(loop: SimLoop) -> dict[str, float]:
         sent: dict[str, list[int]] = defaultdict(list)
-        original = wire._message
+        original = peer_links._message
 
         def message(name: str, kind: int, seq: int, thing: Any) -> bytes:
             data = original(name, kind, seq, thing)
             sent[name].append(len(data))
             return data
 
-        wire._message = message
+        peer_links._message = message
         try:
             stores = 4 if edges < 100 else 8
             man = manifest(edges=edges, stores=stores, scheds=2, workers=4, parts=8)
@@ -475,7 +476,7 @@
                 "change": sum(sent.get("follow", [])) / many, "copy": sum(sent.get("copy", [])),
             }  # fmt: skip
         finally:
-            wire._message = original
+            peer_links._message = original
 
     return edges, routes, shared, run_sim(main, 1)
 
--- a/bench/order_memory.py
+++ b/bench/order_memory.py
@@ -12,16 +12,16 @@
 from dataclasses import dataclass
 from typing import Any, cast
 
-from postpass import taken_orders
-from postpass.config import Bounds
+from postpass.configuration.configuration import Manifest
+from postpass.configuration.settings import Bounds
+from postpass.control import accepted_orders
+from postpass.control.accepted_orders import ConfigurationOrder
 from postpass.control.state import Held
-from postpass.manifest import Manifest
-from postpass.roster import State
-from postpass.taken_orders import ConfigurationOrder
+from postpass.membership.registry import State
 
 REPEATS = 50
 ROUTES = (60, 600)
-ORDERS = (0, 16, 1_000, taken_orders.limit_of(Bounds()), 3_000)
+ORDERS = (0, 16, 1_000, accepted_orders.limit_of(Bounds()), 3_000)
 
 
 @dataclass(frozen=True)
@@ -69,15 +69,15 @@
     state = state_of(routes, orders)
     held = Held(1, state=state)
     order = ConfigurationOrder.of(document(routes, 10_000))
-    limit = taken_orders.limit_of(Bounds())
+    limit = accepted_orders.limit_of(Bounds())
     return Cost(
         routes,
         orders,
         len(json.dumps(state.orders, separators=(",", ":"))),
         len(held.dump()),
         milliseconds(held.dump),
-        milliseconds(lambda: taken_orders.recall(state.orders, order, 9_999)),
-        milliseconds(lambda: taken_orders.remember(state.orders, order, limit)),
+        milliseconds(lambda: accepted_orders.recall(state.orders, order, 9_999)),
+        milliseconds(lambda: accepted_orders.remember(state.orders, order, limit)),
     )
 
 
--- a/bench/standin.py
+++ b/bench/standin.py
@@ -12,8 +12,8 @@
 import fire
 
 from bench.worker import PlainServer, Worker
-from postpass.config import split
-from postpass.world import serve_http
+from postpass.configuration.settings import split
+from postpass.runtime.environment import serve_http
 
 
 def run(kind: str, name: str, http: str, log: str, area: str = "", slots: int = 8, weights: str = "model-1") -> None:
--- a/model/partition/rules.py
+++ b/model/partition/rules.py
@@ -8,10 +8,10 @@
 from typing import Any
 
 from model.partition.state import LOT, MEMBERS, NO_MEMBER, Ack, Log
-from postpass.lots import LotView, joined
-from postpass.membership import Change, Situation, Tolerance, Topology, next_change
-from postpass.part import Part, head
-from postpass.tape import Record, Tape
+from postpass.batch.job import LotView, joined
+from postpass.membership.safe_change import Change, Situation, Tolerance, Topology, next_change
+from postpass.replication.partition import Part, head
+from postpass.replication.record_log import Record, Tape
 
 Disks = dict[str, str]
 
--- a/plugins/example/postpass_example/near.py
+++ b/plugins/example/postpass_example/near.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from postpass.plug import Ask, Seat
+from postpass.worker_api.plugins import Ask, Seat
 
 
 def near(ask: Ask, seats: tuple[Seat, ...]) -> str:
--- a/plugins/example/postpass_example/shared.py
+++ b/plugins/example/postpass_example/shared.py
@@ -4,7 +4,7 @@
 
 import hashlib
 
-from postpass.plug import Ask
+from postpass.worker_api.plugins import Ask
 
 
 def all_shared(ask: Ask) -> str:
--- a/postpass/items.py
+++ b/postpass/batch/item_request.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from postpass.dialect import Dialect
-from postpass.fault import BROKE, SHED, Fault, Stop
-from postpass.verdict import AnswerNames, Proof, verdict
-from postpass.wire import Body
+from postpass.configuration.header_names import Dialect
+from postpass.gateway.response_check import AnswerNames, Proof, verdict
+from postpass.rpc.peer_links import Body
+from postpass.runtime.errors import BROKE, SHED, Fault, Stop
 
 LEAST_URGENT = b"9"
 LINE_MOST = 1 << 20
--- a/postpass/lots.py
+++ b/postpass/batch/job.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from postpass.tape import Base, Record
+from postpass.replication.record_log import Base, Record
 
 Body = dict[str, Any]
 Raw = bytes | memoryview
--- a/postpass/lotdesk.py
+++ b/postpass/batch/job_api.py
@@ -11,12 +11,12 @@
 
 from result import Err, Ok, Result
 
-from postpass.check import flaws
-from postpass.edge import NAME, Edge
-from postpass.fault import CLASH, CROWD, FULL, LACK, SHED
-from postpass.manifest import Route, part_of
-from postpass.wire import Body
-from postpass.world import now
+from postpass.configuration.configuration import Route, part_of
+from postpass.configuration.schema import flaws
+from postpass.gateway.live_requests import NAME, Edge
+from postpass.rpc.peer_links import Body
+from postpass.runtime.environment import now
+from postpass.runtime.errors import CLASH, CROWD, FULL, LACK, SHED
 
 ITEMS = 200
 HEADER_NAME = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
--- a/postpass/routed.py
+++ b/postpass/batch/job_service.py
@@ -11,16 +11,16 @@
 
 from result import Err, Ok, Result
 
-from postpass.fault import CLASH, CROWD, FULL, LACK, MOVED, SLOW, Fault, Stop
-from postpass.lots import Lot, digest, packed
-from postpass.manifest import part_of
-from postpass.part import Part
-from postpass.quota import Budget
-from postpass.wire import Body, PeerResponse
-from postpass.world import now
+from postpass.batch.job import Lot, digest, packed
+from postpass.batch.quota import Budget
+from postpass.configuration.configuration import part_of
+from postpass.replication.partition import Part
+from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.runtime.environment import now
+from postpass.runtime.errors import CLASH, CROWD, FULL, LACK, MOVED, SLOW, Fault, Stop
 
 if TYPE_CHECKING:
-    from postpass.store import Store
+    from postpass.replication.store import Store
 
 PAGE = 900_000  # bytes of texts in one page of results
 
--- a/postpass/sched.py
+++ b/postpass/batch/scheduler.py
@@ -17,18 +17,18 @@
 from prometheus_client import CollectorRegistry, Counter, Gauge
 from result import Err, Ok
 
-from postpass import events
-from postpass.config import Config
-from postpass.dialect import Dialect
-from postpass.fault import CLASH, MOVED, Fault, Stop
-from postpass.floor import Floor, share_of
-from postpass.items import Text, Workers, run_item
-from postpass.manifest import Manifest, Route
-from postpass.models import Prompt, complete
-from postpass.news import News
-from postpass.plug import Ask, Seat, fond_of, place, prefix
-from postpass.wire import Body, Lines
-from postpass.world import World, now
+from postpass.batch.item_request import Text, Workers, run_item
+from postpass.configuration.configuration import Manifest, Route
+from postpass.configuration.header_names import Dialect
+from postpass.configuration.settings import Config
+from postpass.feed.configuration_view import News
+from postpass.gateway.worker_load import Floor, share_of
+from postpass.rpc.peer_links import Body, Lines
+from postpass.runtime import log_events
+from postpass.runtime.environment import World, now
+from postpass.runtime.errors import CLASH, MOVED, Fault, Stop
+from postpass.worker_api.openai import Prompt, complete
+from postpass.worker_api.plugins import Ask, Seat, fond_of, place, prefix
 
 
 @dataclass(eq=False)
@@ -173,7 +173,7 @@
         if on == self.active:
             return
         self.active = on
-        events.emit(150 if on else 151, self.conf.name, why=why)
+        log_events.emit(150 if on else 151, self.conf.name, why=why)
         if on:
             self.term += 1
         else:
@@ -238,7 +238,7 @@
                 self.back.inc()
                 if job.task is not None:
                     job.task.cancel()
-            events.emit(152, self.conf.name, server=name, items=spare)
+            log_events.emit(152, self.conf.name, server=name, items=spare)
 
     # --- the rounds
     @property
--- /dev/null
+++ b/postpass/cli/__init__.py
@@ -0,0 +1,1 @@
+"""The operators' command line."""
--- a/postpass/doctor.py
+++ b/postpass/cli/doctor.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from postpass.control_health import member_health, next_loss_flaw
+from postpass.control.health import member_health, next_loss_flaw
 
 
 @dataclass(frozen=True)
--- a/postpass/pp.py
+++ b/postpass/cli/main.py
@@ -16,10 +16,10 @@
 from fire.decorators import SetParseFns
 from result import Err, Ok, Result
 
-from postpass.control_health import health_lines
-from postpass.delta import delta
-from postpass.doctor import diagnose
-from postpass.manifest import check
+from postpass.cli.doctor import diagnose
+from postpass.configuration.configuration import check
+from postpass.configuration.json_delta import delta
+from postpass.control.health import health_lines
 
 FINE, REFUSED, USAGE, UNKNOWN, PENDING = 0, 1, 2, 3, 4
 # Another one in the simulator.
@@ -191,7 +191,7 @@
           file: the nginx configuration file.
           out: a file for the parts of a manifest; printed if left out.
         """
-        from postpass.nginx import carry_over
+        from postpass.configuration.nginx_import import carry_over
 
         got = carry_over(file)
         if isinstance(got, Err):
@@ -308,7 +308,7 @@
           control: IP:PORT of control machines' HTTP side, with commas between them (or POSTPASS_CONTROL).
           raw: print everything as JSON.
         """
-        from postpass.overview import overview
+        from postpass.cli.status import overview
 
         where = addrs(control, "POSTPASS_CONTROL", "control")
         try:
--- a/postpass/overview.py
+++ b/postpass/cli/status.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from postpass.control_health import health_lines
+from postpass.control.health import health_lines
 
 
 def pending(seen: dict[str, Any]) -> list[str]:
--- a/postpass/manifest.py
+++ b/postpass/configuration/configuration.py
@@ -9,9 +9,9 @@
 
 from result import Err, Ok, Result
 
-from postpass.check import flaws
-from postpass.config import addr_flaws
-from postpass.predicate import DEFAULT, Scene, build, covers, loss_flaw
+from postpass.configuration.schema import flaws
+from postpass.configuration.settings import addr_flaws
+from postpass.replication.stability import DEFAULT, Scene, build, covers, loss_flaw
 
 
 class Machine(TypedDict):
--- a/postpass/nginx.py
+++ b/postpass/configuration/nginx_import.py
@@ -7,7 +7,7 @@
 import crossplane
 from result import Err, Ok, Result
 
-from postpass.config import addr_flaws
+from postpass.configuration.settings import addr_flaws
 
 Parts = dict[str, Any]
 
--- a/postpass/config.py
+++ b/postpass/configuration/settings.py
@@ -8,8 +8,8 @@
 
 from result import Err, Ok, Result
 
-from postpass.check import flaws
-from postpass.membership import Tolerance
+from postpass.configuration.schema import flaws
+from postpass.membership.safe_change import Tolerance
 
 
 class BoundsFile(TypedDict, total=False):
--- a/postpass/taken_orders.py
+++ b/postpass/control/accepted_orders.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from postpass.config import Bounds
+from postpass.configuration.settings import Bounds
 
 ORDERS_PER_SECOND = 10
 MINIMUM, MAXIMUM = 1_000, 10_000
@@ -42,6 +42,7 @@
 
     @property
     def entry(self) -> str:
+        """The order as the memory lists it: its version and the head of its digest."""
         return f"{self.version}.{self.digest[:DIGEST_LENGTH]}"
 
     @classmethod
@@ -77,7 +78,7 @@
     unversioned = sum(_version(e) is None for e in entries[:UNVERSIONED_LIMIT])
     if unversioned < UNVERSIONED_LIMIT:
         return 0
-    return next((v - 1 for e in entries if (v := _version(e)) is not None), current)
+    return next((version - 1 for e in entries if (version := _version(e)) is not None), current)
 
 
 def recall(entries: Sequence[str], order: ConfigurationOrder, current: int) -> Recollection:
@@ -96,6 +97,6 @@
     kept = [e for e in entries if not e.endswith(".")] + [order.entry]
     if len(kept) > limit + max(1, limit // SLACK):
         kept = kept[-limit:]
-        first = next(v for e in kept if (v := _version(e)) is not None)
+        first = next(version for e in kept if (version := _version(e)) is not None)
         forgotten = max(forgotten, first - 1)
     return [*(forgotten_up_to(forgotten) if forgotten else []), *kept]
--- a/postpass/control/api.py
+++ b/postpass/control/api.py
@@ -13,10 +13,10 @@
 
 from postpass.control.member import INFINITY
 from postpass.control.orders import Orders
-from postpass.daemon import Task
-from postpass.fault import BAD, BROKE, CLASH, MOVED, OLD, SHED, SLOW, Fault
-from postpass.wire import Body, PeerResponse
-from postpass.world import now
+from postpass.daemon.process import Task
+from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.runtime.environment import now
+from postpass.runtime.errors import BAD, BROKE, CLASH, MOVED, OLD, SHED, SLOW, Fault
 
 
 class Api(Orders):
--- a/postpass/control/changes.py
+++ b/postpass/control/changes.py
@@ -8,8 +8,8 @@
 
 from result import Result
 
-from postpass.fault import Fault
-from postpass.roster import State
+from postpass.membership.registry import State
+from postpass.runtime.errors import Fault
 
 Fold = Callable[[State], Result[State, Fault]]
 
--- a/postpass/control/configuration.py
+++ b/postpass/control/configuration.py
@@ -8,11 +8,12 @@
 
 from result import Err, Ok, Result
 
-from postpass import roster, taken_orders
-from postpass.fault import BAD, OLD, SLOW, Fault
-from postpass.manifest import deep_flaws
-from postpass.roster import State, Translator
-from postpass.taken_orders import ConfigurationOrder, Recollection
+from postpass.configuration.configuration import deep_flaws
+from postpass.control import accepted_orders
+from postpass.control.accepted_orders import ConfigurationOrder, Recollection
+from postpass.membership import registry
+from postpass.membership.registry import State, Translator
+from postpass.runtime.errors import BAD, OLD, SLOW, Fault
 
 STEP = "configure"
 
@@ -43,7 +44,7 @@
     def __call__(self, state: State) -> Result[State, Fault]:
         """The state with the order applied, or why it is refused."""
         current = state.man.get("version", 0)
-        recollection = taken_orders.recall(state.orders, self.order, current)
+        recollection = accepted_orders.recall(state.orders, self.order, current)
         if recollection is Recollection.TAKEN:
             return Ok(state)
         if self.translator is None:
@@ -69,8 +70,8 @@
         terms = read.unwrap()
         if terms["version"] <= self.base:
             return self._refuse(f"version: want more than {self.base}, got {terms['version']}")
-        orders = taken_orders.remember(state.orders, self.order, self.remembered)
-        new = roster.configured(state, terms, source, orders)
+        orders = accepted_orders.remember(state.orders, self.order, self.remembered)
+        new = registry.configured(state, terms, source, orders)
         flaws = deep_flaws(new.man)
         return self._refuse(*flaws) if flaws else Ok(new)
 
--- a/postpass/control/contact.py
+++ b/postpass/control/contact.py
@@ -13,10 +13,10 @@
 
 from postpass.control.epochs import Voters
 from postpass.control.member import INFINITY, ControlMember
-from postpass.fault import SHED, Fault
-from postpass.feed import Stale
-from postpass.wire import Body, PeerResponse
-from postpass.world import hear, now
+from postpass.feed.messages import Stale
+from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.runtime.environment import hear, now
+from postpass.runtime.errors import SHED, Fault
 
 RENEWAL = 2  # times the lease, for which a primary that takes another replica set still counts as one
 RELAYS = 3  # other members that a worker's heartbeat is sent to from one without contact
--- a/postpass/control/election.py
+++ b/postpass/control/election.py
@@ -7,7 +7,7 @@
 
 from result import Err, Ok, Result
 
-from postpass import events
+from postpass.configuration.configuration import Manifest, check
 from postpass.control.epochs import (
     Acknowledgement,
     Pair,
@@ -23,12 +23,12 @@
 )
 from postpass.control.replica import Replica
 from postpass.control.state import Held
-from postpass.fault import SLOW, Fault
-from postpass.manifest import Manifest, check
-from postpass.membership import Topology, next_voters
-from postpass.roster import State, recovered
-from postpass.wire import Body
-from postpass.world import now
+from postpass.membership.registry import State, recovered
+from postpass.membership.safe_change import Topology, next_voters
+from postpass.rpc.peer_links import Body
+from postpass.runtime import log_events
+from postpass.runtime.environment import now
+from postpass.runtime.errors import SLOW, Fault
 
 
 class Election(Replica):
@@ -189,11 +189,11 @@
         self.announce_leader()
         if why not in ("backup lost", "too few backups") and not why.startswith("voters"):
             self.since, self.beats = now(), {}
-        events.emit(
+        log_events.emit(
             133 if loss else 130, self.conf.name, epoch=epoch, backup=",".join(backups), edition=state.edition, why=why
         )
         for name in sorted(set(now_voters) - {n for n, d in voters.items() if now_voters.get(n) == d}):
-            events.emit(134, self.conf.name, joins=name)
+            log_events.emit(134, self.conf.name, joins=name)
         self.publish(self.held.state)
         # Who leads is told by the granted epoch alone; members that wait for a primary need not wait for the next beat.
         self.spawn(self.announce_epoch(epoch, man))
@@ -230,7 +230,7 @@
         self.epoch = 0
         got = await self.run_election(man, why, prevotes=prevotes, change_voters=not quick)
         if isinstance(got, Ok):
-            events.emit(132, self.conf.name, backup=",".join(self.held.pair.backups), why=why)
+            log_events.emit(132, self.conf.name, backup=",".join(self.held.pair.backups), why=why)
         else:
             self.heard = now() - self.conf.bounds.detect
 
--- a/postpass/control/feed.py
+++ b/postpass/control/feed.py
@@ -6,15 +6,15 @@
 
 from result import Err, Ok
 
-from postpass import events
+from postpass.configuration.configuration import Manifest, shape
 from postpass.control.in_force import Hearing, VersionWait, awaited_senders
 from postpass.control.member import INFINITY
 from postpass.control.writer import Writer
-from postpass.fault import MOVED, SHED, SLOW, Fault
-from postpass.feed import Poll
-from postpass.manifest import Manifest, shape
-from postpass.wire import Body, PeerResponse
-from postpass.world import now
+from postpass.feed.messages import Poll
+from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.runtime import log_events
+from postpass.runtime.environment import now
+from postpass.runtime.errors import MOVED, SHED, SLOW, Fault
 
 SHORTEST_WAIT_S = 0.001
 
@@ -62,7 +62,7 @@
             machines,
         )
         waits = await wait.run()
-        events.emit(144, me, edition=edition, waits=",".join(waits) or "for nobody")
+        log_events.emit(144, me, edition=edition, waits=",".join(waits) or "for nobody")
         return waits
 
     @property
--- a/postpass/control_health.py
+++ b/postpass/control/health.py
@@ -23,12 +23,14 @@
     in_touch: bool
 
     def line(self) -> str:
+        """The member as a row of the table that the operator's tool prints."""
         contact = "never" if self.contact_s is None else f"{self.contact_s:.1f} s ago"
         state = "" if self.in_touch else "  OUT OF TOUCH"
         return f"{self.name:10} {self.role:8} {self.epoch:>6} {self.version:>8} {self.lag:>5}  contact {contact:>12}{state}"
 
 
 def member_health(views: Views) -> list[MemberHealth]:
+    """Each member as it and the others describe it; `lag` counts from the newest version that any member holds."""
     newest = max((_version(v) for v in views.values()), default=0)
     return [
         MemberHealth(
--- a/postpass/control/in_force.py
+++ b/postpass/control/in_force.py
@@ -9,10 +9,10 @@
 
 from result import Err
 
-from postpass.config import Bounds
-from postpass.manifest import Manifest, with_duty
-from postpass.wire import Lines, PeerResponse
-from postpass.world import hear, now
+from postpass.configuration.configuration import Manifest, with_duty
+from postpass.configuration.settings import Bounds
+from postpass.rpc.peer_links import Lines, PeerResponse
+from postpass.runtime.environment import hear, now
 
 RELAYS = 3  # other machines through which one is asked whose direct way may be cut
 HEAD_START = 1 / 4  # of a try's time, for the direct way before others are asked
--- a/postpass/control/journal.py
+++ b/postpass/control/journal.py
@@ -12,12 +12,12 @@
 from dataclasses import dataclass, field
 from typing import Any, Self
 
-from postpass.delta import Delta, delta, patch
-from postpass.disk import Disk
-from postpass.fault import BROKE, FULL, Fault, Stop
-from postpass.news import mass, shift
-from postpass.seglog import SegLog
-from postpass.wire import IDL, pack, unpack
+from postpass.configuration.json_delta import Delta, delta, patch
+from postpass.feed.configuration_view import mass, shift
+from postpass.rpc.peer_links import IDL, pack, unpack
+from postpass.runtime.disk import Disk
+from postpass.runtime.errors import BROKE, FULL, Fault, Stop
+from postpass.storage.segmented_log import SegLog
 
 RECORD_FORMAT = 1  # of a record in the log; a later one is left alone
 SNAPSHOT, CHANGE = "snapshot", "change"  # operations of the log's entries
--- a/postpass/control/leadership.py
+++ b/postpass/control/leadership.py
@@ -6,15 +6,15 @@
 
 from result import Err, Ok
 
-from postpass import events
+from postpass.configuration.configuration import Manifest
 from postpass.control.epochs import Acknowledgement, Pair, in_touch, majority
 from postpass.control.member import INFINITY
 from postpass.control.registry import Registry
-from postpass.fault import Stop
-from postpass.manifest import Manifest
-from postpass.membership import gives_up_vote
-from postpass.wire import Body, PeerResponse
-from postpass.world import now
+from postpass.membership.safe_change import gives_up_vote
+from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.runtime import log_events
+from postpass.runtime.environment import now
+from postpass.runtime.errors import Stop
 
 
 class Leadership(Registry):
@@ -35,7 +35,7 @@
                     # One that holds the state may be the only one that can lead, also while it leaves.
                     await self.watch_for_leader(man)
             except Stop as bad:
-                events.emit(103, self.conf.name, step=bad.fault.step, why=bad.fault.why)
+                log_events.emit(103, self.conf.name, step=bad.fault.step, why=bad.fault.why)
 
     async def lead_heartbeat(self, man: Manifest) -> None:
         """The primary's heartbeat to all members; steps down without a majority, and mends the replica set."""
@@ -170,7 +170,7 @@
             if not epoch or not addrs:
                 return False
             self.epoch = 0
-            events.emit(131, self.conf.name, epoch=epoch, seen="handed over")
+            log_events.emit(131, self.conf.name, epoch=epoch, seen="handed over")
         for addr in addrs:
             got = await self.lines.call(addr, "adopt", {"epoch": epoch}, self.conf.bounds.promise)
             if isinstance(got, Ok) and got.unwrap()["ok"]:
--- a/postpass/control/member.py
+++ b/postpass/control/member.py
@@ -10,20 +10,20 @@
 from prometheus_client import Gauge
 from result import Err, Ok
 
-from postpass import events
-from postpass.config import Config
+from postpass.configuration.configuration import Manifest, with_duty
+from postpass.configuration.settings import Config
 from postpass.control.changes import Edit
 from postpass.control.epochs import Pair, Witness
 from postpass.control.journal import Change, Image, StateJournal
 from postpass.control.state import Committed, Held
-from postpass.daemon import Daemon
-from postpass.disk import Disk
-from postpass.fault import FULL, MOVED, Fault, Stop
-from postpass.manifest import Manifest, with_duty
-from postpass.roster import State, Translator
-from postpass.vault import STATE_FORMAT, open_vault, raise_format
-from postpass.wire import RELEASE, Body, PeerResponse
-from postpass.world import World, now
+from postpass.daemon.process import Daemon
+from postpass.membership.registry import State, Translator
+from postpass.rpc.peer_links import RELEASE, Body, PeerResponse
+from postpass.runtime import log_events
+from postpass.runtime.disk import Disk
+from postpass.runtime.environment import World, now
+from postpass.runtime.errors import FULL, MOVED, Fault, Stop
+from postpass.storage.data_directory import STATE_FORMAT, open_vault, raise_format
 
 INFINITY = float("inf")
 STATE_FILE = "state"  # of releases up to 0.2.0: the whole state, written anew at every change
@@ -107,7 +107,7 @@
         try:
             await self.read_folder()
         except (ValueError, KeyError, TypeError) as bad:
-            events.emit(112, self.conf.name, why=repr(bad))
+            log_events.emit(112, self.conf.name, why=repr(bad))
             for name in ("identity", "epochs", STATE_FILE):
                 if name in self.disk.names():
                     self.disk.rename(name, f"damaged-{name}")
@@ -198,7 +198,7 @@
     def fail_disk(self, why: str) -> Fault:
         """A write failed: nothing more is written or answered by this process, which ends."""
         self.bad = why
-        events.emit(113, self.conf.name, why=why)
+        log_events.emit(113, self.conf.name, why=why)
         self.failed = Fault("sync", self.conf.name, why)
         self.stop.set()
         self.closed.set()
@@ -256,7 +256,7 @@
     def step_down(self, seen: int | str) -> None:
         """Leads no more: a higher epoch was seen, or what else the event tells."""
         if self.epoch:
-            events.emit(131, self.conf.name, epoch=self.epoch, seen=seen)
+            log_events.emit(131, self.conf.name, epoch=self.epoch, seen=seen)
         self.epoch = 0
         self.heard = now()
 
--- a/postpass/control/orders.py
+++ b/postpass/control/orders.py
@@ -7,15 +7,17 @@
 
 from result import Err, Ok, Result
 
-from postpass import events, roster, taken_orders
+from postpass.configuration.configuration import Manifest, check, dump, members, with_duty
+from postpass.control import accepted_orders
 from postpass.control.changes import Fold
 from postpass.control.configuration import ConfigurationChange
 from postpass.control.leadership import Leadership
-from postpass.fault import BAD, LACK, MOVED, OLD, SHED, SLOW, Fault, Stop
-from postpass.manifest import Manifest, check, dump, members, with_duty
-from postpass.roster import State
-from postpass.wire import Body, PeerResponse
-from postpass.world import now
+from postpass.membership import registry
+from postpass.membership.registry import State
+from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.runtime import log_events
+from postpass.runtime.environment import now
+from postpass.runtime.errors import BAD, LACK, MOVED, OLD, SHED, SLOW, Fault, Stop
 
 
 class Orders(Leadership):
@@ -144,7 +146,7 @@
         if isinstance(got, Err):
             return Err(got.unwrap_err())
         edition = got.unwrap()
-        events.emit(138, self.conf.name, what=what, edition=edition)
+        log_events.emit(138, self.conf.name, what=what, edition=edition)
         waits = await self.in_force(edition, None, self.committed.state.man, asked, self.conf.bounds.manifest / 5)
         return Ok({"edition": edition, "waits": waits})
 
@@ -160,22 +162,22 @@
             if area not in self.conf.areas:
                 return lambda _: Err(Fault(what, self.conf.name, f"unknown area {area!r:.60}", LACK))
             return lambda state: Ok(
-                roster.evacuated(state, area) if what == "evacuate" else roster.returned(state, area)
+                registry.evacuated(state, area) if what == "evacuate" else registry.returned(state, area)
             )
         if what == "retire":
 
             def retire(state: State) -> Result[State, Fault]:
-                flaw = roster.retire_flaw(state, body["name"], self.conf.tolerance)
+                flaw = registry.retire_flaw(state, body["name"], self.conf.tolerance)
                 if flaw:
                     return Err(Fault("retire", self.conf.name, flaw[1], flaw[0]))
-                return Ok(roster.retiring(state, body["name"], self.conf.tolerance))
+                return Ok(registry.retiring(state, body["name"], self.conf.tolerance))
 
             return retire
         return lambda _: Err(Fault("order", self.conf.name, f"unknown order {what!r:.60}", BAD))
 
     def configuration(self, sent: Any, base: int, is_patch: bool) -> Fold:
         """The operator's document, whole or as a change of the one of version `base`."""
-        remembered = taken_orders.limit_of(self.conf.bounds)
+        remembered = accepted_orders.limit_of(self.conf.bounds)
         return ConfigurationChange(self.conf.name, self.translator, remembered, sent, base, is_patch)
 
     async def emptied(self, name: str) -> PeerResponse:
@@ -192,7 +194,7 @@
             return Err(Fault("retire", self.conf.name, f"no store {name!r:.60}", LACK))
         if not man["machines"][name].get("retire") or not await self.holds_nothing(name, man):
             return Ok({"done": False})
-        got = await self.change(lambda state: Ok(roster.emptied(state, name)), 0.0)
+        got = await self.change(lambda state: Ok(registry.emptied(state, name)), 0.0)
         return Ok({"done": isinstance(got, Ok)})
 
     async def holds_nothing(self, name: str, man: Manifest) -> bool:
--- a/postpass/control/registry.py
+++ b/postpass/control/registry.py
@@ -6,14 +6,15 @@
 
 from result import Err, Ok, Result
 
-from postpass import events, roster
+from postpass.configuration.configuration import Manifest, with_duty
 from postpass.control.feed import Feed
 from postpass.control.member import INFINITY
-from postpass.fault import BAD, Fault
-from postpass.manifest import Manifest, with_duty
-from postpass.roster import Entry, Standing, State
-from postpass.wire import Body, PeerResponse
-from postpass.world import now
+from postpass.membership import registry
+from postpass.membership.registry import Entry, Standing, State
+from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.runtime import log_events
+from postpass.runtime.environment import now
+from postpass.runtime.errors import BAD, Fault
 
 MOST_DRAINED = 4096  # workers whose acknowledged leaving a member remembers
 
@@ -36,11 +37,11 @@
             got = await asyncio.gather(*asks)
             if all(isinstance(g, Ok) and g.unwrap().get("blank") for g in got) and self.blank():
                 entries: list[Entry] = [self.entry(), *(g.unwrap()["entry"] for g in got)]
-                man = roster.founded(entries, self.conf.areas, self.conf.disks_lost)
+                man = registry.founded(entries, self.conf.areas, self.conf.disks_lost)
                 async with self.lock:
                     done = await self.run_election(man, "founded", State(1, man))
                 if isinstance(done, Ok):
-                    events.emit(135, self.conf.name, machines=",".join(e["name"] for e in entries))
+                    log_events.emit(135, self.conf.name, machines=",".join(e["name"] for e in entries))
                     return
             await asyncio.sleep(b.beat / 4 * (0.8 + 0.4 * self.world.chance.random()))
 
@@ -48,17 +49,19 @@
         step, entry = "join", body["entry"]
         if not await self.is_leading():
             return Err(self.not_leader(step))
-        flaws = roster.entry_flaws(entry, self.conf.areas)
+        flaws = registry.entry_flaws(entry, self.conf.areas)
         if flaws:
             return Err(Fault(step, self.conf.name, "\n".join(flaws), BAD))
         self.spoke[entry["name"]] = now()
         if (man := self.known()) is not None:
             self.note_newcomers(man)
         self.met.setdefault(entry["name"], now())
-        got = await self.change(lambda s: Ok(roster.joined(s, entry)), self.conf.bounds.beat / 4)
+        got = await self.change(lambda s: Ok(registry.joined(s, entry)), self.conf.bounds.beat / 4)
         if isinstance(got, Err):
             return Err(got.unwrap_err())
-        events.emit(136, self.conf.name, joins=entry["name"], duties=",".join(entry["duties"]), edition=got.unwrap())
+        log_events.emit(
+            136, self.conf.name, joins=entry["name"], duties=",".join(entry["duties"]), edition=got.unwrap()
+        )
         return Ok({"edition": got.unwrap()})
 
     async def report(self) -> None:
@@ -104,14 +107,14 @@
             return
         man = state.manifest
         silent = {n: t - max(self.spoke.get(n, -INFINITY), self.since) for n in man["machines"]}
-        every = roster.everyone(state)
+        every = registry.everyone(state)
         quiet = {w: t - max(self.beats.get(w, -INFINITY), self.since) for w in every}
         late = [w for w, q in quiet.items() if q > 3.5 * self.conf.beat]
         if 2 * len(late) > max(len(every), 4):
             # So many at once: it may well be the way to here that is cut, and no beat can come.
             late = [w for w, q in quiet.items() if q > 10 * self.conf.beat]
         # A holder leaves the replica set first: whoever is dropped can't lead, though it may hold the newest state.
-        gone = [n for n in roster.replaced(man, silent, self.met, t, self.patience) if n not in self.held.pair]
+        gone = [n for n in registry.replaced(man, silent, self.met, t, self.patience) if n not in self.held.pair]
         joined = max((self.met.get(n, 0.0) for n in with_duty(man, "store")), default=t)
         few = (
             t - max(joined, self.since) > b.recover / 4
@@ -120,19 +123,21 @@
 
         def fold(s: State) -> Result[State, Fault]:
             if late:
-                s = roster.expired(s, late)
+                s = registry.expired(s, late)
             if gone:
-                s = roster.dropped(s, gone)
-            return Ok(roster.settled(s, self.conf.tolerance, few, heard))
+                s = registry.dropped(s, gone)
+            return Ok(registry.settled(s, self.conf.tolerance, few, heard))
 
         if fold(state).unwrap() is not state:
             got = await self.change(fold, 0.0)
             if isinstance(got, Ok):
-                events.emit(137, self.conf.name, machines=",".join(gone), workers=",".join(late), edition=got.unwrap())
+                log_events.emit(
+                    137, self.conf.name, machines=",".join(gone), workers=",".join(late), edition=got.unwrap()
+                )
 
     async def beat_worker(self, who: str, standing: Standing, seqno: int) -> PeerResponse:
         # Taken, it would make every later manifest a bad one.
-        flaws = roster.standing_flaws(standing, self.conf.areas)
+        flaws = registry.standing_flaws(standing, self.conf.areas)
         if flaws:
             return Err(Fault("beat", self.conf.name, "\n".join(flaws), BAD))
         leaves = bool(standing.get("leave"))
@@ -145,7 +150,7 @@
         lately = self.epoch > 0 or now() - self.touched < 1.5 * self.conf.beat
         # That a worker leaves is acknowledged by the primary, the first time; after that a heartbeat is one like any other.
         acknowledged = not leaves or who in self.drained
-        if lately and acknowledged and roster.unchanged(self.news.manifest, who, standing):
+        if lately and acknowledged and registry.unchanged(self.news.manifest, who, standing):
             self.beats[who] = now()
             return Ok({})
         got = await self.forward("beat", {"who": who, "standing": standing, "seqno": seqno}, self.conf.bounds.leave / 3)
@@ -172,7 +177,7 @@
         self.beats[who] = now()
 
         def fold(s: State) -> Result[State, Fault]:
-            return Ok(roster.ended(s, [who]) if standing is None else roster.stood(s, who, standing))
+            return Ok(registry.ended(s, [who]) if standing is None else registry.stood(s, who, standing))
 
         got = await self.change(fold, b.leave / 100)
         if isinstance(got, Err):
--- a/postpass/control/replica.py
+++ b/postpass/control/replica.py
@@ -6,16 +6,16 @@
 
 from result import Err, Ok
 
-from postpass import events
+from postpass.configuration.configuration import Manifest
 from postpass.control.contact import Contact
 from postpass.control.epochs import Acknowledgement, Pair
 from postpass.control.journal import Change, Image, JournalError
 from postpass.control.state import Held
-from postpass.fault import Fault, Stop
-from postpass.manifest import Manifest
-from postpass.roster import State
-from postpass.wire import Body, PeerResponse
-from postpass.world import hear, now
+from postpass.membership.registry import State
+from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.runtime import log_events
+from postpass.runtime.environment import hear, now
+from postpass.runtime.errors import Fault, Stop
 
 
 class Replica(Contact):
@@ -74,7 +74,7 @@
                 return False
             await self.write_journal(self.journal.append(change))
         except JournalError as error:
-            events.emit(145, self.conf.name, why=str(error)[:160])
+            log_events.emit(145, self.conf.name, why=str(error)[:160])
             return False
         return True
 
--- a/postpass/control/state.py
+++ b/postpass/control/state.py
@@ -7,8 +7,8 @@
 from dataclasses import asdict, dataclass
 
 from postpass.control.epochs import Pair
-from postpass.roster import State
-from postpass.wire import Body
+from postpass.membership.registry import State
+from postpass.rpc.peer_links import Body
 
 
 @dataclass(frozen=True)
--- a/postpass/control/writer.py
+++ b/postpass/control/writer.py
@@ -7,13 +7,13 @@
 
 from result import Err, Ok, Result
 
-from postpass import events
 from postpass.control.changes import Edit, Fold
 from postpass.control.election import Election
 from postpass.control.member import INFINITY
-from postpass.fault import MOVED, SHED, SLOW, Fault, Stop
-from postpass.wire import Body, PeerResponse
-from postpass.world import now
+from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.runtime import log_events
+from postpass.runtime.environment import now
+from postpass.runtime.errors import MOVED, SHED, SLOW, Fault, Stop
 
 
 class Writer(Election):
@@ -85,7 +85,7 @@
                 if isinstance(again, Err):
                     self.heard = now() - bounds.detect
                 else:
-                    events.emit(132, me, backup=",".join(self.held.pair.backups), why="it did not take a write")
+                    log_events.emit(132, me, backup=",".join(self.held.pair.backups), why="it did not take a write")
         return [Err(Fault("write", me, "not known whether it was taken; ask again", SLOW)) for _ in edits]
 
     async def forward(self, verb: str, body: Body, limit: float = 0.0) -> PeerResponse:
--- a/postpass/ppc.py
+++ b/postpass/daemon/control_plane_command.py
@@ -5,7 +5,7 @@
 import sys
 
 from postpass.control import Control
-from postpass.ppd import _run, start
+from postpass.daemon.data_plane_command import _run, start
 
 
 def ppc(
--- a/postpass/data.py
+++ b/postpass/daemon/data_plane.py
@@ -11,21 +11,21 @@
 from prometheus_client import Gauge
 from result import Ok, Result
 
-from postpass.config import Config
-from postpass.daemon import Daemon, Task
-from postpass.dialect import Dialect
-from postpass.edge import Edge
-from postpass.fault import Fault
-from postpass.floor import Floor
-from postpass.front import HeadLimits, front, serve_ready
-from postpass.manifest import LIMITS, limit
-from postpass.part import Part
-from postpass.relay import Relay
-from postpass.sched import Sched
-from postpass.store import Store
-from postpass.wire import RELEASE, Body
-from postpass.workerlink import WorkerLinks
-from postpass.world import World
+from postpass.batch.scheduler import Sched
+from postpass.configuration.configuration import LIMITS, limit
+from postpass.configuration.header_names import Dialect
+from postpass.configuration.settings import Config
+from postpass.daemon.process import Daemon, Task
+from postpass.gateway.http_server import HeadLimits, front, serve_ready
+from postpass.gateway.live_requests import Edge
+from postpass.gateway.relay import Relay
+from postpass.gateway.upstream_connection import WorkerLinks
+from postpass.gateway.worker_load import Floor
+from postpass.replication.partition import Part
+from postpass.replication.store import Store
+from postpass.rpc.peer_links import RELEASE, Body
+from postpass.runtime.environment import World
+from postpass.runtime.errors import Fault
 
 LEAVE_NOTICED = 2.5  # seconds until nobody passes new connections to an edge that says that it isn't ready
 
--- a/postpass/ppd.py
+++ b/postpass/daemon/data_plane_command.py
@@ -10,12 +10,12 @@
 from absl import logging
 from result import Err
 
-from postpass.config import load
+from postpass.configuration.settings import load
 from postpass.control import Control
-from postpass.daemon import Daemon, run_daemon
-from postpass.data import Data
-from postpass.disk import RealDisk
-from postpass.world import World
+from postpass.daemon.data_plane import Data
+from postpass.daemon.process import Daemon, run_daemon
+from postpass.runtime.disk import RealDisk
+from postpass.runtime.environment import World
 
 
 def start(kind: type[Data] | type[Control], path: str, flags: dict[str, Any]) -> int:
--- a/postpass/daemon.py
+++ b/postpass/daemon/process.py
@@ -16,16 +16,16 @@
 from starlette.responses import JSONResponse, PlainTextResponse, Response
 from starlette.routing import Route
 
-from postpass import events
-from postpass.config import Config, split
-from postpass.fault import SHED, Fault, Stop
-from postpass.feed import Poll, Rotation, Stale
-from postpass.manifest import check
-from postpass.member import Card, Circle
-from postpass.news import News
-from postpass.roster import Entry, placed
-from postpass.wire import RELEASE, Body, Lines, Port
-from postpass.world import World, hear, now, serve_http
+from postpass.configuration.configuration import check
+from postpass.configuration.settings import Config, split
+from postpass.feed.configuration_view import News
+from postpass.feed.messages import Poll, Rotation, Stale
+from postpass.membership.partial_view import Card, Circle
+from postpass.membership.registry import Entry, placed
+from postpass.rpc.peer_links import RELEASE, Body, Lines, Port
+from postpass.runtime import log_events
+from postpass.runtime.environment import World, hear, now, serve_http
+from postpass.runtime.errors import SHED, Fault, Stop
 
 Task = Coroutine[Any, Any, None]
 
@@ -35,7 +35,7 @@
 
     def collect(self) -> Iterator[CounterMetricFamily]:
         family = CounterMetricFamily("postpass_events", "Events logged, by number", labels=["number"])
-        for number, count in sorted(events.COUNTS.items()):
+        for number, count in sorted(log_events.COUNTS.items()):
             family.add_metric([f"E{number:03d}"], count)
         yield family
 
@@ -144,12 +144,12 @@
             return
         got = self.read_config()
         if isinstance(got, Err):
-            events.emit(108, self.conf.name, flaws=got.unwrap_err()[:3])
+            log_events.emit(108, self.conf.name, flaws=got.unwrap_err()[:3])
             return
         seeds = got.unwrap().seeds
         if seeds != self.conf.seeds:
             self.conf = replace(self.conf, seeds=seeds)
-            events.emit(107, self.conf.name, seeds=",".join(seeds))
+            log_events.emit(107, self.conf.name, seeds=",".join(seeds))
 
     async def watch_config(self) -> None:
         """The file may change without any signal."""
@@ -179,7 +179,7 @@
                 *((getattr(t, "__name__", "task"), t) for t in self.tasks()),
             ]
         ]
-        events.emit(
+        log_events.emit(
             100,
             self.conf.name,
             duties=",".join(self.conf.duties) or "control",
@@ -200,7 +200,7 @@
         await self.stop.wait()
         if self.failed is None:
             self.leaving = True
-            events.emit(105, self.conf.name)
+            log_events.emit(105, self.conf.name)
             try:
                 await asyncio.wait_for(self.depart(), self.leave_limit)
             except (TimeoutError, Stop):
@@ -215,12 +215,12 @@
             raise
         except Stop as bad:
             self.failed = bad.fault
-            events.emit(103, self.conf.name, task=name, step=bad.fault.step, peer=bad.fault.peer, why=bad.fault.why)
+            log_events.emit(103, self.conf.name, task=name, step=bad.fault.step, peer=bad.fault.peer, why=bad.fault.why)
             self.stop.set()
             self.closed.set()
         except Exception as bad:
             self.failed = Fault(name, self.conf.name, repr(bad))
-            events.emit(103, self.conf.name, task=name, why=repr(bad))
+            log_events.emit(103, self.conf.name, task=name, why=repr(bad))
             logging.exception("task %s", name)
             self.stop.set()
             self.closed.set()
@@ -488,7 +488,7 @@
             deaf = man is not None and now() - self.news.heard > b.deaf
             if deaf != told:
                 told = deaf
-                events.emit(143, self.conf.name, hears="nobody" if deaf else "others")
+                log_events.emit(143, self.conf.name, hears="nobody" if deaf else "others")
 
     async def freshen(self) -> None:
         """Before a started daemon serves: what it knows must be no older than what was in force at its start.
@@ -519,7 +519,7 @@
                 others = [m["peer"] for n, m in man["machines"].items() if n != self.conf.name and not m.get("gone")]
                 edition = self.news.edition
                 self.news.fresh = 2 * await self.learn(others) > len(others) and edition == self.news.edition
-        events.emit(142, self.conf.name, edition=self.news.edition, after=f"{now() - began:.2f}")
+        log_events.emit(142, self.conf.name, edition=self.news.edition, after=f"{now() - began:.2f}")
 
     # --- operators
     async def http_health(self, _request: Request) -> Response:
@@ -553,7 +553,7 @@
         loop = asyncio.get_running_loop()
 
         def leave(name: str) -> None:
-            events.emit(101, daemon.conf.name, signal=name)
+            log_events.emit(101, daemon.conf.name, signal=name)
             daemon.stop.set()
 
         for sig in (signal.SIGTERM, signal.SIGINT):
--- a/postpass/news.py
+++ b/postpass/feed/configuration_view.py
@@ -11,9 +11,9 @@
 
 from result import Ok
 
-from postpass import events
-from postpass.delta import Delta, delta, patch
-from postpass.manifest import Machine, Manifest, check, dump, limit, members, with_duty
+from postpass.configuration.configuration import Machine, Manifest, check, dump, limit, members, with_duty
+from postpass.configuration.json_delta import Delta, delta, patch
+from postpass.runtime import log_events
 
 KEPT = 64  # changes a daemon can hand on before it must hand on a snapshot
 
@@ -82,7 +82,7 @@
         if not announced:
             got = check(raw)
             if not isinstance(got, Ok):
-                events.emit(141, self.who, edition=edition, flaws=got.unwrap_err()[:3])
+                log_events.emit(141, self.who, edition=edition, flaws=got.unwrap_err()[:3])
                 return False
         elif weight is None:
             weight = mass(raw) if self.manifest is None else self.weight + shift(self.manifest, raw)
@@ -90,7 +90,7 @@
             change = delta(self.manifest, raw) if change is None else change
             self.feed.append(Change(edition, self.edition, change, seal(raw, weight)))
         self.manifest, self.edition, self.weight = raw, edition, weight or 0
-        events.emit(140, self.who, edition=edition)
+        log_events.emit(140, self.who, edition=edition)
         self.changed.set()
         self.changed = asyncio.Event()
         return True
--- a/postpass/front.py
+++ b/postpass/gateway/http_server.py
@@ -10,7 +10,7 @@
 
 from uvicorn.protocols.http.httptools_impl import HttpToolsProtocol
 
-from postpass.workerlink import tune
+from postpass.gateway.upstream_connection import tune
 
 READY = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n"
 UNREADY = b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\nretry-after: 1\r\n\r\n"
--- a/postpass/edge.py
+++ b/postpass/gateway/live_requests.py
@@ -20,19 +20,19 @@
 from starlette.responses import JSONResponse, Response
 from starlette.routing import Mount, Route
 
-from postpass import events
-from postpass.backlog import Backlog, Waiter
-from postpass.check import flaws
-from postpass.config import Config
-from postpass.fault import BROKE, CLASH, CROWD, FULL, LACK, MOVED, SHED, SLOW, Fault, Stop
-from postpass.floor import DEAF, OVER, Floor
-from postpass.ledger import Ledger, next_move
-from postpass.manifest import Class, Manifest, part_of
-from postpass.models import Prompt, complete
-from postpass.news import News
-from postpass.plug import Ask, Seat, fond_of, place, prefix
-from postpass.wire import Body, Lines
-from postpass.world import World, now
+from postpass.configuration.configuration import Class, Manifest, part_of
+from postpass.configuration.schema import flaws
+from postpass.configuration.settings import Config
+from postpass.feed.configuration_view import News
+from postpass.gateway.admission import Backlog, Waiter
+from postpass.gateway.attempts import Ledger, next_move
+from postpass.gateway.worker_load import DEAF, OVER, Floor
+from postpass.rpc.peer_links import Body, Lines
+from postpass.runtime import log_events
+from postpass.runtime.environment import World, now
+from postpass.runtime.errors import BROKE, CLASH, CROWD, FULL, LACK, MOVED, SHED, SLOW, Fault, Stop
+from postpass.worker_api.openai import Prompt, complete
+from postpass.worker_api.plugins import Ask, Seat, fond_of, place, prefix
 
 NAME = re.compile(r"[A-Za-z0-9._\-]{1,80}")
 TRIES = 3
@@ -470,7 +470,7 @@
         got = await self.to_owner(part, "claim", {"key": key, "nonce": nonce, "edge": self.conf.name}, until)
         if isinstance(got, Err):
             return got
-        events.emit(161, self.conf.name, key=key, won=got.unwrap()["won"])
+        log_events.emit(161, self.conf.name, key=key, won=got.unwrap()["won"])
         return Ok(bool(got.unwrap()["won"]))
 
 
@@ -642,7 +642,7 @@
                 }
             )
             return
-        events.emit(
+        log_events.emit(
             160, edge.conf.name, kind=kind, end=end, step=last.step, peer=last.peer, why=why, tries=len(ledger.attempts)
         )
         flaw = Fault(last.step, last.peer, why or last.why)
@@ -755,7 +755,7 @@
                 last = Fault("pass", name, repr(bad)[:120], SLOW if isinstance(bad, TimeoutError) else BROKE)
                 if started:
                     edge.calls.labels(kind, "broken").inc()
-                    events.emit(160, edge.conf.name, kind=kind, step="pass", peer=name, why=last.why)
+                    log_events.emit(160, edge.conf.name, kind=kind, step="pass", peer=name, why=last.why)
                     # Ending without the rest: the server closes the connection, so it can't look whole.
                     raise ConnectionError(str(last)) from bad
                 unsent = isinstance(bad, aiohttp.ClientConnectorError)
--- a/postpass/placing.py
+++ b/postpass/gateway/load_balancing.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from postpass.manifest import Split
+from postpass.configuration.configuration import Split
 
 OVER = 1.5  # times its even share of a worker's slots that one edge may use before it likes the worker less
 LONG = 1000  # shared tokens from which it pays to go where they were read before
--- a/postpass/relay.py
+++ b/postpass/gateway/relay.py
@@ -10,14 +10,12 @@
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
 
-from postpass import events
-from postpass.config import Config
-from postpass.dialect import Dialect
-from postpass.fault import CROWD, SLOW, Fault, Stop
-from postpass.ledger import Ledger, next_attempt
-from postpass.manifest import Manifest, Pool, Route, Server, limit
-from postpass.news import News
-from postpass.placing import (
+from postpass.configuration.configuration import Manifest, Pool, Route, Server, limit
+from postpass.configuration.header_names import Dialect
+from postpass.configuration.settings import Config
+from postpass.feed.configuration_view import News
+from postpass.gateway.attempts import Ledger, next_attempt
+from postpass.gateway.load_balancing import (
     NOBODY,
     Bucket,
     Prefix,
@@ -29,10 +27,12 @@
     prefix_of,
     readers,
 )
-from postpass.placing import NONE as NO_PREFIX
-from postpass.verdict import AnswerNames, Proof, verdict
-from postpass.workerlink import BODILESS, GARBLED, Exchange, Headers, WorkerLinks
-from postpass.world import World, now
+from postpass.gateway.load_balancing import NONE as NO_PREFIX
+from postpass.gateway.response_check import AnswerNames, Proof, verdict
+from postpass.gateway.upstream_connection import BODILESS, GARBLED, Exchange, Headers, WorkerLinks
+from postpass.runtime import log_events
+from postpass.runtime.environment import World, now
+from postpass.runtime.errors import CROWD, SLOW, Fault, Stop
 
 App = Callable[[Any, Any, Any], Awaitable[None]]
 
@@ -303,7 +303,7 @@
         if now() >= self.telling:
             # At most one line a second, so that a flood costs nothing more.
             self.telling = now() + 1.0
-            events.emit(173, self.conf.name, why=self.refused)
+            log_events.emit(173, self.conf.name, why=self.refused)
             self.refused = {}
         await self.answer(send, 503, self.retry_after(wait))
 
@@ -490,7 +490,7 @@
         self.requests.labels(request.name, move.kind).inc()
         if move.kind == "done":
             if request.late:
-                events.emit(
+                log_events.emit(
                     172, self.conf.name, route=request.name, worker=request.ledger.last.server if request.ledger.last else "",
                     first=f"{request.first:.3f}", pause=f"{request.pause:.3f}", tokens=request.tokens.decode(),
                     shared=request.prefix.tokens, tries=len(request.ledger.attempts),
@@ -500,7 +500,7 @@
             await self.refuse(request.send, max(0.05, route["target"] / 4), move.why)
             return
         last = request.ledger.last
-        events.emit(170, self.conf.name, route=request.name, worker=last.server if last else "", why=move.why)
+        log_events.emit(170, self.conf.name, route=request.name, worker=last.server if last else "", why=move.why)
         if not request.begun:
             await self.answer(request.send, 504 if now() >= request.until else 502)
         # Otherwise nothing more is said, and the server closes the connection in the middle of the answer.
@@ -580,7 +580,7 @@
         a wait. So where what was sent to it is given up, only the first of them counts."""
         if now() < sight.avoid and not (silent and not sight.silent):
             return
-        events.emit(171, self.conf.name, worker=name, why=why)
+        log_events.emit(171, self.conf.name, worker=name, why=why)
         first, most = (SILENT_FIRST, SILENT_MOST) if silent else (AVOID_FIRST, AVOID_MOST)
         sight.avoid, sight.silent = now() + min(most, first * 2**sight.fails), silent
         sight.fails += 1
--- a/postpass/verdict.py
+++ b/postpass/gateway/response_check.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from postpass.dialect import Dialect
+from postpass.configuration.header_names import Dialect
 
 CONTENT_ENCODING = b"content-encoding"
 # Statuses that are promises: the request did not run and never will.
--- a/postpass/workerlink.py
+++ b/postpass/gateway/upstream_connection.py
@@ -11,8 +11,8 @@
 
 import httptools
 
-from postpass.config import split
-from postpass.fault import BROKE, CROWD, SLOW, Fault, Stop
+from postpass.configuration.settings import split
+from postpass.runtime.errors import BROKE, CROWD, SLOW, Fault, Stop
 
 Headers = list[tuple[bytes, bytes]]
 
--- a/postpass/floor.py
+++ b/postpass/gateway/worker_load.py
@@ -11,14 +11,14 @@
 import aiohttp
 from result import Ok
 
-from postpass import events
-from postpass.config import split
-from postpass.fault import Fault, Stop
-from postpass.manifest import Manifest, Server
-from postpass.models import Report, report
-from postpass.news import News
-from postpass.wire import Lines
-from postpass.world import World, now
+from postpass.configuration.configuration import Manifest, Server
+from postpass.configuration.settings import split
+from postpass.feed.configuration_view import News
+from postpass.rpc.peer_links import Lines
+from postpass.runtime import log_events
+from postpass.runtime.environment import World, now
+from postpass.runtime.errors import Fault, Stop
+from postpass.worker_api.openai import Report, report
 
 CACHE = 0.95  # a worker whose KV cache is fuller than this gets nothing new
 DEAF = "this daemon hears no other, so it may be out of date"
@@ -174,7 +174,7 @@
             spot.why = str(bad) or repr(bad)
         if spot.why != spot.told:
             spot.told = spot.why
-            events.emit(153, self.who, pool=pool, server=name, state=spot.why or "up")
+            log_events.emit(153, self.who, pool=pool, server=name, state=spot.why or "up")
         self.signal()
 
     def barred(self, pool: str, name: str, stale: float) -> str:
--- a/postpass/roster.py
+++ b/postpass/membership/registry.py
@@ -9,10 +9,10 @@
 
 from result import Result
 
-from postpass import taken_orders
-from postpass.config import addr_flaws
-from postpass.manifest import Limits, Machine, Manifest, Pool, Route, Server, with_duty
-from postpass.membership import Presence, Tolerance, copies_bear_loss, machine_to_drop, safe_copies
+from postpass.configuration.configuration import Limits, Machine, Manifest, Pool, Route, Server, with_duty
+from postpass.configuration.settings import addr_flaws
+from postpass.control import accepted_orders
+from postpass.membership.safe_change import Presence, Tolerance, copies_bear_loss, machine_to_drop, safe_copies
 
 LEAST_CONTROL = 3  # control machines that stay when one that is silent is dropped
 PARTS = 8  # partitions of a fleet that founds itself
@@ -90,7 +90,7 @@
 
 def recovered(edition: int, manifest: Manifest, losses: int) -> State:
     """The state after a loss, from a manifest that daemons held: no order up to its version is known any more."""
-    orders = taken_orders.forgotten_up_to(manifest.get("version", 0))
+    orders = accepted_orders.forgotten_up_to(manifest.get("version", 0))
     return State(edition, manifest, losses, orders=orders)
 
 
--- a/postpass/part.py
+++ b/postpass/replication/partition.py
@@ -8,11 +8,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from postpass.lots import LotView, Raw, joined
-from postpass.predicate import DEFAULT, Count, Scene, build, confirm_suffice, covers, promises_suffice
-from postpass.recorder import Recorder
-from postpass.tape import Record, Tape
-from postpass.wire import PACKET
+from postpass.batch.job import LotView, Raw, joined
+from postpass.replication.acknowledgements import Recorder
+from postpass.replication.record_log import Record, Tape
+from postpass.replication.stability import DEFAULT, Count, Scene, build, confirm_suffice, covers, promises_suffice
+from postpass.rpc.peer_links import PACKET
 
 Crew = dict[str, str]
 
--- a/postpass/tape.py
+++ b/postpass/replication/record_log.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from postpass.wire import IDL
+from postpass.rpc.peer_links import IDL
 
 
 @dataclass(frozen=True)
--- a/postpass/store.py
+++ b/postpass/replication/store.py
@@ -18,18 +18,18 @@
 
 from result import Err, Ok, Result
 
-from postpass import events
-from postpass.config import Config
-from postpass.fault import BAD, BROKE, CLASH, FULL, LACK, MOVED, SHED, SLOW, Fault, Stop
-from postpass.lots import Lot, LotView, Raw, digest, kind_of, page
-from postpass.membership import Situation, Topology, next_change
-from postpass.news import News
-from postpass.part import Follow, Part, Sending, fresh_tape, head
-from postpass.routed import Routed
-from postpass.tape import Record, Tape, match
-from postpass.vault import Vault, distrust, open_vault
-from postpass.wire import IDL, PACKET, Body, Lines, Link, PeerResponse
-from postpass.world import World, hear, now
+from postpass.batch.job import Lot, LotView, Raw, digest, kind_of, page
+from postpass.batch.job_service import Routed
+from postpass.configuration.settings import Config
+from postpass.feed.configuration_view import News
+from postpass.membership.safe_change import Situation, Topology, next_change
+from postpass.replication.partition import Follow, Part, Sending, fresh_tape, head
+from postpass.replication.record_log import Record, Tape, match
+from postpass.rpc.peer_links import IDL, PACKET, Body, Lines, Link, PeerResponse
+from postpass.runtime import log_events
+from postpass.runtime.environment import World, hear, now
+from postpass.runtime.errors import BAD, BROKE, CLASH, FULL, LACK, MOVED, SHED, SLOW, Fault, Stop
+from postpass.storage.data_directory import Vault, distrust, open_vault
 
 TURN = 4 * PACKET  # what one partition may send to a mirror before the others' beats and records have their turn
 PIECE = 256 << 10  # of records or of a base, in the answer to one question
@@ -368,7 +368,7 @@
             made.append(part.make("crew", {"crew": voters}))
         elif not normal:
             made.append(part.make("loss", {"crew": voters, "edition": view.losses + 1, "lots": lost}))
-            events.emit(
+            log_events.emit(
                 125,
                 self.conf.name,
                 part=part.id,
@@ -386,7 +386,7 @@
             raise
         self.rise_to({str(part.id): epoch})
         self.counts["takeovers"] += 1
-        events.emit(120, self.conf.name, part=part.id, epoch=epoch, last=part.tape.last)
+        log_events.emit(120, self.conf.name, part=part.id, epoch=epoch, last=part.tape.last)
         self.kick_all(part)
 
     async def pull(self, part: Part, best: str, there: Body, epoch: int) -> Tape | None:
@@ -469,7 +469,7 @@
 
     def fall(self, part: Part, epoch: int) -> None:
         if part.owning:
-            events.emit(121, self.conf.name, part=part.id, epoch=part.epoch, seen=epoch)
+            log_events.emit(121, self.conf.name, part=part.id, epoch=part.epoch, seen=epoch)
             part.step_down()
         part.promised = max(part.promised, epoch)
         part.heard = now()
@@ -558,7 +558,7 @@
         if not f.silent and now() - f.heard > self.conf.bounds.silent:
             f.silent = True
             f.link = None
-            events.emit(122, self.conf.name, part=part.id, mirror=name)
+            log_events.emit(122, self.conf.name, part=part.id, mirror=name)
 
     def put(self, link: Link, part: Part, kind: str, seq: int, born: int, prior: int, body: bytes) -> None:
         message = Sending(kind, seq, born, prior, body)
@@ -615,7 +615,7 @@
         acked = part.recorder.get(name, there["disk"], "persisted")
         if there["last"] < acked:
             # It acknowledged more under this very epoch: its disk lost what it had synced. That is no torn tail.
-            events.emit(112, self.conf.name, part=part.id, mirror=name, last=there["last"], acknowledged=acked)
+            log_events.emit(112, self.conf.name, part=part.id, mirror=name, last=there["last"], acknowledged=acked)
             await link.call(
                 "hello",
                 {"part": part.id, "epoch": epoch, "who": self.conf.name, "spoiled": there["disk"]},
@@ -630,7 +630,7 @@
             self.put(link, part, "start", meet, part.tape.epoch_at(meet), 0, b"")
             f.next = meet + 1
         else:
-            events.emit(123, self.conf.name, part=part.id, mirror=name, base=part.tape.base_seq)
+            log_events.emit(123, self.conf.name, part=part.id, mirror=name, base=part.tape.base_seq)
             self.counts["refills"] += 1
             f.sending = Sending("snap", part.tape.base_seq, part.tape.base_epoch, 0, part.tape.base.dump())
             f.next = part.tape.base_seq + 1
@@ -724,7 +724,7 @@
         return part.recorder.get(name, f.disk, "persisted") >= part.covered
 
     def hand_on(self, part: Part, name: str) -> None:
-        events.emit(126, self.conf.name, part=part.id, to=name, epoch=part.epoch)
+        log_events.emit(126, self.conf.name, part=part.id, to=name, epoch=part.epoch)
         epoch = part.epoch
         part.step_down()
         part.aligned, part.heard = epoch, now()
@@ -749,7 +749,7 @@
         change = next_change(self.situation(part), stays=self.conf.name)
         if change is not None:
             self.add(part, "crew", {"crew": change.members})
-            events.emit(
+            log_events.emit(
                 124,
                 self.conf.name,
                 part=part.id,
@@ -810,7 +810,7 @@
         if not vital:
             free, _ = self.log.disk.room()
             if free - len(json.dumps(body)) - len(raw) - 256 < self.log.hold:
-                events.emit(114, self.conf.name, part=part.id)
+                log_events.emit(114, self.conf.name, part=part.id)
                 raise Stop(Fault("append", self.conf.name, "the disk is full", FULL))
         if self.log.bad:
             raise Stop(Fault("append", self.conf.name, self.log.bad, BROKE))
@@ -880,7 +880,7 @@
             part.aligned = part.filling = 0
             if bad.fault.code != FULL:
                 raise
-            events.emit(114, self.conf.name, part=part.id)
+            log_events.emit(114, self.conf.name, part=part.id)
         part.covered = (
             max(part.covered, min(packet.covered, part.tape.last)) if part.aligned == packet.epoch else part.covered
         )
--- a/postpass/wire.py
+++ b/postpass/rpc/peer_links.py
@@ -23,10 +23,10 @@
 from thriftpy2.transport import TMemoryBuffer
 from thriftpy2.utils import deserialize, serialize
 
-from postpass import events
-from postpass.config import split
-from postpass.fault import BROKE, SLOW, Fault
-from postpass.ordered import OrderedSet
+from postpass.configuration.settings import split
+from postpass.runtime import log_events
+from postpass.runtime.errors import BROKE, SLOW, Fault
+from postpass.runtime.ordered_set import OrderedSet
 
 IDL: Any = thriftpy2.load(str(Path(__file__).parent / "idl" / "peer.thrift"), module_name="postpass_peer_thrift")
 PACKET = 8 << 10
@@ -142,7 +142,7 @@
         if bad is None and getattr(got, "success", None) is not None:
             return None
         why = bad.why if bad is not None else str(getattr(got, "message", "it knows no wire numbers"))
-        events.emit(106, self.addr, step="hi", why=why)
+        log_events.emit(106, self.addr, step="hi", why=why)
         self.close(why)
         return Fault("hi", self.addr, why, unsent=True)
 
@@ -167,7 +167,7 @@
             pass
         except Exception as bad:  # foreign bytes: the link is closed, the daemon goes on
             why = f"unreadable answer: {bad!r:.80}"
-            events.emit(102, self.addr, step="read answer", why=why)
+            log_events.emit(102, self.addr, step="read answer", why=why)
         self.close(why)
 
     def close(self, why: str = "closed here") -> None:
@@ -342,7 +342,7 @@
         except asyncio.CancelledError:
             pass
         except Exception as bad:
-            events.emit(102, self.who, step="read message", peer=peer, why=f"{bad!r:.120}")
+            log_events.emit(102, self.who, step="read message", peer=peer, why=f"{bad!r:.120}")
         finally:
             self.links.discard(writer)
             writer.close()
@@ -358,7 +358,7 @@
                 f"the other is {there.release} with {there.low} to {there.high}"
             )
             out.fault = IDL.Fault(step="hi", peer=self.who, why=why, code=BROKE, hint="")
-            events.emit(106, self.who, step="hi", peer=str(writer.get_extra_info("peername")), why=why)
+            log_events.emit(106, self.who, step="hi", peer=str(writer.get_extra_info("peername")), why=why)
         data = _message("hi", TMessageType.REPLY, seq, out)
         writer.write(struct.pack("!i", len(data)) + data)
         return out.fault is None
@@ -376,7 +376,7 @@
                 got = await handler(body)
         except (KeyError, TypeError, ValueError) as bad:
             got = Err(Fault(name, self.who, f"{bad!r:.160}", BROKE))
-            events.emit(104, self.who, step=name, peer=str(writer.get_extra_info("peername")), why=f"{bad!r:.160}")
+            log_events.emit(104, self.who, step=name, peer=str(writer.get_extra_info("peername")), why=f"{bad!r:.160}")
         if isinstance(got, Ok):
             out.success = json.dumps(got.unwrap(), separators=(",", ":"))
         else:
--- a/postpass/world.py
+++ b/postpass/runtime/environment.py
@@ -19,8 +19,8 @@
 import uvicorn
 from starlette.types import ASGIApp
 
-from postpass.disk import Disk
-from postpass.ordered import OrderedSet
+from postpass.runtime.disk import Disk
+from postpass.runtime.ordered_set import OrderedSet
 
 T = TypeVar("T")
 
--- a/postpass/events.py
+++ b/postpass/runtime/log_events.py
@@ -86,4 +86,4 @@
 
 
 if __name__ == "__main__":
-    (Path(__file__).parent.parent / "docs" / "events.md").write_text(catalogue())
+    (Path(__file__).parents[2] / "docs" / "events.md").write_text(catalogue())
--- a/postpass/vault.py
+++ b/postpass/storage/data_directory.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from postpass import events
-from postpass.disk import Disk
-from postpass.fault import Fault, Stop
-from postpass.seglog import SegLog
+from postpass.runtime import log_events
+from postpass.runtime.disk import Disk
+from postpass.runtime.errors import Fault, Stop
+from postpass.storage.segmented_log import SegLog
 
 MARK = "identity"
 FORMAT = 2  # of the files in a folder that is made now
@@ -52,13 +52,13 @@
                 why = f"the folder has format {mark['format']}, this release reads up to {reads}; nothing was touched"
                 raise Stop(Fault("open data folder", who, why))
         except (ValueError, KeyError, TypeError):
-            events.emit(112, who, file=MARK, why="unreadable")
+            log_events.emit(112, who, file=MARK, why="unreadable")
     entries: list[Any] = []
     if ident:
         try:
             entries = log.load()
         except Stop as bad:
-            events.emit(112, who, step=bad.fault.step, why=bad.fault.why)
+            log_events.emit(112, who, step=bad.fault.step, why=bad.fault.why)
             ident = ""
             log = SegLog(who, disk, segment, held=held, strict=strict)
     if not ident:
@@ -70,7 +70,7 @@
             disk.remove(name)
         ident = f"{who}-{chance.getrandbits(48):012x}"
         await mark_format(disk, ident, FORMAT)
-        events.emit(110, who, disk=ident)
+        log_events.emit(110, who, disk=ident)
         return Vault(ident, True, log, [])
     return Vault(ident, False, log, entries)
 
--- a/postpass/seglog.py
+++ b/postpass/storage/segmented_log.py
@@ -13,10 +13,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from postpass import events
-from postpass.disk import Disk
-from postpass.fault import BROKE, FULL, Fault, Stop
-from postpass.wire import IDL, pack, unpack
+from postpass.rpc.peer_links import IDL, pack, unpack
+from postpass.runtime import log_events
+from postpass.runtime.disk import Disk
+from postpass.runtime.errors import BROKE, FULL, Fault, Stop
 
 HEAD = struct.Struct("!II")
 ENTRY_MOST = 64 << 20
@@ -113,7 +113,7 @@
                 damaged = any_entry_after(data, at) or (self.strict and whole_but_damaged(data, at))
                 if i < len(live) - 1 or damaged:
                     raise Stop(Fault("read log", self.who, f"{name} is damaged at byte {at}", BROKE))
-                events.emit(111, self.who, file=name, at=at, bytes=len(data) - at)
+                log_events.emit(111, self.who, file=name, at=at, bytes=len(data) - at)
                 self.disk.cut(name, at)
             out += entries
             self.size = at
@@ -162,7 +162,7 @@
                 await self.disk.sync(self.name)
             except OSError as bad:
                 self.bad = f"sync of {self.name} failed: {bad.strerror}"
-                events.emit(113, self.who, why=self.bad)
+                log_events.emit(113, self.who, why=self.bad)
                 raise Stop(Fault("sync", self.who, self.bad, BROKE)) from bad
             self.synced = max(self.synced, mark)
         self.moved.set()
@@ -202,13 +202,13 @@
             except OSError as bad:
                 if bad.errno == 28:
                     # No room for it: the segments so far stay, nothing is lost but the space.
-                    events.emit(114, self.who, step="snapshot", bytes=len(data))
+                    log_events.emit(114, self.who, step="snapshot", bytes=len(data))
                     if self.size == 0:
                         # Nothing came meanwhile: without a file of its own the number would be a gap.
                         self.number, self.size = old, size
                     return
                 self.bad = f"snapshot failed: {bad.strerror}"
-                events.emit(113, self.who, why=self.bad)
+                log_events.emit(113, self.who, why=self.bad)
                 raise Stop(Fault("snapshot", self.who, self.bad, BROKE)) from bad
             self.synced = max(self.synced, mark)
             self.snap = len(data)
--- a/postpass/models.py
+++ b/postpass/worker_api/openai.py
@@ -15,7 +15,7 @@
 import aiohttp
 from prometheus_client.parser import text_string_to_metric_families
 
-from postpass.fault import BROKE, CROWD, SLOW, Fault, Stop
+from postpass.runtime.errors import BROKE, CROWD, SLOW, Fault, Stop
 
 LINE = 64 << 10
 GAUGES = {
--- a/postpass/plug.py
+++ b/postpass/worker_api/plugins.py
@@ -13,7 +13,7 @@
 from importlib.metadata import entry_points
 from typing import Any
 
-from postpass import events
+from postpass.runtime import log_events
 
 
 @dataclass(frozen=True)
@@ -67,9 +67,9 @@
             got = find("place", name)(ask, seats)
             if got in {s.name for s in seats}:
                 return str(got)
-            events.emit(154, who, plug=name, why=f"answered {got!r:.40}")
+            log_events.emit(154, who, plug=name, why=f"answered {got!r:.40}")
         except Exception as bad:
-            events.emit(154, who, plug=name, why=repr(bad)[:120])
+            log_events.emit(154, who, plug=name, why=repr(bad)[:120])
     return least(ask, seats)
 
 
@@ -79,9 +79,9 @@
             got = find("prefix", name)(ask)
             if isinstance(got, str):
                 return got
-            events.emit(154, who, plug=name, why=f"answered {got!r:.40}")
+            log_events.emit(154, who, plug=name, why=f"answered {got!r:.40}")
         except Exception as bad:
-            events.emit(154, who, plug=name, why=repr(bad)[:120])
+            log_events.emit(154, who, plug=name, why=repr(bad)[:120])
     return first(ask)
 
 
--- a/sim/ailing.py
+++ b/sim/ailing.py
@@ -6,9 +6,9 @@
 from collections.abc import Awaitable, Callable
 
 from bench.plan import changed
-from postpass import pp
-from postpass.doctor import diagnose
-from postpass.overview import pending
+from postpass.cli import main
+from postpass.cli.doctor import diagnose
+from postpass.cli.status import pending
 from sim.fleet import SimFleet
 
 Cause = Callable[[SimFleet], Awaitable[None]]
@@ -17,9 +17,9 @@
 async def look(world: SimFleet) -> tuple[set[str], list[str]]:
     """What the doctor finds in two looks, and what is pending."""
     where = [world.man["machines"][n]["http"] for n in world.controls()]
-    first = await pp.statuses(where)
+    first = await main.statuses(where)
     await asyncio.sleep(0.5)
-    second = await pp.statuses(where)
+    second = await main.statuses(where)
     return {f.code for f in diagnose(first, second)}, pending(second)
 
 
@@ -70,8 +70,8 @@
     box = world.boxes["double"]
     box.host = None
     from bench.plan import config
-    from postpass.config import parse
-    from postpass.data import Data
+    from postpass.configuration.settings import parse
+    from postpass.daemon.data_plane import Data
     from sim.loop import Host
 
     host = world.loop.add(Host("double", box.ips, "b"))
--- a/sim/announced.py
+++ b/sim/announced.py
@@ -14,9 +14,9 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from postpass.config import Config
+from postpass.configuration.settings import Config
 from postpass.control import Control
-from postpass.world import World
+from postpass.runtime.environment import World
 from sim.clients import Clients, Entry, Kind
 from sim.disk import SimDisk
 from sim.fleet import Box, SimFleet
--- a/sim/broken.py
+++ b/sim/broken.py
@@ -10,16 +10,18 @@
 import pytest
 from result import Err
 
-from postpass import edge, ledger, models, sched
+from postpass.batch import scheduler
+from postpass.batch.job import LotView
 from postpass.control import Control
-from postpass.daemon import Daemon
-from postpass.fault import OLD, SHED, Fault, Stop
-from postpass.floor import Floor
-from postpass.ledger import Move
-from postpass.lots import LotView
-from postpass.news import News
-from postpass.part import Part
-from postpass.store import Store
+from postpass.daemon.process import Daemon
+from postpass.feed.configuration_view import News
+from postpass.gateway import attempts, live_requests
+from postpass.gateway.attempts import Move
+from postpass.gateway.worker_load import Floor
+from postpass.replication.partition import Part
+from postpass.replication.store import Store
+from postpass.runtime.errors import OLD, SHED, Fault, Stop
+from postpass.worker_api import openai
 
 Patch = Callable[[pytest.MonkeyPatch], None]
 
@@ -53,7 +55,7 @@
 
 def cut_is_an_end(mp: pytest.MonkeyPatch) -> None:
     """Takes a stream that was cut for one that came to its end."""
-    plain = models.complete
+    plain = openai.complete
 
     async def complete(*args: Any) -> Any:
         try:
@@ -63,8 +65,8 @@
             if bad.fault.unsent:
                 raise
 
-    mp.setattr(edge, "complete", complete)
-    mp.setattr(sched, "complete", complete)
+    mp.setattr(live_requests, "complete", complete)
+    mp.setattr(scheduler, "complete", complete)
 
 
 def refuses_what_it_took(mp: pytest.MonkeyPatch) -> None:
@@ -82,30 +84,30 @@
 
 
 def once_is_ignored(mp: pytest.MonkeyPatch) -> None:
-    plain = ledger.next_move
-    mp.setattr(edge, "next_move", lambda log, once, *rest: plain(log, False, *rest))
+    plain = attempts.next_move
+    mp.setattr(live_requests, "next_move", lambda log, once, *rest: plain(log, False, *rest))
 
 
 def goes_on_elsewhere(mp: pytest.MonkeyPatch) -> None:
     """Sends a call again after pieces of it have gone out, and splices the streams."""
-    plain = ledger.next_move
+    plain = attempts.next_move
 
     def move(log: Any, *rest: Any) -> Move:
         got = plain(log, *rest)
         return Move("send") if got.kind == "error" and len(log.attempts) < 3 else got
 
-    mp.setattr(edge, "next_move", move)
+    mp.setattr(live_requests, "next_move", move)
 
 
 def mixes_up_prompts(mp: pytest.MonkeyPatch) -> None:
     """Takes calls with the same shared parts for the same call."""
-    seen: dict[tuple[str, ...], models.Prompt] = {}
-    plain = models.complete
+    seen: dict[tuple[str, ...], openai.Prompt] = {}
+    plain = openai.complete
 
-    def complete(session: Any, url: str, model: str, prompt: models.Prompt, *rest: Any) -> Any:
+    def complete(session: Any, url: str, model: str, prompt: openai.Prompt, *rest: Any) -> Any:
         return plain(session, url, model, replace(seen.setdefault(prompt.shared, prompt), most=prompt.most), *rest)
 
-    mp.setattr(edge, "complete", complete)
+    mp.setattr(live_requests, "complete", complete)
 
 
 def leaving_is_ignored(mp: pytest.MonkeyPatch) -> None:
--- a/sim/days.py
+++ b/sim/days.py
@@ -17,7 +17,7 @@
 from functools import partial
 from typing import Any
 
-from postpass import events
+from postpass.runtime import log_events
 from sim.announced import AnnouncedFleet, Compose, Sizes, product
 from sim.loop import SimLoop
 from sim.rules import EVER, Day, breaches
@@ -388,7 +388,7 @@
 
 def stats_of(fleet: AnnouncedFleet) -> dict[str, float]:
     seen = fleet.events
-    out: dict[str, float] = {f"event_{n}": c for n, c in events.COUNTS.items()}
+    out: dict[str, float] = {f"event_{n}": c for n, c in log_events.COUNTS.items()}
     served = [e for e in seen if e["ev"] == "served"]
     out["asked"] = len(served)
     out["served"] = sum(e["good"] for e in served) / len(served) if served else 0.0
--- a/sim/fleet.py
+++ b/sim/fleet.py
@@ -16,12 +16,12 @@
 from bench.callers import Callers, Load
 from bench.plan import config
 from bench.worker import PlainServer, Worker
-from postpass.config import parse, split
+from postpass.configuration.configuration import part_of
+from postpass.configuration.settings import parse, split
 from postpass.control import Control
-from postpass.daemon import Daemon
-from postpass.data import Data
-from postpass.manifest import part_of
-from postpass.world import World, serve_http
+from postpass.daemon.data_plane import Data
+from postpass.daemon.process import Daemon
+from postpass.runtime.environment import World, serve_http
 from sim.check import Event
 from sim.disk import SimDisk
 from sim.loop import Host, SimLoop
--- a/sim/points.py
+++ b/sim/points.py
@@ -22,10 +22,14 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from postpass import edge, events, models, sched, wire
+from postpass.batch import scheduler
+from postpass.gateway import live_requests
+from postpass.rpc import peer_links
+from postpass.runtime import log_events
+from postpass.worker_api import openai
 from sim.loop import HOST, SimLoop
 
-VERBS = frozenset(wire.IDL.Peer.thrift_services)
+VERBS = frozenset(peer_links.IDL.Peer.thrift_services)
 FILES = frozenset({"log", "snap", "state", "epochs", "identity"})
 OTHERS = frozenset(
     {"places", "gate.open", "gate.shut", "took", "kept", "shed", "unknown", "ended", "paged", "reach", "evac"}
@@ -40,7 +44,7 @@
         or (head in ("sends", "takes", "answers", "hears") and rest in VERBS)
         or (head in ("starts", "synced") and rest in FILES)
         or (head in ("piece", "applied", "lot", "changed") and rest.isdigit())
-        or (name[:1] == "E" and name[1:].isdigit() and int(name[1:]) in events.CATALOGUE)
+        or (name[:1] == "E" and name[1:].isdigit() and int(name[1:]) in log_events.CATALOGUE)
     )
 
 
@@ -91,20 +95,26 @@
 
 
 def _tap() -> None:
-    put, call, answer, emit, plain = wire.Link.put, wire.Link.call, wire.Port._respond, events.emit, models.complete
-    init = wire.Port.__init__
+    put, call, answer, emit, plain = (
+        peer_links.Link.put,
+        peer_links.Link.call,
+        peer_links.Port._respond,
+        log_events.emit,
+        openai.complete,
+    )
+    init = peer_links.Port.__init__
 
-    def tapped_put(self: wire.Link, name: str, *vals: Any) -> int:
+    def tapped_put(self: peer_links.Link, name: str, *vals: Any) -> int:
         hit(f"sends.{name}", self.addr)
         return put(self, name, *vals)
 
-    async def tapped_call(self: wire.Link, name: str, body: Any, wait: float) -> Any:
+    async def tapped_call(self: peer_links.Link, name: str, body: Any, wait: float) -> Any:
         got = await call(self, name, body, wait)
         if got.is_ok():
             hit(f"hears.{name}", self.addr)
         return got
 
-    async def tapped_respond(self: wire.Port, name: str, seq: int, val: Any, writer: Any) -> None:
+    async def tapped_respond(self: peer_links.Port, name: str, seq: int, val: Any, writer: Any) -> None:
         hit(f"takes.{name}")
         await answer(self, name, seq, val, writer)
 
@@ -112,12 +122,12 @@
         emit(number, who, **more)
         hit(f"E{number}")
 
-    def tapped_init(self: wire.Port, *args: Any, **more: Any) -> None:
+    def tapped_init(self: peer_links.Port, *args: Any, **more: Any) -> None:
         init(self, *args, **more)
 
-        def around(name: str, handler: wire.Handler) -> wire.Handler:
+        def around(name: str, handler: peer_links.Handler) -> peer_links.Handler:
             async def run(val: Any) -> Any:
-                if wire._oneway(name):
+                if peer_links._oneway(name):
                     hit(f"takes.{name}")
                     return await handler(val)
                 got = await handler(val)
@@ -139,10 +149,10 @@
         hit("places", there)
         return plain(session, url, model, prompt, asked, *rest)
 
-    wire.Link.put, wire.Link.call, wire.Port._respond = tapped_put, tapped_call, tapped_respond  # type: ignore[method-assign]
-    wire.Port.__init__ = tapped_init  # type: ignore[method-assign]
-    events.emit = tapped_emit
-    for module in (edge, sched):
+    peer_links.Link.put, peer_links.Link.call, peer_links.Port._respond = tapped_put, tapped_call, tapped_respond  # type: ignore[method-assign]
+    peer_links.Port.__init__ = tapped_init  # type: ignore[method-assign]
+    log_events.emit = tapped_emit
+    for module in (live_requests, scheduler):
         setattr(module, "complete", tapped_complete)  # noqa: B010
 
 
--- a/sim/runner.py
+++ b/sim/runner.py
@@ -22,7 +22,7 @@
 from bench.callers import Load
 from bench.deploy import DEPLOYMENTS
 from bench.plan import changed, manifest
-from postpass import events
+from postpass.runtime import log_events
 from sim import days
 from sim.announced import AnnouncedFleet
 from sim.check import Bounds, History, breaches
@@ -409,7 +409,7 @@
     due = {e["id"]: e["due"] for e in seen if e["ev"] == "lot" and e["answer"] == "kept"}
     out: dict[str, float] = {f"calls_{k}": v for k, v in ends.items()}
     out |= {f"lots_{k}": v for k, v in lots.items()}
-    out |= {f"event_{n}": c for n, c in events.COUNTS.items()}
+    out |= {f"event_{n}": c for n, c in log_events.COUNTS.items()}
     views = Counter(e["end"] for e in seen if e["ev"] == "view")
     out |= {f"views_{k}": v for k, v in views.items()}
     out["calls"] = len(calls)
@@ -521,7 +521,7 @@
 ) -> Report:
     """Runs one scenario under one seed, on simulated time. `spy` is told of each point with its time; `strike` is
     a point of such a run, and the fault that is to meet its host there."""
-    events.COUNTS.clear()
+    log_events.COUNTS.clear()
     # Faults are caused on purpose here; what matters of them is in the history and in the events.
     pylog.disable(pylog.CRITICAL)
     if s.plan is not None:
@@ -615,7 +615,7 @@
             if "--stats" in argv:
                 print("      ", {k: round(v, 3) for k, v in sorted(r.stats.items())})
             if "--events" in argv:
-                for n, text in events.RECENT:
+                for n, text in log_events.RECENT:
                     print("      ", n, text)
             sys.stdout.flush()
     return 1 if bad else 0
--- a/tests/test_item_answers.py
+++ b/tests/batch/test_item_answers.py
@@ -9,9 +9,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.answers import Play
-from tests.item_answers import ItemScene, judge_items, run_items, whole_text
-from tests.test_answers import THEMES, Theme, end_at, examples, plays, quick_collections
+from tests.gateway.test_answers import THEMES, Theme, end_at, examples, plays, quick_collections
+from tests.support.answers import Play
+from tests.support.item_answers import ItemScene, judge_items, run_items, whole_text
 
 __all__ = ["quick_collections"]
 
--- a/tests/test_items.py
+++ b/tests/batch/test_item_request.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from postpass.dialect import Dialect
-from postpass.fault import Stop
-from postpass.items import Events, Text, request_headers, run_item
-from postpass.workerlink import WorkerLinks
-from tests.test_workerlink import run
+from postpass.batch.item_request import Events, Text, request_headers, run_item
+from postpass.configuration.header_names import Dialect
+from postpass.gateway.upstream_connection import WorkerLinks
+from postpass.runtime.errors import Stop
+from tests.gateway.test_upstream_connection import run
 
 
 def event(n: int, data: str) -> bytes:
--- a/tests/batch/test_job.py
+++ b/tests/batch/test_job.py
@@ -1,4 +1,4 @@
-"""Tests of postpass.lots."""
+"""Tests of postpass.batch.job."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 import json
 from typing import Any
 
-from postpass.lots import END, LotView, digest, joined, packed, page
-from postpass.tape import Record
+from postpass.batch.job import END, LotView, digest, joined, packed, page
+from postpass.replication.record_log import Record
 
 
 def _rec(seq: int, kind: str, **body: Any) -> Record:
--- a/tests/test_lotdesk.py
+++ b/tests/batch/test_job_api.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from postpass.lotdesk import lot_flaw
+from postpass.batch.job_api import lot_flaw
 
 
 def item(**other: Any) -> dict[str, Any]:
--- a/tests/test_routed_lots.py
+++ b/tests/batch/test_job_service.py
@@ -12,11 +12,11 @@
 from absl import logging
 
 from bench.plan import manifest
-from postpass.data import Data
-from postpass.fault import Fault, Stop
-from postpass.lotdesk import LotDesk
-from postpass.manifest import Route
-from postpass.sched import Sched
+from postpass.batch.job_api import LotDesk
+from postpass.batch.scheduler import Sched
+from postpass.configuration.configuration import Route
+from postpass.daemon.data_plane import Data
+from postpass.runtime.errors import Fault, Stop
 from sim.fleet import SimFleet
 from sim.loop import SimLoop, run_sim
 
--- a/tests/test_quota.py
+++ b/tests/batch/test_quota.py
@@ -1,6 +1,6 @@
 """The count of waiting tokens at the holder of a route's budget."""
 
-from postpass.quota import Budget
+from postpass.batch.quota import Budget
 
 
 class Test_Budget:
--- a/tests/batch/test_scheduler.py
+++ b/tests/batch/test_scheduler.py
@@ -1,8 +1,8 @@
-"""Tests of postpass.sched."""
+"""Tests of postpass.batch.scheduler."""
 
 from __future__ import annotations
 
-from postpass.sched import allowed
+from postpass.batch.scheduler import allowed
 
 
 def test_batch_takes_what_live_leaves_and_never_less_than_its_own() -> None:
--- a/tests/bench/test_plan.py
+++ b/tests/bench/test_plan.py
@@ -6,8 +6,8 @@
 
 
 def test_the_small_fleet_is_a_good_manifest_and_its_configs_too() -> None:
-    from postpass.config import parse
-    from postpass.manifest import check
+    from postpass.configuration.configuration import check
+    from postpass.configuration.settings import parse
 
     man = manifest()
     assert check(man).is_ok(), check(man)
--- a/tests/test_real_operators.py
+++ b/tests/bench/test_real_operators.py
@@ -20,10 +20,10 @@
 
 from sim.announced import BOUNDS
 from sim.linearizability import check
-from tests.recording_operators import ANSWER_S, NO_ANSWER, RecordingOperators, Reply, put
-from tests.test_platform_configuration import document
+from tests.platform.test_configuration import document
+from tests.support.recording_operators import ANSWER_S, NO_ANSWER, RecordingOperators, Reply, put
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 ZONES = ["zone-a", "zone-b", "zone-c"]
 PEER, CONTROL = 7660, 8146
 OPERATORS = 4
--- a/tests/cli/test_doctor.py
+++ b/tests/cli/test_doctor.py
@@ -1,16 +1,16 @@
-"""Tests of postpass.doctor."""
+"""Tests of postpass.cli.doctor."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from postpass.doctor import diagnose
+from postpass.cli.doctor import diagnose
 
 
 def test_a_sound_fleet_has_no_findings_and_each_fault_has_its_own() -> None:
     import copy
 
-    from postpass.overview import _seen
+    from postpass.cli.status import _seen
 
     good = _seen()
     later = copy.deepcopy(good)
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -1,11 +1,11 @@
-"""Tests of postpass.pp."""
+"""Tests of postpass.cli.main."""
 
 from __future__ import annotations
 
 from pathlib import Path
 from typing import Any
 
-from postpass.pp import REFUSED, UNKNOWN, USAGE, main
+from postpass.cli.main import REFUSED, UNKNOWN, USAGE, main
 
 
 def test_bad_input_gets_a_line_and_a_code(tmp_path: Path, capsys: Any) -> None:
--- a/tests/cli/test_status.py
+++ b/tests/cli/test_status.py
@@ -1,8 +1,8 @@
-"""Tests of postpass.overview."""
+"""Tests of postpass.cli.status."""
 
 from __future__ import annotations
 
-from postpass.overview import _seen, overview, pending
+from postpass.cli.status import _seen, overview, pending
 
 
 def test_pending_operations_say_why_and_complete_ones_that_they_are() -> None:
--- a/tests/configuration/test_configuration.py
+++ b/tests/configuration/test_configuration.py
@@ -1,11 +1,11 @@
-"""Tests of postpass.manifest."""
+"""Tests of postpass.configuration.configuration."""
 
 from __future__ import annotations
 
 import json
 from typing import Any, cast
 
-from postpass.manifest import check, dump, members, small
+from postpass.configuration.configuration import check, dump, members, small
 
 
 def test_a_bad_manifest_is_refused_whole_with_paths() -> None:
--- a/tests/configuration/test_json_delta.py
+++ b/tests/configuration/test_json_delta.py
@@ -1,10 +1,10 @@
-"""Tests of postpass.delta."""
+"""Tests of postpass.configuration.json_delta."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from postpass.delta import delta, patch
+from postpass.configuration.json_delta import delta, patch
 
 
 def test_a_delta_leads_from_old_to_new_and_leaves_old_alone() -> None:
--- a/tests/configuration/test_nginx_import.py
+++ b/tests/configuration/test_nginx_import.py
@@ -1,10 +1,10 @@
-"""Tests of postpass.nginx."""
+"""Tests of postpass.configuration.nginx_import."""
 
 from __future__ import annotations
 
 from pathlib import Path
 
-from postpass.nginx import carry_over
+from postpass.configuration.nginx_import import carry_over
 
 
 def test_upstreams_and_locations_are_carried_over_and_the_rest_is_named(tmp_path: Path) -> None:
--- a/tests/configuration/test_schema.py
+++ b/tests/configuration/test_schema.py
@@ -1,8 +1,8 @@
-"""Tests of postpass.check."""
+"""Tests of postpass.configuration.schema."""
 
 from __future__ import annotations
 
-from postpass.check import Tree, flaws
+from postpass.configuration.schema import Tree, flaws
 
 
 def test_every_flaw_is_listed_with_its_path() -> None:
--- a/tests/configuration/test_settings.py
+++ b/tests/configuration/test_settings.py
@@ -1,8 +1,8 @@
-"""Tests of postpass.config."""
+"""Tests of postpass.configuration.settings."""
 
 from __future__ import annotations
 
-from postpass.config import GOOD, Bounds, load, parse
+from postpass.configuration.settings import GOOD, Bounds, load, parse
 
 
 def test_bounds_keep_their_invariants() -> None:
--- a/tests/test_taken_orders.py
+++ b/tests/control/test_accepted_orders.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from postpass.config import Bounds
-from postpass.taken_orders import (
+from postpass.configuration.settings import Bounds
+from postpass.control.accepted_orders import (
     MAXIMUM,
     MINIMUM,
     UNVERSIONED_LIMIT,
--- a/tests/test_announced_control.py
+++ b/tests/control/test_announced_control.py
@@ -8,11 +8,11 @@
 from typing import Any
 
 from postpass.control import Control
-from postpass.roster import Standing
+from postpass.membership.registry import Standing
 from sim.disk import SimDisk
 from sim.loop import SimLoop, run_sim
-from tests.announced import Fleet
-from tests.test_platform_configuration import document
+from tests.platform.test_configuration import document
+from tests.support.announced import Fleet
 
 
 def standing(n: int, **more: Any) -> Standing:
--- a/tests/test_configuration_change.py
+++ b/tests/control/test_configuration.py
@@ -5,12 +5,12 @@
 from dataclasses import replace
 from typing import Any
 
+from postpass.control.accepted_orders import ConfigurationOrder
 from postpass.control.configuration import ConfigurationChange
 from postpass.control.state import Held
-from postpass.roster import State, founded, recovered
-from postpass.taken_orders import ConfigurationOrder
-from tests.test_platform_configuration import document
-from tests.test_platform_settings import adapter
+from postpass.membership.registry import State, founded, recovered
+from tests.platform.test_configuration import document
+from tests.platform.test_settings import adapter
 
 REMEMBERED = 1_000
 
--- a/tests/test_worst_days_feed.py
+++ b/tests/control/test_feed.py
@@ -9,10 +9,10 @@
 import pytest
 
 from postpass.control import Control
-from postpass.data import Data
-from tests.announced import Fleet
-from tests.test_announced_control import play, standing
-from tests.test_platform_configuration import document
+from postpass.daemon.data_plane import Data
+from tests.control.test_announced_control import play, standing
+from tests.platform.test_configuration import document
+from tests.support.announced import Fleet
 
 
 def cut(fleet: Fleet, one: str, others: list[str], ways: str = "both") -> None:
--- a/tests/test_control_health.py
+++ b/tests/control/test_health.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from postpass.control_health import health_lines, next_loss_flaw
+from postpass.control.health import health_lines, next_loss_flaw
 
 
 def _views(members: int, tolerate: int = 1, backups: tuple[str, ...] = ("c2",)) -> dict[str, dict[str, Any]]:
--- a/tests/test_in_force.py
+++ b/tests/control/test_in_force.py
@@ -6,12 +6,12 @@
 
 from result import Err
 
-from postpass.config import Bounds
+from postpass.configuration.configuration import Manifest
+from postpass.configuration.settings import Bounds
 from postpass.control.contact import last_majority
 from postpass.control.in_force import Hearing, VersionWait, awaited_senders
-from postpass.fault import Fault
-from postpass.manifest import Manifest
-from postpass.wire import Lines, PeerResponse
+from postpass.rpc.peer_links import Lines, PeerResponse
+from postpass.runtime.errors import Fault
 
 
 def _hearing(**more: float) -> Hearing:
--- a/tests/test_worst_days_cut.py
+++ b/tests/control/test_isolation.py
@@ -13,13 +13,13 @@
 from starlette.applications import Starlette
 
 from postpass.control import Control
-from postpass.fault import BAD, BROKE, CLASH, CROWD, FULL, LACK, MOVED, OLD, SHED, SLOW, Fault
+from postpass.runtime.errors import BAD, BROKE, CLASH, CROWD, FULL, LACK, MOVED, OLD, SHED, SLOW, Fault
 from sim.linearizability import Attempt, Operation, Order, Outcome, Read, check
-from tests.announced import Fleet
-from tests.test_announced_control import play, standing
-from tests.test_platform_configuration import document
-from tests.test_platform_settings import adapter
-from tests.test_worst_days_feed import cut, heal, names, settle
+from tests.control.test_announced_control import play, standing
+from tests.control.test_feed import cut, heal, names, settle
+from tests.platform.test_configuration import document
+from tests.platform.test_settings import adapter
+from tests.support.announced import Fleet
 
 CUT_S = 20.0
 PATIENCE_S = 1.0  # for which a caller waits before it turns to another member
--- a/tests/test_worst_days_cuts.py
+++ b/tests/control/test_isolation_runs.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from tests.announced import Fleet
-from tests.test_platform_configuration import document
-from tests.test_worst_days_leadership import CUT_TIME, RECOVERY_TIME, isolate, leader, play, readable, settle, standing
+from tests.control.test_leadership import CUT_TIME, RECOVERY_TIME, isolate, leader, play, readable, settle, standing
+from tests.platform.test_configuration import document
+from tests.support.announced import Fleet
 
 ORDER_PAUSE = 0.4
 OPERATORS = 2
--- a/tests/test_control_journal.py
+++ b/tests/control/test_journal.py
@@ -23,10 +23,10 @@
     replay,
     snapshot_entry,
 )
-from postpass.fault import BROKE, FULL, Stop
-from postpass.seglog import HEAD, SegLog, scan
-from postpass.vault import MARK, STATE_FORMAT, Vault, mark_format, open_vault
-from postpass.wire import IDL, pack, unpack
+from postpass.rpc.peer_links import IDL, pack, unpack
+from postpass.runtime.errors import BROKE, FULL, Stop
+from postpass.storage.data_directory import MARK, STATE_FORMAT, Vault, mark_format, open_vault
+from postpass.storage.segmented_log import HEAD, SegLog, scan
 from sim.disk import SimDisk
 from sim.loop import SimLoop, run_sim
 
--- a/tests/test_worst_days_leadership.py
+++ b/tests/control/test_leadership.py
@@ -12,17 +12,17 @@
 import pytest
 from result import Ok
 
-from postpass import roster
 from postpass.control import Control
 from postpass.control.epochs import Pair
 from postpass.control.journal import replay
 from postpass.control.member import STATE_SEGMENT
-from postpass.roster import Standing
-from postpass.seglog import SegLog
+from postpass.membership import registry
+from postpass.membership.registry import Standing
+from postpass.storage.segmented_log import SegLog
 from sim.disk import SimDisk
 from sim.loop import SimLoop, run_sim
-from tests.announced import Fleet, Node
-from tests.test_platform_configuration import document
+from tests.platform.test_configuration import document
+from tests.support.announced import Fleet, Node
 
 DETECTION_TIME = 1.5
 RECOVERY_TIME = 12.0
@@ -346,7 +346,7 @@
         first, backup = lead.held.pair.holders
         if dropped:
             # The backup acknowledges the very change that drops it, and is gone before the replica set is renewed.
-            got = await f.ask(first, lambda c: c.change(lambda s: Ok(roster.dropped(s, [backup])), 0.0))
+            got = await f.ask(first, lambda c: c.change(lambda s: Ok(registry.dropped(s, [backup])), 0.0))
             assert got.is_ok(), got
         f.kill(backup, silent=True)
         wipe(f, first)
--- a/tests/test_worst_days_orders.py
+++ b/tests/control/test_orders.py
@@ -13,20 +13,19 @@
 import pytest
 from result import Err, Ok, Result
 
-from postpass import taken_orders
-from postpass.control import Control
+from postpass.control import Control, accepted_orders
+from postpass.control.accepted_orders import DIGEST_LENGTH, ConfigurationOrder, Recollection
 from postpass.control.configuration import ConfigurationChange
-from postpass.daemon import Daemon
-from postpass.fault import OLD, Fault
-from postpass.roster import State
-from postpass.taken_orders import DIGEST_LENGTH, ConfigurationOrder, Recollection
+from postpass.daemon.process import Daemon
+from postpass.membership.registry import State
+from postpass.runtime.errors import OLD, Fault
 from sim.disk import SimDisk
 from sim.linearizability import Outcome, Verdict, check
 from sim.loop import SimLoop, run_sim
-from tests.announced import Fleet
-from tests.recording_operators import ANSWER_S, NO_ANSWER, RecordingOperators, Reply, patch, put
-from tests.test_platform_configuration import document
-from tests.test_platform_settings import adapter
+from tests.platform.test_configuration import document
+from tests.platform.test_settings import adapter
+from tests.support.announced import Fleet
+from tests.support.recording_operators import ANSWER_S, NO_ANSWER, RecordingOperators, Reply, patch, put
 
 OPERATORS = 8
 CUT_S = 20.0
@@ -380,7 +379,7 @@
 
 def forgets_what_it_took(mp: pytest.MonkeyPatch) -> None:
     """Refused resend."""
-    mp.setattr(taken_orders, "recall", lambda *_: Recollection.NOT_TAKEN)
+    mp.setattr(accepted_orders, "recall", lambda *_: Recollection.NOT_TAKEN)
 
 
 def loses_writes(mp: pytest.MonkeyPatch) -> None:
--- a/tests/test_control_state.py
+++ b/tests/control/test_state.py
@@ -4,7 +4,7 @@
 
 from postpass.control.epochs import Pair
 from postpass.control.state import Held
-from postpass.roster import State
+from postpass.membership.registry import State
 
 
 def test_held_state_knows_when_it_is_damaged() -> None:
--- a/tests/test_worst_days_state.py
+++ b/tests/control/test_state_recovery.py
@@ -15,13 +15,13 @@
 from postpass.control import Control
 from postpass.control.journal import Image, replay
 from postpass.control.state import Held
-from postpass.data import Data
-from postpass.vault import MARK, STATE_FORMAT, open_vault
+from postpass.daemon.data_plane import Data
+from postpass.storage.data_directory import MARK, STATE_FORMAT, open_vault
 from sim.disk import SimDisk
 from sim.loop import SimLoop, run_sim
-from tests.announced import Fleet
-from tests.test_announced_control import standing
-from tests.test_platform_configuration import document
+from tests.control.test_announced_control import standing
+from tests.platform.test_configuration import document
+from tests.support.announced import Fleet
 
 RATE = 10.0  # changes a second that go on while a member catches up
 FASTEST = 0.02  # seconds between two changes while it is away
--- a/tests/test_worst_days_voters.py
+++ b/tests/control/test_voters.py
@@ -7,12 +7,11 @@
 
 import pytest
 
+from postpass.configuration.configuration import Manifest
 from postpass.control import Control
 from postpass.control.epochs import Pair
-from postpass.manifest import Manifest
-from postpass.wire import Body
-from tests.announced import Fleet
-from tests.test_worst_days_leadership import (
+from postpass.rpc.peer_links import Body
+from tests.control.test_leadership import (
     DETECTION_TIME,
     RECOVERY_TIME,
     current_disks,
@@ -23,6 +22,7 @@
     settle,
     wipe,
 )
+from tests.support.announced import Fleet
 
 
 def pair_on_disk(f: Fleet, name: str) -> Pair:
--- a/tests/feed/test_configuration_view.py
+++ b/tests/feed/test_configuration_view.py
@@ -1,11 +1,11 @@
-"""Tests of postpass.news."""
+"""Tests of postpass.feed.configuration_view."""
 
 from __future__ import annotations
 
 import asyncio
 
-from postpass.manifest import small
-from postpass.news import KEPT, News
+from postpass.configuration.configuration import small
+from postpass.feed.configuration_view import KEPT, News
 
 
 def test_a_daemon_never_goes_back_an_edition() -> None:
--- a/tests/test_feed.py
+++ b/tests/feed/test_messages.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from postpass.feed import MAX_HOLD_S, Poll, Rotation, Stale
+from postpass.feed.messages import MAX_HOLD_S, Poll, Rotation, Stale
 
 
 def test_messages_survive_the_wire() -> None:
--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -1,10 +1,10 @@
-"""Tests of postpass.backlog."""
+"""Tests of postpass.gateway.admission."""
 
 from __future__ import annotations
 
 import asyncio
 
-from postpass.backlog import Backlog, Waiter
+from postpass.gateway.admission import Backlog, Waiter
 
 
 def test_one_callers_crowd_does_not_hold_back_another() -> None:
--- a/tests/test_answers.py
+++ b/tests/gateway/test_answers.py
@@ -1,6 +1,6 @@
 """Properties of answers and callers, over all the ways in which workers and callers can go wrong.
 
-CI plays the same examples each time. A hunt plays fresh ones: `POSTPASS_HUNT=EXAMPLES pytest tests/test_answers.py`.
+CI plays the same examples each time. A hunt plays fresh ones: `POSTPASS_HUNT=EXAMPLES pytest tests/gateway/test_answers.py`.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
 
-from tests.answers import (
+from tests.support.answers import (
     CUT_ENDS,
     FRAMINGS,
     IDENTITIES,
--- a/tests/test_answers_broken.py
+++ b/tests/gateway/test_answers_broken.py
@@ -1,5 +1,5 @@
 """Deliberately broken variants of the product: each property of answers and of items must catch its own, in scenes that
-the sound product passes (tests/test_answers.py, tests/test_item_answers.py). A property that can't fail proves nothing."""
+the sound product passes (tests/gateway/test_answers.py, tests/batch/test_item_answers.py). A property that can't fail proves nothing."""
 
 from __future__ import annotations
 
@@ -9,20 +9,21 @@
 import pytest
 from uvicorn.protocols.http.httptools_impl import HttpToolsProtocol
 
-from postpass import items, ledger, relay, workerlink
-from postpass.dialect import Dialect
-from postpass.fault import Stop
-from postpass.front import front, refusal
-from postpass.items import Events
-from postpass.relay import Events as StreamEvents
-from postpass.relay import Names, Relay
-from postpass.sched import Sched
-from postpass.verdict import Proof, Verdict, verdict
-from postpass.workerlink import Exchange, Link
-from tests import answers
-from tests.answers import EVENTS, Ask, Connection, Play, Scene, chunk, event, judge, run_scene
-from tests.item_answers import ItemScene, judge_items, run_items
-from tests.test_answers import quick_collections
+from postpass.batch import item_request
+from postpass.batch.item_request import Events
+from postpass.batch.scheduler import Sched
+from postpass.configuration.header_names import Dialect
+from postpass.gateway import attempts, relay, upstream_connection
+from postpass.gateway.http_server import front, refusal
+from postpass.gateway.relay import Events as StreamEvents
+from postpass.gateway.relay import Names, Relay
+from postpass.gateway.response_check import Proof, Verdict, verdict
+from postpass.gateway.upstream_connection import Exchange, Link
+from postpass.runtime.errors import Stop
+from tests.gateway.test_answers import quick_collections
+from tests.support import answers
+from tests.support.answers import EVENTS, Ask, Connection, Play, Scene, chunk, event, judge, run_scene
+from tests.support.item_answers import ItemScene, judge_items, run_items
 
 __all__ = ["quick_collections"]
 
@@ -31,11 +32,11 @@
 
 # --- answers to callers
 def ids_are_not_compared(mp: pytest.MonkeyPatch) -> None:
-    mp.setattr(workerlink, "carries", lambda *_: True)
+    mp.setattr(upstream_connection, "carries", lambda *_: True)
 
 
 def repeats_anything(mp: pytest.MonkeyPatch) -> None:
-    plain = ledger.next_attempt
+    plain = attempts.next_attempt
     mp.setattr(relay, "next_attempt", lambda log, **more: plain(log, **more | {"repeatable": True, "tries": 3}))
 
 
@@ -173,9 +174,11 @@
         self.text.last = self.number
 
     mp.setattr(Events, "event", event)
-    plain = items.request_headers
+    plain = item_request.request_headers
     mp.setattr(
-        items, "request_headers", lambda d, call, host, worker, wait, _last: plain(d, call, host, worker, wait, -1)
+        item_request,
+        "request_headers",
+        lambda d, call, host, worker, wait, _last: plain(d, call, host, worker, wait, -1),
     )
 
 
@@ -190,7 +193,7 @@
 
 
 def abandons_what_failed(mp: pytest.MonkeyPatch) -> None:
-    mp.setattr(items, "FINAL", {500: "never", 422: "never"})
+    mp.setattr(item_request, "FINAL", {500: "never", 422: "never"})
 
 
 SECOND_HALF = chunk(b"".join(event("lot0-0", n) for n in range(EVENTS // 2, EVENTS))) + b"0\r\n\r\n"
--- a/tests/gateway/test_attempts.py
+++ b/tests/gateway/test_attempts.py
@@ -1,10 +1,10 @@
-"""Tests of postpass.ledger."""
+"""Tests of postpass.gateway.attempts."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from postpass.ledger import MOST, Ledger, next_attempt, next_move
+from postpass.gateway.attempts import MOST, Ledger, next_attempt, next_move
 
 
 def _ledger(*states: tuple[Any, str]) -> Ledger:
--- a/tests/gateway/test_live_requests.py
+++ b/tests/gateway/test_live_requests.py
@@ -1,9 +1,9 @@
-"""Tests of postpass.edge."""
+"""Tests of postpass.gateway.live_requests."""
 
 from __future__ import annotations
 
-from postpass.check import flaws
-from postpass.edge import CallBody, LotBody, sse
+from postpass.configuration.schema import flaws
+from postpass.gateway.live_requests import CallBody, LotBody, sse
 
 
 def test_sse_frames_are_numbered() -> None:
--- a/tests/test_placing.py
+++ b/tests/gateway/test_load_balancing.py
@@ -5,8 +5,8 @@
 import random
 from collections import Counter
 
-from postpass.manifest import Split
-from postpass.placing import (
+from postpass.configuration.configuration import Split
+from postpass.gateway.load_balancing import (
     COLD_PART,
     NONE,
     Bucket,
--- a/tests/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -9,15 +9,15 @@
 
 from prometheus_client import CollectorRegistry
 
-from postpass import events
-from postpass.config import Bounds, Config
-from postpass.data import Data
-from postpass.dialect import Dialect
-from postpass.front import HeadLimits, front, serve_ready
-from postpass.manifest import Manifest, Route, check
-from postpass.news import News
-from postpass.relay import Events, Relay, table_of
-from postpass.world import World, serve_http
+from postpass.configuration.configuration import Manifest, Route, check
+from postpass.configuration.header_names import Dialect
+from postpass.configuration.settings import Bounds, Config
+from postpass.daemon.data_plane import Data
+from postpass.feed.configuration_view import News
+from postpass.gateway.http_server import HeadLimits, front, serve_ready
+from postpass.gateway.relay import Events, Relay, table_of
+from postpass.runtime import log_events
+from postpass.runtime.environment import World, serve_http
 from sim.loop import Host, SimLoop, run_sim
 
 Head = dict[str, str]
@@ -623,20 +623,20 @@
 
     async def main(s: Scene) -> None:
         s.change(lambda m: m["routes"]["stream"].update(gap=0.3))
-        events.RECENT.clear()
+        log_events.RECENT.clear()
         assert (await s.ask("/s/x"))[0] == 200
-        assert not [e for e in events.RECENT if e[0] == 172]
+        assert not [e for e in log_events.RECENT if e[0] == 172]
         s.change(lambda m: m["routes"]["stream"].update(gap=0.2))
         assert (await s.ask("/s/x", x_tokens="715,80"))[0] == 200
-        told = [text for number, text in events.RECENT if number == 172]
+        told = [text for number, text in log_events.RECENT if number == 172]
         assert len(told) == 1 and "pause=0.25" in told[0] and "tokens=715,80" in told[0]
         s.change(lambda m: m["pools"]["p"]["servers"].clear())
         for _ in range(5):
             assert (await s.ask("/s/x"))[0] == 503
-        assert len([e for e in events.RECENT if e[0] == 173]) == 1
+        assert len([e for e in log_events.RECENT if e[0] == 173]) == 1
         await asyncio.sleep(1)
         assert (await s.ask("/s/x"))[0] == 503
-        assert [e for e in events.RECENT if e[0] == 173][-1][1].endswith(": 5}")
+        assert [e for e in log_events.RECENT if e[0] == 173][-1][1].endswith(": 5}")
 
     play({"w1": stalls}, main)
 
--- a/tests/test_verdict.py
+++ b/tests/gateway/test_response_check.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from postpass.dialect import Dialect
-from postpass.verdict import PROMISES, AnswerNames, Proof, verdict
+from postpass.configuration.header_names import Dialect
+from postpass.gateway.response_check import PROMISES, AnswerNames, Proof, verdict
 
 NAMES = AnswerNames.of(Dialect())
 ID, SEAL, NOT_RUN = (b"x-call-id", b"c"), (b"x-seal", b"s"), (b"x-not-run", b"1")
--- a/tests/test_workerlink.py
+++ b/tests/gateway/test_upstream_connection.py
@@ -6,8 +6,8 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from postpass.fault import Stop
-from postpass.workerlink import WorkerLinks
+from postpass.gateway.upstream_connection import WorkerLinks
+from postpass.runtime.errors import Stop
 from sim.loop import Host, SimLoop, run_sim
 
 Play = Callable[[int, int, bytes, asyncio.StreamWriter], Awaitable[None]]  # connection, request on it, head
--- a/tests/gateway/test_worker_load.py
+++ b/tests/gateway/test_worker_load.py
@@ -1,4 +1,4 @@
-"""Tests of postpass.floor."""
+"""Tests of postpass.gateway.worker_load."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 import aiohttp
 
-from postpass.floor import Floor, Spot, share_of
-from postpass.models import Report
-from postpass.news import News
-from postpass.world import World, now
+from postpass.feed.configuration_view import News
+from postpass.gateway.worker_load import Floor, Spot, share_of
+from postpass.runtime.environment import World, now
+from postpass.worker_api.openai import Report
 
 
 def test_quotas_add_up_to_the_bound() -> None:
@@ -19,7 +19,7 @@
 
 
 def test_a_fresh_worker_has_little_room_and_a_barred_one_none() -> None:
-    from postpass.manifest import small
+    from postpass.configuration.configuration import small
 
     async def run() -> None:
         clock = [1000.0]
--- a/tests/membership/test_partial_view.py
+++ b/tests/membership/test_partial_view.py
@@ -1,10 +1,10 @@
-"""Tests of postpass.member."""
+"""Tests of postpass.membership.partial_view."""
 
 from __future__ import annotations
 
 import random
 
-from postpass.member import Card, Circle
+from postpass.membership.partial_view import Card, Circle
 
 
 def _card(name: str, beat: int = 0, inc: int = 1) -> Card:
--- a/tests/membership/test_registry.py
+++ b/tests/membership/test_registry.py
@@ -1,9 +1,9 @@
-"""Tests of postpass.roster."""
+"""Tests of postpass.membership.registry."""
 
 from __future__ import annotations
 
-from postpass.membership import Tolerance
-from postpass.roster import Entry, State, edit, founded, settled
+from postpass.membership.registry import Entry, State, edit, founded, settled
+from postpass.membership.safe_change import Tolerance
 
 
 def test_copies_follow_the_stores_that_are_heard() -> None:
--- a/tests/test_worst_days_membership.py
+++ b/tests/membership/test_replacement_faults.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.membership_drill import KINDS, SYNC, Drill, Loss, play, points_of
+from tests.support.membership_drill import KINDS, SYNC, Drill, Loss, play, points_of
 
 
 @pytest.mark.parametrize("owner", ["s1", "s2", "s3"])
@@ -63,7 +63,7 @@
 @pytest.mark.parametrize("kind", KINDS)
 def test_a_second_loss_at_any_step_of_a_retirement_is_borne(kind: str) -> None:
     """A retirement is no loss, so that one machine may be lost at each of its points; all points by the command
-    `python -m tests.membership_drill`, a spread sample here."""
+    `python -m tests.support.membership_drill`, a spread sample here."""
     for victim, point in zip(("owner", "mirror"), spread(points_of("retire s4"), 2), strict=True):
         verdict = play(Drill("retire s4", Loss(kind, victim, 0.0, 1.0), point=point, last_wipe="s2"))
         assert verdict.flaws == [], (point, verdict.notes)
--- a/tests/test_roster_retire.py
+++ b/tests/membership/test_retirement.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from postpass.manifest import members
-from postpass.membership import Tolerance
-from postpass.roster import Entry, State, edit, emptied, founded, joined, retire_flaw, retiring
+from postpass.configuration.configuration import members
+from postpass.membership.registry import Entry, State, edit, emptied, founded, joined, retire_flaw, retiring
+from postpass.membership.safe_change import Tolerance
 
 
 def fleet(copies: int, **areas: str) -> State:
--- a/tests/test_membership.py
+++ b/tests/membership/test_safe_change.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from postpass.membership import (
+from postpass.membership.safe_change import (
     Change,
     Margin,
     Presence,
--- a/tests/test_model_control.py
+++ b/tests/model/test_control.py
@@ -11,7 +11,7 @@
 from model.control.steps import ControlModel
 from model.control.symmetry import canonical, renamed
 from model.search import Limits, search
-from tests.model_mutants import (
+from tests.support.model_mutants import (
     MUTANTS,
     ORDER_ACKNOWLEDGED_BEFORE_THE_WIPE,
     RELEASED,
--- a/tests/test_model_partition.py
+++ b/tests/model/test_partition.py
@@ -11,9 +11,9 @@
 from model.partition.steps import PartitionModel
 from model.partition.symmetry import canonical, renamed
 from model.search import Limits, search
-from postpass.lots import LotView
-from postpass.membership import Change, Situation
-from postpass.part import Part
+from postpass.batch.job import LotView
+from postpass.membership.safe_change import Change, Situation
+from postpass.replication.partition import Part
 
 SMALL = Size(members=3, epochs=2, lots=1, wipes=0)
 
--- a/tests/test_platform_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.test_platform_settings import adapter
+from tests.platform.test_settings import adapter
 
 
 def document(version: int) -> dict[str, Any]:
--- a/tests/test_platform_settings.py
+++ b/tests/platform/test_settings.py
@@ -8,7 +8,7 @@
 from types import ModuleType
 from typing import Any
 
-FOLDER = Path(__file__).parent.parent / "platform"
+FOLDER = Path(__file__).parents[2] / "platform"
 
 
 def adapter(name: str) -> ModuleType:
--- a/tests/test_platform_words.py
+++ b/tests/platform/test_words.py
@@ -12,7 +12,7 @@
 
 from sim.announced import BOUNDS, module
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 # What stands in for the platform, and tests of the folder that translates, speak its words; so do pages on it.
 SPEAKS = {"platform", "sim", "tests", "deploy", "journal", "target", "build"}
 PAGES = {"docs/platform.md", "docs/testing.md"}
--- a/tests/plugins/test_example.py
+++ b/tests/plugins/test_example.py
@@ -5,7 +5,7 @@
 from postpass_example.near import near
 from postpass_example.shared import all_shared
 
-from postpass.plug import Ask, Seat
+from postpass.worker_api.plugins import Ask, Seat
 
 
 def test_stays_near_while_there_is_room() -> None:
--- a/tests/replication/test_acknowledgements.py
+++ b/tests/replication/test_acknowledgements.py
@@ -1,10 +1,10 @@
-"""Tests of postpass.recorder."""
+"""Tests of postpass.replication.acknowledgements."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from postpass.recorder import Recorder
+from postpass.replication.acknowledgements import Recorder
 
 
 def test_newer_overwrites_older_and_a_lower_one_is_ignored() -> None:
--- a/tests/replication/test_partition.py
+++ b/tests/replication/test_partition.py
@@ -1,10 +1,10 @@
-"""Tests of postpass.part."""
+"""Tests of postpass.replication.partition."""
 
 from __future__ import annotations
 
-from postpass.lots import LotView
-from postpass.part import Follow, Part, head
-from postpass.tape import Tape
+from postpass.batch.job import LotView
+from postpass.replication.partition import Follow, Part, head
+from postpass.replication.record_log import Tape
 
 
 def _owner(persisted: bool = True) -> Part:
--- a/tests/replication/test_record_log.py
+++ b/tests/replication/test_record_log.py
@@ -1,8 +1,8 @@
-"""Tests of postpass.tape."""
+"""Tests of postpass.replication.record_log."""
 
 from __future__ import annotations
 
-from postpass.tape import Record, Tape, match
+from postpass.replication.record_log import Record, Tape, match
 
 
 def _tape(*epochs: int) -> Tape:
--- a/tests/replication/test_stability.py
+++ b/tests/replication/test_stability.py
@@ -1,8 +1,17 @@
-"""Tests of postpass.predicate."""
+"""Tests of postpass.replication.stability."""
 
 from __future__ import annotations
 
-from postpass.predicate import DEFAULT, SCENE, build, confirm_suffice, four, loss_flaw, promises_suffice, quorums
+from postpass.replication.stability import (
+    DEFAULT,
+    SCENE,
+    build,
+    confirm_suffice,
+    four,
+    loss_flaw,
+    promises_suffice,
+    quorums,
+)
 
 
 def test_operators_keep_the_sources_meaning() -> None:
--- a/tests/replication/test_store.py
+++ b/tests/replication/test_store.py
@@ -1,8 +1,8 @@
-"""Tests of postpass.store."""
+"""Tests of postpass.replication.store."""
 
 from __future__ import annotations
 
-from postpass.manifest import part_of
+from postpass.configuration.configuration import part_of
 
 
 def test_lots_hash_over_all_partitions() -> None:
--- a/tests/test_takeover.py
+++ b/tests/replication/test_takeover.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from postpass.data import Data
-from postpass.store import Store
+from postpass.daemon.data_plane import Data
+from postpass.replication.store import Store
 from sim.loop import SimLoop, run_sim
-from tests.announced import Fleet
+from tests.support.announced import Fleet
 
 
 def stores(fleet: Fleet) -> list[Store]:
--- a/tests/rpc/test_peer_links.py
+++ b/tests/rpc/test_peer_links.py
@@ -1,4 +1,4 @@
-"""Tests of postpass.wire."""
+"""Tests of postpass.rpc.peer_links."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from result import Err, Ok, Result
 from thriftpy2.thrift import TMessageType
 
-from postpass.fault import SLOW, Fault
-from postpass.wire import IDL, SPEAKS, Body, Lines, Link, Port, _message
+from postpass.rpc.peer_links import IDL, SPEAKS, Body, Lines, Link, Port, _message
+from postpass.runtime.errors import SLOW, Fault
 
 
 def test_releases_without_a_common_wire_number_are_refused_by_both_numbers() -> None:
--- a/tests/runtime/test_disk.py
+++ b/tests/runtime/test_disk.py
@@ -1,11 +1,11 @@
-"""Tests of postpass.disk."""
+"""Tests of postpass.runtime.disk."""
 
 from __future__ import annotations
 
 import asyncio
 from pathlib import Path
 
-from postpass.disk import RealDisk
+from postpass.runtime.disk import RealDisk
 
 
 def test_real_disk_keeps_replaces_and_caps(tmp_path: Path) -> None:
--- a/tests/runtime/test_errors.py
+++ b/tests/runtime/test_errors.py
@@ -1,8 +1,8 @@
-"""Tests of postpass.fault."""
+"""Tests of postpass.runtime.errors."""
 
 from __future__ import annotations
 
-from postpass.fault import FULL, Fault
+from postpass.runtime.errors import FULL, Fault
 
 
 def test_fault_names_step_and_peer() -> None:
--- a/tests/sim/test_ailing.py
+++ b/tests/sim/test_ailing.py
@@ -8,7 +8,7 @@
 import pytest
 
 from bench.plan import changed
-from postpass import pp
+from postpass.cli import main
 from sim.ailing import CASES, control_gone, look
 from sim.fleet import SimConnector, SimFleet
 from sim.interface import Say, with_fleet
@@ -16,7 +16,7 @@
 
 @pytest.mark.parametrize("name", CASES)
 def test_the_doctor_finds_what_was_caused(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pp, "CONNECTOR", lambda: SimConnector(limit=0))
+    monkeypatch.setattr(main, "CONNECTOR", lambda: SimConnector(limit=0))
     cause, want = CASES[name]
 
     async def check(world: SimFleet, say: Say) -> None:
@@ -28,19 +28,19 @@
 
 
 def test_without_a_majority_of_control_the_manifest_cannot_be_read(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pp, "CONNECTOR", lambda: SimConnector(limit=0))
+    monkeypatch.setattr(main, "CONNECTOR", lambda: SimConnector(limit=0))
 
     async def check(world: SimFleet, say: Say) -> None:
         await control_gone(world)
-        with pytest.raises(pp.Exit) as seen:
+        with pytest.raises(main.Exit) as seen:
             await look(world)
-        assert seen.value.code == pp.UNKNOWN
+        assert seen.value.code == main.UNKNOWN
 
     with_fleet(check)
 
 
 def test_operations_are_pending_until_they_are_complete(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pp, "CONNECTOR", lambda: SimConnector(limit=0))
+    monkeypatch.setattr(main, "CONNECTOR", lambda: SimConnector(limit=0))
 
     async def check(world: SimFleet, say: Say) -> None:
         man: dict[str, Any] = changed(world.man, "evacuated", ["b"])
--- a/tests/test_sim_announced.py
+++ b/tests/sim/test_announced.py
@@ -7,7 +7,7 @@
 import pytest
 
 from sim.runner import FOLDER, judge, parse, play_day
-from tests.naive_system import Memory
+from tests.support.naive_system import Memory
 
 CALM = (FOLDER / "announced" / "calm.txt").read_text()
 
--- a/tests/test_sim_broken.py
+++ b/tests/sim/test_broken_variants.py
@@ -11,20 +11,22 @@
 import pytest
 from result import Err, Ok
 
-from postpass import items, ledger, placing, relay, roster, sched
+from postpass.batch import item_request, scheduler
+from postpass.batch.item_request import Text
+from postpass.batch.job import LotView
+from postpass.batch.job_api import LotDesk
+from postpass.batch.job_service import Routed
+from postpass.batch.quota import Budget
 from postpass.control import Control
-from postpass.daemon import Daemon
-from postpass.data import Data
-from postpass.fault import LACK, SLOW, Fault
-from postpass.items import Text
-from postpass.lotdesk import LotDesk
-from postpass.lots import LotView
-from postpass.quota import Budget
-from postpass.relay import Relay
-from postpass.routed import Routed
-from postpass.seglog import SegLog
-from postpass.workerlink import Link, WorkerLinks
-from postpass.world import now
+from postpass.daemon.data_plane import Data
+from postpass.daemon.process import Daemon
+from postpass.gateway import attempts, load_balancing, relay
+from postpass.gateway.relay import Relay
+from postpass.gateway.upstream_connection import Link, WorkerLinks
+from postpass.membership import registry
+from postpass.runtime.environment import now
+from postpass.runtime.errors import LACK, SLOW, Fault
+from postpass.storage.segmented_log import SegLog
 from sim.announced import module
 from sim.rules import CHECKS
 from sim.runner import Report, judge, parse, play_day
@@ -76,7 +78,7 @@
 
 
 def tries_anything_again(mp: pytest.MonkeyPatch) -> None:
-    plain = ledger.next_attempt
+    plain = attempts.next_attempt
     mp.setattr(relay, "next_attempt", lambda ledger, **more: plain(ledger, **more | {"repeatable": True, "tries": 3}))
 
 
@@ -103,7 +105,7 @@
 
 
 def goes_elsewhere(mp: pytest.MonkeyPatch) -> None:
-    plain = placing.pool_order
+    plain = load_balancing.pool_order
     mp.setattr(relay, "pool_order", lambda split, key: ["app2" if p == "app" else p for p in plain(split, key)])
     mp.setattr(Relay, "gate", lambda *_: "")
 
@@ -115,7 +117,7 @@
 
 def leaves_at_once(mp: pytest.MonkeyPatch) -> None:
     mp.setattr(Data, "drain", property(lambda self: 0.0))
-    mp.setattr("postpass.data.LEAVE_NOTICED", 0.0)
+    mp.setattr("postpass.daemon.data_plane.LEAVE_NOTICED", 0.0)
     plain = Daemon.depart
 
     async def depart(self: Daemon) -> None:
@@ -157,7 +159,7 @@
     async def opened(self: Control) -> None:
         await plain(self)
         if self.held.state.manifest is not None:
-            self.held = replace(self.held, state=roster.edit(self.held.state, evacuated=[]))
+            self.held = replace(self.held, state=registry.edit(self.held.state, evacuated=[]))
 
     mp.setattr(Control, "open", opened)
     mp.setattr(Relay, "barred", lambda self, man, server: bool(server.get("leave")))
@@ -285,13 +287,13 @@
 
 
 def gives_up_at_once(mp: pytest.MonkeyPatch) -> None:
-    plain = items.run_item
+    plain = item_request.run_item
 
     async def run(*args: Any) -> str:
         got = await plain(*args)
         return "never" if got == "failed" else got
 
-    mp.setattr(sched, "run_item", run)
+    mp.setattr(scheduler, "run_item", run)
 
 
 def results_move(mp: pytest.MonkeyPatch) -> None:
--- a/tests/sim/test_interface.py
+++ b/tests/sim/test_interface.py
@@ -10,7 +10,7 @@
 
 from bench.plan import changed
 from bench.words import plain, words
-from postpass.edge import Edge
+from postpass.gateway.live_requests import Edge
 from sim.fleet import SimFleet
 from sim.interface import BAD_CALLS, BAD_LOTS, LOT, Say, lasts, taken, with_fleet
 from sim.loop import Host
--- a/tests/sim/test_plugged.py
+++ b/tests/sim/test_plugged.py
@@ -8,7 +8,8 @@
 import pytest
 
 from bench.plan import changed
-from postpass import events, plug
+from postpass.runtime import log_events
+from postpass.worker_api import plugins
 from sim.fleet import SimFleet
 from sim.interface import Say, with_fleet
 from sim.runner import judge, parse, play
@@ -37,10 +38,10 @@
 
         return run
 
-    monkeypatch.setattr(plug, "find", broken)
+    monkeypatch.setattr(plugins, "find", broken)
     s = parse(
         "set classes.ask.place=near classes.ask.prefix=all-shared\nload ask=6\nrun 6\nexpect calls_share == 1", "plug"
     )
     r = play(s, 1)
     assert judge(s, r) == []
-    assert events.COUNTS[154] > 10
+    assert log_events.COUNTS[154] > 10
--- a/tests/test_replay.py
+++ b/tests/sim/test_replay.py
@@ -8,7 +8,7 @@
 import aiohttp
 import pytest
 
-from postpass.ordered import OrderedSet
+from postpass.runtime.ordered_set import OrderedSet
 from sim import replay
 from sim.crash import PROGRAMMES, listed
 from sim.fleet import SimConnector
--- a/tests/test_sim_rules.py
+++ b/tests/sim/test_rules.py
@@ -9,7 +9,7 @@
 from sim.announced import BOUNDS, kinds_of
 from sim.rules import CHECKS, EVER, Day, breaches
 from sim.runner import Report, parse, play_day
-from tests.naive_system import Memory
+from tests.support.naive_system import Memory
 
 Event = dict[str, Any]
 
--- a/tests/storage/test_data_directory.py
+++ b/tests/storage/test_data_directory.py
@@ -1,4 +1,4 @@
-"""Tests of postpass.vault."""
+"""Tests of postpass.storage.data_directory."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 import json
 import random
 
-from postpass.fault import Stop
-from postpass.vault import FORMAT, MARK, Vault, distrust, open_vault
+from postpass.runtime.errors import Stop
+from postpass.storage.data_directory import FORMAT, MARK, Vault, distrust, open_vault
 
 
 def test_a_damaged_folder_gets_a_new_identity_and_its_files_are_set_aside() -> None:
-    from postpass.wire import IDL
+    from postpass.rpc.peer_links import IDL
     from sim.disk import SimDisk
 
     disk, chance = SimDisk(random.Random(1)), random.Random(2)
--- a/tests/storage/test_segmented_log.py
+++ b/tests/storage/test_segmented_log.py
@@ -1,13 +1,13 @@
-"""Tests of postpass.seglog."""
+"""Tests of postpass.storage.segmented_log."""
 
 from __future__ import annotations
 
 import asyncio
 from typing import Any
 
-from postpass.fault import FULL, Stop
-from postpass.seglog import SegLog
-from postpass.wire import IDL
+from postpass.rpc.peer_links import IDL
+from postpass.runtime.errors import FULL, Stop
+from postpass.storage.segmented_log import SegLog
 
 
 def _entry(seq: int, body: bytes = b"x") -> Any:
--- a/tests/announced.py
+++ b/tests/support/announced.py
@@ -8,16 +8,16 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from postpass.config import Config, parse, split
+from postpass.configuration.settings import Config, parse, split
 from postpass.control import Control
-from postpass.daemon import Daemon
-from postpass.data import Data
-from postpass.roster import Translator
-from postpass.world import World
+from postpass.daemon.data_plane import Data
+from postpass.daemon.process import Daemon
+from postpass.membership.registry import Translator
+from postpass.runtime.environment import World
 from sim.disk import SimDisk
 from sim.fleet import EPOCH, SimConnector
 from sim.loop import Host, SimLoop
-from tests.test_platform_settings import adapter
+from tests.platform.test_settings import adapter
 
 AREAS = ["a", "b", "c", "d"]
 
--- a/tests/answers.py
+++ b/tests/support/answers.py
@@ -16,16 +16,16 @@
 
 from prometheus_client import CollectorRegistry
 
-from postpass.config import Config
-from postpass.dialect import Dialect
-from postpass.front import HeadLimits, front
-from postpass.manifest import Manifest
-from postpass.news import News
-from postpass.relay import Relay
-from postpass.world import World, serve_http
+from postpass.configuration.configuration import Manifest
+from postpass.configuration.header_names import Dialect
+from postpass.configuration.settings import Config
+from postpass.feed.configuration_view import News
+from postpass.gateway.http_server import HeadLimits, front
+from postpass.gateway.relay import Relay
+from postpass.runtime.environment import World, serve_http
 from sim.http1 import Broken, Garbled, Head, Stream
 from sim.loop import Host, SimLoop, run_sim
-from tests.test_relay import manifest
+from tests.gateway.test_relay import manifest
 
 NAMES = Dialect()
 PROMISES = (408, 421, 429, 503)
--- a/tests/item_answers.py
+++ b/tests/support/item_answers.py
@@ -17,16 +17,16 @@
 from prometheus_client import CollectorRegistry
 from result import Ok
 
-from postpass.config import Config
-from postpass.items import Text
-from postpass.models import Prompt
-from postpass.news import News
-from postpass.sched import Job, Sched
-from postpass.wire import Body
-from postpass.workerlink import WorkerLinks
-from postpass.world import World
+from postpass.batch.item_request import Text
+from postpass.batch.scheduler import Job, Sched
+from postpass.configuration.settings import Config
+from postpass.feed.configuration_view import News
+from postpass.gateway.upstream_connection import WorkerLinks
+from postpass.rpc.peer_links import Body
+from postpass.runtime.environment import World
+from postpass.worker_api.openai import Prompt
 from sim.loop import Host, SimLoop, run_sim
-from tests.answers import NAMES, Play, Record, Run, StandInWorker, configuration, events
+from tests.support.answers import NAMES, Play, Record, Run, StandInWorker, configuration, events
 
 ROUNDS, ROUND_S = 120, 0.1  # how often the scheduler fills places, and seconds between
 FAILURES = {"failed": ("failure", "bare failure"), "abandoned": ("never",)}
--- a/tests/membership_drill.py
+++ b/tests/support/membership_drill.py
@@ -17,15 +17,15 @@
 
 import fire
 
-from postpass.data import Data
-from postpass.membership import Tolerance, Topology, bears_loss
-from postpass.part import Part
-from postpass.store import Store
+from postpass.daemon.data_plane import Data
+from postpass.membership.safe_change import Tolerance, Topology, bears_loss
+from postpass.replication.partition import Part
+from postpass.replication.store import Store
 from sim.disk import SimDisk
 from sim.loop import SimLoop, run_sim
 from sim.points import Point, Points, hit
-from tests.announced import Fleet
-from tests.test_platform_configuration import document
+from tests.platform.test_configuration import document
+from tests.support.announced import Fleet
 
 KINDS = ("kill", "power", "wipe", "freeze", "cut")
 SYNC = 5.0  # `bounds.sync` of the fleet
--- a/tests/naive_system.py
+++ b/tests/support/naive_system.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from postpass.world import World
+from postpass.runtime.environment import World
 from sim.http1 import Broken, Garbled, Head, Stream, answer, message
 from sim.operators import patched
 from sim.rules import route_of
--- a/tests/readable_code.py
+++ b/tests/support/readable_code.py
@@ -11,12 +11,12 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-ROOT = Path(__file__).parent.parent / "postpass"
+ROOT = Path(__file__).parents[2] / "postpass"
 MOVED = ("control",)
 # Modules of the flat folder that were written in the standard terms from the start.
 STANDARD_MODULES = (
-    "workerlink.py", "relay.py", "placing.py", "front.py", "items.py", "routed.py", "lotdesk.py", "quota.py", "dialect.py",
-    "ordered.py", "feed.py", "control_health.py", "taken_orders.py", "verdict.py",
+    "gateway/upstream_connection.py", "gateway/relay.py", "gateway/load_balancing.py", "gateway/http_server.py", "batch/item_request.py", "batch/job_service.py", "batch/job_api.py", "batch/quota.py", "configuration/header_names.py",
+    "runtime/ordered_set.py", "feed/messages.py", "control/health.py", "control/accepted_orders.py", "gateway/response_check.py",
 )  # fmt: skip
 # House words and metaphors on the left, and what the field calls them.
 STANDARD_TERMS = {
--- a/tests/test_readable_code.py
+++ b/tests/test_readable_code.py
@@ -11,14 +11,14 @@
 
 import pytest
 
-from tests import readable_code
-from tests.readable_code import MOVED, MOVED_TERMS, ROOT, STANDARD_MODULES, STANDARD_TERMS
+from tests.support import readable_code
+from tests.support.readable_code import MOVED, MOVED_TERMS, ROOT, STANDARD_MODULES, STANDARD_TERMS
 
 # From the lowest to the highest; a module imports from lower layers alone. One that is not there yet is passed over.
 LAYERS = {
     "control": (
-        "epochs", "state", "journal", "changes", "configuration", "member", "contact", "replica", "election", "writer",
-        "in_force", "feed", "registry", "leadership", "orders", "api", "daemon",
+        "accepted_orders", "epochs", "state", "journal", "changes", "configuration", "member", "contact", "replica", "election", "writer",
+        "in_force", "feed", "registry", "leadership", "orders", "health", "api", "daemon",
     )
 }  # fmt: skip
 # Withdrawn words that still stand in names, by module. The users of these names are being worked on.
@@ -35,8 +35,8 @@
     "control/registry.py": {"beat_worker: say heartbeat", "beats: say heartbeat", "on_beat: say heartbeat"},
     "control/replica.py": {"held: say replicated state"},
     "control/state.py": {"Held: say replicated state", "pair: say replica set", "whole: say state epoch"},
-    "relay.py": {"edition: say version"},
-    "items.py": {"call: say request"},
+    "gateway/relay.py": {"edition: say version"},
+    "batch/item_request.py": {"call: say request"},
 }  # fmt: skip
 # How many one-letter names still stand in a module.
 STANDING_LETTERS = {
@@ -44,7 +44,7 @@
     "control/registry.py": 11, "control/replica.py": 2,
 }  # fmt: skip
 # The partition store and its lots name each other's types; nothing is imported in a circle when they run.
-STANDING_CIRCLES = {frozenset({"postpass.store", "postpass.routed"})}
+STANDING_CIRCLES = {frozenset({"postpass.replication.store", "postpass.batch.job_service"})}
 
 
 def moved_modules() -> list[Path]:
--- a/tests/worker_api/test_plugins.py
+++ b/tests/worker_api/test_plugins.py
@@ -1,11 +1,11 @@
-"""Tests of postpass.plug."""
+"""Tests of postpass.worker_api.plugins."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from postpass import events
-from postpass.plug import SEATS, Ask, Seat, first, fond_of, least, place, prefix
+from postpass.runtime import log_events
+from postpass.worker_api.plugins import SEATS, Ask, Seat, first, fond_of, least, place, prefix
 
 
 def test_least_loaded_near_and_fond() -> None:
@@ -19,14 +19,14 @@
     import sys
 
     ask = Ask("ask", ("s",), 1, "x")
-    before = events.COUNTS[154]
+    before = log_events.COUNTS[154]
     plugins = sys.modules[place.__module__]
     monkeypatch.setattr(
         plugins, "find", lambda kind, name: {"nonsense": lambda *_: "nowhere", "raises": lambda *_: 1 / 0}[name]
     )
     assert place("e1", "nonsense", ask, SEATS) == place("e1", "raises", ask, SEATS) == "c"
     assert prefix("e1", "raises", ask) == first(ask)
-    assert events.COUNTS[154] == before + 3
+    assert log_events.COUNTS[154] == before + 3
     monkeypatch.setattr(plugins, "find", lambda kind, name: lambda _ask, seats: seats[0].name)
     assert place("e1", "mine", ask, SEATS) == "a"
 
