--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -31,14 +31,14 @@
 import fire
 
 from postpass.batch import job_api
-from postpass.batch.job import Lot, LotView, digest, packed
-from postpass.batch.job_service import Routed
+from postpass.batch.job import Job, JobView, digest, packed
+from postpass.batch.job_service import JobService
 from postpass.configuration.configuration import part_of
-from postpass.control import Control, Held
-from postpass.control.epochs import Pair
+from postpass.control import ControlPlane, ReplicatedState
+from postpass.control.epochs import ReplicaSet
 from postpass.gateway.load_balancing import Prefix, Seat, choose, readers
 from postpass.membership.registry import PARTS, State
-from postpass.replication.partition import Part
+from postpass.replication.partition import Partition
 from postpass.replication.record_log import Record
 from postpass.rpc import peer_links
 from sim.announced import AnnouncedFleet, Sizes, module
@@ -233,13 +233,13 @@
 
 
 def schedules(fleet: AnnouncedFleet, name: str) -> bool:
-    sched = cast(Any, fleet.boxes[name].daemon).sched
-    return sched is not None and bool(sched.active)
+    scheduler = cast(Any, fleet.boxes[name].daemon).scheduler
+    return scheduler is not None and bool(scheduler.active)
 
 
 def roles(fleet: AnnouncedFleet) -> dict[str, list[str]]:
     """Who has which role now."""
-    control = {n: b.daemon for n, b in fleet.boxes.items() if isinstance(b.daemon, Control)}
+    control = {n: b.daemon for n, b in fleet.boxes.items() if isinstance(b.daemon, ControlPlane)}
     lead = max((c.epoch, n) for n, c in control.items())[1]
     backups = [n for n in control if n in control[lead].held.pair.backups]  # type: ignore[union-attr]
     return {
@@ -294,10 +294,10 @@
             change = {k: meter.cost(v, CHANGES) for k, v in crew.items()}
             watched = (loop.clock - at) / CHANGES
         lead: Any = fleet.boxes[crew["primary"][0]].daemon
-        man = lead.held.state.man
+        configuration = lead.held.state.configuration
         return {
-            "daemons": daemons, "workers": workers, "routes": routes, "known": sum(len(p["servers"]) for p in man["pools"].values()),
-            "machines": len(man["machines"]), "edition": lead.held.state.edition, "manifest": len(json.dumps(man)),
+            "daemons": daemons, "workers": workers, "routes": routes, "known": sum(len(p["servers"]) for p in configuration["pools"].values()),
+            "machines": len(configuration["machines"]), "edition": lead.held.state.edition, "manifest": len(json.dumps(configuration)),
             "state": len(lead.held.dump()), "memory": memory, "rest": rest, "stores": stores, "change": change, "change_span": watched, "told": max(told), "answers": answers, "seconds": round(time.time() - began, 1),
         }  # fmt: skip
 
@@ -364,7 +364,7 @@
         clients: Clients = fleet.clients
         kind: Kind = fleet.kinds["batch"]
         scheds = [(m.name, cast(Any, fleet.boxes[m.name].daemon)) for m in fleet.of("store")]
-        active = [n for n, d in scheds if d.sched is not None and d.sched.active]
+        active = [n for n, d in scheds if d.scheduler is not None and d.scheduler.active]
         owned = {p.id: n for n, s in fleet.stores() for p in s.parts.values() if p.owning}
         while True:  # one whose owner doesn't schedule, so that both are told apart
             lot = clients.make_lot(kind, items)
@@ -468,7 +468,7 @@
         await fleet.found_announced(8.0)
         await asyncio.sleep(6.0)
 
-        scheds = {m.name: cast(Any, fleet.boxes[m.name].daemon).sched for m in fleet.of("store")}
+        scheds = {m.name: cast(Any, fleet.boxes[m.name].daemon).scheduler for m in fleet.of("store")}
         active = [n for n, s in scheds.items() if s is not None and s.active]
         with metered() as meter:
             await asyncio.sleep(span)
@@ -512,7 +512,7 @@
     gc.collect()
     tracemalloc.reset_peak()
     start = tracemalloc.get_traced_memory()[0] - len(record)
-    view = LotView()
+    view = JobView()
     view.fold(Record(1, 1, "lot", record))
     gc.collect()
     waiting = tracemalloc.get_traced_memory()[0] - start
@@ -527,14 +527,14 @@
     gc.collect()
     ended = tracemalloc.get_traced_memory()[0] - start
     tracemalloc.stop()
-    lot: Lot = view.lots[raw["id"]]
-    waits = LotView()
+    lot: Job = view.lots[raw["id"]]
+    waits = JobView()
     waits.fold(Record(1, 1, "lot", record))
-    part, asked = Part(0, "s1", "d", view=waits), Routed(cast(Any, None))
+    part, asked = Partition(0, "s1", "d", view=waits), JobService(cast(Any, None))
     open_lot = replace(lot, results={}, order=[], raw=b"x" * (100 * items))
     some = range(0, items, max(1, items // 20))
     each = timed(lambda: [open_lot.item_body(i) for i in some]) / len(some)
-    return {"items": items, "record": len(record), "waiting": waiting, "ended": ended, "fold_ms": timed(lambda: LotView().fold(Record(1, 1, "lot", record))) * 1e3,
+    return {"items": items, "record": len(record), "waiting": waiting, "ended": ended, "fold_ms": timed(lambda: JobView().fold(Record(1, 1, "lot", record))) * 1e3,
             "dump_ms": timed(view.dump) * 1e3, "digest_ms": timed(lambda: digest(lot.body | {"sum": "x"})) * 1e3, "packed_ms": timed(lambda: packed(raw)) * 1e3,
             "item_body_us": each * 1e6, "count_ms": timed(lambda: asked.count(part, "r-batch")) * 1e3}  # fmt: skip
 
@@ -556,9 +556,9 @@
     }  # fmt: skip
     pools = terms["pools"]
     first = next(iter(pools))
-    man: Any = {"name": "announced", "announced": True, "machines": machines, "areas": [], "parts": 8, "copies": 4, "classes": {}, "ways": {}, **terms,
+    configuration: Any = {"name": "announced", "announced": True, "machines": machines, "areas": [], "parts": 8, "copies": 4, "classes": {}, "ways": {}, **terms,
                 "pools": pools | {first: pools[first] | {"servers": servers}}}  # fmt: skip
-    held = Held(1, Pair(1, "c1", ("c2",), {}), State(1, man, source=doc))
+    held = ReplicatedState(1, ReplicaSet(1, "c1", ("c2",), {}), State(1, configuration, source=doc))
     seats = [Seat(f"i-{i:04x}", 8, i % 3) for i in range(workers)]
     apart = readers([s.name for s in seats])
     hot = Prefix(b"a", 2000)
--- a/bench/control_state.py
+++ b/bench/control_state.py
@@ -24,11 +24,11 @@
 
 from bench.capacity import Meter, Row, metered, more_routes, roles
 from postpass.configuration.json_delta import patch
-from postpass.control import Control
+from postpass.control import ControlPlane
 from postpass.control.journal import Image, StateJournal, Tree
 from postpass.membership.registry import Standing
 from postpass.runtime.disk import RealDisk
-from postpass.storage.data_directory import open_vault
+from postpass.storage.data_directory import open_data_directory
 from sim.announced import AnnouncedFleet, Sizes
 from sim.disk import SimDisk
 from sim.loop import HOST, SimLoop, run_sim
@@ -76,20 +76,20 @@
     async def make(self, via: str) -> bool:
         self.count += 1
         box = self.fleet.boxes[via]
-        control = cast(Control, box.daemon)
-        assert box.host is not None and control.news.manifest is not None
-        pool = next(iter(control.news.manifest["pools"]))
+        control = cast(ControlPlane, box.daemon)
+        assert box.host is not None and control.configuration_view.manifest is not None
+        pool = next(iter(control.configuration_view.manifest["pools"]))
         standing: Standing = {"pool": pool, "url": "http://10.99.0.1:9000", "area": "zone-a", "slots": self.count}
         call = control.beat_worker("measured", standing, self.count)
         got = await asyncio.get_running_loop().create_task(call, context=box.host.context())
         return got.is_ok() and "edition" in got.unwrap()
 
 
-def control_members(fleet: AnnouncedFleet) -> list[Control]:
-    return [b.daemon for b in fleet.boxes.values() if isinstance(b.daemon, Control)]
+def control_members(fleet: AnnouncedFleet) -> list[ControlPlane]:
+    return [b.daemon for b in fleet.boxes.values() if isinstance(b.daemon, ControlPlane)]
 
 
-def primary_of(fleet: AnnouncedFleet) -> Control:
+def primary_of(fleet: AnnouncedFleet) -> ControlPlane:
     return max(control_members(fleet), key=lambda c: c.epoch)
 
 
@@ -193,10 +193,10 @@
         fleet.kill(name, silent=True)
         made = 0
         while made < missed:
-            made += await changes.make(primary_of(fleet).conf.name)
+            made += await changes.make(primary_of(fleet).settings.name)
             await asyncio.sleep(0.001)
         lead = primary_of(fleet)
-        disk = disk_in_use(fleet, lead.conf.name)
+        disk = disk_in_use(fleet, lead.settings.name)
         box = fleet.boxes[name]
         assert box.disk is not None
         box.disk.power_off()
@@ -206,7 +206,10 @@
         while loop.clock - back < limit and follows < 0:
             await asyncio.sleep(0.001)
             daemon = box.daemon
-            if isinstance(daemon, Control) and daemon.news.edition >= lead.news.edition > 0:
+            if (
+                isinstance(daemon, ControlPlane)
+                and daemon.configuration_view.edition >= lead.configuration_view.edition > 0
+            ):
                 follows = loop.clock - back
         return {"missed": missed, "routes": routes, "follows_s": round(follows, 3), "disk_bytes": disk}
 
@@ -249,8 +252,8 @@
 
     async def main(folder: str) -> Row:
         whole_disk, log_disk = RealDisk(Path(folder) / "whole"), RealDisk(Path(folder) / "log")
-        vault = await open_vault("bench", log_disk, random.Random(1), 1 << 16, 0)
-        journal = await StateJournal.open("bench", log_disk, vault.log, vault.entries)
+        data_directory = await open_data_directory("bench", log_disk, random.Random(1), 1 << 16, 0)
+        journal = await StateJournal.open("bench", log_disk, data_directory.log, data_directory.entries)
         tree = state_tree(routes)
         image = await journal.replace(Image.of(1, 1, tree))
         whole: list[float] = []
--- a/bench/deploy.py
+++ b/bench/deploy.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from bench.callers import Load
+from bench.clients import Load
 from bench.plan import AREAS, grid, servers
 
 FOLDER = Path(__file__).parent.parent / "examples"
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -26,7 +26,7 @@
 import aiohttp
 import fire
 
-from bench.callers import Callers, Load
+from bench.clients import Callers, Load
 from bench.deploy import DEPLOYMENTS, Deployment
 from bench.plan import changed, config
 from postpass.configuration.configuration import part_of
@@ -49,10 +49,10 @@
     edition: int = 0
     since: dict[str, float] = field(default_factory=dict)
     starts: Counter[str] = field(default_factory=Counter)
-    man: dict[str, Any] = field(default_factory=dict)
+    configuration: dict[str, Any] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self.man = self.plan.manifest
+        self.configuration = self.plan.manifest
 
     def tell(self, ev: str, **more: Any) -> None:
         self.events.append({"t": time.time(), "ev": ev, **more})
@@ -69,9 +69,11 @@
         self.starts[name] += 1
 
     def start(self, name: str) -> None:
-        if name in self.man["machines"]:
-            control = "control" in self.man["machines"][name]["duties"]
-            raw = config(self.man, name, str(self.root / "data" / name) if control or name.startswith("s") else "")
+        if name in self.configuration["machines"]:
+            control = "control" in self.configuration["machines"][name]["duties"]
+            raw = config(
+                self.configuration, name, str(self.root / "data" / name) if control or name.startswith("s") else ""
+            )
             file = self.root / f"{name}.json"
             file.write_text(json.dumps(raw))
             peer = raw["peer"]
@@ -80,17 +82,17 @@
                 ["bench.lag", str(self.plan.delay), "ppc" if control else "ppd", f"--config={file}", f"--peer={peer}"],
             )
             return
-        for pool in self.man["pools"].values():
+        for pool in self.configuration["pools"].values():
             if name in pool["servers"]:
                 s = pool["servers"][name]
                 self.spawn(name, ["bench.standin", f"--kind={pool['kind']}", f"--name={name}", f"--http={s['url'][7:]}",
                                   f"--log={self.root / name}.jsonl", f"--area={s['area']}", f"--slots={s['slots']}"])  # fmt: skip
 
     def start_all(self) -> None:
-        for pool in self.man["pools"].values():
+        for pool in self.configuration["pools"].values():
             for name in pool["servers"]:
                 self.start(name)
-        for name in self.man["machines"]:
+        for name in self.configuration["machines"]:
             self.start(name)
 
     def kill(self, name: str, sig: int = signal.SIGKILL) -> None:
@@ -114,21 +116,23 @@
         return {n: p.returncode for n, p in self.procs.items()}
 
     def urls(self, duty: str) -> dict[str, str]:
-        return {n: f"http://{m['http']}" for n, m in self.man["machines"].items() if duty in m["duties"]}
+        return {n: f"http://{m['http']}" for n, m in self.configuration["machines"].items() if duty in m["duties"]}
 
-    async def apply(self, session: aiohttp.ClientSession, man: dict[str, Any], base: int, who: str = "op") -> int:
+    async def apply(
+        self, session: aiohttp.ClientSession, configuration: dict[str, Any], base: int, who: str = "op"
+    ) -> int:
         for url in list(self.urls("control").values()) * 8:
             began = time.time()
             try:
                 async with session.put(
                     f"{url}/v1/manifest",
-                    json=man,
+                    json=configuration,
                     headers={"if-match": f'"{base}"'},
                     timeout=aiohttp.ClientTimeout(total=6),
                 ) as got:
                     edition = int(got.headers.get("etag", '"0"').strip('"'))
                     waits = (await got.json()).get("unconfirmed", []) if got.status == 202 else []
-                    self.tell("applied", who=who, answer=got.status, edition=edition, base=base, content=json.dumps(man, sort_keys=True),
+                    self.tell("applied", who=who, answer=got.status, edition=edition, base=base, content=json.dumps(configuration, sort_keys=True),
                               began=began, again=False, waits=waits)  # fmt: skip
                     if got.status in (200, 202):
                         self.edition = edition
@@ -147,13 +151,13 @@
             owned = {p["part"] for s in seen for p in s.get("store", {}).get("parts", []) if p["ready"]}
             edges = await asyncio.gather(*(self.status(session, n) for n in self.urls("edge")))
             up = all(s.get("servers") and not any(v["barred"] for v in s["servers"].values()) for s in edges)
-            if len(owned) == self.man["parts"] and up:
+            if len(owned) == self.configuration["parts"] and up:
                 return
             await asyncio.sleep(0.3)
         raise RuntimeError("the fleet was not ready in time")
 
     async def status(self, session: aiohttp.ClientSession, name: str) -> dict[str, Any]:
-        url = f"http://{self.man['machines'][name]['http']}/v1/status"
+        url = f"http://{self.configuration['machines'][name]['http']}/v1/status"
         try:
             async with session.get(url, timeout=aiohttp.ClientTimeout(total=1.5)) as got:
                 return dict(await got.json())
@@ -162,7 +166,7 @@
 
     async def sample(self, session: aiohttp.ClientSession) -> None:
         while True:
-            for name in self.man["machines"]:
+            for name in self.configuration["machines"]:
                 began = time.time()
                 seen = await self.status(session, name)
                 if seen:
@@ -230,13 +234,13 @@
                 return name
         return "e1"
 
-    async def apply(self, man: dict[str, Any], what: str) -> None:
+    async def apply(self, configuration: dict[str, Any], what: str) -> None:
         began = time.time()
-        await self.fleet.apply(self.session, man, self.fleet.edition)
+        await self.fleet.apply(self.session, configuration, self.fleet.edition)
         last = next(e for e in reversed(self.fleet.events) if e["ev"] == "applied")
         named = f", not confirmed by {', '.join(last['waits'])}" if last["waits"] else ""
         self.note(f"{what} (answered {last['answer']} after {time.time() - began:.2f} s{named})")
-        self.fleet.man = man
+        self.fleet.configuration = configuration
 
     async def all(self) -> None:
         fleet = self.fleet
@@ -264,9 +268,9 @@
         for name in fleet.urls("store"):
             (fleet.root / "data" / f"{name}.room").unlink()
         await asyncio.sleep(self.rest)
-        base = fleet.man
-        man = changed(changed(base, "evacuated", ["d"]), "pools.gpu.servers.w1.leave", True)
-        await self.apply(man, "area d evacuated and worker w1 told to leave")
+        base = fleet.configuration
+        configuration = changed(changed(base, "evacuated", ["d"]), "pools.gpu.servers.w1.leave", True)
+        await self.apply(configuration, "area d evacuated and worker w1 told to leave")
         fleet.tell("evacuated", area="d")
         fleet.tell("leave", server="w1")
         await asyncio.sleep(7)
@@ -281,30 +285,30 @@
             return_exceptions=True,
         )  # fmt: skip
         self.notes[-1] += f" ({sum(isinstance(g, int) for g in got)} won)"
-        fleet.man = next(
+        fleet.configuration = next(
             json.loads(e["content"])
             for e in reversed(fleet.events)
             if e["ev"] == "applied" and e["answer"] in (200, 202)
         )
         way = next(iter(base["ways"]))
         more = {f"{way}-{i}": base["ways"][way] for i in range(300)}
-        await self.apply(changed(fleet.man, "ways", fleet.man["ways"] | more), "300 routes added")
-        old = fleet.man["machines"]["s2"]
+        await self.apply(changed(fleet.configuration, "ways", fleet.configuration["ways"] | more), "300 routes added")
+        old = fleet.configuration["machines"]["s2"]
         fresh = old | {"peer": "127.2.7.1:7000", "http": "127.2.7.1:8000"}
         fleet.kill("s2")
-        fleet.man = changed(fleet.man, "machines.s5", fresh)
+        fleet.configuration = changed(fleet.configuration, "machines.s5", fresh)
         fleet.start("s5")
         await self.apply(
-            changed(fleet.man, "machines.s2.gone", True),
+            changed(fleet.configuration, "machines.s2.gone", True),
             "store s2 lost for good, an empty s5 at a new address put in its place",
         )
         await asyncio.sleep(8)
-        sixth = fleet.man["machines"]["s3"] | {"peer": "127.3.7.1:7000", "http": "127.3.7.1:8000"}
-        fleet.man = changed(fleet.man, "machines.s6", sixth)
+        sixth = fleet.configuration["machines"]["s3"] | {"peer": "127.3.7.1:7000", "http": "127.3.7.1:8000"}
+        fleet.configuration = changed(fleet.configuration, "machines.s6", sixth)
         fleet.start("s6")
-        await self.apply(changed(fleet.man, "machines.s3.retire", True), "store s6 added, s3 retired")
+        await self.apply(changed(fleet.configuration, "machines.s3.retire", True), "store s6 added, s3 retired")
         await asyncio.sleep(8)
-        names = [n for n, m in fleet.man["machines"].items() if not m.get("gone") and not m.get("retire")]
+        names = [n for n, m in fleet.configuration["machines"].items() if not m.get("gone") and not m.get("retire")]
         self.note(f"every daemon ({len(names)}) restarted by SIGTERM, one by one")
         for name in names:
             fleet.kill(name, signal.SIGTERM)
@@ -329,10 +333,10 @@
         await asyncio.sleep(1)
         for name in names:
             fleet.start(name)
-        man = changed(fleet.man, "name", fleet.man["name"] + "-again")
+        configuration = changed(fleet.configuration, "name", fleet.configuration["name"] + "-again")
         while time.time() - at < 30:
             try:
-                await fleet.apply(self.session, man, fleet.edition)
+                await fleet.apply(self.session, configuration, fleet.edition)
                 break
             except RuntimeError as bad:
                 seen = json.loads(str(bad)).get("error", {})
@@ -343,7 +347,7 @@
         parts: dict[int, float] = {}
         for e in fleet.events:
             if e["ev"] == "lot" and e["answer"] == "kept" and e["t"] > at:
-                parts.setdefault(part_of(e["id"], fleet.man["parts"]), e["t"] - at)
+                parts.setdefault(part_of(e["id"], fleet.configuration["parts"]), e["t"] - at)
         self.note(f"lots were kept again {min(kept, default=at + 99) - at:.1f} s after the loss, in the last of "
                   f"{len(parts)} partitions after {max(parts.values(), default=99):.1f} s")  # fmt: skip
 
@@ -356,7 +360,7 @@
     fleet: Fleet, seconds: float, notes: list[str], codes: dict[str, int], command: str, excused: bool = False
 ) -> str:
     ev = fleet.events
-    found = breaches(History(ev, Bounds(ramp=fleet.man["ramp"]), excused))
+    found = breaches(History(ev, Bounds(ramp=fleet.configuration["ramp"]), excused))
     rows = []
     calls: dict[str, list[Event]] = defaultdict(list)
     for e in ev:
@@ -429,19 +433,19 @@
     fleet.start_all()
     async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0, keepalive_timeout=2)) as session:
         await asyncio.sleep(2.0)
-        await fleet.apply(session, fleet.man, 0)
+        await fleet.apply(session, fleet.configuration, 0)
         await fleet.wait_ready(session)
         # Fresh workers warm up before the crowd comes: the ramp is held against the load by scenarios.
-        await asyncio.sleep(fleet.man["ramp"])
+        await asyncio.sleep(fleet.configuration["ramp"])
         edges = list(fleet.urls("edge").values())
-        callers = Callers(edges, session, random.Random(1), time.time, fleet.events.append, fleet.plan.load)
+        clients = Callers(edges, session, random.Random(1), time.time, fleet.events.append, fleet.plan.load)
         # Small ones, many of them, so that a gap is measured and not set by the rate.
         live, lot = next(iter(fleet.plan.load.live)), next(iter(fleet.plan.load.lots))
         few = Load({live: 5.0}, {}, {lot: (8.0, 1)}, fleet.plan.load.within, {live: 3})
         probes = Callers(edges, session, random.Random(2), time.time, fleet.events.append, few, count=10_000_000)
         sampler = asyncio.create_task(fleet.sample(session))
         trouble = Trouble(fleet, session, notes)
-        both = asyncio.gather(callers.run(1e9), probes.run(1e9))
+        both = asyncio.gather(clients.run(1e9), probes.run(1e9))
         if with_faults:
             await asyncio.sleep(3)
             await trouble.all()
@@ -450,10 +454,10 @@
             await trouble.wiping()
         else:
             await asyncio.sleep(seconds)
-        callers.until = probes.until = 0.0
+        clients.until = probes.until = 0.0
         await both
         if not wipe:
-            await callers.audit(60)
+            await clients.audit(60)
             await probes.audit(60)
         sampler.cancel()
 
--- a/bench/measure.py
+++ b/bench/measure.py
@@ -20,9 +20,9 @@
 
 import fire
 
-from bench.callers import Load
+from bench.clients import Load
 from bench.plan import changed, grid, manifest
-from postpass.daemon.data_plane import Data
+from postpass.daemon.data_plane import DataPlane
 from postpass.daemon.process import Daemon
 from sim.fleet import SimFleet
 from sim.loop import SimLoop, run_sim
@@ -52,9 +52,9 @@
 
     async def main(loop: SimLoop) -> list[tuple[float, float]]:
         loop.net.far = far
-        man = manifest(edges=1, scheds=1, workers=1, parts=1)
-        man["predicate"] = predicate
-        fleet = SimFleet(loop, man, seed, make=make)
+        configuration = manifest(edges=1, scheds=1, workers=1, parts=1)
+        configuration["predicate"] = predicate
+        fleet = SimFleet(loop, configuration, seed, make=make)
         await fleet.found()
         out: list[tuple[float, float]] = []
         if hook is not None:
@@ -64,7 +64,7 @@
             began = loop.clock
             items = [f"lot:{i}:{k} " + "x" * 200 for k in range(size)]
             body = {"id": f"m{i}", "class": "lot", "items": items, "within": 900}
-            url = f"http://{fleet.man['machines']['e1']['http']}/v1/lots"
+            url = f"http://{fleet.configuration['machines']['e1']['http']}/v1/lots"
             async with session.post(url, json=body) as got:
                 await got.read()
                 if got.status == 201:
@@ -95,7 +95,7 @@
 
 
 def no_group(daemon: Daemon) -> None:
-    if isinstance(daemon, Data) and daemon.store is not None:
+    if isinstance(daemon, DataPlane) and daemon.store is not None:
         original, store = daemon.open, daemon.store
 
         async def opened() -> None:
@@ -106,7 +106,7 @@
 
 
 def wait_each(daemon: Daemon) -> None:
-    if isinstance(daemon, Data) and daemon.store is not None:
+    if isinstance(daemon, DataPlane) and daemon.store is not None:
         daemon.store.wait_each = True
 
 
@@ -244,15 +244,15 @@
     plan = DEPLOYMENTS[name]
 
     def make(daemon: Daemon) -> None:
-        if isinstance(daemon, Data):
+        if isinstance(daemon, DataPlane):
             original = daemon.open
 
             async def opened() -> None:
                 await original()
-                if daemon.sched is not None:
-                    daemon.sched.borrow = variant != "no borrowing"
-                    daemon.sched.reserve = variant != "no reserve"
-                    SCHEDS.append(daemon.sched)
+                if daemon.scheduler is not None:
+                    daemon.scheduler.borrow = variant != "no borrowing"
+                    daemon.scheduler.reserve = variant != "no reserve"
+                    SCHEDS.append(daemon.scheduler)
 
             daemon.open = opened  # type: ignore[method-assign]
 
@@ -260,10 +260,10 @@
 
     async def main(loop: SimLoop) -> dict[str, float]:
         loop.net.far = plan.delay / 1000
-        man = changed(changed(plan.manifest, "machines", grid(4, 4, 4, 2)), "parts", 4)
-        fleet = SimFleet(loop, man, seed, make=make)
+        configuration = changed(changed(plan.manifest, "machines", grid(4, 4, 4, 2)), "parts", 4)
+        fleet = SimFleet(loop, configuration, seed, make=make)
         await fleet.found()
-        await asyncio.sleep(man["ramp"])
+        await asyncio.sleep(configuration["ramp"])
         load = plan.load
         if scale > 1:
             # A crowded day: as much more live traffic, and lots half as often again on top.
@@ -283,9 +283,9 @@
 
         async def outside() -> None:
             async with fleet.session() as session:
-                callers = fleet.callers(load, session)
-                await callers.run(seconds)
-                await callers.audit(60)
+                clients = fleet.make_clients(load, session)
+                await clients.run(seconds)
+                await clients.audit(60)
 
         await fleet.out(outside())
         watch.cancel()
@@ -448,9 +448,9 @@
         peer_links._message = message
         try:
             stores = 4 if edges < 100 else 8
-            man = manifest(edges=edges, stores=stores, scheds=2, workers=4, parts=8)
-            man["ways"] = {f"/r{i}": "view" for i in range(routes)}
-            fleet = SimFleet(loop, man, 1)
+            configuration = manifest(edges=edges, stores=stores, scheds=2, workers=4, parts=8)
+            configuration["ways"] = {f"/r{i}": "view" for i in range(routes)}
+            fleet = SimFleet(loop, configuration, 1)
             await fleet.found()
             await asyncio.sleep(4)
             sent.clear()
@@ -463,12 +463,12 @@
             polled = (sum(w.polls for w in workers) - polls) / 5 / len(workers)
             sent.clear()
             began = loop.clock
-            await fleet.out(fleet.apply(changed(man, "ways./extra", "view"), 1))
-            while any(b.daemon and b.daemon.news.edition < 2 for b in fleet.boxes.values()):
+            await fleet.out(fleet.apply(changed(configuration, "ways./extra", "view"), 1))
+            while any(b.daemon and b.daemon.configuration_view.edition < 2 for b in fleet.boxes.values()):
                 await asyncio.sleep(0.01)
             spread_time = loop.clock - began
             await asyncio.sleep(1)
-            many = len(fleet.man["machines"])
+            many = len(fleet.configuration["machines"])
             return {
                 "daemons": many, "polled": polled, "msgs": sum(a for a, _ in rest.values()) / many, "bytes": sum(b for _, b in rest.values()) / many,
                 "shuffle": rest.get("shuffle", (0, 0))[1] / many, "follow": rest.get("follow", (0, 0))[1] / many,
--- a/bench/order_memory.py
+++ b/bench/order_memory.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass
 from typing import Any, cast
 
-from postpass.configuration.configuration import Manifest
+from postpass.configuration.configuration import Configuration
 from postpass.configuration.settings import Bounds
 from postpass.control import accepted_orders
 from postpass.control.accepted_orders import ConfigurationOrder
-from postpass.control.state import Held
+from postpass.control.state import ReplicatedState
 from postpass.membership.registry import State
 
 REPEATS = 50
@@ -52,7 +52,7 @@
 def state_of(routes: int, orders: int) -> State:
     content = {"version": 9_999, "machines": {}, "pools": {}, "routes": document(routes, 1)["routes"]}
     entries = [ConfigurationOrder.of({"version": 1_000 + n}).entry for n in range(orders)]
-    return State(1, cast(Manifest, content), source=document(routes, 9_999), orders=entries)
+    return State(1, cast(Configuration, content), source=document(routes, 9_999), orders=entries)
 
 
 def milliseconds(call: Callable[[], Any]) -> float:
@@ -67,7 +67,7 @@
 
 def cost_of(routes: int, orders: int) -> Cost:
     state = state_of(routes, orders)
-    held = Held(1, state=state)
+    held = ReplicatedState(1, state=state)
     order = ConfigurationOrder.of(document(routes, 10_000))
     limit = accepted_orders.limit_of(Bounds())
     return Cost(
--- a/bench/plan.py
+++ b/bench/plan.py
@@ -9,15 +9,22 @@
 AREAS = ("a", "b", "c", "d")
 
 
-def seeds(man: Raw) -> list[str]:
+def seeds(configuration: Raw) -> list[str]:
     """Three processes in distinct areas, control machines first."""
-    ranked = sorted(man["machines"].values(), key=lambda m: "control" not in m["duties"])
+    ranked = sorted(configuration["machines"].values(), key=lambda m: "control" not in m["duties"])
     return [m["peer"] for m in ranked[:3]]
 
 
-def config(man: Raw, name: str, data: str = "", **more: Any) -> Raw:
-    m = man["machines"][name]
-    out: Raw = {"name": name, "area": m["area"], "peer": m["peer"], "http": m["http"], "seeds": seeds(man), **more}
+def config(configuration: Raw, name: str, data: str = "", **more: Any) -> Raw:
+    m = configuration["machines"][name]
+    out: Raw = {
+        "name": name,
+        "area": m["area"],
+        "peer": m["peer"],
+        "http": m["http"],
+        "seeds": seeds(configuration),
+        **more,
+    }
     duties = [d for d in m["duties"] if d != "control"]
     if duties:
         out["duties"] = duties
@@ -91,9 +98,9 @@
     return base | more
 
 
-def changed(man: Raw, path: str, value: Any) -> Raw:
+def changed(configuration: Raw, path: str, value: Any) -> Raw:
     """A copy with one place set (or dropped, for None); the path has dots."""
-    out = copy.deepcopy(man)
+    out = copy.deepcopy(configuration)
     spot = out
     *heads, last = path.split(".")
     for head in heads:
--- a/model/control/rules.py
+++ b/model/control/rules.py
@@ -13,9 +13,9 @@
 from typing import NamedTuple
 
 from model.control import transcribed
-from model.control.state import NO_VOTE, NOBODY, Answer, Member, ReplicaSet
+from model.control.state import NO_VOTE, NOBODY, Answer, Member, ModelReplicaSet
 from postpass.control import epochs
-from postpass.control.epochs import Pair, PreVote, Voters, Witness
+from postpass.control.epochs import PreVote, ReplicaSet, Voters, Witness
 
 
 @dataclass(frozen=True)
@@ -23,19 +23,19 @@
     """Each decision of the protocol; tests put a faulty one in place of a product's function."""
 
     promise: Callable[[Witness, int, str], Witness | None] = Witness.look
-    grant: Callable[[Witness, Pair, str], Witness | None] = Witness.grant
+    grant: Callable[[Witness, ReplicaSet, str], Witness | None] = Witness.grant
     may_campaign: Callable[[Iterable[str], Voters, Iterable[PreVote]], bool] = epochs.may_campaign
-    may_lead: Callable[[str, int, Pair, dict[str, Pair], Voters, Voters], str] = epochs.may_lead
+    may_lead: Callable[[str, int, ReplicaSet, dict[str, ReplicaSet], Voters, Voters], str] = epochs.may_lead
     without_majority: Callable[[transcribed.Heard], tuple[str, bool]] = transcribed.without_majority
-    elected_by: Callable[[Pair, Voters], bool] = Pair.elected_by
-    voters_after: Callable[[Pair, Voters], Voters] = epochs.voters_after
-    previous_voters: Callable[[Pair, Voters], Voters] = epochs.previous_voters
+    elected_by: Callable[[ReplicaSet, Voters], bool] = ReplicaSet.elected_by
+    voters_after: Callable[[ReplicaSet, Voters], Voters] = epochs.voters_after
+    previous_voters: Callable[[ReplicaSet, Voters], Voters] = epochs.previous_voters
     next_voters: Callable[[list[str], Voters, Voters, bool], Voters] = transcribed.next_voters
     takes_append: Callable[[transcribed.Offer], bool] = transcribed.takes_append
-    acknowledges: Callable[[Pair, Voters], bool] = transcribed.confirmed
-    confirms: Callable[[Pair, Voters], bool] = transcribed.confirmed
-    whole: Callable[[Pair, Voters], bool] = transcribed.whole
-    may_leave: Callable[[str, Pair, Voters, int], bool] = transcribed.may_leave
+    acknowledges: Callable[[ReplicaSet, Voters], bool] = transcribed.confirmed
+    confirms: Callable[[ReplicaSet, Voters], bool] = transcribed.confirmed
+    whole: Callable[[ReplicaSet, Voters], bool] = transcribed.whole
+    may_leave: Callable[[str, ReplicaSet, Voters, int], bool] = transcribed.may_leave
     remembers: Callable[[tuple[int, ...], int], bool] = transcribed.remembers
 
 
@@ -57,12 +57,12 @@
 
 
 @lru_cache(maxsize=1 << 16)
-def pair_of(value: ReplicaSet) -> Pair:
+def pair_of(value: ModelReplicaSet) -> ReplicaSet:
     """The product's type for a replica set."""
     if value.primary == NOBODY:
-        return Pair()
+        return ReplicaSet()
     backups = tuple(name(b) for b in value.backups)
-    return Pair(value.epoch, name(value.primary), backups, _voters(value.voters), _voters(value.unsettled))
+    return ReplicaSet(value.epoch, name(value.primary), backups, _voters(value.voters), _voters(value.unsettled))
 
 
 @dataclass(frozen=True)
@@ -98,14 +98,16 @@
         self.whole = lru_cache(maxsize=1 << 16)(self._whole)
         self.has_majority = lru_cache(maxsize=1 << 16)(self._has_majority)
 
-    def _promised(self, promised: int, to: int, granted: ReplicaSet, epoch: int, who: int) -> tuple[int, int] | None:
+    def _promised(
+        self, promised: int, to: int, granted: ModelReplicaSet, epoch: int, who: int
+    ) -> tuple[int, int] | None:
         before = Witness(promised, name(to), pair_of(granted))
         after = self.rules.promise(before, epoch, name(who))
         return (after.promised, _member_of(after.to)) if after else None
 
     def _granted(
-        self, promised: int, to: int, granted: ReplicaSet, proposal: ReplicaSet
-    ) -> tuple[int, int, ReplicaSet] | None:
+        self, promised: int, to: int, granted: ModelReplicaSet, proposal: ModelReplicaSet
+    ) -> tuple[int, int, ModelReplicaSet] | None:
         before = Witness(promised, name(to), pair_of(granted))
         after = self.rules.grant(before, pair_of(proposal), name(proposal.primary))
         if after is None:
@@ -113,7 +115,7 @@
         return after.promised, _member_of(after.to), proposal if after.pair == pair_of(proposal) else granted
 
     def _candidacy(
-        self, me: int, state_epoch: int, own: ReplicaSet, answers: tuple[Answer, ...], present: int
+        self, me: int, state_epoch: int, own: ModelReplicaSet, answers: tuple[Answer, ...], present: int
     ) -> Candidacy:
         all_answered = len(answers) == present
         pairs = {name(a.member): pair_of(a.granted) for a in answers}
@@ -135,7 +137,7 @@
         return Candidacy(*self.rules.without_majority(heard), unopposed=True)
 
     def _electorate_after(
-        self, before: ReplicaSet, answers: tuple[Answer, ...], unopposed: bool, wanted: tuple[int, ...]
+        self, before: ModelReplicaSet, answers: tuple[Answer, ...], unopposed: bool, wanted: tuple[int, ...]
     ) -> Electorate:
         own, got = pair_of(before), _disks(answers)
         voters = self.rules.next_voters([name(m) for m in wanted], own.voters, got, unopposed)
@@ -148,26 +150,26 @@
     def _numbers(self, voters: Voters) -> tuple[int, ...]:
         return tuple([_disk_number(voters.get(name(m), "")) for m in range(self.members)])
 
-    def _elected(self, proposal: ReplicaSet, grants: tuple[Answer, ...]) -> bool:
+    def _elected(self, proposal: ModelReplicaSet, grants: tuple[Answer, ...]) -> bool:
         return self.rules.elected_by(pair_of(proposal), _disks(grants))
 
-    def _acknowledges(self, replica_set: ReplicaSet, answers: tuple[Answer, ...]) -> bool:
+    def _acknowledges(self, replica_set: ModelReplicaSet, answers: tuple[Answer, ...]) -> bool:
         return self.rules.acknowledges(pair_of(replica_set), _disks(answers))
 
-    def _confirms(self, replica_set: ReplicaSet, answers: tuple[Answer, ...]) -> bool:
+    def _confirms(self, replica_set: ModelReplicaSet, answers: tuple[Answer, ...]) -> bool:
         return self.rules.confirms(pair_of(replica_set), _disks(answers))
 
-    def _whole(self, replica_set: ReplicaSet, answers: tuple[Answer, ...]) -> bool:
+    def _whole(self, replica_set: ModelReplicaSet, answers: tuple[Answer, ...]) -> bool:
         return self.rules.whole(pair_of(replica_set), _disks(answers))
 
-    def may_leave(self, me: int, replica_set: ReplicaSet, answers: tuple[Answer, ...], tolerate: int) -> bool:
+    def may_leave(self, me: int, replica_set: ModelReplicaSet, answers: tuple[Answer, ...], tolerate: int) -> bool:
         """May a member leave for good under this replica set, where these members answer?"""
         return self.rules.may_leave(name(me), pair_of(replica_set), _disks(answers), tolerate)
 
-    def _has_majority(self, replica_set: ReplicaSet, answers: tuple[Answer, ...]) -> bool:
+    def _has_majority(self, replica_set: ModelReplicaSet, answers: tuple[Answer, ...]) -> bool:
         return epochs.majority(pair_of(replica_set).voters, _disks(answers))
 
-    def takes_append(self, to: int, member: Member, epoch: int, proposal: ReplicaSet, length: int) -> bool:
+    def takes_append(self, to: int, member: Member, epoch: int, proposal: ModelReplicaSet, length: int) -> bool:
         """Does a member take this state from the primary of `epoch`?"""
         named = proposal.voters[to] == member.disk
         have = (member.state_epoch, int(not member.replica_set.unsettled), len(member.log))
--- a/model/control/state.py
+++ b/model/control/state.py
@@ -14,7 +14,7 @@
 Log = tuple[int, ...]  # The orders taken, in sequence; the version is the length.
 
 
-class ReplicaSet(NamedTuple):
+class ModelReplicaSet(NamedTuple):
     """An epoch's primary and backups, and its voters: a disk for each member, or `NO_VOTE`.
 
     `unsettled` are the voters of the epoch before, where they differ, for as long as it is not known that this one was
@@ -28,7 +28,7 @@
     unsettled: tuple[int, ...] = ()
 
 
-BLANK = ReplicaSet(0, NOBODY, (), ())
+BLANK = ModelReplicaSet(0, NOBODY, (), ())
 
 
 class Answer(NamedTuple):
@@ -36,7 +36,7 @@
 
     member: int
     disk: int
-    granted: ReplicaSet = BLANK
+    granted: ModelReplicaSet = BLANK
     state_epoch: int = 0
 
 
@@ -55,7 +55,7 @@
     epoch: int
     answers: tuple[Answer, ...] = ()
     grants: tuple[Answer, ...] = ()
-    proposal: ReplicaSet = BLANK
+    proposal: ModelReplicaSet = BLANK
     order: int = READ
     required: int = 0
 
@@ -66,9 +66,9 @@
     disk: int = 0
     promised: int = 0
     promised_to: int = NOBODY
-    granted: ReplicaSet = BLANK
+    granted: ModelReplicaSet = BLANK
     state_epoch: int = 0
-    replica_set: ReplicaSet = BLANK
+    replica_set: ModelReplicaSet = BLANK
     log: Log = ()
     leads: int = 0
     round: tuple[Round, ...] = ()
@@ -80,7 +80,7 @@
     kind: int
     epoch: int
     sender: int
-    proposal: ReplicaSet = BLANK
+    proposal: ModelReplicaSet = BLANK
     log: Log = ()
 
 
@@ -143,7 +143,7 @@
     """A fleet in its first epoch: member 0 leads, the next ones are its backups, and all have granted it. What it was
     founded with may still be delivered again."""
     backups = tuple(range(1, 1 + size.tolerate))
-    first = ReplicaSet(1, 0, backups, (0,) * size.members)
+    first = ModelReplicaSet(1, 0, backups, (0,) * size.members)
     sent = (Message(PREPARE, 1, 0), Message(APPEND, 1, 0, first), Message(GRANT, 1, 0, first))
     members = [Member(0, 1, 0, first) for _ in range(size.members)]
     for holder in (0, *backups):
--- a/model/control/steps.py
+++ b/model/control/steps.py
@@ -26,7 +26,7 @@
     Answer,
     Member,
     Message,
-    ReplicaSet,
+    ModelReplicaSet,
     Round,
     Size,
     State,
@@ -109,7 +109,7 @@
         after = self.decide.electorate_after(member.replica_set, current.answers, unopposed, wanted)
         others = [a.member for a in current.answers if a.member != me and a.member in wanted]
         for backups in permutations(others, min(len(others), self.size.tolerate)):
-            proposal = ReplicaSet(current.epoch, me, backups, after.voters, after.unsettled)
+            proposal = ModelReplicaSet(current.epoch, me, backups, after.voters, after.unsettled)
             install = Round(INSTALL, current.epoch, proposal=proposal)
             new = member._replace(state_epoch=current.epoch, replica_set=proposal, round=(install,))
             told = ", ".join(name(b) for b in backups)
--- a/model/control/symmetry.py
+++ b/model/control/symmetry.py
@@ -5,16 +5,16 @@
 from functools import lru_cache
 from itertools import permutations, product
 
-from model.control.state import NOBODY, Answer, Member, Message, ReplicaSet, Round, State
+from model.control.state import NOBODY, Answer, Member, Message, ModelReplicaSet, Round, State
 
 Names = tuple[int, ...]  # The new index of each member.
 
 
 @lru_cache(maxsize=1 << 18)
-def _replica_set(value: ReplicaSet, names: Names) -> ReplicaSet:
+def _replica_set(value: ModelReplicaSet, names: Names) -> ModelReplicaSet:
     if value.primary == NOBODY:
         return value
-    return ReplicaSet(
+    return ModelReplicaSet(
         value.epoch,
         names[value.primary],
         tuple([names[b] for b in value.backups]),
@@ -85,7 +85,7 @@
 
 
 @lru_cache(maxsize=1 << 18)
-def _role(value: ReplicaSet, index: int) -> tuple[int, int, int]:
+def _role(value: ModelReplicaSet, index: int) -> tuple[int, int, int]:
     if value.primary == NOBODY:
         return (0, 0, 0)
     rank = value.backups.index(index) + 1 if index in value.backups else 0
--- a/model/control/transcribed.py
+++ b/model/control/transcribed.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from postpass.control.epochs import Acknowledgement, Pair, Voters
+from postpass.control.epochs import Acknowledgement, ReplicaSet, Voters
 
 
 def next_voters(everyone: list[str], before: Voters, answered: Voters, unopposed: bool) -> Voters:
@@ -37,13 +37,13 @@
     return offer.names_my_disk and offer.epoch >= offer.promised and offer.sent >= offer.have
 
 
-def confirmed(replica_set: Pair, answered: Voters) -> bool:
+def confirmed(replica_set: ReplicaSet, answered: Voters) -> bool:
     """Do these answers, the primary's own among them, acknowledge a write (`commit`) or confirm the leadership for a read
     or a repeated order (`confirm_leadership`)?"""
     return replica_set.confirmed_by(Acknowledgement(m, disk, replica_set.epoch) for m, disk in answered.items())
 
 
-def whole(replica_set: Pair, answered: Voters) -> bool:
+def whole(replica_set: ReplicaSet, answered: Voters) -> bool:
     """Does a primary that has heard all members see no reason to raise an epoch (`lead_heartbeat`)?"""
     return answered == replica_set.voters
 
@@ -53,7 +53,7 @@
     return order in log
 
 
-def may_leave(me: str, replica_set: Pair, answered: Voters, tolerate: int) -> bool:
+def may_leave(me: str, replica_set: ReplicaSet, answered: Voters, tolerate: int) -> bool:
     """May a member leave for good (`depart`)? It hands over its leadership and goes, whatever stays behind."""
     return True
 
@@ -65,7 +65,7 @@
     me: str
     refusal: str
     all_answered: bool
-    granted: dict[str, Pair]
+    granted: dict[str, ReplicaSet]
     disks: Voters
     state_epochs: dict[str, int]
 
--- a/model/partition/rules.py
+++ b/model/partition/rules.py
@@ -8,10 +8,10 @@
 from typing import Any
 
 from model.partition.state import LOT, MEMBERS, NO_MEMBER, Ack, Log
-from postpass.batch.job import LotView, joined
+from postpass.batch.job import JobView, joined
 from postpass.membership.safe_change import Change, Situation, Tolerance, Topology, next_change
-from postpass.replication.partition import Part, head
-from postpass.replication.record_log import Record, Tape
+from postpass.replication.partition import Partition, head
+from postpass.replication.record_log import Record, RecordLog
 
 Disks = dict[str, str]
 
@@ -44,16 +44,16 @@
     return out
 
 
-def _part(me: int, disk: int, log: Log) -> Part:
-    return Part(0, name(me), _disk(me, disk), Tape(base=LotView(), recs=records_of(log)))
+def _part(me: int, disk: int, log: Log) -> Partition:
+    return Partition(0, name(me), _disk(me, disk), RecordLog(base=JobView(), recs=records_of(log)))
 
 
-def may_lead(part: Part, view: LotView, voters: Disks) -> bool:
+def may_lead(part: Partition, view: JobView, voters: Disks) -> bool:
     """The product's rule of election."""
     return part.may_lead(view, voters)
 
 
-def advance(part: Part) -> bool:
+def advance(part: Partition) -> bool:
     """The product's rule of what is covered."""
     return part.advance()
 
@@ -68,12 +68,12 @@
     return epoch >= promised
 
 
-def settles(part: Part) -> int:
+def settles(part: Partition) -> int:
     """Up to where a mark may settle changes."""
     return part.provable()
 
 
-def complete(part: Part, situation: Situation) -> bool:
+def complete(part: Partition, situation: Situation) -> bool:
     """Do all members answer, with logs that prove who the members are? Both parts are the product's, joined as in
     `Store.complete`."""
     return part.proven() and situation.live == set(situation.current)
@@ -83,13 +83,13 @@
 class Rules:
     """Each decision; tests put a faulty one in place of a product's function."""
 
-    may_lead: Callable[[Part, LotView, Disks], bool] = may_lead
-    advance: Callable[[Part], bool] = advance
-    settles: Callable[[Part], int] = settles
+    may_lead: Callable[[Partition, JobView, Disks], bool] = may_lead
+    advance: Callable[[Partition], bool] = advance
+    settles: Callable[[Partition], int] = settles
     next_change: Callable[[Situation, str], Change | None] = next_change
     promises: Callable[[int, int], bool] = promises
     takes_stream: Callable[[int, int], bool] = takes_stream
-    complete: Callable[[Part, Situation], bool] = complete
+    complete: Callable[[Partition, Situation], bool] = complete
     votes_by_disk: bool = True
 
 
@@ -115,7 +115,7 @@
 
     def _elects(self, me: int, disk: int, log: Log, voters: tuple[tuple[int, int], ...]) -> bool:
         part = _part(me, disk, log)
-        view = head(part.tape)
+        view = head(part.record_log)
         named = {name(m): _disk(m, d) for m, d in voters}
         if not self.rules.votes_by_disk:
             named = {n: view.crew.get(n, d) for n, d in named.items()}
@@ -125,7 +125,7 @@
         self, me: int, disk: int, log: Log, epoch: int, mark: int, covered: int, acks: tuple[Ack, ...]
     ) -> Coverage:
         part = _part(me, disk, log)
-        part.persisted = part.tape.last
+        part.persisted = part.record_log.last
         part.lead(epoch)
         part.mark, part.covered = mark, covered
         for ack in acks:
@@ -142,7 +142,7 @@
             self.rules.complete(part, situation),
         )
 
-    def _situation(self, part: Part, acks: tuple[Ack, ...]) -> Situation:
+    def _situation(self, part: Partition, acks: tuple[Ack, ...]) -> Situation:
         ready = {name(a.member): _disk(a.member, a.disk) for a in acks if a.last >= part.covered}
         ready[part.me] = part.disk
         wanted = [name(m) for m in range(self.members)]
--- a/postpass/batch/job.py
+++ b/postpass/batch/job.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(eq=False)
-class Lot:
+class Job:
     """Invariants: `state` moves from open to ended, never back; an item's first result stays; `results`
     holds item numbers in the order of their records, which is the order callers page through. `raw` holds the bodies
     of opaque items, shared with the record they came in, until the lot is whole or ended: from then on no one may ask."""
@@ -71,7 +71,7 @@
     order: list[int] = field(default_factory=list)
     raw: Raw = b""
 
-    def copy(self) -> Lot:
+    def copy(self) -> Job:
         return replace(self, results=dict(self.results), order=list(self.order))
 
     def item_body(self, spot: int) -> bytes | None:
@@ -96,10 +96,10 @@
 
 
 @dataclass(eq=False)
-class LotView(Base):
+class JobView(Base):
     """Folded record by record. Invariant: the same records give the same view, on every store."""
 
-    lots: dict[str, Lot] = field(default_factory=dict)
+    lots: dict[str, Job] = field(default_factory=dict)
     shed: dict[str, int] = field(default_factory=dict)  # refused for good: id -> seq
     claims: dict[str, Body] = field(default_factory=dict)  # calls that may not be repeated
     crew: dict[str, str] = field(default_factory=dict)  # members that count: name -> disk
@@ -138,7 +138,7 @@
     def _lot(self, seq: int, body: Body) -> None:
         lot = body["id"]
         if lot not in self.lots and lot not in self.shed:
-            self.lots[lot] = Lot(lot, seq, body, digest(body))
+            self.lots[lot] = Job(lot, seq, body, digest(body))
             self.lost.pop(lot, None)  # handed in anew
 
     def _shed(self, seq: int, body: Body) -> None:
@@ -181,9 +181,9 @@
         self.crew_seq = seq
         self.lost |= {n: seq for n in body["lots"] if n not in self.lots}
 
-    def copy(self) -> LotView:
+    def copy(self) -> JobView:
         """Another view that can be folded on; what never changes is shared."""
-        out = LotView()
+        out = JobView()
         for key, value in vars(self).items():
             setattr(out, key, dict(value) if isinstance(value, dict) else value)
         out.lots = {n: lot.copy() for n, lot in self.lots.items()}
@@ -195,7 +195,7 @@
         return joined(flat | {"lots": lots}, b"".join(lot.raw for lot in self.lots.values()))
 
     @classmethod
-    def load(cls, data: bytes) -> LotView:
+    def load(cls, data: bytes) -> JobView:
         if not data:
             return cls()
         body, raw = parted(data)
@@ -205,12 +205,12 @@
             results = {int(i): (int(r[0]), str(r[1]), str(r[2])) for i, r in lot.pop("results")}
             size = lot.pop("raw", 0)
             # Bytes of its own: a lot that goes frees them, though others of this dump stay.
-            view.lots[lot["id"]] = Lot(**lot, results=results, raw=bytes(raw[at : at + size]))
+            view.lots[lot["id"]] = Job(**lot, results=results, raw=bytes(raw[at : at + size]))
             at += size
         return view
 
 
-def page(lot: Lot, covered: int, start: int, most: int) -> tuple[list[Body], int, bool]:
+def page(lot: Job, covered: int, start: int, most: int) -> tuple[list[Body], int, bool]:
     """Covered results from place `start` on, in record order; the next place; and whether that was all.
 
     Records are covered in order, so the covered results are a prefix of `order`, and a page once read
--- a/postpass/batch/job_api.py
+++ b/postpass/batch/job_api.py
@@ -13,7 +13,7 @@
 
 from postpass.configuration.configuration import Route, part_of
 from postpass.configuration.schema import flaws
-from postpass.gateway.live_requests import NAME, Edge
+from postpass.gateway.live_requests import NAME, Gateway
 from postpass.rpc.peer_links import Body
 from postpass.runtime.environment import now
 from postpass.runtime.errors import CLASH, CROWD, FULL, LACK, SHED
@@ -65,14 +65,14 @@
 
 
 @dataclass(eq=False)
-class LotDesk:
+class JobApi:
     """Invariant: an answer that promises that nothing runs is given only if no try of this call at an owner was left
     without an answer."""
 
-    edge: Edge
+    edge: Gateway
 
     def patience(self) -> float:
-        return min(PATIENCE, self.edge.conf.bounds.recover / 4)
+        return min(PATIENCE, self.edge.settings.bounds.recover / 4)
 
     async def accept(self, name: str, route: Route, lot_id: str, data: bytes) -> tuple[int, Body]:
         """Status and body for the caller: 202, 400, 409, 413, 429, 503, or 504, which promises nothing."""
@@ -89,10 +89,12 @@
         if flaw:
             return 400, {"error": flaw}
         items = [{k: item[k] for k in Item.__annotations__} for item in raw["items"]]
-        came = edge.world.wall()
+        came = edge.environment.wall()
         lot: Body = {"id": lot_id, "route": name, "items": items, "due": round(came + route["due"], 3),
-                     "expire": route["expire"], "tries": route["tries"], "since": edge.news.edition}  # fmt: skip
-        got = await edge.to_owner(part_of(lot_id, edge.man["parts"]), "accept", {"lot": lot}, now() + self.patience())
+                     "expire": route["expire"], "tries": route["tries"], "since": edge.configuration_view.edition}  # fmt: skip
+        got = await edge.to_owner(
+            part_of(lot_id, edge.configuration["parts"]), "accept", {"lot": lot}, now() + self.patience()
+        )
         if isinstance(got, Ok):
             edge.lots.labels("kept").inc()
             edge.kept.append((lot_id, now()))
@@ -113,11 +115,11 @@
             return Err(503)
         if not NAME.fullmatch(lot):
             return Err(404)
-        got = await edge.to_owner(part_of(lot, edge.man["parts"]), verb, body | {"id": lot}, now() + wait)
+        got = await edge.to_owner(part_of(lot, edge.configuration["parts"]), verb, body | {"id": lot}, now() + wait)
         return got.map_err(lambda bad: 404 if bad.code == LACK else 503)
 
     async def results(self, lot: str, start: int, hold: float) -> Result[Body, int]:
-        hold = min(hold, self.edge.conf.bounds.detect)  # well within what one question to an owner may take
+        hold = min(hold, self.edge.settings.bounds.detect)  # well within what one question to an owner may take
         return await self.ask(lot, "results", {"start": start, "hold": hold}, hold + self.patience() / 2)
 
     async def item(self, lot: str, item: str) -> Result[bytes, int]:
--- a/postpass/batch/job_service.py
+++ b/postpass/batch/job_service.py
@@ -11,10 +11,10 @@
 
 from result import Err, Ok, Result
 
-from postpass.batch.job import Lot, digest, packed
+from postpass.batch.job import Job, digest, packed
 from postpass.batch.quota import Budget
 from postpass.configuration.configuration import part_of
-from postpass.replication.partition import Part
+from postpass.replication.partition import Partition
 from postpass.rpc.peer_links import Body, PeerResponse
 from postpass.runtime.environment import now
 from postpass.runtime.errors import CLASH, CROWD, FULL, LACK, MOVED, SLOW, Fault, Stop
@@ -26,7 +26,7 @@
 
 
 @dataclass(eq=False)
-class Routed:
+class JobService:
     """Invariants: a lot is sequenced only under a grant of the route's holder that `pending` counts from before it is
     asked for until the lot is in the view; one task at a time tries to take a lot, and all that send it share it."""
 
@@ -55,8 +55,8 @@
 
     # --- accepting
     def route(self, name: str) -> Any:
-        man = self.store.news.manifest
-        return man.get("routes", {}).get(name) if man else None
+        configuration = self.store.configuration_view.manifest
+        return configuration.get("routes", {}).get(name) if configuration else None
 
     async def accept(self, body: Body) -> PeerResponse:
         """Kept only once covered. Refused (CROWD, FULL) only if nothing was sequenced and nothing that was sent here
@@ -65,7 +65,7 @@
         if isinstance(got, Err):
             return got
         part, (lot, raw) = got.unwrap(), packed(body["lot"])
-        limit = min(float(body.get("wait", 5.0)), self.store.conf.bounds.recover)
+        limit = min(float(body.get("wait", 5.0)), self.store.settings.bounds.recover)
         if lot["id"] not in part.view.lots:
             key = (part.id, lot["id"])
             task = self.taking.get(key)
@@ -74,21 +74,21 @@
                 task.add_done_callback(lambda _: self.taking.pop(key, None))
             done, _ = await asyncio.wait([task], timeout=limit)
             if not done:
-                return Err(Fault("accept", self.store.conf.name, "not known yet", SLOW))
+                return Err(Fault("accept", self.store.settings.name, "not known yet", SLOW))
             answer = task.result()
             if isinstance(answer, Err):
                 return answer
         have = part.view.lots.get(lot["id"])
         if have is None:
-            return Err(Fault("accept", self.store.conf.name, "not known yet", SLOW))
+            return Err(Fault("accept", self.store.settings.name, "not known yet", SLOW))
         if have.digest != digest(lot):
-            return Err(Fault("accept", self.store.conf.name, "a lot with this id and other content is here", CLASH))
+            return Err(Fault("accept", self.store.settings.name, "a lot with this id and other content is here", CLASH))
         if await part.wait(have.seq, "", limit):
             self.wake(part)
             return Ok({"id": lot["id"], "state": "kept"})
-        return Err(Fault("accept", self.store.conf.name, "not covered yet", SLOW))
+        return Err(Fault("accept", self.store.settings.name, "not covered yet", SLOW))
 
-    async def take(self, part: Part, epoch: int, lot: Body, raw: bytes, limit: float) -> PeerResponse:
+    async def take(self, part: Partition, epoch: int, lot: Body, raw: bytes, limit: float) -> PeerResponse:
         store = self.store
         flaw = store.no_room(part)
         if flaw is not None:
@@ -108,28 +108,28 @@
                 if isinstance(got, Err):
                     return got
             if part.epoch != epoch:
-                return Err(Fault("accept", store.conf.name, "not the owner any more", MOVED))
+                return Err(Fault("accept", store.settings.name, "not the owner any more", MOVED))
             # Where its items may go is up to this version of the configuration or a later one, never to one before.
-            lot = lot | {"since": max(int(lot.get("since", 0)), store.news.edition)}
+            lot = lot | {"since": max(int(lot.get("since", 0)), store.configuration_view.edition)}
             try:
                 store.add(part, "lot", lot, vital=False, raw=raw)
             except Stop as bad:
                 return Err(
-                    bad.fault if bad.fault.code == FULL else Fault("accept", store.conf.name, bad.fault.why, SLOW)
+                    bad.fault if bad.fault.code == FULL else Fault("accept", store.settings.name, bad.fault.why, SLOW)
                 )
         finally:
             pending[name] -= tokens
         return Ok({})
 
-    def wake(self, part: Part) -> None:
+    def wake(self, part: Partition) -> None:
         """Tells the scheduler that there is something to take."""
-        name = self.store.desks[part.id].sched
-        addr = self.store.news.addr(name) if name else ""
+        name = self.store.desks[part.id].scheduler
+        addr = self.store.configuration_view.addr(name) if name else ""
         if addr:
-            self.spawn(self.store.lines.call(addr, "wake", {"part": part.id}, self.store.conf.bounds.beat))
+            self.spawn(self.store.peer_links.call(addr, "wake", {"part": part.id}, self.store.settings.bounds.beat))
 
     # --- quota
-    def count(self, part: Part, name: str) -> int:
+    def count(self, part: Partition, name: str) -> int:
         """Tokens that wait here on a route: of kept lots, and asked for."""
         held = sum(
             int(item["tokens"])
@@ -140,10 +140,10 @@
         )
         return held + self.pending.get(part.id, Counter())[name]
 
-    async def ask_holder(self, part: Part, name: str, count: int, want: int, limit: float) -> PeerResponse:
-        man = self.store.news.manifest
-        assert man is not None
-        home = part_of(f"route:{name}", man["parts"])
+    async def ask_holder(self, part: Partition, name: str, count: int, want: int, limit: float) -> PeerResponse:
+        configuration = self.store.configuration_view.manifest
+        assert configuration is not None
+        home = part_of(f"route:{name}", configuration["parts"])
         self.numbers[part.id] += 1
         body = {"part": home, "route": name, "from": part.id, "epoch": part.epoch, "number": self.numbers[part.id],
                 "count": count, "want": want}  # fmt: skip
@@ -162,10 +162,10 @@
     async def ask_owner(self, number: int, verb: str, body: Body, limit: float) -> PeerResponse:
         """Asks a partition's owner, following where it is said to be."""
         store, until = self.store, now() + limit * 0.8
-        last: PeerResponse = Err(Fault(verb, store.conf.name, "no owner known", SLOW))
+        last: PeerResponse = Err(Fault(verb, store.settings.name, "no owner known", SLOW))
         turn = 0
         while now() < until:
-            order = store.news.order(number)
+            order = store.configuration_view.order(number)
             mine = store.parts.get(number)
             name = self.holders.get(number) or (mine.owner if mine is not None else "")
             if not name and order:
@@ -180,7 +180,7 @@
             hint = flaw.hint if flaw.code == MOVED and flaw.hint != name else ""
             self.holders[number] = hint
             if not hint:
-                await asyncio.sleep(store.conf.bounds.beat / 8)
+                await asyncio.sleep(store.settings.bounds.beat / 8)
         return last
 
     async def reserve(self, body: Body) -> PeerResponse:
@@ -190,30 +190,32 @@
         if isinstance(got, Err):
             return got
         part = got.unwrap()
-        man = store.news.manifest
-        assert man is not None
+        configuration = store.configuration_view.manifest
+        assert configuration is not None
         budget = self.budgets.setdefault((part.id, part.epoch, name), Budget())
         epoch = part.epoch
         if not body["want"]:
             budget.hear(body["from"], body["epoch"], body["number"], body["count"])
             return Ok({})
-        lacks = [p for p in budget.lacks(man["parts"]) if p != body["from"]]
+        lacks = [p for p in budget.lacks(configuration["parts"]) if p != body["from"]]
         if lacks:
             await asyncio.gather(*(self.learn(budget, p, name) for p in lacks))
-            if [p for p in budget.lacks(man["parts"]) if p != body["from"]]:
-                return Err(Fault("reserve", store.conf.name, "not all partitions have told their counts", SLOW))
+            if [p for p in budget.lacks(configuration["parts"]) if p != body["from"]]:
+                return Err(Fault("reserve", store.settings.name, "not all partitions have told their counts", SLOW))
         # Under the epoch: a holder that comes later asks every owner, which counts what it asked for here.
         if not await store.confirm(part) or part.epoch != epoch:
-            return Err(Fault("reserve", store.conf.name, "could not be confirmed", SLOW))
+            return Err(Fault("reserve", store.settings.name, "could not be confirmed", SLOW))
         if not budget.hear(body["from"], body["epoch"], body["number"], body["count"]):
-            return Err(Fault("reserve", store.conf.name, "a later word came before this one", FULL))
+            return Err(Fault("reserve", store.settings.name, "a later word came before this one", FULL))
         most = (self.route(name) or {}).get("quota", 0)
         if most and not budget.take(body["from"], body["want"], most):
-            return Err(Fault("reserve", store.conf.name, f"{budget.tokens} of {most} tokens wait on the route", CROWD))
+            return Err(
+                Fault("reserve", store.settings.name, f"{budget.tokens} of {most} tokens wait on the route", CROWD)
+            )
         return Ok({})
 
     async def learn(self, budget: Budget, number: int, name: str) -> None:
-        got = await self.ask_owner(number, "waiting", {"route": name}, self.store.conf.bounds.beat)
+        got = await self.ask_owner(number, "waiting", {"route": name}, self.store.settings.bounds.beat)
         if isinstance(got, Ok):
             told = got.unwrap()
             budget.hear(number, told["epoch"], told["number"], told["count"])
@@ -224,14 +226,18 @@
             return got
         part = got.unwrap()
         if not await self.store.confirm(part):
-            return Err(Fault("waiting", self.store.conf.name, "could not be confirmed", SLOW))
+            return Err(Fault("waiting", self.store.settings.name, "could not be confirmed", SLOW))
         self.numbers[part.id] += 1
         return Ok({"epoch": part.epoch, "number": self.numbers[part.id], "count": self.count(part, body["route"])})
 
     def report(self) -> None:
         """Tells the holders what came to an end here; once a beat."""
-        man = self.store.news.manifest
-        names = [n for n, r in man.get("routes", {}).items() if r["kind"] == "lot" and r["quota"]] if man else []
+        configuration = self.store.configuration_view.manifest
+        names = (
+            [n for n, r in configuration.get("routes", {}).items() if r["kind"] == "lot" and r["quota"]]
+            if configuration
+            else []
+        )
         for part in [p for p in self.store.parts.values() if p.owning and p.ready] if names else []:
             for name in names:
                 self.spawn(self.tell(part, name))
@@ -241,21 +247,21 @@
         self.store.trials.add(task)
         task.add_done_callback(self.store.trials.discard)
 
-    async def tell(self, part: Part, name: str) -> None:
+    async def tell(self, part: Partition, name: str) -> None:
         count = self.count(part, name)
         turn = self.turns.setdefault((part.id, name), asyncio.Lock())
         if self.told.get((part.id, name), (0, 0)) == (part.epoch, count) or turn.locked():
             return
         async with turn:
-            got = await self.ask_holder(part, name, self.count(part, name), 0, self.store.conf.bounds.beat)
+            got = await self.ask_holder(part, name, self.count(part, name), 0, self.store.settings.bounds.beat)
         if isinstance(got, Ok):
             self.told[(part.id, name)] = (part.epoch, count)
 
     # --- reading
-    async def read(self, body: Body, step: str) -> Result[tuple[Part, Lot], Fault]:
+    async def read(self, body: Body, step: str) -> Result[tuple[Partition, Job], Fault]:
         got = await self.store._read(body, step)
         if isinstance(got, Ok) and "route" not in got.unwrap()[1].body:
-            return Err(Fault(step, self.store.conf.name, "no such lot", LACK))
+            return Err(Fault(step, self.store.settings.name, "no such lot", LACK))
         return got
 
     async def results(self, body: Body) -> PeerResponse:
@@ -277,7 +283,7 @@
             if rows or now() >= until or lot.state != "open" or start >= lot.size:
                 return Ok({"total": lot.size, "results": rows, "next": start + len(rows)})
             # Until the next one is covered; then it is read anew, and confirmed anew.
-            seq = lot.results[lot.order[start]][0] if len(lot.order) > start else part.tape.last + 1
+            seq = lot.results[lot.order[start]][0] if len(lot.order) > start else part.record_log.last + 1
             if not await part.wait(seq, "", max(0.0, until - now())) and part.owning:
                 continue
 
@@ -290,24 +296,24 @@
         spot = next((i for i, x in enumerate(lot.body["items"]) if x["id"] == body["item"]), -1)
         listed = spot in lot.results and lot.results[spot][0] <= part.covered
         if spot < 0 or listed or lot.state == "ended":
-            return Err(Fault("item", self.store.conf.name, "no such item that waits", LACK))
+            return Err(Fault("item", self.store.settings.name, "no such item that waits", LACK))
         found = lot.item_body(spot)
         if found is None:
             # The last result is not covered yet.
-            return Err(Fault("item", self.store.conf.name, "not known yet", SLOW))
+            return Err(Fault("item", self.store.settings.name, "not known yet", SLOW))
         return Ok({"body": base64.b64encode(found).decode()})
 
     # --- time
-    def over(self, part: Part, lot: Lot) -> bool:
+    def over(self, part: Partition, lot: Job) -> bool:
         """May the lot leave? Gives up what has expired, or whose route a configuration since its 202 has no more. Times count from when this owner saw the lot first: later than
         it was sent, never earlier, whatever the wall clocks do."""
         store = self.store
         age = now() - self.seen.setdefault((part.id, part.epoch, lot.id), now())
-        man = store.news.manifest
-        keep = store.conf.bounds.keep or (man.get("retention", 3600.0) if man else 3600.0)
+        configuration = store.configuration_view.manifest
+        keep = store.settings.bounds.keep or (configuration.get("retention", 3600.0) if configuration else 3600.0)
         if lot.whole or lot.state == "ended":
             return age > keep * 1.1
-        gone = store.news.edition >= lot.body.get("since", 0) and self.route(lot.body["route"]) is None
+        gone = store.configuration_view.edition >= lot.body.get("since", 0) and self.route(lot.body["route"]) is None
         if (gone or age > lot.body["expire"]) and lot.seq <= part.covered:
             for i in range(lot.size):
                 if i not in lot.results:
--- a/postpass/batch/scheduler.py
+++ b/postpass/batch/scheduler.py
@@ -18,21 +18,21 @@
 from result import Err, Ok
 
 from postpass.batch.item_request import Text, Workers, run_item
-from postpass.configuration.configuration import Manifest, Route
+from postpass.configuration.configuration import Configuration, Route
 from postpass.configuration.header_names import Dialect
-from postpass.configuration.settings import Config
-from postpass.feed.configuration_view import News
-from postpass.gateway.worker_load import Floor, share_of
-from postpass.rpc.peer_links import Body, Lines
+from postpass.configuration.settings import Settings
+from postpass.feed.configuration_view import ConfigurationView
+from postpass.gateway.worker_load import WorkerLoad, share_of
+from postpass.rpc.peer_links import Body, PeerLinks
 from postpass.runtime import log_events
-from postpass.runtime.environment import World, now
+from postpass.runtime.environment import Environment, now
 from postpass.runtime.errors import CLASH, MOVED, Fault, Stop
 from postpass.worker_api.openai import Prompt, complete
 from postpass.worker_api.plugins import Ask, Seat, fond_of, place, prefix
 
 
 @dataclass(eq=False)
-class Job:
+class ItemRun:
     """An item held here. Invariant: at most one task runs it; it is held until its result was taken, its
     lot was ended, or it went back to the owner."""
 
@@ -42,7 +42,7 @@
     kind: str
     due: float
     prompt: Prompt
-    caller: str
+    client: str
     server: str = ""
     task: asyncio.Task[None] | None = None
     began: float = 0.0
@@ -102,20 +102,20 @@
 
 
 @dataclass(eq=False)
-class Sched:
+class Scheduler:
     """Invariants: nothing is dispatched for a partition once `leases[part]` has passed, and that is checked
     again right before the bytes go out; `jobs` is bounded by the pools' slots."""
 
-    conf: Config
-    world: World
-    news: News
-    lines: Lines
-    floor: Floor
+    settings: Settings
+    environment: Environment
+    configuration_view: ConfigurationView
+    peer_links: PeerLinks
+    worker_load: WorkerLoad
     session: aiohttp.ClientSession
     registry: CollectorRegistry
     active: bool = False
     term: int = 0
-    jobs: dict[tuple[int, str, int], Job] = field(default_factory=dict)
+    jobs: dict[tuple[int, str, int], ItemRun] = field(default_factory=dict)
     leases: dict[int, float] = field(default_factory=dict)
     owners: dict[int, str] = field(default_factory=dict)
     leaving: bool = False
@@ -148,16 +148,18 @@
     # --- who schedules
     async def elect(self) -> None:
         """The first live one in the order schedules; it steps back as soon as one before it answers."""
-        b = self.conf.bounds
+        b = self.settings.bounds
         missed: Tally[str] = Tally()
         while True:
-            await asyncio.sleep(b.beat * (0.8 + 0.4 * self.world.chance.random()))
-            order = self.news.duty("sched")
-            if self.conf.name not in order:
+            await asyncio.sleep(b.beat * (0.8 + 0.4 * self.environment.chance.random()))
+            order = self.configuration_view.duty("sched")
+            if self.settings.name not in order:
                 self.turn(False, "not in the order")
                 continue
-            before = order[: order.index(self.conf.name)]
-            got = await asyncio.gather(*(self.lines.call(self.news.addr(n), "ping", {}, b.beat) for n in before))
+            before = order[: order.index(self.settings.name)]
+            got = await asyncio.gather(
+                *(self.peer_links.call(self.configuration_view.addr(n), "ping", {}, b.beat) for n in before)
+            )
             for name, answer in zip(before, got, strict=True):
                 alive = isinstance(answer, Ok) and not answer.unwrap()["ready"]
                 missed[name] = 0 if alive else missed[name] + 1
@@ -173,7 +175,7 @@
         if on == self.active:
             return
         self.active = on
-        log_events.emit(150 if on else 151, self.conf.name, why=why)
+        log_events.emit(150 if on else 151, self.settings.name, why=why)
         if on:
             self.term += 1
         else:
@@ -192,37 +194,41 @@
             await asyncio.wait(running)
         self.turn(False, "it is leaving")
 
-    def drop(self, job: Job) -> None:
+    def drop(self, job: ItemRun) -> None:
         self.jobs.pop(job.key, None)
         if job.task is not None:
             job.task.cancel()
 
     # --- room
-    def room(self, man: Manifest, kind: str) -> dict[str, int]:
+    def room(self, configuration: Configuration, kind: str) -> dict[str, int]:
         """How many items of a class each worker may run now, those running included."""
-        c = man["classes"][kind]
-        pool = man["pools"][c["pool"]]
-        names = [n for n in sorted(pool["servers"]) if not self.floor.barred(c["pool"], n, self.conf.bounds.probe * 4)]
+        c = configuration["classes"][kind]
+        pool = configuration["pools"][c["pool"]]
+        names = [
+            n
+            for n in sorted(pool["servers"])
+            if not self.worker_load.barred(c["pool"], n, self.settings.bounds.probe * 4)
+        ]
         total = sum(pool["servers"][n]["slots"] for n in names)
         own = math.floor(c["share"] * total)
-        lent = any(man["classes"][x].get("lends") for x in c.get("borrows", [])) and self.borrow
+        lent = any(configuration["classes"][x].get("lends") for x in c.get("borrows", [])) and self.borrow
         out = {}
         for i, name in enumerate(names):
-            spot = self.floor.spot(c["pool"], name)
+            spot = self.worker_load.spot(c["pool"], name)
             slots = pool["servers"][name]["slots"]
             # Live use: what the worker reported, less what this scheduler ran there when it did.
             live = max(0, (spot.seen.running + spot.seen.waiting if spot.seen else 0) - spot.mine_seen)
             peak = max(0.0, spot.peak - spot.mine_seen)
             keep = math.ceil(c.get("reserve", 0.25) * max(live, peak)) if self.reserve else 0
             part = share_of(own, i, len(names))
-            room = allowed(slots, part, live, keep, self.floor.warm(c["pool"], name) >= 1)
+            room = allowed(slots, part, live, keep, self.worker_load.warm(c["pool"], name) >= 1)
             out[name] = room if lent else min(room, part)
         return out
 
-    def hand_back(self, man: Manifest, kind: str, room: dict[str, int]) -> None:
+    def hand_back(self, configuration: Configuration, kind: str, room: dict[str, int]) -> None:
         """Where live calls came back, items are cancelled and put back: the latest due first, and among
         those the ones that got least far."""
-        pool = man["classes"][kind]["pool"]
+        pool = configuration["classes"][kind]["pool"]
         for name, most in room.items():
             running = [j for j in self.jobs.values() if j.server == name and j.kind == kind and j.task is not None]
             spare = len(running) - most
@@ -238,41 +244,45 @@
                 self.back.inc()
                 if job.task is not None:
                     job.task.cancel()
-            log_events.emit(152, self.conf.name, server=name, items=spare)
+            log_events.emit(152, self.settings.name, server=name, items=spare)
 
     # --- the rounds
     @property
     def pace(self) -> float:
         """How often workers and owners are asked: four times within the shortest hand-back, and often
         enough for the leases."""
-        man = self.news.manifest
-        back = [c.get("handback", 1.0) for c in man["classes"].values() if c["kind"] == "batch"] if man else []
-        return min([self.conf.bounds.poll, *(b / 4 for b in back)])
+        configuration = self.configuration_view.manifest
+        back = (
+            [c.get("handback", 1.0) for c in configuration["classes"].values() if c["kind"] == "batch"]
+            if configuration
+            else []
+        )
+        return min([self.settings.bounds.poll, *(b / 4 for b in back)])
 
     async def work(self) -> None:
         polled = 0.0
         while True:
-            pause, woken = self.pace * (0.9 + 0.2 * self.world.chance.random()), True
+            pause, woken = self.pace * (0.9 + 0.2 * self.environment.chance.random()), True
             try:
                 async with asyncio.timeout(max(0.0, polled + pause - now())):
                     await self.kick.wait()
             except TimeoutError:
                 polled, woken = now(), False
             self.kick.clear()
-            man = self.news.manifest
-            if woken and man is not None and self.active and not self.leaving:
-                await self.between(man)
+            configuration = self.configuration_view.manifest
+            if woken and configuration is not None and self.active and not self.leaving:
+                await self.between(configuration)
                 continue
-            if man is None or not self.active or not self.news.fresh:
+            if configuration is None or not self.active or not self.configuration_view.fresh:
                 continue
             if self.leaving:
                 # Keeps the leases of what still runs here.
                 await asyncio.gather(*(self.poll(part, {}) for part in {j.part for j in self.jobs.values()}))
                 continue
-            kinds = [n for n, c in man["classes"].items() if c["kind"] == "batch"]
-            rooms = {k: self.room(man, k) for k in kinds}
+            kinds = [n for n, c in configuration["classes"].items() if c["kind"] == "batch"]
+            rooms = {k: self.room(configuration, k) for k in kinds}
             for kind in kinds:
-                self.hand_back(man, kind, rooms[kind])
+                self.hand_back(configuration, kind, rooms[kind])
             want = {}
             for kind in kinds:
                 free = sum(rooms[kind].values()) - sum(
@@ -281,20 +291,20 @@
                 ready = sum(j.kind == kind and j.task is None for j in self.jobs.values())
                 want[kind] = max(0, free - ready)
             self.ahead.clear()
-            want |= self.wants(man)
+            want |= self.wants(configuration)
             self.woken.clear()
-            await asyncio.gather(*(self.poll(part, want) for part in range(man["parts"])))
+            await asyncio.gather(*(self.poll(part, want) for part in range(configuration["parts"])))
             if self.active:
-                self.dispatch(man, rooms)
-                self.place_calls(man)
+                self.dispatch(configuration, rooms)
+                self.place_calls(configuration)
 
     async def poll(self, part: int, want: dict[str, int]) -> None:
         """Renews the lease of a partition and takes items; the lease runs from when it was asked for."""
-        b = self.conf.bounds
+        b = self.settings.bounds
         asked = now()
         held = [[j.lot, j.item] for j in self.jobs.values() if j.part == part and not j.telling]
         got = await self.ask(
-            part, "take", {"sched": self.conf.name, "term": self.term, "room": want, "held": held}, b.poll * 2
+            part, "take", {"sched": self.settings.name, "term": self.term, "room": want, "held": held}, b.poll * 2
         )
         if isinstance(got, Err):
             flaw = got.unwrap_err()
@@ -312,7 +322,7 @@
         for kind, count in answer["ahead"].items():
             self.ahead[kind] += count
         for row in answer["items"]:
-            job = Job(
+            job = ItemRun(
                 part,
                 row["lot"],
                 row["item"],
@@ -328,15 +338,15 @@
 
     async def ask(self, part: int, verb: str, body: Body, wait: float) -> Any:
         """One try at the owner as known, following one hint; the next round tries again."""
-        order = self.news.order(part)
+        order = self.configuration_view.order(part)
         name = self.owners.get(part) or (order[0] if order else "")
-        got: Any = Err(Fault(verb, self.conf.name, "no owner known"))
+        got: Any = Err(Fault(verb, self.settings.name, "no owner known"))
         for _ in range(2):
-            addr = self.news.addr(name)
+            addr = self.configuration_view.addr(name)
             if not addr:
                 self.owners.pop(part, None)
                 return got
-            got = await self.lines.call(addr, verb, body | {"part": part}, wait)
+            got = await self.peer_links.call(addr, verb, body | {"part": part}, wait)
             if isinstance(got, Ok):
                 self.owners[part] = name
                 return got
@@ -350,24 +360,24 @@
             return got
         return got
 
-    def dispatch(self, man: Manifest, rooms: dict[str, dict[str, int]]) -> None:
+    def dispatch(self, configuration: Configuration, rooms: dict[str, dict[str, int]]) -> None:
         """Nearest due first, and fair between callers among equals."""
         turn: Tally[str] = Tally()
         ready = []
         for job in sorted(
             (j for j in self.jobs.values() if j.task is None and not j.call), key=lambda j: (j.due, j.lot, j.item)
         ):
-            turn[job.caller] += 1
-            ready.append((math.floor(job.due), turn[job.caller], job.due, job.item, job))
+            turn[job.client] += 1
+            ready.append((math.floor(job.due), turn[job.client], job.due, job.item, job))
         for *_, job in sorted(ready, key=lambda r: r[:4]):
             room = rooms.get(job.kind)
             if room is None or now() >= self.leases.get(job.part, 0.0):
                 continue
-            c = man["classes"][job.kind]
-            pool = man["pools"][c["pool"]]
+            c = configuration["classes"][job.kind]
+            pool = configuration["pools"][c["pool"]]
             load = Tally(j.server for j in self.jobs.values() if j.task is not None)
-            ask = Ask(job.kind, job.prompt.shared, len(job.prompt.text), self.conf.area)
-            fond = fond_of(prefix(self.conf.name, c.get("prefix", ""), ask), sorted(room))
+            ask = Ask(job.kind, job.prompt.shared, len(job.prompt.text), self.settings.area)
+            fond = fond_of(prefix(self.settings.name, c.get("prefix", ""), ask), sorted(room))
             seats = tuple(
                 Seat(n, pool["servers"][n]["area"], room[n] - load[n], pool["servers"][n]["slots"], load[n], n == fond)
                 for n in room
@@ -375,9 +385,9 @@
             )
             if not seats:
                 continue
-            job.server = place(self.conf.name, c.get("place", ""), ask, seats)
+            job.server = place(self.settings.name, c.get("place", ""), ask, seats)
             job.began, job.pieces = now(), 0
-            job.task = asyncio.create_task(self.run(man, c["pool"], job))
+            job.task = asyncio.create_task(self.run(configuration, c["pool"], job))
 
     # --- items of routes
     async def on_wake(self, body: Body) -> Any:
@@ -385,66 +395,74 @@
         self.kick.set()
         return Ok({})
 
-    async def between(self, man: Manifest) -> None:
+    async def between(self, configuration: Configuration) -> None:
         """Between two rounds: asks only the owners that have said they have something, and fills places."""
         parts, self.woken = self.woken, set()
-        want = self.wants(man)
-        if parts and any(want.values()) and self.news.fresh:
+        want = self.wants(configuration)
+        if parts and any(want.values()) and self.configuration_view.fresh:
             await asyncio.gather(*(self.poll(part, want) for part in parts))
         if self.active:
-            self.place_calls(man)
+            self.place_calls(configuration)
 
-    def free(self, man: Manifest, pool: str) -> dict[str, int]:
+    def free(self, configuration: Configuration, pool: str) -> dict[str, int]:
         """Places for items at each worker of a pool that may be sent to."""
-        servers, out = man["pools"][pool]["servers"], {}
+        servers, out = configuration["pools"][pool]["servers"], {}
         for name, server in servers.items():
-            if self.shut_out(man, pool, name):
+            if self.shut_out(configuration, pool, name):
                 continue
             room = self.rooms.setdefault((pool, name), Room(max(1.0, server["slots"] * PLACES)))
             out[name] = max(0, int(room.most) - room.running) if now() >= room.shut else 0
         return out
 
-    def shut_out(self, man: Manifest, pool: str, name: str) -> str:
-        server = man["pools"][pool]["servers"].get(name) if pool in man["pools"] else None
+    def shut_out(self, configuration: Configuration, pool: str, name: str) -> str:
+        server = configuration["pools"][pool]["servers"].get(name) if pool in configuration["pools"] else None
         if server is None:
             return "it left the manifest"
         if server.get("leave") or server.get("cold"):
             return "it leaves" if server.get("leave") else "it is cold"
-        return "its area is evacuated" if server["area"] in man.get("evacuated", []) else ""
+        return "its area is evacuated" if server["area"] in configuration.get("evacuated", []) else ""
 
-    def wants(self, man: Manifest) -> dict[str, int]:
+    def wants(self, configuration: Configuration) -> dict[str, int]:
         """How many items of each route to ask for: what the free places take, and half as many again to go on with."""
-        for key in [k for k in self.rooms if k[0] not in man["pools"] or k[1] not in man["pools"][k[0]]["servers"]]:
+        for key in [
+            k
+            for k in self.rooms
+            if k[0] not in configuration["pools"] or k[1] not in configuration["pools"][k[0]]["servers"]
+        ]:
             if self.rooms[key].running == 0:
                 del self.rooms[key]
         if self.workers is None:
             return {}
         out = {}
-        for name, route in man.get("routes", {}).items():
+        for name, route in configuration.get("routes", {}).items():
             if route["kind"] != "lot":
                 continue
             pools = [s["pool"] for s in route["split"] if s["weight"] > 0]
-            free = sum(sum(self.free(man, p).values()) for p in pools)
-            whole = sum(x["slots"] for p in pools for x in man["pools"][p]["servers"].values()) // 4
+            free = sum(sum(self.free(configuration, p).values()) for p in pools)
+            whole = sum(x["slots"] for p in pools for x in configuration["pools"][p]["servers"].values()) // 4
             ready = sum(j.task is None for j in self.jobs.values() if j.kind == f"route:{name}")
             out[f"route:{name}"] = max(0, free + whole - ready)
         return out
 
-    def place_calls(self, man: Manifest) -> None:
+    def place_calls(self, configuration: Configuration) -> None:
         """Nearest due first; the items of a lot, whose prompts begin alike, go to few workers."""
         ready = [j for j in self.jobs.values() if j.task is None and j.call and j.after <= now()]
         if not ready or self.workers is None:
             return
         free: dict[str, dict[str, int]] = {}
         for job in sorted(ready, key=lambda j: (j.due, j.lot, j.item)):
-            route = man.get("routes", {}).get(job.kind.removeprefix("route:"))
-            if route is None or self.news.edition < job.since or now() >= self.leases.get(job.part, 0.0):
+            route = configuration.get("routes", {}).get(job.kind.removeprefix("route:"))
+            if route is None or self.configuration_view.edition < job.since or now() >= self.leases.get(job.part, 0.0):
                 continue
-            split = [(s["pool"], s["weight"]) for s in route["split"] if s["weight"] > 0 and s["pool"] in man["pools"]]
+            split = [
+                (s["pool"], s["weight"])
+                for s in route["split"]
+                if s["weight"] > 0 and s["pool"] in configuration["pools"]
+            ]
             if not split:
                 continue
             job.pool = job.pool if job.pool in dict(split) else weighted(job.call["id"], split)
-            rooms = free.setdefault(job.pool, self.free(man, job.pool))
+            rooms = free.setdefault(job.pool, self.free(configuration, job.pool))
             names = [n for n, f in rooms.items() if f > 0]
             if not names:
                 continue
@@ -453,29 +471,29 @@
             rooms[job.server] -= 1
             job.began = now()
             self.rooms[(job.pool, job.server)].running += 1
-            job.task = asyncio.create_task(self.run_call(man, route, job))
+            job.task = asyncio.create_task(self.run_call(configuration, route, job))
 
-    def call_gate(self, job: Job, pool: str, server: str) -> str:
+    def call_gate(self, job: ItemRun, pool: str, server: str) -> str:
         """Asked right before the bytes go out, also after a freeze."""
-        man = self.news.manifest
+        configuration = self.configuration_view.manifest
         if not self.active or self.jobs.get(job.key) is not job:
             return "the item went back"
         if now() >= self.leases.get(job.part, 0.0):
             return "the lease has passed"
-        if now() - self.news.heard > self.conf.bounds.deaf:
+        if now() - self.configuration_view.heard > self.settings.bounds.deaf:
             return "no news for too long"
-        if self.news.edition < job.since:
+        if self.configuration_view.edition < job.since:
             return "the configuration known here is older than its lot"
-        route = man.get("routes", {}).get(job.kind.removeprefix("route:")) if man else None
-        if man is None or route is None or pool not in [s["pool"] for s in route["split"] if s["weight"] > 0]:
+        route = configuration.get("routes", {}).get(job.kind.removeprefix("route:")) if configuration else None
+        if configuration is None or route is None or pool not in [s["pool"] for s in route["split"] if s["weight"] > 0]:
             return "the route goes elsewhere now"
-        return self.shut_out(man, pool, server)
+        return self.shut_out(configuration, pool, server)
 
-    async def run_call(self, man: Manifest, route: Route, job: Job) -> None:
+    async def run_call(self, configuration: Configuration, route: Route, job: ItemRun) -> None:
         assert self.workers is not None
         pool, server = job.pool, job.server
-        spot = man["pools"][pool]["servers"][server]
-        room, b = self.rooms[(pool, server)], self.conf.bounds
+        spot = configuration["pools"][pool]["servers"][server]
+        room, b = self.rooms[(pool, server)], self.settings.bounds
         end = ""
         try:
             end = await run_item(
@@ -510,24 +528,24 @@
             self.jobs.pop(job.key, None)
             job.task = None
 
-    def gate(self, job: Job, pool: str) -> str:
+    def gate(self, job: ItemRun, pool: str) -> str:
         """Asked right before the bytes go out, also after a freeze."""
         if not self.active or self.jobs.get(job.key) is not job:
             return "the item went back"
         if now() >= self.leases.get(job.part, 0.0):
             return "the lease has passed"
-        return self.floor.barred(pool, job.server, self.conf.bounds.probe * 4)
+        return self.worker_load.barred(pool, job.server, self.settings.bounds.probe * 4)
 
-    async def run(self, man: Manifest, pool: str, job: Job) -> None:
-        spot = self.floor.spot(pool, job.server)
+    async def run(self, configuration: Configuration, pool: str, job: ItemRun) -> None:
+        spot = self.worker_load.spot(pool, job.server)
         spot.mine[job.kind] += 1
         out: list[str] = []
         try:
-            url = man["pools"][pool]["servers"][job.server]["url"]
+            url = configuration["pools"][pool]["servers"][job.server]["url"]
             model = spot.seen.weights if spot.seen else ""
             async for text in complete(
                 self.session, url, model, job.prompt, lambda: self.gate(job, pool), lambda: None,
-                self.conf.bounds.recover, self.news.limit("pieces"), man["pools"][pool].get("offsets", True),
+                self.settings.bounds.recover, self.configuration_view.limit("pieces"), configuration["pools"][pool].get("offsets", True),
             ):  # fmt: skip
                 out.append(text)
                 job.pieces += 1
@@ -555,12 +573,14 @@
             self.jobs.pop(job.key, None)
             job.task = None
 
-    async def tell(self, job: Job, body: Body) -> None:
+    async def tell(self, job: ItemRun, body: Body) -> None:
         """Brings a result to the owner, wherever it is now; it may be told again."""
-        until = now() + self.conf.bounds.recover
+        until = now() + self.settings.bounds.recover
         job.telling = True
         while now() < until:
-            got = await self.ask(job.part, "done", {"id": job.lot, "item": job.item, **body}, self.conf.bounds.detect)
+            got = await self.ask(
+                job.part, "done", {"id": job.lot, "item": job.item, **body}, self.settings.bounds.detect
+            )
             if isinstance(got, Ok) or (body["status"] != "done" and got.unwrap_err().code != MOVED):
                 return
-            await asyncio.sleep(self.conf.bounds.poll / 2)
+            await asyncio.sleep(self.settings.bounds.poll / 2)
--- a/postpass/cli/doctor.py
+++ b/postpass/cli/doctor.py
@@ -23,7 +23,7 @@
 
 
 def diagnose(first: dict[str, Any], second: dict[str, Any]) -> list[Finding]:
-    man, machines = second["manifest"], second["machines"]
+    configuration, machines = second["manifest"], second["machines"]
     out: list[Finding] = []
     for name, m in machines.items():
         if "unreachable" in m:
@@ -35,11 +35,11 @@
             out.append(Finding("D03", name, f"runs edition {m['edition']}, {second['edition']} is in force",
                                "see whether it reaches control or any neighbour; restart it if it was frozen"))  # fmt: skip
         if m["name"] != name:
-            out.append(Finding("D04", name, f"at {man['machines'][name]['http']} answers {m['name']}",
+            out.append(Finding("D04", name, f"at {configuration['machines'][name]['http']} answers {m['name']}",
                                "two processes share an address or a name: correct one config"))  # fmt: skip
         if m.get("clash"):
             out.append(Finding("D04", name, m["clash"], "two processes share a name: correct one config"))
-        want = man["machines"][name]
+        want = configuration["machines"][name]
         for key in ("peer", "http", "area"):
             if key in m and m["name"] == name and m[key] != want[key]:
                 out.append(Finding("D05", name, f"its config has {key} {m[key]}, the manifest {want[key]}",
@@ -51,15 +51,15 @@
         if m.get("up", 1) <= before.get("up", -1) and "control" not in m:
             out.append(Finding("D06", name, "its own clock did not move, or it restarted between two looks",
                                "see its log; a frozen daemon must be woken or killed"))  # fmt: skip
-        out += _store(name, m.get("store"), man)
+        out += _store(name, m.get("store"), configuration)
         out += [Finding("D12", f"{name} {key}", s["barred"], "load the right weights, or correct them in the manifest")
                 for key, s in m.get("servers", {}).items() if s["barred"].startswith("weights")]  # fmt: skip
-    out += _parts(man, live) + _control(live) + _releases(live)
+    out += _parts(configuration, live) + _control(live) + _releases(live)
     seen: set[tuple[str, str, str]] = set()
     return [f for f in out if (k := (f.code, f.where.split(" ")[-1], f.what)) not in seen and not seen.add(k)]  # type: ignore[func-returns-value]
 
 
-def _store(name: str, store: Any, man: Any) -> list[Finding]:
+def _store(name: str, store: Any, configuration: Any) -> list[Finding]:
     if not store:
         return []
     out = []
@@ -85,17 +85,17 @@
     return out
 
 
-def _parts(man: Any, live: dict[str, Any]) -> list[Finding]:
+def _parts(configuration: Any, live: dict[str, Any]) -> list[Finding]:
     out = []
     owned = {p["part"]: p for m in live.values() for p in m.get("store", {}).get("parts", []) if p["owning"]}
-    for part in range(man["parts"]):
+    for part in range(configuration["parts"]):
         p = owned.get(part)
         if p is None:
             out.append(
                 Finding("D08", f"partition {part}", "has no owner", "start stores until most of its members run")
             )
-        elif len(p["crew"]) < man["copies"]:
-            out.append(Finding("D08", f"partition {part}", f"has {len(p['crew'])} members, the manifest wants {man['copies']}",
+        elif len(p["crew"]) < configuration["copies"]:
+            out.append(Finding("D08", f"partition {part}", f"has {len(p['crew'])} members, the manifest wants {configuration['copies']}",
                                "start or add stores; the owner takes them in once they are refilled"))  # fmt: skip
         elif any(f"{n}" in p["mirrors"] and p["mirrors"][n]["disk"] != d for n, d in p["crew"].items()):
             out.append(
--- a/postpass/cli/main.py
+++ b/postpass/cli/main.py
@@ -112,7 +112,7 @@
     return Ok(raw) if (got := check(raw)).is_ok() else Err(got.unwrap_err())
 
 
-class ManifestTool:
+class ConfigurationTool:
     """The whole desired state, in one file, applied as a whole."""
 
     def check(self, file: str) -> int:
@@ -207,7 +207,7 @@
         return FINE
 
 
-class LotTool:
+class JobTool:
     """Lots: hand in, look, read results, end."""
 
     def send(self, file: str, edge: str = "", caller: str = "") -> int:
@@ -298,8 +298,8 @@
     """postpass, from outside: pp manifest, pp lot, pp status, pp doctor."""
 
     def __init__(self) -> None:
-        self.manifest = ManifestTool()
-        self.lot = LotTool()
+        self.manifest = ConfigurationTool()
+        self.lot = JobTool()
 
     def status(self, control: str = "", raw: bool = False) -> int:
         """Shows the edition each daemon runs, who owns which partition, and what is still pending.
--- a/postpass/cli/status.py
+++ b/postpass/cli/status.py
@@ -9,13 +9,13 @@
 
 def pending(seen: dict[str, Any]) -> list[str]:
     """Operations of the manifest that are not complete yet, and why; complete ones are told as such."""
-    man, machines = seen["manifest"], seen["machines"]
+    configuration, machines = seen["manifest"], seen["machines"]
     parts = {p["part"]: (n, p) for n, m in machines.items() for p in m.get("store", {}).get("parts", []) if p["owning"]}
     out = []
-    for name, m in man["machines"].items():
+    for name, m in configuration["machines"].items():
         held = sorted(p for p, (_, row) in parts.items() if name in row["crew"])
         unsynced = sorted(p for p, (_, row) in parts.items() if m.get("retire") and not row.get("complete", True))
-        unknown = man["parts"] - len(parts)
+        unknown = configuration["parts"] - len(parts)
         if m.get("retire") or m.get("gone"):
             word = "retire" if m.get("retire") else "gone"
             if held:
@@ -26,10 +26,10 @@
                 out.append(f"{word} {name}: pending, not all members of partitions {unsynced} have synced that it left")
             else:
                 out.append(f"{word} {name}: complete, no partition counts on it")
-    for area in man.get("evacuated", []):
+    for area in configuration.get("evacuated", []):
         busy = [f"{n}: {k}" for n, m in sorted(machines.items()) for k, s in m.get("servers", {}).items() if s["mine"]
-                and man["pools"][k.split("/")[0]]["servers"].get(k.split("/")[1], {}).get("area") == area]  # fmt: skip
-        owns = sorted(p for p, (n, _) in parts.items() if man["machines"][n]["area"] == area)
+                and configuration["pools"][k.split("/")[0]]["servers"].get(k.split("/")[1], {}).get("area") == area]  # fmt: skip
+        owns = sorted(p for p, (n, _) in parts.items() if configuration["machines"][n]["area"] == area)
         if busy or owns:
             out.append(
                 f"evacuate {area}: pending, {len(busy)} edges still have calls there, partitions owned there: {owns}"
@@ -43,11 +43,11 @@
 
 
 def overview(seen: dict[str, Any]) -> list[str]:
-    man, machines = seen["manifest"], seen["machines"]
-    out = [f"manifest {man['name']} edition {seen['edition']}", ""]
+    configuration, machines = seen["manifest"], seen["machines"]
+    out = [f"manifest {configuration['name']} edition {seen['edition']}", ""]
     out.append(f"{'machine':10} {'area':8} {'edition':>7} {'release':>8} duties / state")
     for name, m in machines.items():
-        area = man["machines"][name]["area"]
+        area = configuration["machines"][name]["area"]
         if "unreachable" in m:
             out.append(f"{name:10} {area:8} {'-':>7} {'-':>8} UNREACHABLE {m['unreachable']}")
             continue
@@ -88,7 +88,7 @@
         out.append(
             f"{part:>4} {name:8} {p['epoch']:>5} {p['last']:>7} {p['covered']:>7} {p['lots']:>5} {p['open']:>5} {crew}{lost}"
         )
-    lacking = sorted(set(range(man["parts"])) - {r[0] for r in rows})
+    lacking = sorted(set(range(configuration["parts"])) - {r[0] for r in rows})
     if lacking:
         out.append(f"NO OWNER: partitions {lacking}")
     todo = pending(seen)
@@ -98,13 +98,13 @@
 def _seen() -> dict[str, Any]:
     from bench.plan import manifest
 
-    man = manifest()
+    configuration = manifest()
     mirrors = {n: {"persisted": 5, "silent": False, "full": False, "disk": n} for n in ("s2", "s3", "s4")}
     part = {"owning": True, "ready": True, "epoch": 1, "last": 5, "covered": 5, "persisted": 5, "owner": "s1", "lots": 1, "open": 0,
             "losses": 0, "crew": {f"s{i}": f"s{i}" for i in range(1, 5)}, "mirrors": mirrors, "bytes": 10}  # fmt: skip
     base = {"edition": 3, "release": "0.1.0", "ready": "", "clash": "", "up": 9.0}
     machines: dict[str, Any] = {n: base | {"name": n, "duties": [d for d in m["duties"] if d != "control"], "http": m["http"], "peer": m["peer"]}
-                                for n, m in man["machines"].items()}  # fmt: skip
+                                for n, m in configuration["machines"].items()}  # fmt: skip
     store = {"free": 90, "size": 100, "bad": "", "held": 1, "disk": "x"}
     for n in ("s1", "s2", "s3", "s4"):
         machines[n]["store"] = store | {"parts": [part | {"part": p} for p in range(4)] if n == "s1" else []}
@@ -114,4 +114,4 @@
                                   "committed": 3, "contact": 0.1, "in_touch": True, "tolerate": 1}  # fmt: skip
     for n in ("e1", "e2"):
         machines[n]["servers"] = {"gpu/w1": {"barred": "", "mine": 0, "weights": "model-1", "running": 0, "waiting": 0}}
-    return {"edition": 3, "manifest": man, "machines": machines}
+    return {"edition": 3, "manifest": configuration, "machines": machines}
--- a/postpass/configuration/configuration.py
+++ b/postpass/configuration/configuration.py
@@ -103,7 +103,7 @@
     idle_ms: int
 
 
-class Manifest(TypedDict):
+class Configuration(TypedDict):
     name: str
     areas: list[str]
     machines: dict[str, Machine]
@@ -129,34 +129,34 @@
 }  # fmt: skip
 
 
-def limit(man: Manifest, name: str) -> int:
-    return int(cast(dict[str, int], man.get("limits", {})).get(name, LIMITS[name]))
+def limit(configuration: Configuration, name: str) -> int:
+    return int(cast(dict[str, int], configuration.get("limits", {})).get(name, LIMITS[name]))
 
 
-def with_duty(man: Manifest, duty: str) -> list[str]:
+def with_duty(configuration: Configuration, duty: str) -> list[str]:
     """Machines with a duty, in the manifest's order: the agreed order of duties."""
-    return [n for n, m in man["machines"].items() if duty in m["duties"] and not m.get("gone")]
+    return [n for n, m in configuration["machines"].items() if duty in m["duties"] and not m.get("gone")]
 
 
-def members(man: Manifest, part: int) -> tuple[str, ...]:
+def members(configuration: Configuration, part: int) -> tuple[str, ...]:
     """Who should keep a partition: in distinct areas while there are enough, in an agreed order that
     the partition's number turns, so that ownership is spread. In an announced fleet nobody, until as many stores as
     it takes have announced themselves."""
-    pool = [n for n in with_duty(man, "store") if not man["machines"][n].get("retire")]
-    if not pool or (man.get("announced") and len(pool) < man["copies"]):
+    pool = [n for n in with_duty(configuration, "store") if not configuration["machines"][n].get("retire")]
+    if not pool or (configuration.get("announced") and len(pool) < configuration["copies"]):
         return ()
     ranked = sorted(pool, key=lambda n: hashlib.sha256(f"{part}/{n}".encode()).digest())
-    first = {man["machines"][n]["area"]: n for n in reversed(ranked)}
-    heads = [n for n in ranked if first[man["machines"][n]["area"]] == n]
-    chosen = (heads + [n for n in ranked if n not in heads])[: man["copies"]]
+    first = {configuration["machines"][n]["area"]: n for n in reversed(ranked)}
+    heads = [n for n in ranked if first[configuration["machines"][n]["area"]] == n]
+    chosen = (heads + [n for n in ranked if n not in heads])[: configuration["copies"]]
     # Turn the manifest's order by the partition's number: owners spread evenly over few stores.
     kept = [n for n in pool if n in chosen]
     turn = part % len(kept)
     return tuple(kept[turn:] + kept[:turn])
 
 
-def scene(man: Manifest, names: tuple[str, ...], me: str) -> Scene:
-    areas = tuple((n, man["machines"][n]["area"] if n in man["machines"] else "") for n in names)
+def scene(configuration: Configuration, names: tuple[str, ...], me: str) -> Scene:
+    areas = tuple((n, configuration["machines"][n]["area"] if n in configuration["machines"] else "") for n in names)
     return Scene(names, areas, me)
 
 
@@ -168,10 +168,10 @@
     return {e.name for e in entry_points(group=f"postpass.{kind}")}
 
 
-def deep_flaws(man: Manifest) -> list[str]:
+def deep_flaws(configuration: Configuration) -> list[str]:
     """What the shapes can't say."""
     out: list[str] = []
-    areas, machines, pools = man["areas"], man["machines"], man["pools"]
+    areas, machines, pools = configuration["areas"], configuration["machines"], configuration["pools"]
     if not areas:
         out.append("areas: want at least one")
     for name, m in machines.items():
@@ -187,9 +187,9 @@
                 out.append(f"machines.{name}.{key}: {addr} is also {seen[addr]}")
             elif not m.get("gone"):
                 seen[addr] = f"machines.{name}.{key}"
-    evacuated = man.get("evacuated", [])
+    evacuated = configuration.get("evacuated", [])
     out += [f"evacuated[{i}]: unknown area {a}" for i, a in enumerate(evacuated) if a not in areas]
-    if areas and set(areas) <= set(evacuated) and not man.get("announced"):
+    if areas and set(areas) <= set(evacuated) and not configuration.get("announced"):
         out.append("evacuated: the last area can't be evacuated; nothing would serve")
     for name, pool in pools.items():
         for who, s in pool["servers"].items():
@@ -202,10 +202,10 @@
             if not s["url"].startswith("http://") or addr_flaws("", host):
                 out.append(f"{path}.url: want http://IP:PORT, got {s['url']!r:.60}")
         live = [s for s in pool["servers"].values() if not s.get("leave") and s["area"] not in evacuated]
-        if pool["servers"] and not live and not man.get("announced"):
+        if pool["servers"] and not live and not configuration.get("announced"):
             out.append(f"pools.{name}: every server leaves or stands in an evacuated area")
     shares: dict[str, float] = {}
-    for name, c in man["classes"].items():
+    for name, c in configuration["classes"].items():
         path = f"classes.{name}"
         if c["pool"] not in pools:
             out.append(f"{path}.pool: unknown pool {c['pool']}")
@@ -215,14 +215,14 @@
             out.append(f"{path}.share: want 0 to 1, got {c['share']}")
         shares[c["pool"]] = shares.get(c["pool"], 0) + c["share"]
         for i, other in enumerate(c.get("borrows", [])):
-            lender = man["classes"].get(other)
+            lender = configuration["classes"].get(other)
             if lender is None:
                 out.append(f"{path}.borrows[{i}]: unknown class {other}")
             elif not lender.get("lends"):
                 out.append(f"{path}.borrows[{i}]: class {other} does not lend")
             elif lender["pool"] != c["pool"]:
                 out.append(f"{path}.borrows[{i}]: class {other} is in pool {lender['pool']}, not {c['pool']}")
-        room = [man["classes"][o]["share"] for o in c.get("borrows", []) if o in man["classes"]]
+        room = [configuration["classes"][o]["share"] for o in c.get("borrows", []) if o in configuration["classes"]]
         if c["share"] == 0 and c["kind"] != "plain" and not any(room):
             out.append(f"{path}.share: 0, and no class that it borrows from has a share: it would never run")
         for key, low in (("deadline", 0), ("handback", 0), ("backlog", 0), ("reserve", -1e-9)):
@@ -234,33 +234,35 @@
             if kind in c and c[kind] not in plugs(kind):  # type: ignore[literal-required]
                 out.append(f"{path}.{kind}: no plug-in {c[kind]!r} is installed; there are {sorted(plugs(kind))}")  # type: ignore[literal-required]
     out += [f"classes: shares of pool {p} add up to {s:g}, above 1" for p, s in shares.items() if s > 1 + 1e-9]
-    for path, name in man["ways"].items():
+    for path, name in configuration["ways"].items():
         if not path.startswith("/"):
             out.append(f"ways.{path}: want a path that begins with /")
         if path.startswith("/v1/") or path in ("/health", "/ready", "/metrics"):
             out.append(f"ways.{path}: this path is postpass's own")
-        if name not in man["classes"] or man["classes"][name]["kind"] != "plain":
+        if name not in configuration["classes"] or configuration["classes"][name]["kind"] != "plain":
             out.append(f"ways.{path}: want a plain class, got {name}")
-    if "retention" in man and not man["retention"] > 0:
-        out.append(f"retention: want more than 0, got {man['retention']}")
-    if "ramp" in man and not man["ramp"] >= 0:
-        out.append(f"ramp: want 0 or more, got {man['ramp']}")
-    out += [f"limits.{k}: want at least 1, got {v}" for k, v in man.get("limits", {}).items() if cast(int, v) < 1]
-    for name, route in man.get("routes", {}).items():
-        out += route_flaws(f"routes.{name}", route, man)
+    if "retention" in configuration and not configuration["retention"] > 0:
+        out.append(f"retention: want more than 0, got {configuration['retention']}")
+    if "ramp" in configuration and not configuration["ramp"] >= 0:
+        out.append(f"ramp: want 0 or more, got {configuration['ramp']}")
+    out += [
+        f"limits.{k}: want at least 1, got {v}" for k, v in configuration.get("limits", {}).items() if cast(int, v) < 1
+    ]
+    for name, route in configuration.get("routes", {}).items():
+        out += route_flaws(f"routes.{name}", route, configuration)
     taken: dict[tuple[str, str], str] = {}
-    for name, route in man.get("routes", {}).items():
+    for name, route in configuration.get("routes", {}).items():
         other = taken.setdefault((route["host"].lower(), route["prefix"]), name)
         if other != name:
             out.append(f"routes.{name}.prefix: {route['host']}{route['prefix']} is also that of {other}")
-    return out + ([] if man.get("announced") else store_flaws(man))
+    return out + ([] if configuration.get("announced") else store_flaws(configuration))
 
 
-def route_flaws(path: str, route: Route, man: Manifest) -> list[str]:
+def route_flaws(path: str, route: Route, configuration: Configuration) -> list[str]:
     out = [
         f"{path}.split[{i}].pool: unknown pool {s['pool']}"
         for i, s in enumerate(route["split"])
-        if s["pool"] not in man["pools"]
+        if s["pool"] not in configuration["pools"]
     ]
     if any(s["weight"] < 0 for s in route["split"]) or sum(s["weight"] for s in route["split"]) <= 0:
         out.append(f"{path}.split: want weights of 0 or more that add up to more than 0")
@@ -273,27 +275,27 @@
     return out
 
 
-def store_flaws(man: Manifest) -> list[str]:
+def store_flaws(configuration: Configuration) -> list[str]:
     """Promises of the copies: the predicates must survive one disk or one area."""
-    if not any(c["kind"] == "batch" or c.get("once") for c in man["classes"].values()):
+    if not any(c["kind"] == "batch" or c.get("once") for c in configuration["classes"].values()):
         return []
-    stores = [n for n in with_duty(man, "store") if not man["machines"][n].get("retire")]
-    if not 1 <= man["parts"] <= 1024:
-        return [f"parts: want 1 to 1024, got {man['parts']}"]
-    if not 1 <= man["copies"] <= 7:
-        return [f"copies: want 1 to 7, got {man['copies']}"]
-    if len(stores) < man["copies"]:
-        return [f"copies: {man['copies']} copies can't be held by {len(stores)} stores that stay"]
-    main = man.get("predicate", DEFAULT)
+    stores = [n for n in with_duty(configuration, "store") if not configuration["machines"][n].get("retire")]
+    if not 1 <= configuration["parts"] <= 1024:
+        return [f"parts: want 1 to 1024, got {configuration['parts']}"]
+    if not 1 <= configuration["copies"] <= 7:
+        return [f"copies: want 1 to 7, got {configuration['copies']}"]
+    if len(stores) < configuration["copies"]:
+        return [f"copies: {configuration['copies']} copies can't be held by {len(stores)} stores that stay"]
+    main = configuration.get("predicate", DEFAULT)
     texts = {"predicate": main} | {
-        f"classes.{n}.predicate": c["predicate"] for n, c in man["classes"].items() if "predicate" in c
+        f"classes.{n}.predicate": c["predicate"] for n, c in configuration["classes"].items() if "predicate" in c
     }
     out: dict[str, str] = {}  # the first flaw of each path
-    for part in range(min(man["parts"], 64)):
-        crew = members(man, part)
+    for part in range(min(configuration["parts"], 64)):
+        crew = members(configuration, part)
         for path, text in texts.items():
             for me in crew:
-                place = scene(man, crew, me)
+                place = scene(configuration, crew, me)
                 flaw = loss_flaw(text, place)
                 if flaw:
                     out.setdefault(path, flaw)
@@ -316,30 +318,30 @@
     )
 
 
-def shape(man: Manifest) -> set[str]:
+def shape(configuration: Configuration) -> set[str]:
     """The keys that a manifest uses, and the plug-ins: what an older daemon may not know."""
     groups: list[tuple[str, Any]] = [
-        ("", [man]), ("machines.", man["machines"].values()), ("pools.", man["pools"].values()), ("limits.", [man.get("limits", {})]),
-        ("servers.", [s for p in man["pools"].values() for s in p["servers"].values()]), ("classes.", man["classes"].values()),
+        ("", [configuration]), ("machines.", configuration["machines"].values()), ("pools.", configuration["pools"].values()), ("limits.", [configuration.get("limits", {})]),
+        ("servers.", [s for p in configuration["pools"].values() for s in p["servers"].values()]), ("classes.", configuration["classes"].values()),
     ]  # fmt: skip
-    plugged = {f"{k}={c[k]}" for c in man["classes"].values() for k in ("place", "prefix") if k in c}  # type: ignore[literal-required]
+    plugged = {f"{k}={c[k]}" for c in configuration["classes"].values() for k in ("place", "prefix") if k in c}  # type: ignore[literal-required]
     return {f"{name}{key}" for name, things in groups for thing in things for key in thing} | plugged
 
 
-def check(raw: Any) -> Result[Manifest, list[str]]:
-    seen = flaws(Manifest, raw)
+def check(raw: Any) -> Result[Configuration, list[str]]:
+    seen = flaws(Configuration, raw)
     if seen:
         return Err(seen)
-    man = cast(Manifest, raw)
-    seen = deep_flaws(man)
-    return Err(seen) if seen else Ok(man)
+    configuration = cast(Configuration, raw)
+    seen = deep_flaws(configuration)
+    return Err(seen) if seen else Ok(configuration)
 
 
-def dump(man: Manifest) -> str:
-    return json.dumps(man, separators=(",", ":"), ensure_ascii=False)
+def dump(configuration: Configuration) -> str:
+    return json.dumps(configuration, separators=(",", ":"), ensure_ascii=False)
 
 
-def small() -> Manifest:
+def small() -> Configuration:
     """A whole manifest for tests."""
     areas = ["a", "b", "c", "d"]
     machines: dict[str, Machine] = {
--- a/postpass/configuration/nginx_import.py
+++ b/postpass/configuration/nginx_import.py
@@ -76,8 +76,8 @@
             elif b["directive"] not in ("events", "include", "#"):
                 skip(file, b, "not carried over")
 
-    for conf in got["config"]:
-        walk(conf["file"], conf["parsed"])
+    for settings in got["config"]:
+        walk(settings["file"], settings["parsed"])
     for way, name in list(ways.items()):
         if name in pools:
             continue
--- a/postpass/configuration/settings.py
+++ b/postpass/configuration/settings.py
@@ -32,7 +32,7 @@
     areas: int
 
 
-class ConfigFile(TypedDict):
+class SettingsFile(TypedDict):
     name: str
     area: str
     peer: str
@@ -146,7 +146,7 @@
 
 
 @dataclass(frozen=True)
-class Config:
+class Settings:
     """Invariant: `data` is set for every process with the store duty and for every control process."""
 
     name: str
@@ -190,11 +190,11 @@
     return [] if good else [f"{key}: want IP:PORT by number, got {addr!r:.40}"]
 
 
-def parse(raw: Any, want_data: bool = False) -> Result[Config, list[str]]:
-    seen = flaws(ConfigFile, raw)
+def parse(raw: Any, want_data: bool = False) -> Result[Settings, list[str]]:
+    seen = flaws(SettingsFile, raw)
     if seen:
         return Err(seen)
-    file = cast(ConfigFile, raw)
+    file = cast(SettingsFile, raw)
     seen = [
         *addr_flaws("peer", file["peer"]),
         *addr_flaws("http", file["http"]),
@@ -224,7 +224,7 @@
     rest: Any = {k: v for k, v in file.items() if k not in ("bounds", "seeds", "duties", "areas", "tolerate")}
     lost = file.get("tolerate", {})
     return Ok(
-        Config(
+        Settings(
             seeds=tuple(file["seeds"]),
             duties=tuple(file.get("duties", [])),
             bounds=Bounds(**file.get("bounds", {})),
@@ -236,7 +236,7 @@
     )
 
 
-def load(path: str, flags: dict[str, Any], want_data: bool = False) -> Result[Config, list[str]]:
+def load(path: str, flags: dict[str, Any], want_data: bool = False) -> Result[Settings, list[str]]:
     """Reads the file and lays flags over it; every complaint names the file and the key."""
     if not path:
         raw: Any = {}
--- a/postpass/control/api.py
+++ b/postpass/control/api.py
@@ -34,7 +34,7 @@
         async def handle(body: Body) -> PeerResponse:
             if body.get("passed"):
                 return await getattr(self, f"on_{verb}")(body)  # type: ignore[no-any-return]
-            return await self.forward(verb, body, self.conf.bounds.manifest / 4)
+            return await self.forward(verb, body, self.settings.bounds.manifest / 4)
 
         return handle
 
@@ -48,7 +48,7 @@
             self.tick(),
             self.lead_after_restart(),
             self.compact_journal(),
-            *([self.found_fleet(), self.write(), self.report()] if self.conf.announce else []),
+            *([self.found_fleet(), self.write(), self.report()] if self.settings.announce else []),
         ]
 
     async def http_manifest(self, request: Request) -> Response:
@@ -56,7 +56,9 @@
         if request.method == "GET":
             got = await self.forward("read", {})
             if isinstance(got, Ok) and got.unwrap()["manifest"] is None:
-                return JSONResponse({"error": {"step": "read", "peer": self.conf.name, "why": "no manifest yet"}}, 404)
+                return JSONResponse(
+                    {"error": {"step": "read", "peer": self.settings.name, "why": "no manifest yet"}}, 404
+                )
         else:
             match = request.headers.get("if-match", "").strip().strip('"')
             if not match.lstrip("-").isdigit():
@@ -64,7 +66,7 @@
                     {
                         "error": Fault(
                             "apply",
-                            self.conf.name,
+                            self.settings.name,
                             'If-Match: want the edition it was made from, as "N"; 0 for the first',
                         ).as_json()
                     },
@@ -74,11 +76,11 @@
             async for part in request.stream():
                 data += part
                 if len(data) > 4 << 20:
-                    return JSONResponse({"error": Fault("apply", self.conf.name, "more than 4 MiB").as_json()}, 413)
+                    return JSONResponse({"error": Fault("apply", self.settings.name, "more than 4 MiB").as_json()}, 413)
             try:
                 raw = json.loads(data)
             except ValueError as bad:
-                return JSONResponse({"error": Fault("apply", self.conf.name, f"not JSON: {bad}").as_json()}, 400)
+                return JSONResponse({"error": Fault("apply", self.settings.name, f"not JSON: {bad}").as_json()}, 400)
             got = await self.forward("apply", {"manifest": raw, "base": int(match)})
         if isinstance(got, Ok):
             body = got.unwrap()
@@ -106,8 +108,8 @@
                 "epoch": self.witness.pair.epoch, "promised": self.witness.promised, "primary": self.witness.pair.primary,
                 "backup": self.witness.pair.backup, "backups": list(self.witness.pair.backups), "leads": self.epoch > 0, "disk": self.disk_id,
                 "voters": self.witness.pair.voters, "losses": self.committed.state.losses, "bad": self.bad,
-                "committed": self.news.edition, "held": self.held.state.edition, "in_touch": self.in_touch(),
-                "contact": contact if contact < INFINITY else None, "tolerate": self.conf.disks_lost,
+                "committed": self.configuration_view.edition, "held": self.held.state.edition, "in_touch": self.in_touch(),
+                "contact": contact if contact < INFINITY else None, "tolerate": self.settings.disks_lost,
                 "backup_heard": round(now() - min(self.copied.values(), default=now()), 3) if self.epoch else None,
             }
         }  # fmt: skip
--- a/postpass/control/configuration.py
+++ b/postpass/control/configuration.py
@@ -43,7 +43,7 @@
 
     def __call__(self, state: State) -> Result[State, Fault]:
         """The state with the order applied, or why it is refused."""
-        current = state.man.get("version", 0)
+        current = state.configuration.get("version", 0)
         recollection = accepted_orders.recall(state.orders, self.order, current)
         if recollection is Recollection.TAKEN:
             return Ok(state)
@@ -72,7 +72,7 @@
             return self._refuse(f"version: want more than {self.base}, got {terms['version']}")
         orders = accepted_orders.remember(state.orders, self.order, self.remembered)
         new = registry.configured(state, terms, source, orders)
-        flaws = deep_flaws(new.man)
+        flaws = deep_flaws(new.configuration)
         return self._refuse(*flaws) if flaws else Ok(new)
 
     def _refuse(self, *flaws: str) -> Result[State, Fault]:
--- a/postpass/control/contact.py
+++ b/postpass/control/contact.py
@@ -33,46 +33,46 @@
 
     def last_contact(self) -> float:
         """When this member last heard its primary or, as the primary, most voters; -INFINITY if it never did."""
-        answered = self.answered | ({self.conf.name: now()} if self.epoch else {})
+        answered = self.answered | ({self.settings.name: now()} if self.epoch else {})
         return max(self.led, last_majority(self.held.pair.voters, answered))
 
     def in_touch(self) -> bool:
         """Is the last contact recent enough to hand out what this member knows?"""
-        return now() - self.last_contact() <= self.conf.bounds.contact
+        return now() - self.last_contact() <= self.settings.bounds.contact
 
     def lost_touch(self) -> bool:
         """Is this one neither the primary nor in touch with it? One that started just now has the lease's time to hear it;
         one that knows no fleet has nobody to be in touch with."""
         if self.epoch or self.known() is None or self.takes_another_epoch():
             return False
-        return now() - max(self.last_contact(), self.started) > self.conf.bounds.contact
+        return now() - max(self.last_contact(), self.started) > self.settings.bounds.contact
 
     def takes_another_epoch(self) -> bool:
         """Is this the primary that takes another backup or voter? For a moment it leads no epoch then. One that was cut off
         tries elections too, but has long lost most voters."""
-        renewing = self.leader == self.conf.name and self.lock.locked()
-        return renewing and now() - self.last_contact() <= RENEWAL * self.conf.bounds.contact
+        renewing = self.leader == self.settings.name and self.lock.locked()
+        return renewing and now() - self.last_contact() <= RENEWAL * self.settings.bounds.contact
 
     def other_members(self) -> list[str]:
         """The addresses of the other control members."""
-        return [addr for n in self.members() if n != self.conf.name and (addr := self.addr(n))]
+        return [addr for n in self.members() if n != self.settings.name and (addr := self.addr(n))]
 
     def stale(self) -> Stale:
         """The answer of a member that is out of touch, with the others to ask instead."""
-        return Stale(self.news.edition, tuple(self.other_members()))
+        return Stale(self.configuration_view.edition, tuple(self.other_members()))
 
     def out_of_touch(self, step: str) -> Fault:
         """The error of a member that is out of touch, with the others to ask instead."""
         others = ", ".join(self.other_members()) or "no other is known"
-        return Fault(step, self.conf.name, f"out of touch with the primary; ask another: {others}", SHED)
+        return Fault(step, self.settings.name, f"out of touch with the primary; ask another: {others}", SHED)
 
     async def forward_without_contact(self, verb: str, body: Body) -> PeerResponse:
         """A worker's heartbeat may reach the primary through another member; for anything else the caller is sent there."""
         if verb != "beat" or body.get("relayed"):
             return Err(self.out_of_touch(verb))
         others = self.other_members()
-        relays = self.world.chance.sample(others, min(RELAYS, len(others)))
-        limit = self.conf.bounds.leave / 4
-        asks = {addr: self.lines.call(addr, verb, body | {"relayed": 1}, limit) for addr in relays}
+        relays = self.environment.chance.sample(others, min(RELAYS, len(others)))
+        limit = self.settings.bounds.leave / 4
+        asks = {addr: self.peer_links.call(addr, verb, body | {"relayed": 1}, limit) for addr in relays}
         heard = await hear(asks, lambda got: any(g.is_ok() for g in got.values()), 0.0)
         return next((got for got in heard.values() if got.is_ok()), Err(self.out_of_touch(verb)))
--- a/postpass/control/election.py
+++ b/postpass/control/election.py
@@ -7,11 +7,11 @@
 
 from result import Err, Ok, Result
 
-from postpass.configuration.configuration import Manifest, check
+from postpass.configuration.configuration import Configuration, check
 from postpass.control.epochs import (
     Acknowledgement,
-    Pair,
     PreVote,
+    ReplicaSet,
     Voters,
     backups_of,
     may_campaign,
@@ -22,7 +22,7 @@
     votes,
 )
 from postpass.control.replica import Replica
-from postpass.control.state import Held
+from postpass.control.state import ReplicatedState
 from postpass.membership.registry import State, recovered
 from postpass.membership.safe_change import Topology, next_voters
 from postpass.rpc.peer_links import Body
@@ -34,44 +34,44 @@
 class Election(Replica):
     """Runs elections; the rules themselves are pure functions in `epochs`."""
 
-    def electorate(self, man: Manifest) -> list[str]:
+    def electorate(self, configuration: Configuration) -> list[str]:
         """All that may have a vote: the members of the configuration, and the voters of the epochs known here."""
         voters = [*self.held.pair.voters, *self.held.pair.previous_voters, *self.witness.pair.voters]
-        return list(dict.fromkeys([*self.members(man), *voters]))
+        return list(dict.fromkeys([*self.members(configuration), *voters]))
 
-    def gone(self, man: Manifest) -> set[str]:
+    def gone(self, configuration: Configuration) -> set[str]:
         """Those of the electorate that the configuration has no more, or declares gone."""
-        machines = man["machines"]
-        return {n for n in self.electorate(man) if n not in machines or machines[n].get("gone")}
+        machines = configuration["machines"]
+        return {n for n in self.electorate(configuration) if n not in machines or machines[n].get("gone")}
 
-    async def collect_prevotes(self, man: Manifest, quick: bool = False) -> dict[str, Body]:
+    async def collect_prevotes(self, configuration: Configuration, quick: bool = False) -> dict[str, Body]:
         """Who would back this member as the primary of a new epoch, and what each one holds; nothing is promised."""
-        me = self.conf.name
-        others = [n for n in self.electorate(man) if n != me]
-        answers = await self.ask_all("look", {"probe": 1, "who": me}, others, man, quick)
+        me = self.settings.name
+        others = [n for n in self.electorate(configuration) if n != me]
+        answers = await self.ask_all("look", {"probe": 1, "who": me}, others, configuration, quick)
         return answers | {me: self.about() | {"ok": not self.hears_another_primary(me)}}
 
-    def prevote_won(self, man: Manifest, answers: dict[str, Body]) -> bool:
+    def prevote_won(self, configuration: Configuration, answers: dict[str, Body]) -> bool:
         """The rule of the pre-vote, by the voters of the newest epoch that an answer tells."""
-        newest = max((Pair.of(a["pair"]) for a in answers.values()), key=lambda replica_set: replica_set.epoch)
+        newest = max((ReplicaSet.of(a["pair"]) for a in answers.values()), key=lambda replica_set: replica_set.epoch)
         prevotes = [PreVote(n, str(a["disk"]), not a["ok"]) for n, a in answers.items()]
-        return may_campaign(set(self.electorate(man)) - self.gone(man), newest.voters, prevotes)
+        return may_campaign(set(self.electorate(configuration)) - self.gone(configuration), newest.voters, prevotes)
 
     async def collect_promises(
-        self, man: Manifest, epoch: int, prevotes: dict[str, Body], handover: bool
+        self, configuration: Configuration, epoch: int, prevotes: dict[str, Body], handover: bool
     ) -> dict[str, Body]:
         """Promises of those that answered the pre-vote. This member promises last, once enough others have: if it was frozen
         in between, the others hear another primary by now, and no epoch is spent."""
-        me = self.conf.name
+        me = self.settings.name
         ask: Body = {"epoch": epoch, "who": me} | ({"handover": 1} if handover else {})
-        answers = await self.ask_all("look", ask, [n for n in prevotes if n != me], man)
-        if not self.prevote_won(man, answers | {me: self.about() | {"ok": True}}):
+        answers = await self.ask_all("look", ask, [n for n in prevotes if n != me], configuration)
+        if not self.prevote_won(configuration, answers | {me: self.about() | {"ok": True}}):
             return answers
-        return answers | await self.ask_all("look", ask, [me], man)
+        return answers | await self.ask_all("look", ask, [me], configuration)
 
     async def run_election(
         self,
-        man: Manifest,
+        configuration: Configuration,
         why: str,
         first: State | None = None,
         prevotes: dict[str, Body] | None = None,
@@ -81,17 +81,17 @@
         """Tries to become the primary of a new epoch; `first` is the state of a fleet that has none yet. A primary that
         hands over asks for it itself, so the others still hear it. Where nobody waits for it, `change_voters` also makes
         the next safe change of voters, and settles it before the epoch is led."""
-        me = self.conf.name
+        me = self.settings.name
         step = "stand"
         if prevotes is None:
-            prevotes = await self.collect_prevotes(man)
-        if not handover and not self.prevote_won(man, prevotes):
+            prevotes = await self.collect_prevotes(configuration)
+        if not handover and not self.prevote_won(configuration, prevotes):
             if all(a["whole"] == 0 and a["pair"]["epoch"] == 0 for a in prevotes.values()):
                 return Err(Fault(step, me, "a fleet is founded only when all its control machines answer", SLOW))
             return Err(Fault(step, me, "too few voters answered that they hear no other primary", SLOW))
-        names, gone = self.electorate(man), self.gone(man)
+        names, gone = self.electorate(configuration), self.gone(configuration)
         epoch = max(int(a["promised"]) for a in prevotes.values()) + 1
-        looks = await self.collect_promises(man, epoch, prevotes, handover)
+        looks = await self.collect_promises(configuration, epoch, prevotes, handover)
         top = max(int(a["promised"]) for a in looks.values()) if looks else epoch
         good = {n: a for n, a in looks.items() if a["ok"] and a["promised"] == epoch}
         if me not in good or top > epoch:
@@ -100,15 +100,15 @@
         start = self.held
         voters: Voters = start.pair.voters
         got = {n: str(a["disk"]) for n, a in good.items()}
-        pairs = {n: Pair.of(a["pair"]) for n, a in good.items()}
+        pairs = {n: ReplicaSet.of(a["pair"]) for n, a in good.items()}
         every = all(n in good for n in names if n not in gone)
         state, loss, flaw = start.state, False, ""
         blank = all(p.epoch == 0 for p in pairs.values()) and all(a["whole"] == 0 for a in good.values())
         if blank:
             if not every:
                 return Err(Fault(step, me, "a fleet is founded only when all its control machines answer", SLOW))
-            if self.news.manifest is not None:
-                newest = await self.newest_known(man)
+            if self.configuration_view.manifest is not None:
+                newest = await self.newest_known(configuration)
                 if newest is None:
                     return Err(Fault(step, me, "too few daemons confirm the newest edition", SLOW))
                 if unheard := self.unheard(newest[1], good):
@@ -131,7 +131,7 @@
                 if not every or (able and able[0] != me):
                     return Err(Fault(step, me, flaw, SLOW))
                 if not able:
-                    newest = await self.newest_known(man)
+                    newest = await self.newest_known(configuration)
                     if newest is None:
                         return Err(Fault(step, me, "too few daemons confirm the newest edition", SLOW))
                     if unheard := self.unheard(newest[1], good):
@@ -143,27 +143,27 @@
         # Without a majority of the voters before, all have answered: those are the voters from here on.
         unopposed = blank or flaw != ""
         leaving = [n for n, a in good.items() if a.get("leaving") and n != me]
-        topology = self.topology(man)
-        wanted = next_voters(voters, self.members(man), got, topology, leaving) if change_voters else voters
+        topology = self.topology(configuration)
+        wanted = next_voters(voters, self.members(configuration), got, topology, leaving) if change_voters else voters
         now_voters = got if unopposed else voters_after(start.pair, wanted)
         before = {} if unopposed else previous_voters(start.pair, now_voters)
         # A backup's acknowledgements count by its disk, so only one whose disk is among the voters can be a backup.
-        rest = [n for n in self.members(man) if n != me and n in good and now_voters.get(n) == got[n]]
+        rest = [n for n in self.members(configuration) if n != me and n in good and now_voters.get(n) == got[n]]
         rest = [n for n in rest if not good[n].get("leaving")] or rest
-        area = {n: man["machines"][n]["area"] for n in self.members(man)}
+        area = {n: configuration["machines"][n]["area"] for n in self.members(configuration)}
         liked = sorted(
             rest,
             key=lambda n: (
                 n == start.pair.primary and why in ("primary lost", "handed over"),
-                self.conf.announce and area[n] == self.conf.area,
-                self.members(man).index(n),
+                self.settings.announce and area[n] == self.settings.area,
+                self.members(configuration).index(n),
             ),
         )
         backups = backups_of(
-            liked, area if self.conf.announce else {n: n for n in liked}, self.conf.area, self.wanted_backups
+            liked, area if self.settings.announce else {n: n for n in liked}, self.settings.area, self.wanted_backups
         )
-        pair = Pair(epoch, me, backups, now_voters, before)
-        held = Held(epoch, pair, state)
+        pair = ReplicaSet(epoch, me, backups, now_voters, before)
+        held = ReplicatedState(epoch, pair, state)
         # The new backups hold the whole state before the epoch is granted: nothing is written in between.
         if self.witness.promised != epoch:
             return Err(Fault(step, me, "a higher epoch was promised", SLOW))
@@ -171,7 +171,7 @@
         self.held = held
         if not await self.append_to_all(held, epoch):
             return Err(Fault(step, me, f"one of the backups {', '.join(backups)} did not take the state", SLOW))
-        grants = await self.ask_all("grant", {"pair": asdict(pair), "who": me}, list(good), man)
+        grants = await self.ask_all("grant", {"pair": asdict(pair), "who": me}, list(good), configuration)
         granted = votes(
             (Acknowledgement(n, str(a["disk"]), a["pair"]["epoch"]) for n, a in grants.items() if a["ok"]), epoch
         )
@@ -190,18 +190,23 @@
         if why not in ("backup lost", "too few backups") and not why.startswith("voters"):
             self.since, self.beats = now(), {}
         log_events.emit(
-            133 if loss else 130, self.conf.name, epoch=epoch, backup=",".join(backups), edition=state.edition, why=why
+            133 if loss else 130,
+            self.settings.name,
+            epoch=epoch,
+            backup=",".join(backups),
+            edition=state.edition,
+            why=why,
         )
         for name in sorted(set(now_voters) - {n for n, d in voters.items() if now_voters.get(n) == d}):
-            log_events.emit(134, self.conf.name, joins=name)
+            log_events.emit(134, self.settings.name, joins=name)
         self.publish(self.held.state)
         # Who leads is told by the granted epoch alone; members that wait for a primary need not wait for the next beat.
-        self.spawn(self.announce_epoch(epoch, man))
+        self.spawn(self.announce_epoch(epoch, configuration))
         return Ok(None)
 
-    async def announce_epoch(self, epoch: int, man: Manifest) -> None:
+    async def announce_epoch(self, epoch: int, configuration: Configuration) -> None:
         """One heartbeat at once, so that all members hear of a granted epoch."""
-        await self.heartbeat(epoch, man)
+        await self.heartbeat(epoch, configuration)
 
     async def confirm_leadership(self) -> bool:
         """True if nobody else led when this was called: all holders and most voters answered under this epoch since. A backup
@@ -215,87 +220,93 @@
                 return False
             if pair.confirmed_by(answers):
                 return True
-            man = self.known()
-            if attempt or man is None or pair.copied_to_all(answers):
+            configuration = self.known()
+            if attempt or configuration is None or pair.copied_to_all(answers):
                 return False
-            await self.renew_replica_set(man, "backup lost", quick=True)
+            await self.renew_replica_set(configuration, "backup lost", quick=True)
         return False
 
-    async def renew_replica_set(self, man: Manifest, why: str, quick: bool = False) -> None:
+    async def renew_replica_set(self, configuration: Configuration, why: str, quick: bool = False) -> None:
         """Leads on under a new epoch, if most voters still hear no other primary. Called with the lock held."""
         epoch = self.epoch
-        prevotes = await self.collect_prevotes(man, quick)
-        if not epoch or self.epoch != epoch or not self.prevote_won(man, prevotes):
+        prevotes = await self.collect_prevotes(configuration, quick)
+        if not epoch or self.epoch != epoch or not self.prevote_won(configuration, prevotes):
             return
         self.epoch = 0
-        got = await self.run_election(man, why, prevotes=prevotes, change_voters=not quick)
+        got = await self.run_election(configuration, why, prevotes=prevotes, change_voters=not quick)
         if isinstance(got, Ok):
-            log_events.emit(132, self.conf.name, backup=",".join(self.held.pair.backups), why=why)
+            log_events.emit(132, self.settings.name, backup=",".join(self.held.pair.backups), why=why)
         else:
-            self.heard = now() - self.conf.bounds.detect
+            self.heard = now() - self.settings.bounds.detect
 
-    def topology(self, man: Manifest) -> Topology:
+    def topology(self, configuration: Configuration) -> Topology:
         """Where the machines stand, and what may be lost of them at once."""
-        return Topology({n: m["area"] for n, m in man["machines"].items()}, self.conf.tolerance)
+        return Topology({n: m["area"] for n, m in configuration["machines"].items()}, self.settings.tolerance)
 
-    def voters_to_change(self, man: Manifest, answers: list[Acknowledgement]) -> list[str]:
+    def voters_to_change(self, configuration: Configuration, answers: list[Acknowledgement]) -> list[str]:
         """As primary: who would join or leave the voters by the next safe change, given who answered the heartbeat."""
         voters = self.held.pair.voters
-        answered = {a.member: a.disk for a in answers} | {self.conf.name: self.disk_id}
+        answered = {a.member: a.disk for a in answers} | {self.settings.name: self.disk_id}
         leaving = sorted(self.departing & set(answered))
-        after = next_voters(voters, self.members(man), answered, self.topology(man), leaving)
+        after = next_voters(voters, self.members(configuration), answered, self.topology(configuration), leaving)
         return sorted(n for n in {*voters, *after} if voters.get(n) != after.get(n))
 
-    def unheard(self, man: Manifest, answers: dict[str, Body]) -> list[str]:
+    def unheard(self, configuration: Configuration, answers: dict[str, Body]) -> list[str]:
         """Who might hold a newer state than those that answered, by the newest configuration in force."""
-        newest = max((Pair.of(a["pair"]) for a in answers.values()), key=lambda replica_set: replica_set.epoch)
-        known = {*self.electorate(man), *newest.voters, *newest.holders}
-        dropped = {n for n in known if n not in man["machines"] or man["machines"][n].get("gone")}
+        newest = max((ReplicaSet.of(a["pair"]) for a in answers.values()), key=lambda replica_set: replica_set.epoch)
+        known = {*self.electorate(configuration), *newest.voters, *newest.holders}
+        dropped = {n for n in known if n not in configuration["machines"] or configuration["machines"][n].get("gone")}
         # Where machines announce themselves it was no operator that dropped them.
-        declared_gone = set() if man.get("announced") else dropped
-        return sorted(unheard_holders(newest, self.members(man), dropped, declared_gone, answers))
+        declared_gone = set() if configuration.get("announced") else dropped
+        return sorted(unheard_holders(newest, self.members(configuration), dropped, declared_gone, answers))
 
     @property
     def wanted_backups(self) -> int:
         """How many backups there should be: one more copy than may be lost, with the primary's own."""
-        return max(1, self.conf.disks_lost)
+        return max(1, self.settings.disks_lost)
 
-    def better_replica_set(self, man: Manifest, answered: list[str]) -> bool:
+    def better_replica_set(self, configuration: Configuration, answered: list[str]) -> bool:
         """Could there be more backups, or copies in more areas, with those that answered?"""
-        pair, area = self.held.pair, {n: man["machines"][n]["area"] for n in self.members(man)}
+        pair, area = self.held.pair, {n: configuration["machines"][n]["area"] for n in self.members(configuration)}
         if len(pair.backups) < self.wanted_backups:
             return bool(set(answered) - set(pair.holders))
-        if not self.conf.announce:
+        if not self.settings.announce:
             return False
         there = [*pair.backups, *answered]
         if not set(pair.backups) <= set(area):
             return True
-        best = backups_of(there, area, self.conf.area, self.wanted_backups)
-        return len({self.conf.area, *(area[n] for n in best)}) > len({self.conf.area, *(area[n] for n in pair.backups)})
+        best = backups_of(there, area, self.settings.area, self.wanted_backups)
+        return len({self.settings.area, *(area[n] for n in best)}) > len(
+            {self.settings.area, *(area[n] for n in pair.backups)}
+        )
 
-    async def newest_known(self, man: Manifest) -> tuple[int, Manifest] | None:
+    async def newest_known(self, configuration: Configuration) -> tuple[int, Configuration] | None:
         """The newest edition that daemons hold, once most of them have been heard."""
-        names = [n for n, m in man["machines"].items() if not m.get("gone") and n != self.conf.name]
+        names = [n for n, m in configuration["machines"].items() if not m.get("gone") and n != self.settings.name]
         got = await asyncio.gather(*(
-            self.lines.call(man["machines"][n]["peer"], "follow", {"after": 0, "wait": 0}, self.conf.bounds.promise)
+            self.peer_links.call(configuration["machines"][n]["peer"], "follow", {"after": 0, "wait": 0}, self.settings.bounds.promise)
             for n in names
         ))  # fmt: skip
         seen = [g.unwrap() for g in got if isinstance(g, Ok)]
         if 2 * (len(seen) + 1) <= len(names) + 1:
             return None
-        best: tuple[int, Manifest] | None = (self.news.edition, self.news.manifest) if self.news.manifest else None
+        best: tuple[int, Configuration] | None = (
+            (self.configuration_view.edition, self.configuration_view.manifest)
+            if self.configuration_view.manifest
+            else None
+        )
         for body in seen:
             if "snapshot" in body and (best is None or body["edition"] > best[0]) and check(body["snapshot"]).is_ok():
                 best = (body["edition"], body["snapshot"])
         return best
 
-    def may_try_to_lead(self, man: Manifest, every: dict[str, Body]) -> bool:
+    def may_try_to_lead(self, configuration: Configuration, every: dict[str, Body]) -> bool:
         """Is it this one's turn to try? One that can't lead would only burn epochs of one that can."""
-        best = max((Pair.of(a["pair"]) for a in every.values()), key=lambda replica_set: replica_set.epoch)
+        best = max((ReplicaSet.of(a["pair"]) for a in every.values()), key=lambda replica_set: replica_set.epoch)
         if self.held.whole >= best.epoch or (
-            self.conf.name in best and best.voters.get(self.conf.name) == self.disk_id
+            self.settings.name in best and best.voters.get(self.settings.name) == self.disk_id
         ):
             return True
         able = [n for n, a in every.items() if n in best and best.voters.get(n) == a["disk"]]
         # Of a pair that both lost their disks, anyone may go on, once all have told so.
-        return not able and all(n in every for n in self.members(man))
+        return not able and all(n in every for n in self.members(configuration))
--- a/postpass/control/epochs.py
+++ b/postpass/control/epochs.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True)
-class Pair:
+class ReplicaSet:
     """Invariant: an epoch names one primary and its backups, for good; every one of them has synced a write before it is
     answered.
 
@@ -80,7 +80,7 @@
         """The sets of voters of each of which an election that rests on this replica set needs a majority."""
         return [self.voters, self.previous_voters] if self.previous_voters else [self.voters]
 
-    def settled(self) -> Pair:
+    def settled(self) -> ReplicaSet:
         """This replica set, once its epoch is known to be granted."""
         return replace(self, previous_voters={})
 
@@ -89,7 +89,7 @@
         return all(majority(voters, granted) for voters in self.electorates)
 
     @classmethod
-    def of(cls, raw: dict[str, Any]) -> Pair:
+    def of(cls, raw: dict[str, Any]) -> ReplicaSet:
         """From JSON; releases up to 0.2.0 knew one backup, and none before 0.3 knew the voters of the epoch before."""
         backups = raw["backups"] if "backups" in raw else [raw["backup"]] if raw["backup"] else []
         return cls(raw["epoch"], raw["primary"], tuple(backups), raw["voters"], raw.get("previous_voters", {}))
@@ -101,7 +101,7 @@
 
     promised: int = 0
     to: str = ""
-    pair: Pair = Pair()
+    pair: ReplicaSet = ReplicaSet()
 
     def look(self, epoch: int, who: str) -> Witness | None:
         """Promises to take nothing below `epoch`; None if that can't be promised."""
@@ -121,7 +121,7 @@
             return self
         return None
 
-    def grant(self, pair: Pair, who: str) -> Witness | None:
+    def grant(self, pair: ReplicaSet, who: str) -> Witness | None:
         if pair.epoch < self.promised or (pair.epoch == self.promised and who != self.to):
             return None
         return Witness(pair.epoch, who, pair)
@@ -132,7 +132,7 @@
     @classmethod
     def load(cls, data: bytes) -> Witness:
         raw = json.loads(data)
-        return cls(raw["promised"], raw["to"], Pair.of(raw["pair"]))
+        return cls(raw["promised"], raw["to"], ReplicaSet.of(raw["pair"]))
 
 
 def backups_of(ranked: list[str], area: Mapping[str, str], mine: str, want: int) -> tuple[str, ...]:
@@ -173,13 +173,13 @@
     return {a.member: a.disk for a in answers if a.epoch == epoch}
 
 
-def voters_after(own: Pair, wanted: Voters) -> Voters:
+def voters_after(own: ReplicaSet, wanted: Voters) -> Voters:
     """The voters of an epoch that follows the replica set `own`: they change only from a settled one, so no epoch rests
     on more than two sets of them."""
     return own.voters if own.previous_voters else wanted
 
 
-def previous_voters(own: Pair, voters: Voters) -> Voters:
+def previous_voters(own: ReplicaSet, voters: Voters) -> Voters:
     """The voters before, which an epoch with these `voters` carries along when it follows the replica set `own`."""
     if own.previous_voters:
         return own.previous_voters
@@ -187,7 +187,7 @@
 
 
 def unheard_holders(
-    newest: Pair,
+    newest: ReplicaSet,
     members: Iterable[str],
     dropped: Collection[str],
     declared_gone: Collection[str],
@@ -205,7 +205,7 @@
     return needed - {""} - set(answered)
 
 
-def may_lead(me: str, whole: int, own: Pair, pairs: dict[str, Pair], voters: Voters, got: Voters) -> str:
+def may_lead(me: str, whole: int, own: ReplicaSet, pairs: dict[str, ReplicaSet], voters: Voters, got: Voters) -> str:
     """The rule of takeover: empty if `me` may go on from the state it holds of epoch `whole`, else why not.
 
     `got` has the disk of each member that promised, `me` among them. A disk that the replica set doesn't name may hold
@@ -226,7 +226,7 @@
     return ""
 
 
-def may_be_granted(epoch: int, voters: Voters, pairs: dict[str, Pair], got: Voters) -> bool:
+def may_be_granted(epoch: int, voters: Voters, pairs: dict[str, ReplicaSet], got: Voters) -> bool:
     """Could a majority of these voters have granted this epoch, as far as those tell that promised a later one?"""
     valid = {n for n, d in voters.items() if got.get(n) == d}
     # One that has granted a later one may have granted this one before.
--- a/postpass/control/feed.py
+++ b/postpass/control/feed.py
@@ -6,7 +6,7 @@
 
 from result import Err, Ok
 
-from postpass.configuration.configuration import Manifest, shape
+from postpass.configuration.configuration import Configuration, shape
 from postpass.control.in_force import Hearing, VersionWait, awaited_senders
 from postpass.control.member import INFINITY
 from postpass.control.writer import Writer
@@ -35,29 +35,31 @@
             return await super().on_follow(body)
         self.spoke[poll.follower] = now()
         until = now() + poll.hold
-        while self.in_touch() and self.news.edition <= poll.after and now() < until:
-            lease_end = self.last_contact() + self.conf.bounds.contact
-            await self.news.wait(poll.after, max(min(until, lease_end) - now(), SHORTEST_WAIT_S))
-        return Ok(self.news.since(poll.after) if self.in_touch() else self.stale().as_json())
+        while self.in_touch() and self.configuration_view.edition <= poll.after and now() < until:
+            lease_end = self.last_contact() + self.settings.bounds.contact
+            await self.configuration_view.wait(poll.after, max(min(until, lease_end) - now(), SHORTEST_WAIT_S))
+        return Ok(self.configuration_view.since(poll.after) if self.in_touch() else self.stale().as_json())
 
     async def in_force(
-        self, edition: int, before: Manifest | None, after: Manifest, asked: float, limit: float = 0.0
+        self, edition: int, before: Configuration | None, after: Configuration, asked: float, limit: float = 0.0
     ) -> list[str]:
         """Who of the old and the new manifest has neither said that it runs this edition nor is shown not to run."""
-        bounds, me = self.conf.bounds, self.conf.name
+        bounds, me = self.settings.bounds, self.settings.name
         if after.get("announced"):
             hearing = Hearing(self.spoke, self.reported, self.since)
             machines = awaited_senders(after, me, hearing, now(), bounds.detect, 4 * self.patience)
         else:
-            every = {n: m for man in (before, after) if man for n, m in man["machines"].items()}
+            every = {
+                n: m for configuration in (before, after) if configuration for n, m in configuration["machines"].items()
+            }
             gone = {n for n, m in after["machines"].items() if m.get("gone")}
             machines = {n: m["peer"] for n, m in every.items() if n != me and n not in gone}
         wait = VersionWait(
-            self.lines,
-            self.world.chance,
+            self.peer_links,
+            self.environment.chance,
             bounds,
             edition,
-            self.news.addr(me),
+            self.configuration_view.addr(me),
             asked + (limit or bounds.manifest),
             machines,
         )
@@ -68,16 +70,16 @@
     @property
     def patience(self) -> float:
         """How long a machine is not heard before another may take its place."""
-        return min(self.conf.bounds.sync or INFINITY, self.conf.bounds.recover / 2) / 2
+        return min(self.settings.bounds.sync or INFINITY, self.settings.bounds.recover / 2) / 2
 
-    async def strangers(self, before: Manifest | None, after: Manifest) -> list[str]:
+    async def strangers(self, before: Configuration | None, after: Configuration) -> list[str]:
         """If keys or plug-ins come that were not used before: which daemons say that they don't know them."""
         if before is None or shape(after) <= shape(before):
             return []
-        names = [n for n, m in after["machines"].items() if n != self.conf.name and not m.get("gone")]
+        names = [n for n, m in after["machines"].items() if n != self.settings.name and not m.get("gone")]
         got = await asyncio.gather(
             *(
-                self.lines.call(after["machines"][n]["peer"], "ping", {"fits": after}, self.conf.bounds.follow)
+                self.peer_links.call(after["machines"][n]["peer"], "ping", {"fits": after}, self.settings.bounds.follow)
                 for n in names
             )
         )
@@ -100,15 +102,15 @@
                     async with self.lock:
                         edition = self.committed.state.edition
                         return edition if await self.confirm_leadership() else 0
-                addr = self.addr(self.leader) if self.leader != self.conf.name else ""
+                addr = self.addr(self.leader) if self.leader != self.settings.name else ""
                 if not addr:
                     return 0
-                got = await self.lines.call(addr, "read", {"brief": 1}, self.conf.bounds.follow)
+                got = await self.peer_links.call(addr, "read", {"brief": 1}, self.settings.bounds.follow)
                 if isinstance(got, Err):
                     return 0
                 edition = int(got.unwrap()["edition"])
-                if edition > self.news.edition:
-                    await self.fetch(addr, self.conf.bounds.follow)
+                if edition > self.configuration_view.edition:
+                    await self.fetch(addr, self.settings.bounds.follow)
                 return edition
 
         if self.next_confirmation is None:
@@ -119,7 +121,7 @@
 
     async def read_waiting(self, wait: float) -> PeerResponse:
         """For a daemon that starts: held until there is a primary that confirms what is in force."""
-        until = now() + min(wait, self.conf.bounds.manifest)
+        until = now() + min(wait, self.settings.bounds.manifest)
         while True:
             if self.lost_touch():
                 return Err(self.out_of_touch("read"))
@@ -128,7 +130,7 @@
             if edition:
                 return Ok({"edition": edition})
             if not await self.wait_for_leader(led, until):
-                return Err(Fault("read", self.conf.name, "no primary now; ask again", SHED))
+                return Err(Fault("read", self.settings.name, "no primary now; ask again", SHED))
 
     async def on_read(self, body: Body) -> PeerResponse:
         """Tells the configuration, or only its version, once this member has proved that it leads."""
@@ -137,15 +139,17 @@
         if body.get("brief") and self.epoch:
             edition = await self.confirmed()
             if not edition:
-                return Err(Fault("read", self.conf.name, "could not be confirmed; ask again", SLOW))
+                return Err(Fault("read", self.settings.name, "could not be confirmed; ask again", SLOW))
             return Ok({"edition": edition})
         if not self.epoch:
-            hint = self.witness.pair.primary if self.witness.pair.primary != self.conf.name else ""
-            return Err(Fault("read", self.conf.name, "not the primary", MOVED, hint))
+            hint = self.witness.pair.primary if self.witness.pair.primary != self.settings.name else ""
+            return Err(Fault("read", self.settings.name, "not the primary", MOVED, hint))
         async with self.lock:
             state = self.committed.state
             if not await self.confirm_leadership():
-                return Err(Fault("read", self.conf.name, "could not be confirmed; ask again", SLOW))
+                return Err(Fault("read", self.settings.name, "could not be confirmed; ask again", SLOW))
         if body.get("source"):
-            return Ok({"edition": state.edition, "source": state.source, "version": state.man.get("version", 0)})
+            return Ok(
+                {"edition": state.edition, "source": state.source, "version": state.configuration.get("version", 0)}
+            )
         return Ok({"edition": state.edition, "manifest": state.manifest, "losses": state.losses})
--- a/postpass/control/in_force.py
+++ b/postpass/control/in_force.py
@@ -9,9 +9,9 @@
 
 from result import Err
 
-from postpass.configuration.configuration import Manifest, with_duty
+from postpass.configuration.configuration import Configuration, with_duty
 from postpass.configuration.settings import Bounds
-from postpass.rpc.peer_links import Lines, PeerResponse
+from postpass.rpc.peer_links import PeerLinks, PeerResponse
 from postpass.runtime.environment import hear, now
 
 RELAYS = 3  # other machines through which one is asked whose direct way may be cut
@@ -39,7 +39,7 @@
 
 
 def awaited_senders(
-    configuration: Manifest, me: str, hearing: Hearing, clock: float, window: float, patience: float
+    configuration: Configuration, me: str, hearing: Hearing, clock: float, window: float, patience: float
 ) -> dict[str, str]:
     """The machines that send to workers and may be in touch with someone, with their addresses.
 
@@ -67,7 +67,7 @@
     this version, since it was taken before. Invariant: `waits` holds the machines that are not settled yet.
     """
 
-    lines: Lines
+    lines: PeerLinks
     chance: random.Random
     bounds: Bounds
     version: int
--- a/postpass/control/journal.py
+++ b/postpass/control/journal.py
@@ -17,7 +17,7 @@
 from postpass.rpc.peer_links import IDL, pack, unpack
 from postpass.runtime.disk import Disk
 from postpass.runtime.errors import BROKE, FULL, Fault, Stop
-from postpass.storage.segmented_log import SegLog
+from postpass.storage.segmented_log import SegmentedLog
 
 RECORD_FORMAT = 1  # of a record in the log; a later one is left alone
 SNAPSHOT, CHANGE = "snapshot", "change"  # operations of the log's entries
@@ -183,12 +183,12 @@
 
     who: str
     disk: Disk
-    log: SegLog
+    log: SegmentedLog
     image: Image | None = None
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)
 
     @classmethod
-    async def open(cls, who: str, disk: Disk, log: SegLog, entries: Iterable[Any]) -> Self:
+    async def open(cls, who: str, disk: Disk, log: SegmentedLog, entries: Iterable[Any]) -> Self:
         """Raises JournalError if the records don't join, which is damage, and Stop if a later release wrote them."""
         try:
             journal = cls(who, disk, log, replay(entries))
--- a/postpass/control/member.py
+++ b/postpass/control/member.py
@@ -10,20 +10,20 @@
 from prometheus_client import Gauge
 from result import Err, Ok
 
-from postpass.configuration.configuration import Manifest, with_duty
-from postpass.configuration.settings import Config
+from postpass.configuration.configuration import Configuration, with_duty
+from postpass.configuration.settings import Settings
 from postpass.control.changes import Edit
-from postpass.control.epochs import Pair, Witness
+from postpass.control.epochs import ReplicaSet, Witness
 from postpass.control.journal import Change, Image, StateJournal
-from postpass.control.state import Committed, Held
+from postpass.control.state import Committed, ReplicatedState
 from postpass.daemon.process import Daemon
 from postpass.membership.registry import State, Translator
 from postpass.rpc.peer_links import RELEASE, Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.disk import Disk
-from postpass.runtime.environment import World, now
+from postpass.runtime.environment import Environment, now
 from postpass.runtime.errors import FULL, MOVED, Fault, Stop
-from postpass.storage.data_directory import STATE_FORMAT, open_vault, raise_format
+from postpass.storage.data_directory import STATE_FORMAT, open_data_directory, raise_format
 
 INFINITY = float("inf")
 STATE_FILE = "state"  # of releases up to 0.2.0: the whole state, written anew at every change
@@ -34,7 +34,7 @@
 class Stored:
     """A state that was synced here, with its keys in the journal's order, and the change that led to it, if one did."""
 
-    held: Held
+    held: ReplicatedState
     change: Change | None
 
 
@@ -45,7 +45,7 @@
 
     journal: StateJournal = field(init=False)
     witness: Witness = Witness()
-    held: Held = Held()
+    held: ReplicatedState = ReplicatedState()
     committed: Committed = Committed()
     disk_id: str = ""
     epoch: int = 0
@@ -53,10 +53,12 @@
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)
     disk_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
     bad: str = ""
-    seen: Manifest | None = None
+    seen: Configuration | None = None
 
-    def __init__(self, conf: Config, world: World, release: str = "", translator: Translator | None = None) -> None:
-        super().__init__(conf, world, release or RELEASE)
+    def __init__(
+        self, settings: Settings, environment: Environment, release: str = "", translator: Translator | None = None
+    ) -> None:
+        super().__init__(settings, environment, release or RELEASE)
         self.translator = translator
         self.edits: list[Edit] = []
         self.due, self.hurry = INFINITY, asyncio.Event()
@@ -70,7 +72,7 @@
         self.met: dict[str, float] = {}
         self.since = self.touched = 0.0
         self.leader = ""
-        self.witness, self.held, self.disk_id, self.epoch = Witness(), Held(), "", 0
+        self.witness, self.held, self.disk_id, self.epoch = Witness(), ReplicatedState(), "", 0
         self.committed = Committed()
         self.heard = 0.0
         self.candidate_until = 0.0  # until when a candidate that was given a promise may become the primary
@@ -100,14 +102,14 @@
 
     @property
     def disk(self) -> Disk:
-        assert self.world.disk is not None
-        return self.world.disk
+        assert self.environment.disk is not None
+        return self.environment.disk
 
     async def open(self) -> None:
         try:
             await self.read_folder()
         except (ValueError, KeyError, TypeError) as bad:
-            log_events.emit(112, self.conf.name, why=repr(bad))
+            log_events.emit(112, self.settings.name, why=repr(bad))
             for name in ("identity", "epochs", STATE_FILE):
                 if name in self.disk.names():
                     self.disk.rename(name, f"damaged-{name}")
@@ -117,22 +119,24 @@
             # An older edition is better than none to find the others by; it may be behind, never ahead
             # of what this pair's disk took.
             self.seen = self.held.state.manifest
-        self.circle.me["disk"] = self.disk_id
+        self.partial_view.me["disk"] = self.disk_id
         self.heard = now()
 
     async def read_folder(self) -> None:
         """Reads the promises and the state, that of releases up to 0.2.0 too; a damaged file raises ValueError."""
-        self.witness, self.held = Witness(), Held()
-        vault = await open_vault(
-            self.conf.name, self.disk, self.world.chance, STATE_SEGMENT, 0, strict=True, reads=STATE_FORMAT
+        self.witness, self.held = Witness(), ReplicatedState()
+        data_directory = await open_data_directory(
+            self.settings.name, self.disk, self.environment.chance, STATE_SEGMENT, 0, strict=True, reads=STATE_FORMAT
         )
-        self.disk_id = vault.name
-        if not vault.fresh and "epochs" in self.disk.names():
+        self.disk_id = data_directory.name
+        if not data_directory.fresh and "epochs" in self.disk.names():
             self.witness = Witness.load(self.disk.read("epochs"))
-        self.journal = await StateJournal.open(self.conf.name, self.disk, vault.log, vault.entries)
-        old = Held()
-        if not vault.fresh and self.journal.image is None and STATE_FILE in self.disk.names():
-            old = Held.load(self.disk.read(STATE_FILE))
+        self.journal = await StateJournal.open(
+            self.settings.name, self.disk, data_directory.log, data_directory.entries
+        )
+        old = ReplicatedState()
+        if not data_directory.fresh and self.journal.image is None and STATE_FILE in self.disk.names():
+            old = ReplicatedState.load(self.disk.read(STATE_FILE))
         # Releases that know only the state file must not go on with it from here on.
         await raise_format(self.disk, STATE_FORMAT)
         if old.whole:
@@ -140,32 +144,32 @@
         if STATE_FILE in self.disk.names():
             self.disk.remove(STATE_FILE)
         if self.journal.image is not None:
-            self.held = Held.of(self.journal.image.tree)
+            self.held = ReplicatedState.of(self.journal.image.tree)
 
-    async def store(self, held: Held) -> Stored:
+    async def store(self, held: ReplicatedState) -> Stored:
         """Syncs a state here, as a change of the one that is held, where there is one."""
         base, tree, version = self.journal.image, held.raw(), held.state.edition
         if base is None:
             image = await self.write_journal(self.journal.replace(Image.of(held.whole, version, tree)))
-            return Stored(Held.of(image.tree), None)
+            return Stored(ReplicatedState.of(image.tree), None)
         change, _ = base.change_to(held.whole, version, tree)
         image = await self.write_journal(self.journal.append(change))
-        return Stored(Held.of(image.tree), change)
+        return Stored(ReplicatedState.of(image.tree), change)
 
     @property
     def disk_busy(self) -> bool:
         """Is a write under way? Where it lasts, the disk stalls."""
         return self.disk_lock.locked() or self.journal.lock.locked()
 
-    def stored(self) -> Held:
+    def stored(self) -> ReplicatedState:
         """The state that was synced here last."""
         image = self.journal.image
-        return Held.of(image.tree) if image is not None else Held()
+        return ReplicatedState.of(image.tree) if image is not None else ReplicatedState()
 
     async def write_journal(self, write: Coroutine[Any, Any, Image]) -> Image:
         if self.bad:
             write.close()
-            raise Stop(Fault("sync", self.conf.name, self.bad))
+            raise Stop(Fault("sync", self.settings.name, self.bad))
         try:
             return await write
         except Stop as stop:
@@ -176,7 +180,7 @@
     async def compact_journal(self) -> None:
         """Writes a snapshot of the state now and then, so that the log of changes stays short."""
         while True:
-            await asyncio.sleep(self.conf.bounds.beat)
+            await asyncio.sleep(self.settings.bounds.beat)
             try:
                 await self.journal.compact_if_due()
             except Stop as stop:
@@ -186,20 +190,20 @@
 
     async def keep(self, name: str, data: bytes) -> None:
         if self.bad:
-            raise Stop(Fault("sync", self.conf.name, self.bad))
+            raise Stop(Fault("sync", self.settings.name, self.bad))
         try:
             async with self.disk_lock:
                 await self.disk.write(name, data)
         except OSError as bad:
             if bad.errno == 28:
-                raise Stop(Fault("sync", self.conf.name, f"{name}: {bad.strerror}")) from bad
+                raise Stop(Fault("sync", self.settings.name, f"{name}: {bad.strerror}")) from bad
             raise Stop(self.fail_disk(f"{name}: {bad.strerror}")) from bad
 
     def fail_disk(self, why: str) -> Fault:
         """A write failed: nothing more is written or answered by this process, which ends."""
         self.bad = why
-        log_events.emit(113, self.conf.name, why=why)
-        self.failed = Fault("sync", self.conf.name, why)
+        log_events.emit(113, self.settings.name, why=why)
+        self.failed = Fault("sync", self.settings.name, why)
         self.stop.set()
         self.closed.set()
         return self.failed
@@ -207,7 +211,7 @@
     def about(self) -> Body:
         return {
             "disk": self.disk_id, "promised": self.witness.promised, "pair": asdict(self.witness.pair),
-            "whole": self.held.whole, "edition": self.held.state.edition, "news": self.news.edition,
+            "whole": self.held.whole, "edition": self.held.state.edition, "news": self.configuration_view.edition,
             "leaving": self.leaving,
         }  # fmt: skip
 
@@ -226,16 +230,16 @@
 
     def yield_to_candidate(self) -> None:
         """Whoever asks may soon lead: this one's own try can wait for that. It is no primary yet, and is not taken for one."""
-        self.candidate_until = now() + self.conf.bounds.promise
+        self.candidate_until = now() + self.settings.bounds.promise
 
     def hears_another_primary(self, candidate: str) -> bool:
         """Is there a primary, by what was heard here, that `candidate` would depose?"""
         if self.epoch:
-            return candidate != self.conf.name
-        return self.leader != candidate and now() - self.led < self.conf.bounds.detect * 0.9
+            return candidate != self.settings.name
+        return self.leader != candidate and now() - self.led < self.settings.bounds.detect * 0.9
 
     async def on_grant(self, body: Body) -> PeerResponse:
-        new = self.witness.grant(Pair.of(body["pair"]), body["who"])
+        new = self.witness.grant(ReplicaSet.of(body["pair"]), body["who"])
         if new is None:
             return Ok(self.about() | {"ok": False})
         self.yield_to_candidate()
@@ -256,7 +260,7 @@
     def step_down(self, seen: int | str) -> None:
         """Leads no more: a higher epoch was seen, or what else the event tells."""
         if self.epoch:
-            log_events.emit(131, self.conf.name, epoch=self.epoch, seen=seen)
+            log_events.emit(131, self.settings.name, epoch=self.epoch, seen=seen)
         self.epoch = 0
         self.heard = now()
 
@@ -264,20 +268,20 @@
         """Makes a state known that all holders have synced."""
         self.committed = Committed(state)
         if state.manifest is not None:
-            self.news.take(state.edition, state.manifest)
+            self.configuration_view.take(state.edition, state.manifest)
 
-    def known(self) -> Manifest | None:
-        return self.news.manifest or self.held.state.manifest or self.seen
+    def known(self) -> Configuration | None:
+        return self.configuration_view.manifest or self.held.state.manifest or self.seen
 
     def addr(self, name: str) -> str:
-        man = self.known()
-        m = man["machines"].get(name) if man else None
+        configuration = self.known()
+        m = configuration["machines"].get(name) if configuration else None
         return m["peer"] if m and not m.get("gone") else ""
 
-    def members(self, man: Manifest | None = None) -> list[str]:
+    def members(self, configuration: Configuration | None = None) -> list[str]:
         """The control machines, in the agreed order."""
-        man = man or self.known()
-        return with_duty(man, "control") if man else []
+        configuration = configuration or self.known()
+        return with_duty(configuration, "control") if configuration else []
 
     def announce_leader(self) -> None:
         """A primary was heard: whoever waits for one tries again."""
@@ -293,8 +297,8 @@
         return True
 
     def not_leader(self, step: str) -> Fault:
-        hint = self.leader if self.leader != self.conf.name else ""
-        return Fault(step, self.conf.name, "not the primary", MOVED, hint)
+        hint = self.leader if self.leader != self.settings.name else ""
+        return Fault(step, self.settings.name, "not the primary", MOVED, hint)
 
     def blank(self) -> bool:
         return self.known() is None and self.held.whole == 0 and self.witness.pair.epoch == 0
--- a/postpass/control/orders.py
+++ b/postpass/control/orders.py
@@ -7,7 +7,7 @@
 
 from result import Err, Ok, Result
 
-from postpass.configuration.configuration import Manifest, check, dump, members, with_duty
+from postpass.configuration.configuration import Configuration, check, dump, members, with_duty
 from postpass.control import accepted_orders
 from postpass.control.changes import Fold
 from postpass.control.configuration import ConfigurationChange
@@ -35,46 +35,46 @@
 
     async def take_configuration(self, body: Body) -> PeerResponse:
         """Takes a whole manifest if it was made from the present edition."""
-        step, me = "apply", self.conf.name
+        step, me = "apply", self.settings.name
         got = check(body["manifest"])
         if isinstance(got, Err):
             return Err(Fault(step, me, "\n".join(got.unwrap_err()), BAD))
-        man, base = got.unwrap(), body["base"]
+        configuration, base = got.unwrap(), body["base"]
         async with self.lock:
             if not self.epoch:
-                return await self.take_first_configuration(man, base)
+                return await self.take_first_configuration(configuration, base)
             state = self.committed.state
-            if state.manifest is not None and dump(state.manifest) == dump(man):
+            if state.manifest is not None and dump(state.manifest) == dump(configuration):
                 if not await self.confirm_leadership():
                     return Err(self.unconfirmed(step))
                 return Ok({"edition": state.edition})
-            flaw = await self.configuration_flaw(man, base, state)
+            flaw = await self.configuration_flaw(configuration, base, state)
             if flaw is not None:
                 return Err(flaw)
-            return await self.commit_configuration(State(state.edition + 1, man, state.losses))
+            return await self.commit_configuration(State(state.edition + 1, configuration, state.losses))
 
-    async def take_first_configuration(self, man: Manifest, base: int) -> PeerResponse:
+    async def take_first_configuration(self, configuration: Configuration, base: int) -> PeerResponse:
         """Founds the fleet with its first manifest; refuses if this member only doesn't lead. Holds the lock."""
-        step, me = "apply", self.conf.name
+        step, me = "apply", self.settings.name
         if self.known() is not None or base not in (0, -1):
             hint = self.witness.pair.primary if self.witness.pair.primary != me else ""
             return Err(Fault(step, me, "not the primary", MOVED, hint))
-        if me not in self.members(man):
+        if me not in self.members(configuration):
             return Err(Fault(step, me, f"machines: {me} is not a control machine of this manifest", SHED))
-        found = await self.run_election(man, "founded", State(1, man))
+        found = await self.run_election(configuration, "founded", State(1, configuration))
         if isinstance(found, Err):
             return found
         return Ok({"edition": 1})
 
-    async def configuration_flaw(self, man: Manifest, base: int, state: State) -> Fault | None:
+    async def configuration_flaw(self, configuration: Configuration, base: int, state: State) -> Fault | None:
         """Why a manifest can't follow the state in force, if it can't. Holds the lock."""
-        step, me = "apply", self.conf.name
+        step, me = "apply", self.settings.name
         if base != state.edition:
             if not await self.confirm_leadership():
                 return self.unconfirmed(step)
             why = f"edition {state.edition} is in force, this was made from {base}"
             return Fault(step, me, why, OLD, str(state.edition))
-        flaws = await self.configuration_flaws(state, man)
+        flaws = await self.configuration_flaws(state, configuration)
         if not flaws:
             return None
         if not await self.confirm_leadership():
@@ -91,21 +91,21 @@
             # It may or may not come to be: whoever leads next decides. This one leads no further.
             if self.epoch:
                 self.epoch = 0
-                self.heard = now() - self.conf.bounds.detect
-            return Err(Fault("apply", self.conf.name, "not known whether it was taken; ask again", SLOW))
+                self.heard = now() - self.settings.bounds.detect
+            return Err(Fault("apply", self.settings.name, "not known whether it was taken; ask again", SLOW))
         return Ok({"edition": state.edition})
 
     def unconfirmed(self, step: str) -> Fault:
         """What a member says that leads as far as it knows, and couldn't prove it in time."""
-        return Fault(step, self.conf.name, "could not be confirmed; ask again", SLOW)
+        return Fault(step, self.settings.name, "could not be confirmed; ask again", SLOW)
 
-    async def configuration_flaws(self, state: State, man: Manifest) -> list[str]:
+    async def configuration_flaws(self, state: State, configuration: Configuration) -> list[str]:
         """What stands against this configuration after the present state."""
-        if state.manifest is not None and man["parts"] != state.manifest["parts"]:
+        if state.manifest is not None and configuration["parts"] != state.manifest["parts"]:
             return [f"parts: stays {state.manifest['parts']}; lots are spread by it"]
-        if not set(self.members(man)) & set(self.held.pair.holders):
+        if not set(self.members(configuration)) & set(self.held.pair.holders):
             return ["machines: neither primary nor backup stays a control machine"]
-        return await self.strangers(state.manifest, man)
+        return await self.strangers(state.manifest, configuration)
 
     async def apply_source(self, source: Any, base: int) -> PeerResponse:
         """The operator's document as a whole, made on top of version `base`."""
@@ -117,7 +117,7 @@
 
     async def read_source(self) -> PeerResponse:
         """The operator's document in force, with its version."""
-        return await self.forward("read", {"source": 1}, self.conf.bounds.manifest / 4)
+        return await self.forward("read", {"source": 1}, self.settings.bounds.manifest / 4)
 
     async def evacuate(self, area: str, away: bool) -> PeerResponse:
         """Takes all traffic from a zone, or lets it come back."""
@@ -133,7 +133,7 @@
 
     async def command(self, body: Body) -> PeerResponse:
         """Hands an order to whoever leads."""
-        return await self.forward("order", body, self.conf.bounds.manifest / 2)
+        return await self.forward("order", body, self.settings.bounds.manifest / 2)
 
     async def on_order(self, body: Body) -> PeerResponse:
         """Takes an order as the leader, and answers once it is in force, or names those that have not said so in time."""
@@ -146,8 +146,10 @@
         if isinstance(got, Err):
             return Err(got.unwrap_err())
         edition = got.unwrap()
-        log_events.emit(138, self.conf.name, what=what, edition=edition)
-        waits = await self.in_force(edition, None, self.committed.state.man, asked, self.conf.bounds.manifest / 5)
+        log_events.emit(138, self.settings.name, what=what, edition=edition)
+        waits = await self.in_force(
+            edition, None, self.committed.state.configuration, asked, self.settings.bounds.manifest / 5
+        )
         return Ok({"edition": edition, "waits": waits})
 
     def folding(self, body: Body) -> Fold:
@@ -159,26 +161,26 @@
             return self.configuration(body["source"], body["base"], is_patch=True)
         if what in ("evacuate", "return"):
             area = body["area"]
-            if area not in self.conf.areas:
-                return lambda _: Err(Fault(what, self.conf.name, f"unknown area {area!r:.60}", LACK))
+            if area not in self.settings.areas:
+                return lambda _: Err(Fault(what, self.settings.name, f"unknown area {area!r:.60}", LACK))
             return lambda state: Ok(
                 registry.evacuated(state, area) if what == "evacuate" else registry.returned(state, area)
             )
         if what == "retire":
 
             def retire(state: State) -> Result[State, Fault]:
-                flaw = registry.retire_flaw(state, body["name"], self.conf.tolerance)
+                flaw = registry.retire_flaw(state, body["name"], self.settings.tolerance)
                 if flaw:
-                    return Err(Fault("retire", self.conf.name, flaw[1], flaw[0]))
-                return Ok(registry.retiring(state, body["name"], self.conf.tolerance))
+                    return Err(Fault("retire", self.settings.name, flaw[1], flaw[0]))
+                return Ok(registry.retiring(state, body["name"], self.settings.tolerance))
 
             return retire
-        return lambda _: Err(Fault("order", self.conf.name, f"unknown order {what!r:.60}", BAD))
+        return lambda _: Err(Fault("order", self.settings.name, f"unknown order {what!r:.60}", BAD))
 
     def configuration(self, sent: Any, base: int, is_patch: bool) -> Fold:
         """The operator's document, whole or as a change of the one of version `base`."""
-        remembered = accepted_orders.limit_of(self.conf.bounds)
-        return ConfigurationChange(self.conf.name, self.translator, remembered, sent, base, is_patch)
+        remembered = accepted_orders.limit_of(self.settings.bounds)
+        return ConfigurationChange(self.settings.name, self.translator, remembered, sent, base, is_patch)
 
     async def emptied(self, name: str) -> PeerResponse:
         """Does a store hold nothing any more that counts? Once that is so, it is no machine of the fleet any longer."""
@@ -189,20 +191,23 @@
             return Err(self.unconfirmed("retire"))
         if name in state.retired:
             return Ok({"done": True})
-        man = state.man
-        if name not in man["machines"]:
-            return Err(Fault("retire", self.conf.name, f"no store {name!r:.60}", LACK))
-        if not man["machines"][name].get("retire") or not await self.holds_nothing(name, man):
+        configuration = state.configuration
+        if name not in configuration["machines"]:
+            return Err(Fault("retire", self.settings.name, f"no store {name!r:.60}", LACK))
+        if not configuration["machines"][name].get("retire") or not await self.holds_nothing(name, configuration):
             return Ok({"done": False})
         got = await self.change(lambda state: Ok(registry.emptied(state, name)), 0.0)
         return Ok({"done": isinstance(got, Ok)})
 
-    async def holds_nothing(self, name: str, man: Manifest) -> bool:
+    async def holds_nothing(self, name: str, configuration: Configuration) -> bool:
         """Every partition has an owner that says, from its covered record, that its members are others, and that all of
         them have synced that record: then the disk of the emptied store may go at once."""
-        stores = [n for n in with_duty(man, "store") if n != name]
+        stores = [n for n in with_duty(configuration, "store") if n != name]
         got = await asyncio.gather(
-            *(self.lines.call(man["machines"][n]["peer"], "parts", {}, self.conf.bounds.follow) for n in stores)
+            *(
+                self.peer_links.call(configuration["machines"][n]["peer"], "parts", {}, self.settings.bounds.follow)
+                for n in stores
+            )
         )
         best: dict[int, Body] = {}
         for answer in got:
@@ -213,6 +218,6 @@
             part in best
             and name not in best[part]["crew"]
             and best[part].get("complete", True)
-            and name not in members(man, part)
-            for part in range(man["parts"])
+            and name not in members(configuration, part)
+            for part in range(configuration["parts"])
         )
--- a/postpass/control/replica.py
+++ b/postpass/control/replica.py
@@ -6,11 +6,11 @@
 
 from result import Err, Ok
 
-from postpass.configuration.configuration import Manifest
+from postpass.configuration.configuration import Configuration
 from postpass.control.contact import Contact
-from postpass.control.epochs import Acknowledgement, Pair
+from postpass.control.epochs import Acknowledgement, ReplicaSet
 from postpass.control.journal import Change, Image, JournalError
-from postpass.control.state import Held
+from postpass.control.state import ReplicatedState
 from postpass.membership.registry import State
 from postpass.rpc.peer_links import Body, PeerResponse
 from postpass.runtime import log_events
@@ -57,8 +57,8 @@
 
     async def take_state(self, body: Body) -> bool:
         """Syncs a whole state, unless a newer one is held."""
-        new = Held.of(body["held"])
-        if new.pair.voters.get(self.conf.name) != self.disk_id:
+        new = ReplicatedState.of(body["held"])
+        if new.pair.voters.get(self.settings.name) != self.disk_id:
             # Meant for the disk that this member had before; it may have been under way since then.
             return False
         if new.order < self.held.order:
@@ -74,14 +74,14 @@
                 return False
             await self.write_journal(self.journal.append(change))
         except JournalError as error:
-            log_events.emit(145, self.conf.name, why=str(error)[:160])
+            log_events.emit(145, self.settings.name, why=str(error)[:160])
             return False
         return True
 
     def learn_version(self, body: Body) -> None:
         """The primary tells the edition in force: publishes it, or fetches it if this member has no copy of it."""
         edition = body.get("edition", 0)
-        if edition <= self.news.edition:
+        if edition <= self.configuration_view.edition:
             return
         if self.held.whole == body["epoch"] and self.held.state.edition == edition:
             self.publish(self.held.state)
@@ -101,14 +101,14 @@
         return Ok(answer)
 
     async def append_to(
-        self, held: Held | None, epoch: int, to: str, change: Change | None = None
+        self, held: ReplicatedState | None, epoch: int, to: str, change: Change | None = None
     ) -> Acknowledgement | None:
         """Sends the state, as a change where one is given, or a heartbeat alone; the member's acknowledgement, if any."""
         addr = self.addr(to)
         if not addr:
             return None
         body: Body = {
-            "epoch": epoch, "who": self.conf.name, "edition": self.news.edition, "at": self.conf.peer,
+            "epoch": epoch, "who": self.settings.name, "edition": self.configuration_view.edition, "at": self.settings.peer,
             "granted": self.epoch == epoch,
         }  # fmt: skip
         if change is not None:
@@ -116,8 +116,8 @@
         elif held:
             body["held"] = held.raw()
         # Where machines announce themselves another backup is soon found; an order doesn't wait long for this one.
-        wait = self.conf.bounds.promise / (2 if self.conf.announce else 1)
-        got = await self.lines.call(addr, "copy", body, wait)
+        wait = self.settings.bounds.promise / (2 if self.settings.announce else 1)
+        got = await self.peer_links.call(addr, "copy", body, wait)
         if isinstance(got, Err):
             return None
         answer, pair = got.unwrap(), self.held.pair
@@ -140,12 +140,12 @@
         return acknowledgement
 
     async def append_to_backups(
-        self, held: Held | None, epoch: int, change: Change | None = None
+        self, held: ReplicatedState | None, epoch: int, change: Change | None = None
     ) -> list[Acknowledgement]:
         answers = await asyncio.gather(*(self.append_to(held, epoch, n, change) for n in self.held.pair.backups))
         return [a for a in answers if a is not None]
 
-    async def append_to_all(self, held: Held | None, epoch: int) -> bool:
+    async def append_to_all(self, held: ReplicatedState | None, epoch: int) -> bool:
         """True once all backups of the epoch have acknowledged, each by the disk that the replica set names."""
         pair = self.held.pair
         answers = await self.append_to_backups(held, epoch)
@@ -157,8 +157,8 @@
         # The voters that keep no copy are asked while the disks sync, so that their round trip adds no delay.
         others = asyncio.create_task(self.answers_of_voters(epoch, pair))
         try:
-            async with asyncio.timeout(self.conf.bounds.detect):
-                stored = await self.store(Held(epoch, pair, state))
+            async with asyncio.timeout(self.settings.bounds.detect):
+                stored = await self.store(ReplicatedState(epoch, pair, state))
             if self.epoch != epoch:
                 return False
             self.held = held = stored.held
@@ -187,9 +187,9 @@
         return True
 
     def own_acknowledgement(self, epoch: int) -> Acknowledgement:
-        return Acknowledgement(self.conf.name, self.disk_id, epoch)
+        return Acknowledgement(self.settings.name, self.disk_id, epoch)
 
-    async def answers_of_voters(self, epoch: int, replica_set: Pair) -> list[Acknowledgement]:
+    async def answers_of_voters(self, epoch: int, replica_set: ReplicaSet) -> list[Acknowledgement]:
         """A round to the voters that are no holders; ends once they and the holders are a majority."""
         holders = [Acknowledgement(n, replica_set.voters.get(n, ""), epoch) for n in replica_set.holders]
 
@@ -214,29 +214,29 @@
     async def notify(self, name: str, epoch: int) -> None:
         await self.append_to(None, epoch, name)
 
-    async def heartbeat(self, epoch: int, man: Manifest) -> list[Acknowledgement]:
+    async def heartbeat(self, epoch: int, configuration: Configuration) -> list[Acknowledgement]:
         """One round to all other members; those that are late are not waited for once most have answered."""
-        others = [n for n in self.members(man) if n != self.conf.name]
+        others = [n for n in self.members(configuration) if n != self.settings.name]
 
         def enough(got: dict[str, Acknowledgement | None]) -> bool:
             return 2 * (1 + sum(a is not None for a in got.values())) > len(others) + 1
 
         asks = {n: self.append_to(None, epoch, n) for n in others}
-        got = await hear(asks, enough, self.conf.bounds.promise / 2)
+        got = await hear(asks, enough, self.settings.bounds.promise / 2)
         return [a for a in got.values() if a is not None]
 
     async def ask_all(
-        self, verb: str, body: Body, names: list[str], man: Manifest, quick: bool = False
+        self, verb: str, body: Body, names: list[str], configuration: Configuration, quick: bool = False
     ) -> dict[str, Body]:
-        b = self.conf.bounds
+        b = self.settings.bounds
 
         async def one(name: str) -> PeerResponse:
-            m = man["machines"].get(name)
+            m = configuration["machines"].get(name)
             if not m or m.get("gone"):
                 return Err(Fault(verb, name, "gone"))
-            if name == self.conf.name:
+            if name == self.settings.name:
                 return await getattr(self, f"on_{verb}")(body)  # type: ignore[no-any-return]
-            return await self.lines.call(m["peer"], verb, body, b.beat / 2 if quick else b.promise)
+            return await self.peer_links.call(m["peer"], verb, body, b.beat / 2 if quick else b.promise)
 
         def enough(got: dict[str, PeerResponse]) -> bool:
             return 2 * sum(isinstance(g, Ok) for g in got.values()) > len(names)
@@ -252,6 +252,6 @@
         def enough(got: dict[str, Acknowledgement | None]) -> bool:
             return pair.confirmed_by([mine, *(a for a in got.values() if a is not None)])
 
-        asks = {n: self.append_to(None, epoch, n) for n in {*pair.voters, *pair.backups} - {self.conf.name}}
+        asks = {n: self.append_to(None, epoch, n) for n in {*pair.voters, *pair.backups} - {self.settings.name}}
         got = await hear(dict(sorted(asks.items())), enough, 0.0)
         return [mine, *(a for a in got.values() if a is not None)]
