--- a/postpass/control/state.py
+++ b/postpass/control/state.py
@@ -6,7 +6,7 @@
 import json
 from dataclasses import asdict, dataclass
 
-from postpass.control.epochs import Pair
+from postpass.control.epochs import ReplicaSet
 from postpass.membership.registry import State
 from postpass.rpc.peer_links import Body
 
@@ -20,12 +20,12 @@
 
 
 @dataclass(frozen=True)
-class Held:
+class ReplicatedState:
     """What this machine keeps of the state; it may be a proposal that never comes to be. Invariant: `whole` is the epoch
     whose state this is, all of it; it is set only by that epoch's primary, here or over the copy link."""
 
     whole: int = 0
-    pair: Pair = Pair()
+    pair: ReplicaSet = ReplicaSet()
     state: State = State()
 
     @property
@@ -39,16 +39,16 @@
         return {"whole": self.whole, "pair": asdict(self.pair), "state": dict(vars(self.state))}
 
     @classmethod
-    def of(cls, raw: Body) -> Held:
+    def of(cls, raw: Body) -> ReplicatedState:
         """From JSON; shares its parts with it."""
-        return cls(raw["whole"], Pair.of(raw["pair"]), State(**raw["state"]))
+        return cls(raw["whole"], ReplicaSet.of(raw["pair"]), State(**raw["state"]))
 
     def dump(self) -> bytes:
         body = json.dumps(self.raw(), separators=(",", ":"))
         return json.dumps({"sum": hashlib.sha256(body.encode()).hexdigest(), "body": body}).encode()
 
     @classmethod
-    def load(cls, data: bytes) -> Held:
+    def load(cls, data: bytes) -> ReplicatedState:
         raw = json.loads(data)
         if hashlib.sha256(raw["body"].encode()).hexdigest() != raw["sum"]:
             raise ValueError("the sum doesn't match")
--- a/postpass/control/writer.py
+++ b/postpass/control/writer.py
@@ -62,7 +62,7 @@
 
     async def write_edits(self, edits: list[Edit]) -> list[Result[int, Fault]]:
         """One write for many changes. If the backup is silent another one is taken, and all are laid on once more."""
-        me, bounds = self.conf.name, self.conf.bounds
+        me, bounds = self.settings.name, self.settings.bounds
         for _ in range(2):
             epoch, before = self.epoch, self.committed.state
             if not epoch or before.manifest is None:
@@ -81,7 +81,7 @@
                 return [Ok(state.edition) if isinstance(g, Ok) else Err(g.unwrap_err()) for g in out]
             if self.epoch == epoch:
                 self.epoch = 0
-                again = await self.run_election(state.man, "backup lost")
+                again = await self.run_election(state.configuration, "backup lost")
                 if isinstance(again, Err):
                     self.heard = now() - bounds.detect
                 else:
@@ -92,31 +92,33 @@
         """To the primary, wherever it is; where machines announce themselves, a moment is given for one to come."""
         if self.lost_touch():
             return await self.forward_without_contact(verb, body)
-        until = now() + (self.conf.bounds.leave / 4 if self.conf.announce else 0.0)
+        until = now() + (self.settings.bounds.leave / 4 if self.settings.announce else 0.0)
         while True:
             led = self.led_now
             got = await self.forward_once(verb, body, limit)
-            none = isinstance(got, Err) and got.unwrap_err().code == SHED and got.unwrap_err().peer == self.conf.name
+            none = (
+                isinstance(got, Err) and got.unwrap_err().code == SHED and got.unwrap_err().peer == self.settings.name
+            )
             if not none or not await self.wait_for_leader(led, until):
                 return got
 
     async def forward_once(self, verb: str, body: Body, limit: float) -> PeerResponse:
         """Tries this member, then whoever it names as primary, then all others."""
         got: PeerResponse = await getattr(self, f"on_{verb}")(body)
-        tried = {self.conf.name}
-        names = [n for n in self.members() if n != self.conf.name]
+        tried = {self.settings.name}
+        names = [n for n in self.members() if n != self.settings.name]
         while isinstance(got, Err) and got.unwrap_err().code == MOVED:
             hint = got.unwrap_err().hint
             todo = [n for n in ([hint] if hint else []) + names if n not in tried]
             if not todo:
-                return Err(Fault(verb, self.conf.name, "no primary now; ask again", SHED))
+                return Err(Fault(verb, self.settings.name, "no primary now; ask again", SHED))
             tried.add(todo[0])
             addr = self.addr(todo[0])
             if not addr:
                 continue
             # An apply may use the whole bound, and more for the disks before it.
-            limit = limit or self.conf.bounds.manifest * (2 if verb == "apply" else 1)
-            there = await self.lines.call(addr, verb, body | {"passed": 1}, limit)
+            limit = limit or self.settings.bounds.manifest * (2 if verb == "apply" else 1)
+            there = await self.peer_links.call(addr, verb, body | {"passed": 1}, limit)
             if isinstance(there, Err) and there.unwrap_err().unsent:
                 got = Err(Fault(verb, todo[0], there.unwrap_err().why, MOVED))
             else:
--- a/postpass/daemon/control_plane_command.py
+++ b/postpass/daemon/control_plane_command.py
@@ -4,7 +4,7 @@
 
 import sys
 
-from postpass.control import Control
+from postpass.control import ControlPlane
 from postpass.daemon.data_plane_command import _run, start
 
 
@@ -31,7 +31,7 @@
       data: folder for epochs and control state.
     """
     return start(
-        Control, config, {"name": name, "area": area, "peer": peer, "http": http, "seeds": seeds, "data": data}
+        ControlPlane, config, {"name": name, "area": area, "peer": peer, "http": http, "seeds": seeds, "data": data}
     )
 
 
--- a/postpass/daemon/data_plane.py
+++ b/postpass/daemon/data_plane.py
@@ -11,42 +11,44 @@
 from prometheus_client import Gauge
 from result import Ok, Result
 
-from postpass.batch.scheduler import Sched
+from postpass.batch.scheduler import Scheduler
 from postpass.configuration.configuration import LIMITS, limit
 from postpass.configuration.header_names import Dialect
-from postpass.configuration.settings import Config
+from postpass.configuration.settings import Settings
 from postpass.daemon.process import Daemon, Task
 from postpass.gateway.http_server import HeadLimits, front, serve_ready
-from postpass.gateway.live_requests import Edge
+from postpass.gateway.live_requests import Gateway
 from postpass.gateway.relay import Relay
 from postpass.gateway.upstream_connection import WorkerLinks
-from postpass.gateway.worker_load import Floor
-from postpass.replication.partition import Part
+from postpass.gateway.worker_load import WorkerLoad
+from postpass.replication.partition import Partition
 from postpass.replication.store import Store
 from postpass.rpc.peer_links import RELEASE, Body
-from postpass.runtime.environment import World
+from postpass.runtime.environment import Environment
 from postpass.runtime.errors import Fault
 
 LEAVE_NOTICED = 2.5  # seconds until nobody passes new connections to an edge that says that it isn't ready
 
 
 @dataclass(eq=False)
-class Data(Daemon):
+class DataPlane(Daemon):
     """Invariant: a duty that the config doesn't list has no object here."""
 
-    edge: Edge | None = None
-    sched: Sched | None = None
+    edge: Gateway | None = None
+    scheduler: Scheduler | None = None
     store: Store | None = None
     session: aiohttp.ClientSession | None = None
     relay: Relay | None = None
     links: WorkerLinks | None = None
 
-    def __init__(self, conf: Config, world: World, release: str = "", dialect: Dialect | None = None) -> None:
-        super().__init__(conf, world, release or RELEASE)
+    def __init__(
+        self, settings: Settings, environment: Environment, release: str = "", dialect: Dialect | None = None
+    ) -> None:
+        super().__init__(settings, environment, release or RELEASE)
         self.dialect = dialect or Dialect()
-        self.edge = self.sched = self.store = self.session = self.relay = self.links = None
-        if "store" in conf.duties:
-            self.store = Store(conf, world, self.news, self.lines)
+        self.edge = self.scheduler = self.store = self.session = self.relay = self.links = None
+        if "store" in settings.duties:
+            self.store = Store(settings, environment, self.configuration_view, self.peer_links)
             self.store.ask_kept = self.ask_kept
             self.store.rise_to, self.store.ask_heights, self.store.heights = (
                 self.rise_to,
@@ -58,21 +60,21 @@
         def gauge(name: str, text: str, read: Callable[[], float]) -> None:
             Gauge(f"postpass_{name}", text, registry=self.registry).set_function(read)
 
-        def owned() -> list[Part]:
+        def owned() -> list[Partition]:
             return [p for p in store.parts.values() if p.owning]
 
         gauge("parts_owned", "Partitions owned here", lambda: len(owned()))
         gauge("records_not_covered", "Records of owned partitions beyond the frontier",
-              lambda: sum(p.tape.last - p.covered for p in owned()))  # fmt: skip
+              lambda: sum(p.record_log.last - p.covered for p in owned()))  # fmt: skip
         gauge("mirror_lag_records", "How far the furthest mirror is behind",
-              lambda: max((p.tape.last - p.recorder.get(n, f.disk, "persisted") for p in owned() for n, f in p.follows.items()), default=0))  # fmt: skip
+              lambda: max((p.record_log.last - p.recorder.get(n, f.disk, "persisted") for p in owned() for n, f in p.follows.items()), default=0))  # fmt: skip
         gauge("lots_open", "Lots that are not finished", lambda: sum(
             int(x.state == "open" and not x.whole) for p in owned() for x in p.view.lots.values()))  # fmt: skip
         gauge("losses", "How often more was lost than is tolerated", lambda: sum(p.view.losses for p in owned()))
         gauge(
             "tape_bytes",
             "Memory of records not yet folded away",
-            lambda: sum(p.tape.size for p in store.parts.values()),
+            lambda: sum(p.record_log.size for p in store.parts.values()),
         )
         gauge("disk_free_bytes", "Room left for the data folder", lambda: store.log.disk.room()[0])
         gauge("takeovers", "Partitions taken over since the start", lambda: store.counts["takeovers"])
@@ -82,35 +84,58 @@
         if self.store is not None:
             await self.store.open()
             self.gauges(self.store)
-            self.circle.me["disk"] = self.store.disk_id
-        if {"edge", "sched"} & set(self.conf.duties):
-            self.session = self.world.session()
-            floor = Floor(self.conf.name, self.world, self.news, self.session, self.conf.bounds.deaf, lines=self.lines)
-            self.floor = floor
-            if "edge" in self.conf.duties:
-                self.edge = Edge(self.conf, self.world, self.news, self.lines, floor, self.session, self.registry)
-                if self.conf.announce:
-                    self.relay = Relay(self.conf, self.world, self.news, self.dialect, self.registry)
+            self.partial_view.me["disk"] = self.store.disk_id
+        if {"edge", "sched"} & set(self.settings.duties):
+            self.session = self.environment.session()
+            floor = WorkerLoad(
+                self.settings.name,
+                self.environment,
+                self.configuration_view,
+                self.session,
+                self.settings.bounds.deaf,
+                peer_links=self.peer_links,
+            )
+            self.worker_load = floor
+            if "edge" in self.settings.duties:
+                self.edge = Gateway(
+                    self.settings,
+                    self.environment,
+                    self.configuration_view,
+                    self.peer_links,
+                    floor,
+                    self.session,
+                    self.registry,
+                )
+                if self.settings.announce:
+                    self.relay = Relay(
+                        self.settings, self.environment, self.configuration_view, self.dialect, self.registry
+                    )
                     self.edge.rest = self.relay.missing
-            if "sched" in self.conf.duties:
+            if "sched" in self.settings.duties:
                 # Its own floor: what the edge of the same machine places is live traffic to the scheduler.
-                self.batch = Floor(self.conf.name, self.world, self.news, self.session, self.conf.bounds.deaf)
-                self.sched = Sched(
-                    self.conf, self.world, self.news, self.lines, self.batch, self.session, self.registry,
+                self.batch = WorkerLoad(
+                    self.settings.name,
+                    self.environment,
+                    self.configuration_view,
+                    self.session,
+                    self.settings.bounds.deaf,
+                )
+                self.scheduler = Scheduler(
+                    self.settings, self.environment, self.configuration_view, self.peer_links, self.batch, self.session, self.registry,
                     dialect=self.dialect,
                 )  # fmt: skip
-                if self.conf.announce:
-                    self.sched.workers = self.links = WorkerLinks()
+                if self.settings.announce:
+                    self.scheduler.workers = self.links = WorkerLinks()
 
     def handlers(self) -> dict[str, Any]:
-        mine: dict[str, Any] = {"floor": self.on_floor} if "edge" in self.conf.duties else {}
-        if self.sched is not None:
-            mine |= {"wake": self.sched.on_wake}
+        mine: dict[str, Any] = {"floor": self.on_floor} if "edge" in self.settings.duties else {}
+        if self.scheduler is not None:
+            mine |= {"wake": self.scheduler.on_wake}
         return mine | (self.store.handlers() if self.store is not None else {})
 
     async def on_floor(self, _body: Body) -> Result[Body, Fault]:
         """What this edge has read off the servers, for edges of its area that don't ask them themselves."""
-        return Ok({"spots": self.floor.shown()})
+        return Ok({"spots": self.worker_load.shown()})
 
     async def depart(self) -> None:
         """New calls go to other edges at once; the schedule, then the partitions, go to whoever comes next. Kept
@@ -119,25 +144,25 @@
             self.edge.leaving = True
         if self.relay is not None:
             self.relay.leaving = True
-        if self.sched is not None:
-            self.sched.leave()
+        if self.scheduler is not None:
+            self.scheduler.leave()
         if self.store is not None:
             await self.store.leave()
         if self.edge is not None:
             # Who passes connections on asks once a second and takes two misses to notice.
-            await asyncio.sleep(self.conf.bounds.hand if self.relay is None else LEAVE_NOTICED)
-        if self.sched is not None:
-            await self.sched.drain()
+            await asyncio.sleep(self.settings.bounds.hand if self.relay is None else LEAVE_NOTICED)
+        if self.scheduler is not None:
+            await self.scheduler.drain()
 
     def kept_lots(self, part: int) -> list[str]:
-        return self.edge.known(part) if self.edge is not None and self.news.manifest is not None else []
+        return self.edge.known(part) if self.edge is not None and self.configuration_view.manifest is not None else []
 
     def ready(self) -> str:
         if self.leaving:
             return "it is leaving"
-        lack = super().ready() or ("" if self.news.fresh else "no fresh news yet")
-        man = self.news.manifest
-        if not lack and self.relay is not None and man is not None and not man.get("routes"):
+        lack = super().ready() or ("" if self.configuration_view.fresh else "no fresh news yet")
+        configuration = self.configuration_view.manifest
+        if not lack and self.relay is not None and configuration is not None and not configuration.get("routes"):
             lack = "no routes yet"
         return lack
 
@@ -154,21 +179,25 @@
 
     @property
     def drain(self) -> float:
-        grace = self.conf.bounds.grace
-        return self.conf.bounds.drain if grace == 0 else max(1.0, grace - LEAVE_NOTICED - 1.0)
+        grace = self.settings.bounds.grace
+        return self.settings.bounds.drain if grace == 0 else max(1.0, grace - LEAVE_NOTICED - 1.0)
 
     def protocol(self) -> Any:
         if self.relay is None:
             return "httptools"
-        news = self.news
+        configuration_view = self.configuration_view
 
         def limits() -> HeadLimits:
-            man = news.manifest
-            if man is None:
+            configuration = configuration_view.manifest
+            if configuration is None:
                 return HeadLimits(LIMITS["head_bytes"], LIMITS["head_ms"] / 1000, LIMITS["idle_ms"] / 1000)
-            return HeadLimits(limit(man, "head_bytes"), limit(man, "head_ms") / 1000, limit(man, "idle_ms") / 1000)
+            return HeadLimits(
+                limit(configuration, "head_bytes"),
+                limit(configuration, "head_ms") / 1000,
+                limit(configuration, "idle_ms") / 1000,
+            )
 
-        return front(limits, self.conf.bounds.recover / 2)
+        return front(limits, self.settings.bounds.recover / 2)
 
     def ways(self) -> list[Any]:
         return self.edge.ways() if self.edge is not None else []
@@ -180,16 +209,16 @@
         if self.edge is not None:
             out += self.edge.tasks()
             # Workers of an announced fleet are not asked for their state: it costs them, and control tells it.
-            out += [] if self.conf.announce else [self.floor.watch(self.conf.bounds.probe)]
-            out += [serve_ready(self.conf.ready, lambda: not self.ready())] if self.conf.ready else []
-        if self.sched is not None:
-            out += self.sched.tasks() + ([] if self.conf.announce else [self.watch_batch()])
+            out += [] if self.settings.announce else [self.worker_load.watch(self.settings.bounds.probe)]
+            out += [serve_ready(self.settings.ready, lambda: not self.ready())] if self.settings.ready else []
+        if self.scheduler is not None:
+            out += self.scheduler.tasks() + ([] if self.settings.announce else [self.watch_batch()])
         return out
 
     async def watch_batch(self) -> None:
         """The scheduler polls on its own, at its own pace: loans must go back in time."""
-        assert self.sched is not None
-        await self.batch.watch(self.sched.pace, ("model",))
+        assert self.scheduler is not None
+        await self.batch.watch(self.scheduler.pace, ("model",))
 
     async def run(self) -> None:
         try:
@@ -212,12 +241,12 @@
             stale = self.edge.stale
             out["servers"] = {
                 f"{p}/{n}": {
-                    "barred": self.floor.barred(p, n, stale), "mine": s.mine.total(), "weights": s.seen.weights if s.seen else "",
+                    "barred": self.worker_load.barred(p, n, stale), "mine": s.mine.total(), "weights": s.seen.weights if s.seen else "",
                     "running": s.seen.running if s.seen else 0, "waiting": s.seen.waiting if s.seen else 0,
                 }
-                for (p, n), s in sorted(self.floor.spots.items())
+                for (p, n), s in sorted(self.worker_load.spots.items())
             }  # fmt: skip
-        if self.sched is not None:
-            out["sched"] = {"active": self.sched.active, "term": self.sched.term, "held": len(self.sched.jobs),
-                            "running": sum(j.task is not None for j in self.sched.jobs.values())}  # fmt: skip
+        if self.scheduler is not None:
+            out["sched"] = {"active": self.scheduler.active, "term": self.scheduler.term, "held": len(self.scheduler.jobs),
+                            "running": sum(j.task is not None for j in self.scheduler.jobs.values())}  # fmt: skip
         return out
--- a/postpass/daemon/data_plane_command.py
+++ b/postpass/daemon/data_plane_command.py
@@ -11,17 +11,17 @@
 from result import Err
 
 from postpass.configuration.settings import load
-from postpass.control import Control
-from postpass.daemon.data_plane import Data
+from postpass.control import ControlPlane
+from postpass.daemon.data_plane import DataPlane
 from postpass.daemon.process import Daemon, run_daemon
 from postpass.runtime.disk import RealDisk
-from postpass.runtime.environment import World
+from postpass.runtime.environment import Environment
 
 
-def start(kind: type[Data] | type[Control], path: str, flags: dict[str, Any]) -> int:
+def start(kind: type[DataPlane] | type[ControlPlane], path: str, flags: dict[str, Any]) -> int:
     logging.use_absl_handler()
     logging.set_verbosity(logging.INFO)
-    want = kind is Control
+    want = kind is ControlPlane
     for key in ("seeds", "duties"):
         if isinstance(flags.get(key), str):
             flags[key] = [w for w in flags[key].split(",") if w]
@@ -32,15 +32,15 @@
         for flaw in got.unwrap_err():
             print(flaw, file=sys.stderr)
         return 2
-    conf = got.unwrap()
+    settings = got.unwrap()
     try:
-        disk = RealDisk(Path(conf.data), conf.disk_bytes) if conf.data else None
+        disk = RealDisk(Path(settings.data), settings.disk_bytes) if settings.data else None
     except OSError as bad:
-        print(f"{path or 'flags'}: data: {conf.data}: {bad.strerror}", file=sys.stderr)
+        print(f"{path or 'flags'}: data: {settings.data}: {bad.strerror}", file=sys.stderr)
         return 2
 
     def make() -> Daemon:
-        return kind(conf, World(disk=disk))
+        return kind(settings, Environment(disk=disk))
 
     return run_daemon(make)
 
@@ -70,7 +70,7 @@
       data: folder for what the store duty keeps.
     """
     flags = {"name": name, "area": area, "peer": peer, "http": http, "seeds": seeds, "duties": duties, "data": data}
-    return start(Data, config, flags)
+    return start(DataPlane, config, flags)
 
 
 def main() -> None:
--- a/postpass/feed/configuration_view.py
+++ b/postpass/feed/configuration_view.py
@@ -11,7 +11,7 @@
 
 from result import Ok
 
-from postpass.configuration.configuration import Machine, Manifest, check, dump, limit, members, with_duty
+from postpass.configuration.configuration import Configuration, Machine, check, dump, limit, members, with_duty
 from postpass.configuration.json_delta import Delta, delta, patch
 from postpass.runtime import log_events
 
@@ -40,11 +40,11 @@
     return out - sum(mass(v, f"{path}/{k}", depth + 1) for k, v in old.items() if k not in new)
 
 
-def seal(man: Any, weight: int | None = None) -> str:
+def seal(configuration: Any, weight: int | None = None) -> str:
     """Of an announced fleet, which changes often, the sum of the parts; else of the whole."""
-    if isinstance(man, dict) and man.get("announced"):
-        return f"{(mass(man) if weight is None else weight) % (1 << 64):016x}"
-    return hashlib.sha256(dump(man).encode()).hexdigest()[:16]
+    if isinstance(configuration, dict) and configuration.get("announced"):
+        return f"{(mass(configuration) if weight is None else weight) % (1 << 64):016x}"
+    return hashlib.sha256(dump(configuration).encode()).hexdigest()[:16]
 
 
 @dataclass(frozen=True)
@@ -58,14 +58,14 @@
 
 
 @dataclass(eq=False)
-class News:
+class ConfigurationView:
     """Invariants: `edition` only grows, and `manifest` is the checked one of that edition; `feed` holds the
     last changes, each based on the one before it; `heard` is the time of the last question that another daemon
     answered which knew no newer edition; `fresh` is set once, when what is known here is proved to be no older
     than what was in force as this process started."""
 
     who: str
-    manifest: Manifest | None = None
+    manifest: Configuration | None = None
     edition: int = 0
     feed: deque[Change] = field(default_factory=lambda: deque(maxlen=KEPT))
     heard: float = -1e9
--- a/postpass/gateway/admission.py
+++ b/postpass/gateway/admission.py
@@ -11,7 +11,7 @@
 class Waiter:
     """Invariant: `seat` is resolved at most once, with a server's name."""
 
-    caller: str
+    client: str
     fond: str
     area: str
     shared: tuple[str, ...]
@@ -20,7 +20,7 @@
 
 
 @dataclass(eq=False)
-class Backlog:
+class AdmissionQueue:
     """Invariants: `size` counts the waiters in `lines`; a caller with none has no line; `turn` holds each
     caller that has one, once."""
 
@@ -29,10 +29,10 @@
     size: int = 0
 
     def put(self, waiter: Waiter) -> None:
-        if waiter.caller not in self.lines:
-            self.lines[waiter.caller] = deque()
-            self.turn.append(waiter.caller)
-        self.lines[waiter.caller].append(waiter)
+        if waiter.client not in self.lines:
+            self.lines[waiter.client] = deque()
+            self.turn.append(waiter.client)
+        self.lines[waiter.client].append(waiter)
         self.size += 1
 
     def peek(self) -> Waiter | None:
@@ -60,7 +60,7 @@
         return waiter
 
     def leave(self, waiter: Waiter) -> None:
-        line = self.lines.get(waiter.caller)
+        line = self.lines.get(waiter.client)
         if line and waiter in line:
             line.remove(waiter)
             self.size -= 1
--- a/postpass/gateway/attempts.py
+++ b/postpass/gateway/attempts.py
@@ -19,16 +19,16 @@
 
 
 @dataclass(frozen=True)
-class Ledger:
+class AttemptLog:
     """Invariant: only the last attempt is open."""
 
     attempts: tuple[Attempt, ...] = ()
 
-    def plan(self, server: str) -> Ledger:
-        return Ledger((*self.attempts, Attempt(server)))
+    def plan(self, server: str) -> AttemptLog:
+        return AttemptLog((*self.attempts, Attempt(server)))
 
-    def mark(self, state: State, why: str = "") -> Ledger:
-        return Ledger((*self.attempts[:-1], replace(self.attempts[-1], state=state, why=why)))
+    def mark(self, state: State, why: str = "") -> AttemptLog:
+        return AttemptLog((*self.attempts[:-1], replace(self.attempts[-1], state=state, why=why)))
 
     @property
     def last(self) -> Attempt | None:
@@ -48,7 +48,7 @@
     why: str = ""
 
 
-def next_move(ledger: Ledger, once: bool, now: float, until: float, tries: int, budget: bool) -> Move:
+def next_move(ledger: AttemptLog, once: bool, now: float, until: float, tries: int, budget: bool) -> Move:
     """A pure function of ledger, class and time. `budget`: may another attempt be spent on retries?"""
     last = ledger.last
     if last is None:
@@ -72,7 +72,15 @@
 
 
 def next_attempt(
-    ledger: Ledger, *, repeatable: bool, resumable: bool, begun: bool, now: float, hold: float, until: float, tries: int
+    ledger: AttemptLog,
+    *,
+    repeatable: bool,
+    resumable: bool,
+    begun: bool,
+    now: float,
+    hold: float,
+    until: float,
+    tries: int,
 ) -> Move:
     """The next move of a relayed request. `begun`: something of an answer went to the caller. `hold`: until when other
     workers are asked if none has taken it. `tries`: how many workers may have begun it."""
--- a/postpass/gateway/live_requests.py
+++ b/postpass/gateway/live_requests.py
@@ -20,16 +20,16 @@
 from starlette.responses import JSONResponse, Response
 from starlette.routing import Mount, Route
 
-from postpass.configuration.configuration import Class, Manifest, part_of
+from postpass.configuration.configuration import Class, Configuration, part_of
 from postpass.configuration.schema import flaws
-from postpass.configuration.settings import Config
-from postpass.feed.configuration_view import News
-from postpass.gateway.admission import Backlog, Waiter
-from postpass.gateway.attempts import Ledger, next_move
-from postpass.gateway.worker_load import DEAF, OVER, Floor
-from postpass.rpc.peer_links import Body, Lines
+from postpass.configuration.settings import Settings
+from postpass.feed.configuration_view import ConfigurationView
+from postpass.gateway.admission import AdmissionQueue, Waiter
+from postpass.gateway.attempts import AttemptLog, next_move
+from postpass.gateway.worker_load import DEAF, OVER, WorkerLoad
+from postpass.rpc.peer_links import Body, PeerLinks
 from postpass.runtime import log_events
-from postpass.runtime.environment import World, now
+from postpass.runtime.environment import Environment, now
 from postpass.runtime.errors import BROKE, CLASH, CROWD, FULL, LACK, MOVED, SHED, SLOW, Fault, Stop
 from postpass.worker_api.openai import Prompt, complete
 from postpass.worker_api.plugins import Ask, Seat, fond_of, place, prefix
@@ -52,7 +52,7 @@
 CallBody.__annotations__["class"] = "str"
 
 
-class LotBody(TypedDict):
+class JobBody(TypedDict):
     items: list[str]
     id: NotRequired[str]
     shared: NotRequired[list[str]]
@@ -60,7 +60,7 @@
     within: NotRequired[float]
 
 
-LotBody.__annotations__["class"] = "str"
+JobBody.__annotations__["class"] = "str"
 
 
 def fault_response(flaw: Fault, code: int, **more: Any) -> JSONResponse:
@@ -73,18 +73,18 @@
 
 
 @dataclass(eq=False)
-class Edge:
+class Gateway:
     """Invariants: a call holds at most one seat; a seat is given back exactly once; backlogs are bounded
     by their class's `backlog`; pieces go to the caller only from the one attempt that is open."""
 
-    conf: Config
-    world: World
-    news: News
-    lines: Lines
-    floor: Floor
+    settings: Settings
+    environment: Environment
+    configuration_view: ConfigurationView
+    peer_links: PeerLinks
+    worker_load: WorkerLoad
     session: aiohttp.ClientSession
     registry: CollectorRegistry
-    backlogs: dict[str, Backlog] = field(default_factory=dict)
+    backlogs: dict[str, AdmissionQueue] = field(default_factory=dict)
     open: Tally[str] = field(default_factory=Tally)  # calls under way, by class
     pace: dict[str, float] = field(default_factory=dict)  # seconds a call takes, by class, smoothed
     owners: dict[int, str] = field(default_factory=dict)
@@ -109,14 +109,14 @@
 
     def ways(self) -> list[Any]:
         return [
-            Route("/v1/calls", Calls(self), methods=["POST"]),
+            Route("/v1/calls", LiveRequests(self), methods=["POST"]),
             Route("/v1/lots", self.http_send, methods=["POST"]),
             Route("/v1/lots/{lot}", self.http_lot, methods=["GET", "DELETE"]),
             Route("/v1/lots/{lot}/results", self.http_results, methods=["GET"]),
             *self.more,
             Mount("", self.rest)
             if self.rest is not None
-            else Route("/{rest:path}", Plain(self), methods=["GET", "HEAD", "POST", "PUT", "DELETE"]),
+            else Route("/{rest:path}", ProxiedRoutes(self), methods=["GET", "HEAD", "POST", "PUT", "DELETE"]),
         ]
 
     def tasks(self) -> list[Any]:
@@ -124,57 +124,59 @@
 
     def known(self, part: int) -> list[str]:
         """Lots of a partition that were called kept so lately that none of them can have left by the retention."""
-        young = now() - self.man.get("retention", 3600.0)
-        return [n for n, at in self.kept if at > young and part_of(n, self.man["parts"]) == part]
+        young = now() - self.configuration.get("retention", 3600.0)
+        return [n for n, at in self.kept if at > young and part_of(n, self.configuration["parts"]) == part]
 
     # --- seats
     @property
-    def man(self) -> Manifest:
-        assert self.news.manifest is not None
-        return self.news.manifest
+    def configuration(self) -> Configuration:
+        assert self.configuration_view.manifest is not None
+        return self.configuration_view.manifest
 
     def quota(self, kind: str) -> int:
         """This edge's part of a class's share of its pool."""
-        c = self.man["classes"][kind]
-        servers = self.man["pools"][c["pool"]]["servers"]
-        total = sum(self.floor.cap(c["pool"], n) for n in servers if not self.floor.barred(c["pool"], n, self.stale))
-        edges = max(1, len(self.news.duty("edge")))
+        c = self.configuration["classes"][kind]
+        servers = self.configuration["pools"][c["pool"]]["servers"]
+        total = sum(
+            self.worker_load.cap(c["pool"], n) for n in servers if not self.worker_load.barred(c["pool"], n, self.stale)
+        )
+        edges = max(1, len(self.configuration_view.duty("edge")))
         return max(1, math.ceil(c["share"] * total * OVER / edges))
 
     @property
     def stale(self) -> float:
-        return self.conf.bounds.probe * 4
+        return self.settings.bounds.probe * 4
 
     def may(self, kind: str) -> bool:
         """Is there room in the class's share here, or in one that it may borrow from?"""
         if self.open[kind] < self.quota(kind):
             return True
-        c = self.man["classes"][kind]
+        c = self.configuration["classes"][kind]
         room, used = self.quota(kind), self.open[kind]
         for lender in c.get("borrows", []):
             waiting = self.backlogs[lender].size if lender in self.backlogs else 0
-            keep = math.ceil(self.man["classes"][lender].get("reserve", 0.1) * self.quota(lender))
+            keep = math.ceil(self.configuration["classes"][lender].get("reserve", 0.1) * self.quota(lender))
             if waiting == 0 and self.quota(lender) - self.open[lender] > keep:
                 room += self.quota(lender) - keep
                 used += self.open[lender]
         return used < room
 
     def seats(self, kind: str, fond: str) -> tuple[Seat, ...]:
-        c = self.man["classes"][kind]
-        pool = self.man["pools"][c["pool"]]
-        edges = self.news.duty("edge")
-        rank = edges.index(self.conf.name) if self.conf.name in edges else 0
+        c = self.configuration["classes"][kind]
+        pool = self.configuration["pools"][c["pool"]]
+        edges = self.configuration_view.duty("edge")
+        rank = edges.index(self.settings.name) if self.settings.name in edges else 0
         out: list[Seat] = []
         spare: list[Seat] = []
         quota = used = 0
         for name, server in pool["servers"].items():
-            if self.floor.barred(c["pool"], name, self.stale):
+            if self.worker_load.barred(c["pool"], name, self.stale):
                 continue
-            spot = self.floor.spot(c["pool"], name)
+            spot = self.worker_load.spot(c["pool"], name)
             mine = spot.mine.total()
             if pool["kind"] == "model":
-                cap = self.floor.cap(c["pool"], name)
-                free = self.floor.quota(c["pool"], name, rank, len(edges)) - mine
+                cap = self.worker_load.cap(c["pool"], name)
+                free = self.worker_load.quota(c["pool"], name, rank, len(edges)) - mine
                 load = (spot.seen.running + spot.seen.waiting if spot.seen else 0) + max(0, mine - spot.mine_seen)
                 if load >= math.ceil(cap * OVER):
                     continue
@@ -185,53 +187,58 @@
             used += mine
             if free >= 1:
                 out.append(Seat(name, server["area"], free, max(cap, 1), load, name == fond))
-            elif pool["kind"] != "model" or self.floor.warm(c["pool"], name) >= 1:
+            elif pool["kind"] != "model" or self.worker_load.warm(c["pool"], name) >= 1:
                 spare.append(Seat(name, server["area"], 1, max(cap, 1), load, name == fond))
         if quota <= 0 and used == 0 and spare:
             # More edges than seats, and this one has a part of none that is up: one seat all the same, at the
             # server its own name tends to, so that edges left out don't all go to one. It adds at the most
             # one call an edge to the joint overrun, and none at a server whose reported load is at its bound.
-            best = fond_of(self.conf.name, sorted(s.name for s in spare))
+            best = fond_of(self.settings.name, sorted(s.name for s in spare))
             return tuple(s for s in spare if s.name == best)
         return tuple(out)
 
     def pump(self) -> None:
         """Gives free seats to waiters, the classes of higher priority first."""
-        if self.news.manifest is None:
+        if self.configuration_view.manifest is None:
             return
-        kinds = sorted(self.backlogs, key=lambda k: -self.man["classes"].get(k, cast(Class, {})).get("priority", 0))
+        kinds = sorted(
+            self.backlogs, key=lambda k: -self.configuration["classes"].get(k, cast(Class, {})).get("priority", 0)
+        )
         for kind in kinds:
             log = self.backlogs[kind]
             while (waiter := log.peek()) is not None:
-                if kind not in self.man["classes"] or not self.may(kind):
+                if kind not in self.configuration["classes"] or not self.may(kind):
                     break
                 seats = self.seats(kind, waiter.fond)
                 if not seats:
                     break
-                c = self.man["classes"][kind]
+                c = self.configuration["classes"][kind]
                 ask = Ask(kind, waiter.shared, waiter.size, waiter.area)
-                name = place(self.conf.name, c.get("place", ""), ask, seats)
+                name = place(self.settings.name, c.get("place", ""), ask, seats)
                 log.pop()
                 self.open[kind] += 1
-                self.floor.spot(c["pool"], name).mine[kind] += 1
+                self.worker_load.spot(c["pool"], name).mine[kind] += 1
                 waiter.seat.set_result(name)
 
     async def pump_on(self) -> None:
         while True:
-            freed = self.floor.freed
+            freed = self.worker_load.freed
             await freed.wait()
             self.pump()
 
     def give_back(self, kind: str, pool: str, name: str) -> None:
         self.open[kind] -= 1
-        self.floor.spot(pool, name).mine[kind] -= 1
+        self.worker_load.spot(pool, name).mine[kind] -= 1
         self.pump()
 
     def bound(self, kind: str) -> int:
         """How many may wait: by default four times what this edge may have under way when all servers are up."""
-        c = self.man["classes"][kind]
-        total = sum(s["slots"] for s in self.man["pools"][c["pool"]]["servers"].values())
-        return c.get("backlog", 4 * max(1, math.ceil(c["share"] * total * OVER / max(1, len(self.news.duty("edge"))))))
+        c = self.configuration["classes"][kind]
+        total = sum(s["slots"] for s in self.configuration["pools"][c["pool"]]["servers"].values())
+        return c.get(
+            "backlog",
+            4 * max(1, math.ceil(c["share"] * total * OVER / max(1, len(self.configuration_view.duty("edge"))))),
+        )
 
     def ahead(self, kind: str) -> float:
         """How long a new call would wait, by what calls have lately taken."""
@@ -240,32 +247,32 @@
 
     def let_in(self, kind: str, left: float) -> Result[None, Fault]:
         """Sheds early: a call that would wait past its deadline is told so now."""
-        log = self.backlogs.setdefault(kind, Backlog())
+        log = self.backlogs.setdefault(kind, AdmissionQueue())
         if self.leaving:
-            return Err(Fault("let in", self.conf.name, LEAVING, SHED, hint="another edge"))
-        if self.news.evacuated(self.conf.name):
-            return Err(Fault("let in", self.conf.name, EVACUATED, SHED, hint="another edge"))
-        if now() - self.news.heard > self.conf.bounds.deaf:
-            return Err(Fault("let in", self.conf.name, DEAF, SHED, hint="another edge"))
+            return Err(Fault("let in", self.settings.name, LEAVING, SHED, hint="another edge"))
+        if self.configuration_view.evacuated(self.settings.name):
+            return Err(Fault("let in", self.settings.name, EVACUATED, SHED, hint="another edge"))
+        if now() - self.configuration_view.heard > self.settings.bounds.deaf:
+            return Err(Fault("let in", self.settings.name, DEAF, SHED, hint="another edge"))
         if log.size >= self.bound(kind):
-            return Err(Fault("let in", self.conf.name, f"the backlog of {kind} is full ({log.size})", CROWD))
+            return Err(Fault("let in", self.settings.name, f"the backlog of {kind} is full ({log.size})", CROWD))
         if self.ahead(kind) > left:
-            return Err(Fault("let in", self.conf.name, f"the wait for {kind} is past the deadline", SHED))
+            return Err(Fault("let in", self.settings.name, f"the wait for {kind} is past the deadline", SHED))
         return Ok(None)
 
-    async def seat(self, kind: str, prompt: Prompt, caller: str, left: float) -> str:
+    async def seat(self, kind: str, prompt: Prompt, client: str, left: float) -> str:
         """Waits for a seat; raises Stop if the deadline comes first."""
-        c = self.man["classes"][kind]
-        ask = Ask(kind, prompt.shared, len(prompt.text), self.conf.area)
-        key = prefix(self.conf.name, c.get("prefix", ""), ask)
+        c = self.configuration["classes"][kind]
+        ask = Ask(kind, prompt.shared, len(prompt.text), self.settings.area)
+        key = prefix(self.settings.name, c.get("prefix", ""), ask)
         names = [
             n
-            for n in sorted(self.man["pools"][c["pool"]]["servers"])
-            if not self.floor.barred(c["pool"], n, self.stale)
+            for n in sorted(self.configuration["pools"][c["pool"]]["servers"])
+            if not self.worker_load.barred(c["pool"], n, self.stale)
         ]
-        waiter = Waiter(caller, fond_of(key, names), self.conf.area, prompt.shared, len(prompt.text),
+        waiter = Waiter(client, fond_of(key, names), self.settings.area, prompt.shared, len(prompt.text),
                         asyncio.get_running_loop().create_future())  # fmt: skip
-        log = self.backlogs.setdefault(kind, Backlog())
+        log = self.backlogs.setdefault(kind, AdmissionQueue())
         log.put(waiter)
         self.pump()
         try:
@@ -273,7 +280,7 @@
                 return await waiter.seat
         except TimeoutError as bad:
             why = "no server is up" if not names else "no server had room in time"
-            raise Stop(Fault("seat", self.conf.name, why, SHED, unsent=True)) from bad
+            raise Stop(Fault("seat", self.settings.name, why, SHED, unsent=True)) from bad
         finally:
             if not waiter.seat.done():
                 waiter.seat.cancel()
@@ -288,23 +295,23 @@
         body = body | {"part": part}
         unsure = False
         tried: list[str] = []
-        last = Fault(verb, self.conf.name, "no owner known", SLOW)
-        b = self.conf.bounds
+        last = Fault(verb, self.settings.name, "no owner known", SLOW)
+        b = self.settings.bounds
         while now() < until:
-            order = self.news.order(part)
+            order = self.configuration_view.order(part)
             names = [n for n in dict.fromkeys([self.owners.get(part, ""), *order]) if n and n not in tried]
             if not names:
                 tried = []
-                await asyncio.sleep(b.beat / 2 * (0.75 + 0.5 * self.world.chance.random()))
+                await asyncio.sleep(b.beat / 2 * (0.75 + 0.5 * self.environment.chance.random()))
                 continue
             name = names[0]
             tried.append(name)
-            addr = self.news.addr(name)
+            addr = self.configuration_view.addr(name)
             if not addr:
                 continue
             left = max(0.05, until - now())
             wait = min(left, b.detect * 2)
-            got = await self.lines.call(
+            got = await self.peer_links.call(
                 addr, verb, body | {"wait": wait * 0.9} | ({"again": True} if unsure else {}), wait
             )
             if isinstance(got, Ok):
@@ -329,12 +336,12 @@
             return Err(replace(last, unsure=unsure))
         return Err(Fault(verb, last.peer, last.why, SLOW, unsent=not unsure, unsure=unsure))
 
-    def caller(self, request: Request) -> str:
+    def client(self, request: Request) -> str:
         return request.headers.get("x-caller", "")[:80]
 
     async def read(self, request: Request, kind: Any, most: int) -> Result[Any, JSONResponse]:
         data = b""
-        me = self.conf.name
+        me = self.settings.name
         async for part in request.stream():
             data += part
             if len(data) > most:
@@ -350,13 +357,15 @@
 
     def class_of(self, raw: Any, kinds: tuple[str, ...]) -> Result[Class, JSONResponse]:
         name = raw["class"]
-        c = self.man["classes"].get(name)
+        c = self.configuration["classes"].get(name)
         if c is None or c["kind"] not in kinds:
-            known = ", ".join(n for n, x in self.man["classes"].items() if x["kind"] in kinds)
+            known = ", ".join(n for n, x in self.configuration["classes"].items() if x["kind"] in kinds)
             return Err(
                 fault_response(
                     Fault(
-                        "read body", self.conf.name, f"class: unknown {kinds[0]} class {name!r:.40}; known are {known}"
+                        "read body",
+                        self.settings.name,
+                        f"class: unknown {kinds[0]} class {name!r:.40}; known are {known}",
                     ),
                     400,
                 )
@@ -364,14 +373,14 @@
         return Ok(c)
 
     def unready(self) -> JSONResponse | None:
-        if self.news.manifest is None:
-            return fault_response(Fault("let in", self.conf.name, "no manifest yet", hint="another edge"), 503)
-        if not self.news.fresh:
-            return fault_response(Fault("let in", self.conf.name, "no fresh news yet", hint="another edge"), 503)
+        if self.configuration_view.manifest is None:
+            return fault_response(Fault("let in", self.settings.name, "no manifest yet", hint="another edge"), 503)
+        if not self.configuration_view.fresh:
+            return fault_response(Fault("let in", self.settings.name, "no fresh news yet", hint="another edge"), 503)
         return None
 
     def lot_flaw(self, raw: Any) -> str:
-        limit, wall = self.news.limit, self.world.wall()
+        limit, wall = self.configuration_view.limit, self.environment.wall()
         if "id" in raw and not NAME.fullmatch(raw["id"]):
             return "id: want 1 to 80 of A-Z a-z 0-9 . _ -"
         if not raw["items"]:
@@ -392,7 +401,7 @@
     async def http_send(self, request: Request) -> Response:
         if (lack := self.unready()) is not None:
             return lack
-        got = await self.read(request, LotBody, self.news.limit("body_bytes"))
+        got = await self.read(request, JobBody, self.configuration_view.limit("body_bytes"))
         if isinstance(got, Err):
             return got.unwrap_err()
         raw = got.unwrap()
@@ -401,22 +410,22 @@
             return kind.unwrap_err()
         flaw = self.lot_flaw(raw)
         if flaw:
-            return fault_response(Fault("read body", self.conf.name, flaw), 400)
-        if self.leaving or self.news.evacuated(self.conf.name):
+            return fault_response(Fault("read body", self.settings.name, flaw), 400)
+        if self.leaving or self.configuration_view.evacuated(self.settings.name):
             why = LEAVING if self.leaving else EVACUATED
-            return fault_response(Fault("let in", self.conf.name, why, hint="another edge"), 503)
+            return fault_response(Fault("let in", self.settings.name, why, hint="another edge"), 503)
         named = "id" in raw
         lot: Body = {
-            "id": raw["id"] if named else f"lot-{self.world.chance.getrandbits(64):016x}", "class": raw["class"],
-            "items": raw["items"], "shared": raw.get("shared", []), "caller": self.caller(request),
+            "id": raw["id"] if named else f"lot-{self.environment.chance.getrandbits(64):016x}", "class": raw["class"],
+            "items": raw["items"], "shared": raw.get("shared", []), "caller": self.client(request),
             "due": raw.get("due"), "within": raw.get("within"),
         }  # fmt: skip
         # A relative due time is made absolute once, and the digest leaves it out, so that sending again is safe.
         if lot["due"] is None:
-            lot["due"] = round(self.world.wall() + raw["within"], 3)
+            lot["due"] = round(self.environment.wall() + raw["within"], 3)
         lot["said"] = [raw.get("due"), raw.get("within")]
-        part = part_of(lot["id"], self.man["parts"])
-        answer = await self.to_owner(part, "submit", {"lot": lot, "again": named}, now() + self.conf.bounds.recover)
+        part = part_of(lot["id"], self.configuration["parts"])
+        answer = await self.to_owner(part, "submit", {"lot": lot, "again": named}, now() + self.settings.bounds.recover)
         if isinstance(answer, Ok):
             self.lots.labels("kept").inc()
             self.kept.append((lot["id"], now()))
@@ -437,10 +446,10 @@
             return lack
         lot = request.path_params["lot"]
         if not NAME.fullmatch(lot):
-            return fault_response(Fault("read path", self.conf.name, "id: want 1 to 80 of A-Z a-z 0-9 . _ -"), 400)
-        part = part_of(lot, self.man["parts"])
-        caller = self.caller(request)
-        got = await self.to_owner(part, verb, body | {"id": lot, "caller": caller}, now() + wait)
+            return fault_response(Fault("read path", self.settings.name, "id: want 1 to 80 of A-Z a-z 0-9 . _ -"), 400)
+        part = part_of(lot, self.configuration["parts"])
+        client = self.client(request)
+        got = await self.to_owner(part, verb, body | {"id": lot, "caller": client}, now() + wait)
         if isinstance(got, Ok):
             return JSONResponse(got.unwrap())
         bad = got.unwrap_err()
@@ -451,7 +460,7 @@
 
     async def http_lot(self, request: Request) -> Response:
         verb = "finish" if request.method == "DELETE" else "show"
-        return await self.lot_response(request, verb, {}, self.conf.bounds.recover)
+        return await self.lot_response(request, verb, {}, self.settings.bounds.recover)
 
     async def http_results(self, request: Request) -> Response:
         try:
@@ -460,17 +469,17 @@
             start, most = -1, 0
         if start < 0 or not 1 <= most <= 500:
             return fault_response(
-                Fault("read query", self.conf.name, "start: want 0 or more; most: want 1 to 500"), 400
+                Fault("read query", self.settings.name, "start: want 0 or more; most: want 1 to 500"), 400
             )
-        return await self.lot_response(request, "page", {"start": start, "most": most}, self.conf.bounds.recover)
+        return await self.lot_response(request, "page", {"start": start, "most": most}, self.settings.bounds.recover)
 
     async def claim(self, key: str, until: float) -> Result[bool, Fault]:
-        nonce = f"{self.conf.name}-{self.world.chance.getrandbits(64):016x}"
-        part = part_of(key, self.man["parts"])
-        got = await self.to_owner(part, "claim", {"key": key, "nonce": nonce, "edge": self.conf.name}, until)
+        nonce = f"{self.settings.name}-{self.environment.chance.getrandbits(64):016x}"
+        part = part_of(key, self.configuration["parts"])
+        got = await self.to_owner(part, "claim", {"key": key, "nonce": nonce, "edge": self.settings.name}, until)
         if isinstance(got, Err):
             return got
-        log_events.emit(161, self.conf.name, key=key, won=got.unwrap()["won"])
+        log_events.emit(161, self.settings.name, key=key, won=got.unwrap()["won"])
         return Ok(bool(got.unwrap()["won"]))
 
 
@@ -482,10 +491,10 @@
 
 
 @dataclass(eq=False)
-class Calls:
+class LiveRequests:
     """Live calls, as an ASGI app of its own: it must know at once when the caller goes."""
 
-    edge: Edge
+    edge: Gateway
 
     async def __call__(self, scope: Any, receive: Any, send: Send) -> None:
         edge = self.edge
@@ -493,7 +502,7 @@
         response: Response | None = edge.unready()
         if response is None:
             try:
-                got = await edge.read(request, CallBody, edge.news.limit("body_bytes"))
+                got = await edge.read(request, CallBody, edge.configuration_view.limit("body_bytes"))
             except ClientDisconnect:
                 return
             if isinstance(got, Err):
@@ -506,7 +515,7 @@
             await response(scope, receive, send)
             return
         raw = got.unwrap()
-        call = asyncio.create_task(self.run(raw, kind.unwrap(), edge.caller(request), scope, receive, send))
+        call = asyncio.create_task(self.run(raw, kind.unwrap(), edge.client(request), scope, receive, send))
         gone = asyncio.create_task(self.watch(receive))
         try:
             await asyncio.wait([call, gone], return_when=asyncio.FIRST_COMPLETED)
@@ -524,7 +533,7 @@
         while (await receive())["type"] != "http.disconnect":
             pass
 
-    async def run(self, raw: Any, c: Class, caller: str, scope: Any, receive: Any, send: Send) -> None:
+    async def run(self, raw: Any, c: Class, client: str, scope: Any, receive: Any, send: Send) -> None:
         edge, kind = self.edge, raw["class"]
         began = now()
         limit = min(float(raw.get("deadline", 1e9)), c.get("deadline", 30.0))
@@ -534,10 +543,10 @@
             flaw = "deadline: is in the past"
         if "key" in raw and not NAME.fullmatch(raw["key"]):
             flaw = "key: want 1 to 80 of A-Z a-z 0-9 . _ -"
-        if not 1 <= raw.get("most", 256) <= edge.news.limit("pieces"):
-            flaw = f"most: want 1 to {edge.news.limit('pieces')}"
+        if not 1 <= raw.get("most", 256) <= edge.configuration_view.limit("pieces"):
+            flaw = f"most: want 1 to {edge.configuration_view.limit('pieces')}"
         if flaw:
-            await fault_response(Fault("read body", edge.conf.name, flaw), 400)(scope, receive, send)
+            await fault_response(Fault("read body", edge.settings.name, flaw), 400)(scope, receive, send)
             return
         let = edge.let_in(kind, limit)
         if isinstance(let, Err):
@@ -547,11 +556,13 @@
             return
         until = began + limit
         if once and "key" in raw:
-            won = await edge.claim(raw["key"], min(until, now() + edge.conf.bounds.recover))
+            won = await edge.claim(raw["key"], min(until, now() + edge.settings.bounds.recover))
             if isinstance(won, Err) or not won.unwrap():
                 edge.calls.labels(kind, "claimed").inc()
                 if isinstance(won, Ok):
-                    flaw_ = Fault("claim", edge.conf.name, "a call with this key was taken before; it is not run again")
+                    flaw_ = Fault(
+                        "claim", edge.settings.name, "a call with this key was taken before; it is not run again"
+                    )
                     await fault_response(flaw_, 409, ran="unknown")(scope, receive, send)
                 else:
                     # Not sent by this edge, now or later; whoever else holds the key is not known.
@@ -559,8 +570,8 @@
                 return
         edge.retries = min(edge.retries + 0.1, 20.0)
         prompt = Prompt(tuple(raw.get("shared", [])), raw["own"], raw.get("most", 256))
-        ledger, count, seal = Ledger(), 0, hashlib.sha256()
-        last = Fault("call", edge.conf.name, "not sent")
+        ledger, count, seal = AttemptLog(), 0, hashlib.sha256()
+        last = Fault("call", edge.settings.name, "not sent")
         while True:
             move = next_move(ledger, once, now(), until, TRIES, edge.retries >= 1 or not ledger.attempts)
             if move.kind != "send":
@@ -568,16 +579,16 @@
             if ledger.attempts:
                 edge.retries -= 1
             try:
-                name = await edge.seat(kind, prompt, caller, until - now())
+                name = await edge.seat(kind, prompt, client, until - now())
             except Stop as bad:
                 last = bad.fault
                 ledger = ledger.plan("").mark("unsent", bad.fault.why)
                 continue
             ledger = ledger.plan(name)
             pool = c["pool"]
-            spot = edge.floor.spot(pool, name)
+            spot = edge.worker_load.spot(pool, name)
             try:
-                server = edge.man["pools"][pool]["servers"].get(name)
+                server = edge.configuration["pools"][pool]["servers"].get(name)
                 if server is None:
                     raise Stop(Fault("seat", name, "it left the manifest", unsent=True))
 
@@ -588,8 +599,8 @@
                 model = spot.seen.weights if spot.seen else ""
                 async with asyncio.timeout(until - now()):
                     async for text in complete(
-                        edge.session, server["url"], model, prompt, lambda name=name: edge.floor.barred(c["pool"], name, edge.stale),  # type: ignore[misc]
-                        sent, max(0.1, until - now()), edge.news.limit("pieces"), edge.man["pools"][pool].get("offsets", True),
+                        edge.session, server["url"], model, prompt, lambda name=name: edge.worker_load.barred(c["pool"], name, edge.stale),  # type: ignore[misc]
+                        sent, max(0.1, until - now()), edge.configuration_view.limit("pieces"), edge.configuration["pools"][pool].get("offsets", True),
                     ):  # fmt: skip
                         if count == 0:
                             ledger = ledger.mark("first")
@@ -625,7 +636,7 @@
                 edge.give_back(kind, pool, name)
         await self.close(kind, move.kind, move.why, last, ledger, count, seal.hexdigest()[:16], scope, receive, send)
 
-    async def close(self, kind: str, end: str, why: str, last: Fault, ledger: Ledger, count: int, seal: str,
+    async def close(self, kind: str, end: str, why: str, last: Fault, ledger: AttemptLog, count: int, seal: str,
                     scope: Any, receive: Any, send: Send) -> None:  # fmt: skip
         edge = self.edge
         edge.calls.labels(kind, end).inc()
@@ -643,7 +654,14 @@
             )
             return
         log_events.emit(
-            160, edge.conf.name, kind=kind, end=end, step=last.step, peer=last.peer, why=why, tries=len(ledger.attempts)
+            160,
+            edge.settings.name,
+            kind=kind,
+            end=end,
+            step=last.step,
+            peer=last.peer,
+            why=why,
+            tries=len(ledger.attempts),
         )
         flaw = Fault(last.step, last.peer, why or last.why)
         if count:
@@ -661,13 +679,13 @@
 
 
 @dataclass(eq=False)
-class Plain:
+class ProxiedRoutes:
     """Plain ways: an ordinary request passed to an ordinary back end, with its length kept honest."""
 
-    edge: Edge
+    edge: Gateway
 
     def way(self, path: str) -> str:
-        ways = self.edge.man["ways"] if self.edge.news.manifest else {}
+        ways = self.edge.configuration["ways"] if self.edge.configuration_view.manifest else {}
         fits = [w for w in ways if path == w or path.startswith(w.rstrip("/") + "/")]
         return ways[max(fits, key=len)] if fits else ""
 
@@ -678,17 +696,17 @@
             return
         kind = self.way(scope["path"])
         if not kind:
-            await fault_response(Fault("find way", edge.conf.name, f"path: no way for {scope['path']!r:.80}"), 404)(
+            await fault_response(Fault("find way", edge.settings.name, f"path: no way for {scope['path']!r:.80}"), 404)(
                 scope, receive, send
             )
             return
-        c = edge.man["classes"][kind]
+        c = edge.configuration["classes"][kind]
         request = Request(scope, receive)
         data = b""
         async for part in request.stream():
             data += part
-            if len(data) > edge.news.limit("body_bytes"):
-                await fault_response(Fault("read body", edge.conf.name, "(top): the body is too large"), 413)(
+            if len(data) > edge.configuration_view.limit("body_bytes"):
+                await fault_response(Fault("read body", edge.settings.name, "(top): the body is too large"), 413)(
                     scope, receive, send
                 )
                 return
@@ -704,7 +722,7 @@
     async def run(self, kind: str, c: Class, scope: Any, receive: Any, send: Send, data: bytes, until: float) -> None:
         edge = self.edge
         again = scope["method"] in ("GET", "HEAD")
-        last = Fault("pass", edge.conf.name, "not sent", SHED, unsent=True)
+        last = Fault("pass", edge.settings.name, "not sent", SHED, unsent=True)
         for _ in range(TRIES):
             try:
                 name = await edge.seat(kind, Prompt((), scope["path"]), "", max(0.01, until - now()))
@@ -714,11 +732,11 @@
             began, started = now(), False
             try:
                 # After a freeze the seat may be an old one: what bars the server now is asked right before it goes.
-                bar = edge.floor.barred(c["pool"], name, edge.stale)
+                bar = edge.worker_load.barred(c["pool"], name, edge.stale)
                 if bar:
                     last = Fault("pass", name, bar, SHED, unsent=True)
                     continue
-                url = edge.man["pools"][c["pool"]]["servers"][name]["url"]
+                url = edge.configuration["pools"][c["pool"]]["servers"][name]["url"]
                 query = scope["query_string"].decode("latin-1")
                 heads = {
                     k.decode("latin-1"): v.decode("latin-1") for k, v in scope["headers"]
@@ -755,12 +773,12 @@
                 last = Fault("pass", name, repr(bad)[:120], SLOW if isinstance(bad, TimeoutError) else BROKE)
                 if started:
                     edge.calls.labels(kind, "broken").inc()
-                    log_events.emit(160, edge.conf.name, kind=kind, step="pass", peer=name, why=last.why)
+                    log_events.emit(160, edge.settings.name, kind=kind, step="pass", peer=name, why=last.why)
                     # Ending without the rest: the server closes the connection, so it can't look whole.
                     raise ConnectionError(str(last)) from bad
                 unsent = isinstance(bad, aiohttp.ClientConnectorError)
                 if unsent:
-                    edge.floor.spot(c["pool"], name).why = "refused"
+                    edge.worker_load.spot(c["pool"], name).why = "refused"
                 if not again and not unsent:
                     break
             finally:
--- a/postpass/gateway/relay.py
+++ b/postpass/gateway/relay.py
@@ -10,11 +10,11 @@
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
 
-from postpass.configuration.configuration import Manifest, Pool, Route, Server, limit
+from postpass.configuration.configuration import Configuration, Pool, Route, Server, limit
 from postpass.configuration.header_names import Dialect
-from postpass.configuration.settings import Config
-from postpass.feed.configuration_view import News
-from postpass.gateway.attempts import Ledger, next_attempt
+from postpass.configuration.settings import Settings
+from postpass.feed.configuration_view import ConfigurationView
+from postpass.gateway.attempts import AttemptLog, next_attempt
 from postpass.gateway.load_balancing import (
     NOBODY,
     Bucket,
@@ -31,7 +31,7 @@
 from postpass.gateway.response_check import AnswerNames, Proof, verdict
 from postpass.gateway.upstream_connection import BODILESS, GARBLED, Exchange, Headers, WorkerLinks
 from postpass.runtime import log_events
-from postpass.runtime.environment import World, now
+from postpass.runtime.environment import Environment, now
 from postpass.runtime.errors import CROWD, SLOW, Fault, Stop
 
 App = Callable[[Any, Any, Any], Awaitable[None]]
@@ -65,9 +65,9 @@
         return None
 
 
-def table_of(man: Manifest) -> Table:
+def table_of(configuration: Configuration) -> Table:
     rows: dict[bytes, list[tuple[bytes, str, Route]]] = {}
-    for name, route in man.get("routes", {}).items():
+    for name, route in configuration.get("routes", {}).items():
         rows.setdefault(route["host"].partition(":")[0].lower().encode(), []).append(
             (route["prefix"].encode(), name, route)
         )
@@ -146,7 +146,7 @@
 
 # --- workers as this edge sees them
 @dataclass(eq=False)
-class Sight:
+class WorkerHealth:
     """What this edge knows of one life of a worker by its own requests."""
 
     mine: int = 0
@@ -175,7 +175,7 @@
     until: float
     send: Any
     tokens: bytes = b""  # as the caller says: of the prompt, and the most out
-    ledger: Ledger = field(default_factory=Ledger)
+    ledger: AttemptLog = field(default_factory=AttemptLog)
     begun: bool = False
     gone: bool = False
     events: Events | None = None
@@ -218,15 +218,22 @@
     """Invariants: a request is under way at one worker at the most; it goes to another only if that is proved safe;
     408, 421, 429 and 503 of ours go only to requests that no worker has taken."""
 
-    def __init__(self, conf: Config, world: World, news: News, dialect: Dialect, registry: CollectorRegistry) -> None:
-        self.conf, self.world, self.news = conf, world, news
+    def __init__(
+        self,
+        settings: Settings,
+        environment: Environment,
+        configuration_view: ConfigurationView,
+        dialect: Dialect,
+        registry: CollectorRegistry,
+    ) -> None:
+        self.settings, self.environment, self.configuration_view = settings, environment, configuration_view
         self.names = Names(dialect)
         self.inner: App = self.missing
-        self.links = WorkerLinks(connect=conf.bounds.leave / 8, silence=conf.bounds.leave * 1.5)
+        self.links = WorkerLinks(connect=settings.bounds.leave / 8, silence=settings.bounds.leave * 1.5)
         self.leaving = False
         self.unready: Callable[[], str] = lambda: ""
         self.lots: Callable[[str, Route, Any, Any, Any], Awaitable[None]] | None = None
-        self.sights: dict[str, Sight] = {}
+        self.sights: dict[str, WorkerHealth] = {}
         self.table = Table({})
         self.edition = -1
         self.edges: list[str] = []
@@ -256,9 +263,9 @@
         if scope["type"] != "http":
             await self.inner(scope, receive, send)
             return
-        man = self.news.manifest
-        if man is not None and self.edition != self.news.edition:
-            self.learn(man)
+        configuration = self.configuration_view.manifest
+        if configuration is not None and self.edition != self.configuration_view.edition:
+            self.learn(configuration)
         found = self.table.match(header(scope["headers"], b"host") or b"", scope["raw_path"])
         if found is None:
             await self.inner(scope, receive, send)
@@ -294,7 +301,7 @@
     def soon(self) -> float:
         """Seconds until one that isn't ready should be: after a common restart control stands at once, or else in
         `detect`."""
-        detect, up = self.conf.bounds.detect, now() - self.started
+        detect, up = self.settings.bounds.detect, now() - self.started
         return max(0.5, detect * (READY_SOON if up < detect * READY_SOON / 2 else READY_LATE) - up)
 
     async def refuse(self, send: Any, wait: float, why: str) -> None:
@@ -303,13 +310,13 @@
         if now() >= self.telling:
             # At most one line a second, so that a flood costs nothing more.
             self.telling = now() + 1.0
-            log_events.emit(173, self.conf.name, why=self.refused)
+            log_events.emit(173, self.settings.name, why=self.refused)
             self.refused = {}
         await self.answer(send, 503, self.retry_after(wait))
 
     def retry_after(self, wait: float) -> tuple[bytes, bytes]:
         """The header that asks callers to come again after about `wait` seconds, not all at once."""
-        return b"retry-after", b"%.3f" % (wait * (0.75 + 0.5 * self.world.chance.random()))
+        return b"retry-after", b"%.3f" % (wait * (0.75 + 0.5 * self.environment.chance.random()))
 
     async def relay(self, name: str, route: Route, scope: Any, receive: Any, send: Any) -> None:
         began = now()
@@ -317,7 +324,7 @@
         headers: Headers = scope["headers"]
         given = whole_number(header(headers, names.deadline_ms))
         until = began + (route["timeout"] if given is None else min(route["timeout"], given / 1000))
-        most = limit(self.news.manifest, "body_bytes") if self.news.manifest else 0
+        most = limit(self.configuration_view.manifest, "body_bytes") if self.configuration_view.manifest else 0
         body = await self.read(receive, most, whole_number(header(headers, b"content-length")) or 0, until)
         if isinstance(body, int):
             if body:
@@ -382,29 +389,36 @@
             return 408
 
     # --- placing
-    def learn(self, man: Manifest) -> None:
+    def learn(self, configuration: Configuration) -> None:
         """Takes a new edition of the manifest in force."""
-        self.table, self.edition = table_of(man), self.news.edition
-        self.edges = sorted(n for n, m in man["machines"].items() if "edge" in m["duties"] and not m.get("gone"))
+        self.table, self.edition = table_of(configuration), self.configuration_view.edition
+        self.edges = sorted(
+            n for n, m in configuration["machines"].items() if "edge" in m["duties"] and not m.get("gone")
+        )
         self.senders = max(
-            1, sum(bool({"edge", "sched"} & set(m["duties"])) for m in man["machines"].values() if not m.get("gone"))
+            1,
+            sum(
+                bool({"edge", "sched"} & set(m["duties"]))
+                for m in configuration["machines"].values()
+                if not m.get("gone")
+            ),
         )
         self.readers = {
-            pool: readers([n for n, s in p["servers"].items() if not self.barred(man, s)])
-            for pool, p in man["pools"].items()
+            pool: readers([n for n, s in p["servers"].items() if not self.barred(configuration, s)])
+            for pool, p in configuration["pools"].items()
         }
-        known = {n for p in man["pools"].values() for n in p["servers"]}
+        known = {n for p in configuration["pools"].values() for n in p["servers"]}
         for name in [n for n, s in self.sights.items() if n not in known and not s.mine]:
             del self.sights[name]
 
-    def sight(self, name: str) -> Sight:
+    def sight(self, name: str) -> WorkerHealth:
         got = self.sights.get(name)
         if got is None:
-            got = self.sights[name] = Sight(bucket=Bucket(1.0, now()))
+            got = self.sights[name] = WorkerHealth(bucket=Bucket(1.0, now()))
         return got
 
-    def barred(self, man: Manifest, server: Server) -> bool:
-        return bool(server.get("leave")) or server["area"] in man.get("evacuated", ())
+    def barred(self, configuration: Configuration, server: Server) -> bool:
+        return bool(server.get("leave")) or server["area"] in configuration.get("evacuated", ())
 
     def cold_rate(self, pool: Pool, name: str) -> float | None:
         """Requests a second that this edge may send to a cold worker; None: it may send none."""
@@ -412,13 +426,13 @@
         if rate <= 0:
             return 1e9
         users = cold_edges(name, self.edges, rate)
-        return cold_share(rate, len(users)) if self.conf.name in users else None
+        return cold_share(rate, len(users)) if self.settings.name in users else None
 
-    def seats(self, man: Manifest, pool: Pool, tried: set[str]) -> list[Seat]:
+    def seats(self, configuration: Configuration, pool: Pool, tried: set[str]) -> list[Seat]:
         out: list[Seat] = []
         at = now()
         for name, server in pool["servers"].items():
-            if name in tried or self.barred(man, server):
+            if name in tried or self.barred(configuration, server):
                 continue
             sight = self.sight(name)
             if server.get("cold"):
@@ -430,17 +444,17 @@
 
     def place(self, request: Request) -> tuple[str, str] | None:
         """Pool and worker for the next attempt."""
-        man = self.news.manifest
-        assert man is not None
+        configuration = self.configuration_view.manifest
+        assert configuration is not None
         tried = {a.server for a in request.ledger.attempts}
         for pool in pool_order(request.route["split"], request.request_id or b""):
-            if pool in man["pools"]:
-                seats = self.seats(man, man["pools"][pool], tried)
+            if pool in configuration["pools"]:
+                seats = self.seats(configuration, configuration["pools"][pool], tried)
                 name = choose(
                     seats,
                     request.prefix,
                     len(self.edges),
-                    self.world.chance,
+                    self.environment.chance,
                     request.reads,
                     self.readers.get(pool, NOBODY),
                 )
@@ -450,18 +464,18 @@
 
     def gate(self, request: Request, pool: str, name: str, addr: str) -> str:
         """Asked right before the first byte leaves: what speaks against it by the manifest in force now."""
-        man = self.news.manifest
-        assert man is not None
-        if self.edition != self.news.edition:
-            self.learn(man)
-        route = man.get("routes", {}).get(request.name)
+        configuration = self.configuration_view.manifest
+        assert configuration is not None
+        if self.edition != self.configuration_view.edition:
+            self.learn(configuration)
+        route = configuration.get("routes", {}).get(request.name)
         if route is None or all(s["pool"] != pool or s["weight"] <= 0 for s in route["split"]):
             return "the route no longer goes there"
-        server = man["pools"].get(pool, {"servers": {}})["servers"].get(name)  # type: ignore[typeddict-item]
-        if server is None or self.barred(man, server) or server["url"] != "http://" + addr:
+        server = configuration["pools"].get(pool, {"servers": {}})["servers"].get(name)  # type: ignore[typeddict-item]
+        if server is None or self.barred(configuration, server) or server["url"] != "http://" + addr:
             return "it is leaving"
         if server.get("cold"):
-            rate = self.cold_rate(man["pools"][pool], name)
+            rate = self.cold_rate(configuration["pools"][pool], name)
             sight = self.sight(name)
             if rate is None:
                 return "it is cold"
@@ -491,7 +505,7 @@
         if move.kind == "done":
             if request.late:
                 log_events.emit(
-                    172, self.conf.name, route=request.name, worker=request.ledger.last.server if request.ledger.last else "",
+                    172, self.settings.name, route=request.name, worker=request.ledger.last.server if request.ledger.last else "",
                     first=f"{request.first:.3f}", pause=f"{request.pause:.3f}", tokens=request.tokens.decode(),
                     shared=request.prefix.tokens, tries=len(request.ledger.attempts),
                 )  # fmt: skip
@@ -500,17 +514,17 @@
             await self.refuse(request.send, max(0.05, route["target"] / 4), move.why)
             return
         last = request.ledger.last
-        log_events.emit(170, self.conf.name, route=request.name, worker=last.server if last else "", why=move.why)
+        log_events.emit(170, self.settings.name, route=request.name, worker=last.server if last else "", why=move.why)
         if not request.begun:
             await self.answer(request.send, 504 if now() >= request.until else 502)
         # Otherwise nothing more is said, and the server closes the connection in the middle of the answer.
 
     async def attempt(self, request: Request, pool: str, name: str) -> None:
-        man = self.news.manifest
-        assert man is not None
-        addr = man["pools"][pool]["servers"][name]["url"].removeprefix("http://")
+        configuration = self.configuration_view.manifest
+        assert configuration is not None
+        addr = configuration["pools"][pool]["servers"][name]["url"].removeprefix("http://")
         sight = self.sight(name)
-        conns = man["pools"][pool].get("conns", 0)
+        conns = configuration["pools"][pool].get("conns", 0)
         most = max(1, int(conns * CONNS_PART / self.senders)) if conns else 0
         request.ledger = request.ledger.plan(name)
         left = request.until - now()
@@ -575,12 +589,12 @@
         route = request.route
         return min(route["target"], route["gap"] or route["target"]) * PATIENCE
 
-    def avoid(self, name: str, sight: Sight, why: str, silent: bool = False) -> None:
+    def avoid(self, name: str, sight: WorkerHealth, why: str, silent: bool = False) -> None:
         """Leaves a worker alone for a moment that doubles: a longer one if it says nothing, which costs each that tries
         a wait. So where what was sent to it is given up, only the first of them counts."""
         if now() < sight.avoid and not (silent and not sight.silent):
             return
-        log_events.emit(171, self.conf.name, worker=name, why=why)
+        log_events.emit(171, self.settings.name, worker=name, why=why)
         first, most = (SILENT_FIRST, SILENT_MOST) if silent else (AVOID_FIRST, AVOID_MOST)
         sight.avoid, sight.silent = now() + min(most, first * 2**sight.fails), silent
         sight.fails += 1
--- a/postpass/gateway/worker_load.py
+++ b/postpass/gateway/worker_load.py
@@ -11,12 +11,12 @@
 import aiohttp
 from result import Ok
 
-from postpass.configuration.configuration import Manifest, Server
+from postpass.configuration.configuration import Configuration, Server
 from postpass.configuration.settings import split
-from postpass.feed.configuration_view import News
-from postpass.rpc.peer_links import Lines
+from postpass.feed.configuration_view import ConfigurationView
+from postpass.rpc.peer_links import PeerLinks
 from postpass.runtime import log_events
-from postpass.runtime.environment import World, now
+from postpass.runtime.environment import Environment, now
 from postpass.runtime.errors import Fault, Stop
 from postpass.worker_api.openai import Report, report
 
@@ -48,13 +48,13 @@
 
 
 @dataclass(eq=False)
-class Floor:
+class WorkerLoad:
     who: str
-    world: World
-    news: News
+    environment: Environment
+    configuration_view: ConfigurationView
     session: aiohttp.ClientSession
     deaf: float = 1e18  # who hears no other daemon for so long may place nothing
-    lines: Lines | None = None
+    peer_links: PeerLinks | None = None
     spots: dict[tuple[str, str], Spot] = field(default_factory=dict)
     freed: asyncio.Event = field(default_factory=asyncio.Event)
 
@@ -67,14 +67,14 @@
 
     def readers(self) -> list[str]:
         """The edges of this area that read the servers themselves; with few edges, all of them do."""
-        man = self.news.manifest
-        if man is None or self.lines is None:
+        configuration = self.configuration_view.manifest
+        if configuration is None or self.peer_links is None:
             return [self.who]
-        edges = self.news.duty("edge")
+        edges = self.configuration_view.duty("edge")
         if len(edges) <= FEW or self.who not in edges:
             return [self.who]
-        here = man["machines"][self.who]["area"]
-        return [n for n in edges if man["machines"][n]["area"] == here][:2]
+        here = configuration["machines"][self.who]["area"]
+        return [n for n in edges if configuration["machines"][n]["area"] == here][:2]
 
     def shown(self) -> list[dict[str, Any]]:
         return [
@@ -84,11 +84,11 @@
 
     async def copy(self, limit: float) -> bool:
         """Takes over what a reader of this area has read; False if none of them answers."""
-        assert self.lines is not None
+        assert self.peer_links is not None
         for name in self.readers():
-            addr = self.news.addr(name)
+            addr = self.configuration_view.addr(name)
             asked = now()
-            got = await self.lines.call(addr, "floor", {}, limit) if addr else None
+            got = await self.peer_links.call(addr, "floor", {}, limit) if addr else None
             if not isinstance(got, Ok):
                 continue
             for row in got.unwrap()["spots"]:
@@ -107,11 +107,11 @@
         polls: dict[tuple[str, str], asyncio.Task[None]] = {}
         trips: dict[tuple[str, str], asyncio.Task[None]] = {}
         while True:
-            man = self.news.manifest
-            if man is not None:
+            configuration = self.configuration_view.manifest
+            if configuration is not None:
                 want = {
                     (p, n): s
-                    for p, pool in man["pools"].items()
+                    for p, pool in configuration["pools"].items()
                     if pool["kind"] in kinds
                     for n, s in pool["servers"].items()
                 }
@@ -122,16 +122,16 @@
                     if copied:
                         break
                     if key not in polls or polls[key].done():
-                        polls[key] = asyncio.create_task(self.poll(man, *key, server, every * 2))
+                        polls[key] = asyncio.create_task(self.poll(configuration, *key, server, every * 2))
                 for key, server in want.items():
-                    if kinds[0] == man["pools"][key[0]]["kind"] and (key not in trips or trips[key].done()):
-                        trips[key] = asyncio.create_task(self.trip(man, *key, server, every * 2))
+                    if kinds[0] == configuration["pools"][key[0]]["kind"] and (key not in trips or trips[key].done()):
+                        trips[key] = asyncio.create_task(self.trip(configuration, *key, server, every * 2))
                 for key in [k for k in trips if k not in want]:
                     trips.pop(key).cancel()
                 polls = {k: t for k, t in polls.items() if k in want or not t.done()}
-            await asyncio.sleep(every * (0.9 + 0.2 * self.world.chance.random()))
+            await asyncio.sleep(every * (0.9 + 0.2 * self.environment.chance.random()))
 
-    async def trip(self, man: Manifest, pool: str, name: str, server: Server, limit: float) -> None:
+    async def trip(self, configuration: Configuration, pool: str, name: str, server: Server, limit: float) -> None:
         """A connection on which nothing is said: when it ends, the process there may have been restarted, faster
         perhaps than polls come by, and is cold. Nothing new goes there until it has been asked anew."""
         spot = self.spot(pool, name)
@@ -148,17 +148,17 @@
                 writer.close()
         if writer is not None:
             spot.broke, spot.why = now(), spot.why or "its connection ended; it is asked anew"
-            await self.poll(man, pool, name, server, limit)
+            await self.poll(configuration, pool, name, server, limit)
 
-    async def poll(self, man: Manifest, pool: str, name: str, server: Server, limit: float) -> None:
+    async def poll(self, configuration: Configuration, pool: str, name: str, server: Server, limit: float) -> None:
         spot = self.spot(pool, name)
         asked = now()
         try:
-            if man["pools"][pool]["kind"] == "model":
+            if configuration["pools"][pool]["kind"] == "model":
                 got = await report(self.session, server["url"], limit, spot.seen)
                 if asked < spot.broke:
                     return
-                want = server.get("weights") or man["pools"][pool].get("weights", "")
+                want = server.get("weights") or configuration["pools"][pool].get("weights", "")
                 spot.why = f"weights {got.weights}, want {want}" if want and got.weights != want else ""
                 spot.seen = got
                 live = got.running + got.waiting
@@ -179,15 +179,15 @@
 
     def barred(self, pool: str, name: str, stale: float) -> str:
         """Why a server gets nothing new; empty if it may."""
-        man = self.news.manifest
-        server = man["pools"].get(pool, {"servers": {}})["servers"].get(name) if man else None  # type: ignore[call-overload]
-        if man is None or server is None:
+        configuration = self.configuration_view.manifest
+        server = configuration["pools"].get(pool, {"servers": {}})["servers"].get(name) if configuration else None  # type: ignore[call-overload]
+        if configuration is None or server is None:
             return "not in the manifest"
-        if now() - self.news.heard > self.deaf:
+        if now() - self.configuration_view.heard > self.deaf:
             return DEAF
         if server.get("leave"):
             return "leaving"
-        if server["area"] in man.get("evacuated", []):
+        if server["area"] in configuration.get("evacuated", []):
             return f"area {server['area']} is evacuated"
         spot = self.spot(pool, name)
         if spot.why:
@@ -200,30 +200,30 @@
 
     def warm(self, pool: str, name: str) -> float:
         """How much of a server may be used: grows from little to all of it while it warms up."""
-        man = self.news.manifest
-        assert man is not None
-        ramp = man.get("ramp", 10.0)
+        configuration = self.configuration_view.manifest
+        assert configuration is not None
+        ramp = configuration.get("ramp", 10.0)
         seen = self.spot(pool, name).seen
         if seen is None or ramp <= 0 or seen.start <= 0:
             return 1.0
-        return min(1.0, max(0.0, (self.world.wall() - seen.start) / ramp))
+        return min(1.0, max(0.0, (self.environment.wall() - seen.start) / ramp))
 
     def cap(self, pool: str, name: str) -> int:
         """Slots that may be used now, by all together."""
-        man = self.news.manifest
-        assert man is not None
-        slots = man["pools"][pool]["servers"][name]["slots"]
+        configuration = self.configuration_view.manifest
+        assert configuration is not None
+        slots = configuration["pools"][pool]["servers"][name]["slots"]
         return max(1, math.floor(slots * self.warm(pool, name)))
 
     def quota(self, pool: str, name: str, rank: int, edges: int) -> int:
         """What one edge of many may have under way at a server without asking the others. Invariant: the
         quotas of all edges add up to cap while it warms up, and to ceil(cap * OVER) once it is warm."""
         cap = self.cap(pool, name)
-        man = self.news.manifest
-        assert man is not None
+        configuration = self.configuration_view.manifest
+        assert configuration is not None
         total = math.ceil(cap * OVER) if self.warm(pool, name) >= 1 else cap
         # Where one server's remainder ends the next one's begins, so that no edge is left out while another
         # has two more than it.
-        servers = man["pools"][pool]["servers"]
+        servers = configuration["pools"][pool]["servers"]
         before = sum(math.ceil(s["slots"] * OVER) % edges for n, s in servers.items() if n < name)
         return share_of(total, (rank - before) % edges, edges)
--- a/postpass/membership/registry.py
+++ b/postpass/membership/registry.py
@@ -9,7 +9,7 @@
 
 from result import Result
 
-from postpass.configuration.configuration import Limits, Machine, Manifest, Pool, Route, Server, with_duty
+from postpass.configuration.configuration import Configuration, Limits, Machine, Pool, Route, Server, with_duty
 from postpass.configuration.settings import addr_flaws
 from postpass.control import accepted_orders
 from postpass.membership.safe_change import Presence, Tolerance, copies_bear_loss, machine_to_drop, safe_copies
@@ -69,7 +69,7 @@
     that said they end; `retired` are emptied stores, by name, with the disk that was emptied."""
 
     edition: int = 0
-    manifest: Manifest | None = None
+    manifest: Configuration | None = None
     losses: int = 0
     source: Any = None
     orders: list[str] = field(default_factory=list)
@@ -78,17 +78,17 @@
     retired: dict[str, str] = field(default_factory=dict)
 
     @property
-    def man(self) -> Manifest:
+    def configuration(self) -> Configuration:
         assert self.manifest is not None
         return self.manifest
 
 
 def edit(state: State, **parts: Any) -> State:
     """The state with some parts of its manifest put in place of the present ones."""
-    return replace(state, manifest=cast(Manifest, {**state.man, **parts}))
+    return replace(state, manifest=cast(Configuration, {**state.configuration, **parts}))
 
 
-def recovered(edition: int, manifest: Manifest, losses: int) -> State:
+def recovered(edition: int, manifest: Configuration, losses: int) -> State:
     """The state after a loss, from a manifest that daemons held: no order up to its version is known any more."""
     orders = accepted_orders.forgotten_up_to(manifest.get("version", 0))
     return State(edition, manifest, losses, orders=orders)
@@ -122,7 +122,7 @@
     return max(4, 2 * lost + 1)
 
 
-def founded(entries: Iterable[Entry], areas: Iterable[str], lost: int) -> Manifest:
+def founded(entries: Iterable[Entry], areas: Iterable[str], lost: int) -> Configuration:
     """The first manifest: nothing but the control machines that found the fleet."""
     return {
         "name": "announced", "announced": True, "version": 0, "areas": list(areas),
@@ -133,8 +133,8 @@
 
 def joined(state: State, entry: Entry) -> State:
     """A machine's word is taken unless a later start of it was heard, or it was emptied to be taken away."""
-    man, name = state.man, entry["name"]
-    have = man["machines"].get(name)
+    configuration, name = state.configuration, entry["name"]
+    have = configuration["machines"].get(name)
     if have is not None and have.get("born", 0) > entry["born"]:
         return state
     if name in state.retired and state.retired[name] == entry["disk"]:
@@ -148,41 +148,45 @@
         # Another disk: a new machine of that name, whose retirement has not been asked for.
         state = replace(state, retired={n: d for n, d in state.retired.items() if n != name})
     # Whoever had this address is there no more.
-    rest = {n: m for n, m in man["machines"].items() if n == name or m["peer"] != new["peer"]}
+    rest = {n: m for n, m in configuration["machines"].items() if n == name or m["peer"] != new["peer"]}
     return edit(state, machines=rest | {name: new})
 
 
 def dropped(state: State, names: Iterable[str]) -> State:
-    out = set(names) & set(state.man["machines"])
-    return edit(state, machines={n: m for n, m in state.man["machines"].items() if n not in out}) if out else state
+    out = set(names) & set(state.configuration["machines"])
+    return (
+        edit(state, machines={n: m for n, m in state.configuration["machines"].items() if n not in out})
+        if out
+        else state
+    )
 
 
-def placed(man: Manifest | None, entry: Entry) -> bool:
+def placed(configuration: Configuration | None, entry: Entry) -> bool:
     """Is this very life of a machine known?"""
-    have = man["machines"].get(entry["name"]) if man else None
+    have = configuration["machines"].get(entry["name"]) if configuration else None
     return have is not None and {k: v for k, v in have.items() if k != "retire"} == machine(entry)
 
 
 def replaced(
-    man: Manifest, silent: Mapping[str, float], met: Mapping[str, float], clock: float, patience: float
+    configuration: Configuration, silent: Mapping[str, float], met: Mapping[str, float], clock: float, patience: float
 ) -> list[str]:
     """Machines gone for good. `silent` tells for how long a machine was not heard, `met` when a name was first heard.
 
     An edge is dropped for its silence alone, a machine with a disk once another one has come for it: at most one at a
     time, and neither fewer control machines than three nor fewer stores than copies stay.
     """
-    edges = {n for n, m in man["machines"].items() if set(m["duties"]) == {"edge"}}
-    out = [n for n in man["machines"] if n in edges and silent.get(n, 0.0) > 4 * patience]
+    edges = {n for n, m in configuration["machines"].items() if set(m["duties"]) == {"edge"}}
+    out = [n for n in configuration["machines"] if n in edges and silent.get(n, 0.0) > 4 * patience]
     present = {
         n: Presence(
             frozenset(m["duties"]), m["area"], silent.get(n, 0.0), clock - met.get(n, float("-inf")), m.get("born", 0)
         )
-        for n, m in man["machines"].items()
+        for n, m in configuration["machines"].items()
         if n not in edges
     }
 
     def least(machine: Presence) -> int:
-        return man["copies"] if "store" in machine.duties else LEAST_CONTROL
+        return configuration["copies"] if "store" in machine.duties else LEAST_CONTROL
 
     gone = machine_to_drop(present, least, patience)
     return [*out, gone] if gone is not None else out
@@ -192,21 +196,25 @@
     """`copies` follows the stores there are, once no new one has come for a while (`late`): up to what is wanted by those
     that are heard, since one that is gone for good holds no copy; and below it only in a fleet that has stayed small, or
     whose areas would bear less with more copies."""
-    man = state.man
-    stores = {n: man["machines"][n]["area"] for n in with_duty(man, "store") if not man["machines"][n].get("retire")}
+    configuration = state.configuration
+    stores = {
+        n: configuration["machines"][n]["area"]
+        for n in with_duty(configuration, "store")
+        if not configuration["machines"][n].get("retire")
+    }
     if not late or not stores:
         return state
     most = wanted_copies(tolerance.machines)
     there = safe_copies([area for n, area in stores.items() if n in set(heard)], most, tolerance)
-    if man["copies"] < there:
+    if configuration["copies"] < there:
         return edit(state, copies=there)
     every = safe_copies(list(stores.values()), most, tolerance)
-    return edit(state, copies=every) if every < man["copies"] else state
+    return edit(state, copies=every) if every < configuration["copies"] else state
 
 
 # --- workers
 def find(state: State, who: str) -> tuple[str, Server] | None:
-    for name, pool in state.man["pools"].items():
+    for name, pool in state.configuration["pools"].items():
         if who in pool["servers"]:
             return name, pool["servers"][who]
     return next(((name, group[who]) for name, group in state.aside.items() if who in group), None)
@@ -214,7 +222,7 @@
 
 def everyone(state: State) -> dict[str, Server]:
     out: dict[str, Server] = {}
-    for group in (*(p["servers"] for p in state.man["pools"].values()), *state.aside.values()):
+    for group in (*(p["servers"] for p in state.configuration["pools"].values()), *state.aside.values()):
         out.update(group)
     return out
 
@@ -228,19 +236,19 @@
     return made
 
 
-def unchanged(man: Manifest | None, who: str, standing: Standing) -> bool:
+def unchanged(configuration: Configuration | None, who: str, standing: Standing) -> bool:
     """Does the manifest say of this worker what it says of itself?"""
-    pool = man["pools"].get(standing["pool"]) if man else None
+    pool = configuration["pools"].get(standing["pool"]) if configuration else None
     have = pool["servers"].get(who) if pool else None
     return have is not None and have == server(standing)
 
 
 def _without(state: State, names: Iterable[str]) -> State:
     out = set(names)
-    for name, pool in state.man["pools"].items():
+    for name, pool in state.configuration["pools"].items():
         if out & set(pool["servers"]):
             rest: Pool = {**pool, "servers": {w: s for w, s in pool["servers"].items() if w not in out}}
-            state = edit(state, pools={**state.man["pools"], name: rest})
+            state = edit(state, pools={**state.configuration["pools"], name: rest})
     if any(out & set(group) for group in state.aside.values()):
         aside = {n: {w: s for w, s in g.items() if w not in out} for n, g in state.aside.items()}
         state = replace(state, aside={n: g for n, g in aside.items() if g})
@@ -280,7 +288,7 @@
         state = _ended(_without(state, before), before)
     if have is not None and have[0] != standing["pool"]:
         state = _without(state, [who])
-    pools = state.man["pools"]
+    pools = state.configuration["pools"]
     if standing["pool"] in pools:
         pool = pools[standing["pool"]]
         made: Pool = {**pool, "servers": {**pool["servers"], who: new}}
@@ -305,7 +313,7 @@
 # --- the operator
 def configured(state: State, terms: Terms, source: Any, orders: list[str]) -> State:
     """The operator's terms with the workers that are there: those of pools that went stand aside."""
-    every = {**{n: p["servers"] for n, p in state.man["pools"].items()}, **state.aside}
+    every = {**{n: p["servers"] for n, p in state.configuration["pools"].items()}, **state.aside}
     pools = {n: cast(Pool, {**p, "servers": every.get(n, {})}) for n, p in terms["pools"].items()}
     aside = {n: g for n, g in every.items() if n not in pools and g}
     new = edit(state, version=terms["version"], routes=terms["routes"], pools=pools, limits=terms["limits"])
@@ -313,28 +321,30 @@
 
 
 def evacuated(state: State, area: str) -> State:
-    now = state.man.get("evacuated", [])
+    now = state.configuration.get("evacuated", [])
     return state if area in now else edit(state, evacuated=[*now, area])
 
 
 def returned(state: State, area: str) -> State:
     """An evacuation is taken back: the area's workers count as cold until they say otherwise."""
-    now = state.man.get("evacuated", [])
+    now = state.configuration.get("evacuated", [])
     if area not in now:
         return state
 
     def chill(group: dict[str, Server]) -> dict[str, Server]:
         return {w: cast(Server, {**s, "cold": True}) if s["area"] == area else s for w, s in group.items()}
 
-    pools = {n: cast(Pool, {**p, "servers": chill(p["servers"])}) for n, p in state.man["pools"].items()}
+    pools = {n: cast(Pool, {**p, "servers": chill(p["servers"])}) for n, p in state.configuration["pools"].items()}
     new = edit(state, evacuated=[a for a in now if a != area], pools=pools)
     return replace(new, aside={n: chill(g) for n, g in state.aside.items()})
 
 
-def staying(man: Manifest, name: str) -> list[str]:
+def staying(configuration: Configuration, name: str) -> list[str]:
     """The areas of the stores that are there once `name` is emptied."""
-    machines = man["machines"]
-    return [machines[n]["area"] for n in with_duty(man, "store") if n != name and not machines[n].get("retire")]
+    machines = configuration["machines"]
+    return [
+        machines[n]["area"] for n in with_duty(configuration, "store") if n != name and not machines[n].get("retire")
+    ]
 
 
 def retire_flaw(state: State, name: str, tolerance: Tolerance) -> tuple[int, str] | None:
@@ -342,25 +352,25 @@
     long as what may be lost at once can still be lost."""
     if name in state.retired:
         return None
-    man = state.man
-    if name not in with_duty(man, "store"):
+    configuration = state.configuration
+    if name not in with_duty(configuration, "store"):
         return 404, f"no store {name!r:.60}"
-    if man["machines"][name].get("retire"):
+    if configuration["machines"][name].get("retire"):
         return None
-    stay = staying(man, name)
-    copies = safe_copies(stay, man["copies"], tolerance)
-    if copies < man["copies"] and not copies_bear_loss(stay, copies, tolerance):
+    stay = staying(configuration, name)
+    copies = safe_copies(stay, configuration["copies"], tolerance)
+    if copies < configuration["copies"] and not copies_bear_loss(stay, copies, tolerance):
         return 409, f"the {len(stay)} stores that would stay can't bear the loss of what may be lost at once"
     return None
 
 
 def retiring(state: State, name: str, tolerance: Tolerance) -> State:
     """The store is to be emptied; there are fewer copies if those that stay bear more with fewer."""
-    have = state.man["machines"].get(name)
+    have = state.configuration["machines"].get(name)
     if have is None or have.get("retire"):
         return state
-    machines = {**state.man["machines"], name: cast(Machine, {**have, "retire": True})}
-    copies = safe_copies(staying(state.man, name), state.man["copies"], tolerance)
+    machines = {**state.configuration["machines"], name: cast(Machine, {**have, "retire": True})}
+    copies = safe_copies(staying(state.configuration, name), state.configuration["copies"], tolerance)
     return edit(state, machines=machines, copies=copies)
 
 
@@ -368,5 +378,5 @@
     """A store that holds nothing any more goes, and doesn't come back with the same disk."""
     if name in state.retired:
         return state
-    disk = state.man["machines"].get(name, cast(Machine, {})).get("disk", "")
+    disk = state.configuration["machines"].get(name, cast(Machine, {})).get("disk", "")
     return replace(dropped(state, [name]), retired={**state.retired, name: disk})
--- a/postpass/replication/acknowledgements.py
+++ b/postpass/replication/acknowledgements.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(eq=False)
-class Recorder:
+class Acknowledgements:
     """Invariants: a counter never falls; it belongs to one disk, so a wiped disk begins at nothing and
     what its predecessor acknowledged stops counting; `frontier` never falls."""
 
--- a/postpass/replication/partition.py
+++ b/postpass/replication/partition.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from postpass.batch.job import LotView, Raw, joined
-from postpass.replication.acknowledgements import Recorder
-from postpass.replication.record_log import Record, Tape
+from postpass.batch.job import JobView, Raw, joined
+from postpass.replication.acknowledgements import Acknowledgements
+from postpass.replication.record_log import Record, RecordLog
 from postpass.replication.stability import DEFAULT, Count, Scene, build, confirm_suffice, covers, promises_suffice
 from postpass.rpc.peer_links import PACKET
 
@@ -49,21 +49,21 @@
     sending: Sending | None = None
 
 
-def fresh_tape() -> Tape:
-    return Tape(base=LotView())
+def fresh_tape() -> RecordLog:
+    return RecordLog(base=JobView())
 
 
-def head(tape: Tape) -> LotView:
+def head(record_log: RecordLog) -> JobView:
     """The view at the tape's end."""
-    view = tape.base.copy()
-    assert isinstance(view, LotView)
-    for rec in tape.recs:
+    view = record_log.base.copy()
+    assert isinstance(view, JobView)
+    for rec in record_log.recs:
         view.fold(rec)
     return view
 
 
 @dataclass(eq=False)
-class Part:
+class Partition:
     """Invariants:
     - `promised` is synced before it is told, never falls, and nothing below it is accepted.
     - records are appended by a stream only while `aligned` is the epoch that the stream runs under.
@@ -75,7 +75,7 @@
     id: int
     me: str
     disk: str
-    tape: Tape = field(default_factory=fresh_tape)
+    record_log: RecordLog = field(default_factory=fresh_tape)
     promised: int = 0
     owner: str = ""
     heard: float = 0.0
@@ -90,8 +90,8 @@
     # as owner
     epoch: int = 0
     mark: int = 0
-    view: LotView = field(default_factory=LotView)
-    recorder: Recorder = field(default_factory=Recorder)
+    view: JobView = field(default_factory=JobView)
+    recorder: Acknowledgements = field(default_factory=Acknowledgements)
     follows: dict[str, Follow] = field(default_factory=dict)
     waits: list[tuple[int, str, asyncio.Future[bool]]] = field(default_factory=list)
     stuck: float = 0.0  # since when no covering set is left, though all have answered; 0 if one is
@@ -103,8 +103,8 @@
     dumped: tuple[int, bytes] = (-1, b"")  # the base as bytes, while a candidate fetches it piece by piece
 
     def base_dump(self) -> bytes:
-        if self.dumped[0] != self.tape.base_seq:
-            self.dumped = (self.tape.base_seq, self.tape.base.dump())
+        if self.dumped[0] != self.record_log.base_seq:
+            self.dumped = (self.record_log.base_seq, self.record_log.base.dump())
         return self.dumped[1]
 
     @property
@@ -131,7 +131,7 @@
             lambda _: build(DEFAULT, self.scene(crew)).unwrap()
         )
 
-    def rules(self, view: LotView, text: str = "") -> list[tuple[Crew, str]]:
+    def rules(self, view: JobView, text: str = "") -> list[tuple[Crew, str]]:
         """Crew and predicate that count; while a change is not known to be covered, the old ones as well. It is known from
         what an owner said of `covered` in this life, or from the log itself, by a mark that settles it."""
         now = [(view.crew, text or view.predicate)]
@@ -149,13 +149,13 @@
         """Recomputes the frontier; run on every acknowledgement."""
         if not self.view.crew:
             return False
-        seq = min(self.reach(), self.tape.last)
+        seq = min(self.reach(), self.record_log.last)
         moved = False
         # A crew change that is covered lifts the old rule, which may let the frontier go on at once.
         while seq >= self.mark and seq > self.covered:
             self.covered, moved = seq, True
             self.recorder.advance(seq)
-            seq = min(self.reach(), self.tape.last)
+            seq = min(self.reach(), self.record_log.last)
         if moved or self.waits:
             self._wake()
         return moved
@@ -183,14 +183,14 @@
         except TimeoutError:
             return False
 
-    def enough(self, view: LotView, voters: Crew, test: Callable[..., bool]) -> bool:
+    def enough(self, view: JobView, voters: Crew, test: Callable[..., bool]) -> bool:
         """Do these voters (name -> disk) satisfy `test` under every rule that may count?"""
         return bool(view.crew) and all(
             test(self.pred(t, c), tuple(c), [n for n, d in voters.items() if c.get(n) == d])
             for c, t in self.rules(view)
         )
 
-    def may_lead(self, view: LotView, voters: Crew) -> bool:
+    def may_lead(self, view: JobView, voters: Crew) -> bool:
         return self.enough(view, voters, promises_suffice)
 
     def confirmed(self, voters: Crew) -> bool:
@@ -208,15 +208,15 @@
 
     def lead(self, epoch: int) -> None:
         self.epoch, self.owner, self.aligned = epoch, self.me, epoch
-        self.view = head(self.tape)
-        self.recorder = Recorder()
-        self.recorder.put(self.me, self.disk, "received", self.tape.last)
+        self.view = head(self.record_log)
+        self.recorder = Acknowledgements()
+        self.recorder.put(self.me, self.disk, "received", self.record_log.last)
         self.recorder.put(self.me, self.disk, "persisted", self.persisted)
         self.follows, self.gather, self.waits = {}, [], []
 
     def step_down(self) -> None:
         self.epoch, self.aligned, self.mark, self.stuck = 0, 0, 0, 0.0
-        self.view, self.recorder, self.follows = LotView(), Recorder(), {}
+        self.view, self.recorder, self.follows = JobView(), Acknowledgements(), {}
         for _, _, future in self.waits:
             if not future.done():
                 future.set_result(False)
@@ -225,8 +225,8 @@
     def make(self, kind: str, body: dict[str, Any], raw: Raw = b"") -> Record:
         """The next record of the one order of this partition."""
         assert self.owning
-        rec = Record(self.tape.last + 1, self.epoch, kind, joined(body, raw))
-        self.tape.append(rec)
+        rec = Record(self.record_log.last + 1, self.epoch, kind, joined(body, raw))
+        self.record_log.append(rec)
         self.view.fold(rec)
         self.recorder.put(self.me, self.disk, "received", rec.seq)
         return rec
@@ -249,7 +249,7 @@
         seq = -1
         while self.places and self.places[0][0] <= place:
             seq = self.places.popleft()[1]
-        seq = min(seq, self.tape.last)
+        seq = min(seq, self.record_log.last)
         if seq <= self.persisted:
             return False
         self.persisted = seq
@@ -258,18 +258,18 @@
         return True
 
     def cut(self, seq: int) -> None:
-        self.tape.cut(seq)
+        self.record_log.cut(seq)
         self.places = deque((p, min(s, seq)) for p, s in self.places)
         self.persisted = min(self.persisted, seq)
 
     def trim(self, budget: int) -> bool:
         """Frees what was delivered everywhere; past the budget, whatever is covered."""
         behind = [f.next - 1 for f in self.follows.values() if not f.silent]
-        goal = min([self.covered, *behind]) if self.tape.size <= budget else self.covered
+        goal = min([self.covered, *behind]) if self.record_log.size <= budget else self.covered
         goal = min(goal, self.persisted)
-        if goal - self.tape.base_seq < 64 and self.tape.size <= budget:
+        if goal - self.record_log.base_seq < 64 and self.record_log.size <= budget:
             return False
-        if goal <= self.tape.base_seq:
+        if goal <= self.record_log.base_seq:
             return False
-        self.tape.rebase(goal)
+        self.record_log.rebase(goal)
         return True
--- a/postpass/replication/record_log.py
+++ b/postpass/replication/record_log.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(eq=False)
-class Tape:
+class RecordLog:
     """Invariants: recs are numbered base_seq+1, +2, … without a gap; epochs never fall along them;
     base_seq never passes what was covered, so a covered record is never cut."""
 
--- a/postpass/replication/store.py
+++ b/postpass/replication/store.py
@@ -18,18 +18,18 @@
 
 from result import Err, Ok, Result
 
-from postpass.batch.job import Lot, LotView, Raw, digest, kind_of, page
-from postpass.batch.job_service import Routed
-from postpass.configuration.settings import Config
-from postpass.feed.configuration_view import News
+from postpass.batch.job import Job, JobView, Raw, digest, kind_of, page
+from postpass.batch.job_service import JobService
+from postpass.configuration.settings import Settings
+from postpass.feed.configuration_view import ConfigurationView
 from postpass.membership.safe_change import Situation, Topology, next_change
-from postpass.replication.partition import Follow, Part, Sending, fresh_tape, head
-from postpass.replication.record_log import Record, Tape, match
-from postpass.rpc.peer_links import IDL, PACKET, Body, Lines, Link, PeerResponse
+from postpass.replication.partition import Follow, Partition, Sending, fresh_tape, head
+from postpass.replication.record_log import Record, RecordLog, match
+from postpass.rpc.peer_links import IDL, PACKET, Body, Link, PeerLinks, PeerResponse
 from postpass.runtime import log_events
-from postpass.runtime.environment import World, hear, now
+from postpass.runtime.environment import Environment, hear, now
 from postpass.runtime.errors import BAD, BROKE, CLASH, FULL, LACK, MOVED, SHED, SLOW, Fault, Stop
-from postpass.storage.data_directory import Vault, distrust, open_vault
+from postpass.storage.data_directory import DataDirectory, distrust, open_data_directory
 
 TURN = 4 * PACKET  # what one partition may send to a mirror before the others' beats and records have their turn
 PIECE = 256 << 10  # of records or of a base, in the answer to one question
@@ -37,7 +37,7 @@
 
 @dataclass(eq=False)
 class Lease:
-    sched: str
+    scheduler: str
     until: float
 
 
@@ -49,7 +49,7 @@
     leases: dict[tuple[str, int], Lease] = field(default_factory=dict)
     tries: Counter[tuple[str, int]] = field(default_factory=Counter)
     term: int = 0
-    sched: str = ""
+    scheduler: str = ""
     done_at: dict[str, float] = field(default_factory=dict)
 
 
@@ -57,7 +57,7 @@
 class Promises:
     """What a candidate has gathered for its epoch: who was asked, who promised, and the best log among theirs."""
 
-    log: Tape
+    log: RecordLog
     asked: list[str] = field(default_factory=list)
     responses: dict[str, Body] = field(default_factory=dict)
 
@@ -73,11 +73,11 @@
 
 @dataclass(eq=False)
 class Store:
-    conf: Config
-    world: World
-    news: News
-    lines: Lines
-    parts: dict[int, Part] = field(default_factory=dict)
+    settings: Settings
+    environment: Environment
+    configuration_view: ConfigurationView
+    peer_links: PeerLinks
+    parts: dict[int, Partition] = field(default_factory=dict)
     desks: dict[int, Desk] = field(default_factory=dict)
     kicks: dict[str, asyncio.Event] = field(default_factory=dict)
     dirty: dict[str, set[int]] = field(default_factory=dict)  # owner -> partitions to acknowledge
@@ -88,7 +88,7 @@
     trials: set[asyncio.Task[None]] = field(default_factory=set)
     confirms: dict[int, asyncio.Task[bool]] = field(default_factory=dict)
     counts: Counter[str] = field(default_factory=Counter)
-    vault: Vault | None = None
+    data_directory: DataDirectory | None = None
     rise_to: Callable[[dict[str, int]], None] = lambda _: None
     ask_heights: Callable[[], Awaitable[int]] | None = None
     ask_kept: Callable[[int], Awaitable[list[str]]] | None = None
@@ -99,39 +99,43 @@
     wait_each: bool = False
 
     def __post_init__(self) -> None:
-        self.routed = Routed(self)
+        self.routed = JobService(self)
 
     # --- start
     async def open(self) -> None:
-        assert self.world.disk is not None
-        held = max(self.conf.segment_bytes // 4, 1024)
-        self.vault = await open_vault(self.conf.name, self.world.disk, self.world.chance, self.conf.segment_bytes, held)
-        for e in self.vault.entries:
+        assert self.environment.disk is not None
+        held = max(self.settings.segment_bytes // 4, 1024)
+        self.data_directory = await open_data_directory(
+            self.settings.name, self.environment.disk, self.environment.chance, self.settings.segment_bytes, held
+        )
+        for e in self.data_directory.entries:
             part = self.part(e.part)
             if e.op == "promise":
                 part.promised = max(part.promised, e.epoch)
             elif e.op == "base":
-                part.tape = Tape(e.seq, e.epoch, LotView.load(e.body))
+                part.record_log = RecordLog(e.seq, e.epoch, JobView.load(e.body))
                 part.covered = e.seq
             elif e.op == "cut":
-                part.tape.cut(e.seq)
+                part.record_log.cut(e.seq)
             elif e.op == "rec":
-                part.tape.append(Record(e.seq, e.epoch, e.kind, e.body))
-            part.persisted = part.tape.last
+                part.record_log.append(Record(e.seq, e.epoch, e.kind, e.body))
+            part.persisted = part.record_log.last
 
     @property
     def log(self) -> Any:
-        assert self.vault is not None
-        return self.vault.log
+        assert self.data_directory is not None
+        return self.data_directory.log
 
     @property
     def disk_id(self) -> str:
-        assert self.vault is not None
-        return self.vault.name
+        assert self.data_directory is not None
+        return self.data_directory.name
 
-    def part(self, number: int) -> Part:
+    def part(self, number: int) -> Partition:
         if number not in self.parts:
-            self.parts[number] = Part(number, self.conf.name, self.disk_id if self.vault else "", heard=now())
+            self.parts[number] = Partition(
+                number, self.settings.name, self.disk_id if self.data_directory else "", heard=now()
+            )
             self.desks[number] = Desk()
         return self.parts[number]
 
@@ -150,9 +154,9 @@
         }  # fmt: skip
 
     # --- disk
-    def write(self, part: Part, entries: Iterable[Any], vital: bool = True) -> int:
+    def write(self, part: Partition, entries: Iterable[Any], vital: bool = True) -> int:
         place: int = self.log.append(entries, vital)
-        part.places.append((place, part.tape.last))
+        part.places.append((place, part.record_log.last))
         return place
 
     async def watch_sync(self) -> None:
@@ -171,27 +175,33 @@
 
     def snapshot(self) -> Iterator[Any]:
         for part in self.parts.values():
-            tape = part.tape
+            record_log = part.record_log
             yield IDL.Entry(part=part.id, op="promise", epoch=part.promised)
-            yield IDL.Entry(part=part.id, op="base", seq=tape.base_seq, epoch=tape.base_epoch, body=tape.base.dump())
-            yield from (r.entry(part.id) for r in tape.recs)
+            yield IDL.Entry(
+                part=part.id,
+                op="base",
+                seq=record_log.base_seq,
+                epoch=record_log.base_epoch,
+                body=record_log.base.dump(),
+            )
+            yield from (r.entry(part.id) for r in record_log.recs)
 
     # --- the beat of this duty
     async def tick(self) -> None:
         while True:
-            await asyncio.sleep(self.conf.bounds.beat * (0.8 + 0.4 * self.world.chance.random()))
-            man = self.news.manifest
-            if man is None:
+            await asyncio.sleep(self.settings.bounds.beat * (0.8 + 0.4 * self.environment.chance.random()))
+            configuration = self.configuration_view.manifest
+            if configuration is None:
                 continue
-            for number in range(man["parts"]):
-                if self.conf.name in self.news.order(number):
+            for number in range(configuration["parts"]):
+                if self.settings.name in self.configuration_view.order(number):
                     self.part(number)
             for part in self.parts.values():
                 # Nobody was heard since this process started, and there is no waiting for a silence: if an owner is
                 # there, one of those that are asked hears it, and says so.
                 if not part.met:
-                    part.met, part.heard = True, min(part.heard, now() - self.conf.bounds.detect)
-            areas = {n: m["area"] for n, m in man["machines"].items()}
+                    part.met, part.heard = True, min(part.heard, now() - self.settings.bounds.detect)
+            areas = {n: m["area"] for n, m in configuration["machines"].items()}
             for part in list(self.parts.values()):
                 part.areas = areas
                 part.disk = self.disk_id
@@ -199,65 +209,69 @@
                     self.own(part)
                 else:
                     self.doubt(part)
-                part.trim(self.conf.buffer_bytes // max(len(self.parts), 1))
+                part.trim(self.settings.buffer_bytes // max(len(self.parts), 1))
             self.routed.report()
             if self.log.heavy():
                 await self.log.compact(self.snapshot())
                 self.synced()
 
-    def doubt(self, part: Part) -> None:
+    def doubt(self, part: Partition) -> None:
         """Takes the duty if it stands empty and this is the first live one in the order."""
-        order = self.news.order(part.id)
-        crew = part.tape.base.crew if isinstance(part.tape.base, LotView) else {}
+        order = self.configuration_view.order(part.id)
+        crew = part.record_log.base.crew if isinstance(part.record_log.base, JobView) else {}
         ranks = order + [n for n in sorted(crew) if n not in order]
         ranks = [n for n in ranks if n != part.down]
-        if self.conf.name not in ranks or part.trial or self.leaving:
+        if self.settings.name not in ranks or part.trial or self.leaving:
             return
-        b = self.conf.bounds
-        if now() - part.heard > b.detect + ranks.index(self.conf.name) * b.stagger:
+        b = self.settings.bounds
+        if now() - part.heard > b.detect + ranks.index(self.settings.name) * b.stagger:
             self.stand_soon(part, 0)
 
-    def stand_soon(self, part: Part, hand: int) -> None:
+    def stand_soon(self, part: Partition, hand: int) -> None:
         part.trial = True
         task = asyncio.create_task(self.stand(part, hand))
         self.trials.add(task)
         task.add_done_callback(lambda t: (self.trials.discard(t), setattr(part, "trial", False)))  # type: ignore[func-returns-value]
 
-    def names(self, part: Part, view: LotView) -> list[str]:
+    def names(self, part: Partition, view: JobView) -> list[str]:
         """Everyone who has, or should have, a copy, but this store."""
         every = dict.fromkeys(
-            [*self.news.order(part.id), *view.crew, *(view.old_crew if view.crew_seq > part.covered else {})]
+            [
+                *self.configuration_view.order(part.id),
+                *view.crew,
+                *(view.old_crew if view.crew_seq > part.covered else {}),
+            ]
         )
-        return [n for n in every if n != self.conf.name]
+        return [n for n in every if n != self.settings.name]
 
     async def ask(self, name: str, verb: str, body: Body) -> PeerResponse:
-        addr = self.news.addr(name)
+        addr = self.configuration_view.addr(name)
         if not addr:
             return Err(Fault(verb, name, "gone or unknown", LACK))
-        return await self.lines.call(addr, verb, body, self.conf.bounds.promise)
+        return await self.peer_links.call(addr, verb, body, self.settings.bounds.promise)
 
     # --- takeover
     async def poll(
-        self, part: Part, view: LotView, names: list[str], body: Body, have: dict[str, str] | None = None
+        self, part: Partition, view: JobView, names: list[str], body: Body, have: dict[str, str] | None = None
     ) -> dict[str, Body]:
         """Asks for promises beside those in `have`; waits for the last ones only as long as it hasn't got enough."""
 
         def enough(got: dict[str, PeerResponse]) -> bool:
             voters = {n: str(g.unwrap()["disk"]) for n, g in got.items() if isinstance(g, Ok) and g.unwrap()["ok"]}
-            return part.may_lead(view, (have or {}) | voters | {self.conf.name: self.disk_id})
+            return part.may_lead(view, (have or {}) | voters | {self.settings.name: self.disk_id})
 
-        got = await hear({n: self.ask(n, "promise", body) for n in names}, enough, self.conf.bounds.beat / 2)
+        got = await hear({n: self.ask(n, "promise", body) for n in names}, enough, self.settings.bounds.beat / 2)
         return {n: g.unwrap() for n, g in got.items() if isinstance(g, Ok)}
 
-    async def collect_promises(self, part: Part, epoch: int, body: Body) -> Promises | None:
+    async def collect_promises(self, part: Partition, epoch: int, body: Body) -> Promises | None:
         """Promises of all who have, or should have, a copy, and the best log among theirs; None if a higher epoch shows
         up or that log can't be fetched.
 
         Who is a member stands in the log: a candidate that is behind learns of some only from the log that it fetches,
         and then asks these as well. Without them it could neither lead nor let one lead that knows all members.
         """
-        got = Promises(part.tape)
-        names = self.names(part, head(part.tape))
+        got = Promises(part.record_log)
+        names = self.names(part, head(part.record_log))
         while names:
             answers = await self.poll(part, head(got.log), names, body, got.voters)
             part.promised = max([part.promised, *(a["promised"] for a in answers.values())])
@@ -274,17 +288,17 @@
             names = [n for n in self.names(part, head(got.log)) if n not in got.asked]
         return got
 
-    async def stand(self, part: Part, hand: int) -> None:
-        b = self.conf.bounds
-        view = head(part.tape)
+    async def stand(self, part: Partition, hand: int) -> None:
+        b = self.settings.bounds
+        view = head(part.record_log)
         names = self.names(part, view)
-        base = {"part": part.id, "who": self.conf.name, "hand": hand}
+        base = {"part": part.id, "who": self.settings.name, "hand": hand}
         if not hand:
             tries = await self.poll(part, view, names, base | {"epoch": part.promised + 1, "probe": 1})
             part.promised = max([part.promised, *(a["promised"] for a in tries.values())])
             willing = {n: str(a["disk"]) for n, a in tries.items() if a["ok"]}
             if any(not a["ok"] for a in tries.values()) and not part.may_lead(
-                view, willing | {self.conf.name: self.disk_id}
+                view, willing | {self.settings.name: self.disk_id}
             ):
                 part.heard = now() - b.detect + b.stagger
                 return
@@ -295,15 +309,15 @@
         except Stop:
             return
         got = await self.collect_promises(part, epoch, base | {"epoch": epoch, "probe": 0})
-        back_off = now() - b.detect + b.stagger * self.world.chance.random()
+        back_off = now() - b.detect + b.stagger * self.environment.chance.random()
         if got is None or part.promised != epoch or part.owning:
             part.heard = max(part.heard, back_off)
             return
         staged = got.log
         view = head(staged)
-        voters = got.voters | {self.conf.name: self.disk_id}
+        voters = got.voters | {self.settings.name: self.disk_id}
         must = set(self.names(part, view)) | set(view.crew)
-        every = all(n in voters or not self.news.addr(n) for n in must)
+        every = all(n in voters or not self.configuration_view.addr(n) for n in must)
         blank = staged.last == 0
         normal = part.may_lead(view, voters)
         if not normal and not every:
@@ -331,12 +345,12 @@
             part.step_down()
             part.heard = now()
 
-    def settle(self, part: Part, staged: Tape) -> None:
+    def settle(self, part: Partition, staged: RecordLog) -> None:
         """Takes a staged log as this store's own: cut where they part, then the rest, or base and all."""
-        if staged is part.tape:
+        if staged is part.record_log:
             return
         # Always the disk first: what it did not take must not stand in memory, or the next record leaves a gap in the log.
-        meet = match(part.tape.marks(), part.tape.last, staged.marks(), staged.last)
+        meet = match(part.record_log.marks(), part.record_log.last, staged.marks(), staged.last)
         if meet < 0:
             entries = [
                 IDL.Entry(
@@ -345,20 +359,27 @@
             ]
             entries += [r.entry(part.id) for r in staged.recs]
             place = self.log.append(entries)
-            part.tape, part.persisted = staged, 0
+            part.record_log, part.persisted = staged, 0
             part.places.clear()
         else:
             more = staged.after(meet)
             place = self.log.append([IDL.Entry(part=part.id, op="cut", seq=meet)] + [r.entry(part.id) for r in more])
             part.cut(meet)
             for rec in more:
-                part.tape.append(rec)
-        part.places.append((place, part.tape.last))
-        part.covered = min(part.covered, part.tape.last)
-        part.covered = max(part.covered, part.tape.base_seq)
+                part.record_log.append(rec)
+        part.places.append((place, part.record_log.last))
+        part.covered = min(part.covered, part.record_log.last)
+        part.covered = max(part.covered, part.record_log.base_seq)
 
     def rise(
-        self, part: Part, epoch: int, view: LotView, voters: dict[str, str], blank: bool, normal: bool, lost: list[str]
+        self,
+        part: Partition,
+        epoch: int,
+        view: JobView,
+        voters: dict[str, str],
+        blank: bool,
+        normal: bool,
+        lost: list[str],
     ) -> None:
         part.lead(epoch)
         self.desks[part.id] = Desk()
@@ -370,15 +391,15 @@
             made.append(part.make("loss", {"crew": voters, "edition": view.losses + 1, "lots": lost}))
             log_events.emit(
                 125,
-                self.conf.name,
+                self.settings.name,
                 part=part.id,
                 edition=view.losses + 1,
-                last=part.tape.last,
+                last=part.record_log.last,
                 voters=",".join(voters),
                 lots=len(lost),
             )
         made.append(part.make("mark", {}))
-        part.mark = part.tape.last
+        part.mark = part.record_log.last
         try:
             self.write(part, [r.entry(part.id) for r in made])
         except Stop:
@@ -386,15 +407,15 @@
             raise
         self.rise_to({str(part.id): epoch})
         self.counts["takeovers"] += 1
-        log_events.emit(120, self.conf.name, part=part.id, epoch=epoch, last=part.tape.last)
+        log_events.emit(120, self.settings.name, part=part.id, epoch=epoch, last=part.record_log.last)
         self.kick_all(part)
 
-    async def pull(self, part: Part, best: str, there: Body, epoch: int) -> Tape | None:
+    async def pull(self, part: Partition, best: str, there: Body, epoch: int) -> RecordLog | None:
         """Fetches what the best log has beyond this one, into a copy that nothing uses yet."""
-        meet = match(part.tape.marks(), part.tape.last, [(e, s) for e, s in there["marks"]], there["last"])
-        mine = part.tape
+        meet = match(part.record_log.marks(), part.record_log.last, [(e, s) for e, s in there["marks"]], there["last"])
+        mine = part.record_log
         # A base of its own: this store's may be folded on while it waits.
-        staged = Tape(mine.base_seq, mine.base_epoch, mine.base.copy(), list(mine.recs), mine.size)
+        staged = RecordLog(mine.base_seq, mine.base_epoch, mine.base.copy(), list(mine.recs), mine.size)
         if meet >= 0:
             staged.cut(meet)
         else:
@@ -412,7 +433,7 @@
                     continue
                 base, of = base + base64.b64decode(piece), seq
                 if len(base) == size:
-                    staged = Tape(seq, born, LotView.load(bytes(base)))
+                    staged = RecordLog(seq, born, JobView.load(bytes(base)))
                     after, base = seq, bytearray()
                 elif not piece:
                     return None
@@ -427,15 +448,15 @@
     async def fetch(self, body: Body) -> PeerResponse:
         part = self.part(body["part"])
         if part.promised != body["epoch"] or part.owning:
-            return Err(Fault("fetch", self.conf.name, f"promised to epoch {part.promised}", MOVED))
-        tape, after = part.tape, body["after"]
-        if after < tape.base_seq:
+            return Err(Fault("fetch", self.settings.name, f"promised to epoch {part.promised}", MOVED))
+        record_log, after = part.record_log, body["after"]
+        if after < record_log.base_seq:
             base, at = part.base_dump(), body.get("at", 0)
             piece = base64.b64encode(base[at : at + PIECE]).decode()
-            return Ok({"recs": [], "base": [tape.base_seq, tape.base_epoch, len(base), piece]})
+            return Ok({"recs": [], "base": [record_log.base_seq, record_log.base_epoch, len(base), piece]})
         out: Body = {"recs": []}
         size = 0
-        for rec in tape.after(after):
+        for rec in record_log.after(after):
             out["recs"].append([rec.seq, rec.epoch, rec.kind, base64.b64encode(rec.body).decode()])
             size += len(rec.body)
             if size > PIECE:
@@ -444,7 +465,7 @@
 
     async def promise(self, body: Body) -> PeerResponse:
         """A promise not to accept anything below an epoch; synced before it is told."""
-        part, epoch, b = self.part(body["part"]), body["epoch"], self.conf.bounds
+        part, epoch, b = self.part(body["part"]), body["epoch"], self.settings.bounds
         about = {"disk": self.disk_id, "promised": part.promised}
         handed = body.get("hand", 0) and body["hand"] == max(part.aligned, part.epoch)
         alive = part.owning or (part.met and now() - part.heard < b.detect * 0.9)
@@ -463,30 +484,30 @@
             return Err(bad.fault)
         if part.promised != epoch:
             return Ok(about | {"promised": part.promised, "ok": False})
-        tape = part.tape
-        return Ok({"disk": self.disk_id, "promised": epoch, "ok": True, "last": tape.last, "last_epoch": tape.last_epoch,
-                   "marks": tape.marks()})  # fmt: skip
+        record_log = part.record_log
+        return Ok({"disk": self.disk_id, "promised": epoch, "ok": True, "last": record_log.last, "last_epoch": record_log.last_epoch,
+                   "marks": record_log.marks()})  # fmt: skip
 
-    def fall(self, part: Part, epoch: int) -> None:
+    def fall(self, part: Partition, epoch: int) -> None:
         if part.owning:
-            log_events.emit(121, self.conf.name, part=part.id, epoch=part.epoch, seen=epoch)
+            log_events.emit(121, self.settings.name, part=part.id, epoch=part.epoch, seen=epoch)
             part.step_down()
         part.promised = max(part.promised, epoch)
         part.heard = now()
 
     # --- owner: the stream
-    def kick_all(self, part: Part) -> None:
+    def kick_all(self, part: Partition) -> None:
         for name in self.names(part, part.view):
             if name not in self.kicks:
                 self.kicks[name] = asyncio.Event()
                 self.feeds[name] = asyncio.create_task(self.feed(name))
             self.kicks[name].set()
 
-    def moved(self, part: Part) -> None:
+    def moved(self, part: Partition) -> None:
         if part.advance():
             self.prove(part)
 
-    def prove(self, part: Part) -> None:
+    def prove(self, part: Partition) -> None:
         """A change that is covered is settled in the log at once: an election after a loss of power has only the log."""
         upto = part.provable()
         if upto:
@@ -498,10 +519,10 @@
     async def feed(self, name: str) -> None:
         """One FIFO link to one mirror, for all partitions owned here; nothing on it is waited for."""
         link: Link | None = None
-        b = self.conf.bounds
+        b = self.settings.bounds
         beaten: dict[int, float] = {}
         while True:
-            addr = self.news.addr(name)
+            addr = self.configuration_view.addr(name)
             owned = [p for p in self.parts.values() if p.owning and name in self.names(p, p.view)]
             if not addr or not owned:
                 if link is not None:
@@ -517,7 +538,7 @@
                     await self.nap(name, b.beat, quiet=True)
                     continue
                 link = got.unwrap()
-            ready: list[tuple[Part, Follow]] = []
+            ready: list[tuple[Partition, Follow]] = []
             for part in owned:
                 if not part.owning or link.closed:
                     continue
@@ -529,7 +550,7 @@
                 ready.append((part, f))
                 if now() - beaten.get(part.id, 0.0) >= b.beat * 0.9 or beaten.get(part.id, 0) == 0:
                     beaten[part.id] = now()
-                    self.put(link, part, "beat", part.tape.last, part.epoch, 0, b"")
+                    self.put(link, part, "beat", part.record_log.last, part.epoch, 0, b"")
                 self.hush(part, name)
                 if f.silent:
                     link.close("the mirror is silent")
@@ -553,42 +574,42 @@
             pass
         kick.clear()
 
-    def hush(self, part: Part, name: str) -> None:
+    def hush(self, part: Partition, name: str) -> None:
         f = part.follows.setdefault(name, Follow(since=now(), heard=now()))
-        if not f.silent and now() - f.heard > self.conf.bounds.silent:
+        if not f.silent and now() - f.heard > self.settings.bounds.silent:
             f.silent = True
             f.link = None
-            log_events.emit(122, self.conf.name, part=part.id, mirror=name)
+            log_events.emit(122, self.settings.name, part=part.id, mirror=name)
 
-    def put(self, link: Link, part: Part, kind: str, seq: int, born: int, prior: int, body: bytes) -> None:
+    def put(self, link: Link, part: Partition, kind: str, seq: int, born: int, prior: int, body: bytes) -> None:
         message = Sending(kind, seq, born, prior, body)
         while message.index < message.total:
             self.put_next(link, part, message)
 
-    def put_next(self, link: Link, part: Part, m: Sending) -> int:
+    def put_next(self, link: Link, part: Partition, m: Sending) -> int:
         """Hands one more packet of a message to the link; tells about how many bytes that was."""
         piece = m.body[m.index * PACKET : (m.index + 1) * PACKET]
         link.put("carry", IDL.Packet(
-            part=part.id, epoch=part.epoch, owner=self.conf.name, kind=m.kind, seq=m.seq, born=m.born, prior=m.prior,
+            part=part.id, epoch=part.epoch, owner=self.settings.name, kind=m.kind, seq=m.seq, born=m.born, prior=m.prior,
             index=m.index, total=m.total, body=piece, covered=part.covered,
         ))  # fmt: skip
         m.index += 1
         return len(piece) + 128
 
-    def push(self, part: Part, name: str, link: Link, f: Follow) -> bool:
+    def push(self, part: Partition, name: str, link: Link, f: Follow) -> bool:
         """Hands the mirror whatever it has not been sent, as far as a pass may take."""
         size = 0
         while size < TURN:
             if f.sending is None:
-                if f.next <= part.tape.base_seq:
+                if f.next <= part.record_log.base_seq:
                     f.link = None  # the memory stream went past it; it is greeted anew and refilled
                     return True
-                if f.next > part.tape.last:
+                if f.next > part.record_log.last:
                     break
                 if self.wait_each and f.next - 1 > part.recorder.get(name, f.disk, "persisted"):
                     return False
-                rec = part.tape.get(f.next)
-                prior = part.tape.epoch_at(rec.seq - 1)
+                rec = part.record_log.get(f.next)
+                prior = part.record_log.epoch_at(rec.seq - 1)
                 f.sending = Sending("rec", rec.seq, rec.epoch, prior, rec.body + b"\n" + rec.kind.encode())
                 f.next += 1
             size += self.put_next(link, part, f.sending)
@@ -596,11 +617,11 @@
                 f.sending = None
         return size > 0
 
-    async def greet(self, part: Part, name: str, link: Link, f: Follow) -> bool:
+    async def greet(self, part: Partition, name: str, link: Link, f: Follow) -> bool:
         """Learns where a mirror's log meets this one and begins its stream there, or with a snapshot."""
         epoch = part.epoch
         got = await link.call(
-            "hello", {"part": part.id, "epoch": epoch, "who": self.conf.name}, self.conf.bounds.promise
+            "hello", {"part": part.id, "epoch": epoch, "who": self.settings.name}, self.settings.bounds.promise
         )
         if isinstance(got, Err):
             link.close(str(got.unwrap_err()))
@@ -615,25 +636,27 @@
         acked = part.recorder.get(name, there["disk"], "persisted")
         if there["last"] < acked:
             # It acknowledged more under this very epoch: its disk lost what it had synced. That is no torn tail.
-            log_events.emit(112, self.conf.name, part=part.id, mirror=name, last=there["last"], acknowledged=acked)
+            log_events.emit(112, self.settings.name, part=part.id, mirror=name, last=there["last"], acknowledged=acked)
             await link.call(
                 "hello",
-                {"part": part.id, "epoch": epoch, "who": self.conf.name, "spoiled": there["disk"]},
-                self.conf.bounds.promise,
+                {"part": part.id, "epoch": epoch, "who": self.settings.name, "spoiled": there["disk"]},
+                self.settings.bounds.promise,
             )
             link.close("its disk lost what it had acknowledged")
             return False
         marks = [(e, s) for e, s in there["marks"]]
-        meet = match(part.tape.marks(), part.tape.last, marks, there["last"])
+        meet = match(part.record_log.marks(), part.record_log.last, marks, there["last"])
         f.link, f.epoch, f.disk, f.sending = link, epoch, there["disk"], None
         if meet >= 0:
-            self.put(link, part, "start", meet, part.tape.epoch_at(meet), 0, b"")
+            self.put(link, part, "start", meet, part.record_log.epoch_at(meet), 0, b"")
             f.next = meet + 1
         else:
-            log_events.emit(123, self.conf.name, part=part.id, mirror=name, base=part.tape.base_seq)
+            log_events.emit(123, self.settings.name, part=part.id, mirror=name, base=part.record_log.base_seq)
             self.counts["refills"] += 1
-            f.sending = Sending("snap", part.tape.base_seq, part.tape.base_epoch, 0, part.tape.base.dump())
-            f.next = part.tape.base_seq + 1
+            f.sending = Sending(
+                "snap", part.record_log.base_seq, part.record_log.base_epoch, 0, part.record_log.base.dump()
+            )
+            f.next = part.record_log.base_seq + 1
         return True
 
     async def ack(self, acks: list[Any]) -> None:
@@ -653,7 +676,7 @@
                 f.link = None
                 self.kick_all(part)
                 continue
-            last = part.tape.last
+            last = part.record_log.last
             new = part.recorder.put(a.name, a.disk, "received", min(a.received, last))
             new = part.recorder.put(a.name, a.disk, "persisted", min(a.persisted, last)) or new
             if new:
@@ -662,11 +685,11 @@
                     self.kick_all(part)
 
     # --- owner: other duties
-    def own(self, part: Part) -> None:
-        man, b, t = self.news.manifest, self.conf.bounds, now()
-        assert man is not None
+    def own(self, part: Partition) -> None:
+        configuration, b, t = self.configuration_view.manifest, self.settings.bounds, now()
+        assert configuration is not None
         fresh = {n: f.disk for n, f in part.follows.items() if t - f.heard < b.detect}
-        if not part.confirmed(fresh | {self.conf.name: self.disk_id}):
+        if not part.confirmed(fresh | {self.settings.name: self.disk_id}):
             if t - part.heard > b.detect * 1.5:
                 self.fall(part, part.epoch)
                 return
@@ -688,22 +711,22 @@
             self.tidy(part)
         except Stop:
             return
-        order = self.news.order(part.id)
-        if order and order[0] != self.conf.name:
-            for name in order[: order.index(self.conf.name)] if self.conf.name in order else order:
+        order = self.configuration_view.order(part.id)
+        if order and order[0] != self.settings.name:
+            for name in order[: order.index(self.settings.name)] if self.settings.name in order else order:
                 f = part.follows.get(name)
                 if f is not None and t - f.since > b.detect and self.fit(part, name):
                     self.hand_on(part, name)
                     return
 
-    def lost_cover(self, part: Part) -> bool:
+    def lost_cover(self, part: Partition) -> bool:
         """Have all members answered, or been declared gone, and no covering set of their disks is left?"""
-        t, b = now(), self.conf.bounds
-        names = [n for n in self.names(part, part.view) if self.news.addr(n)]
+        t, b = now(), self.settings.bounds
+        names = [n for n in self.names(part, part.view) if self.configuration_view.addr(n)]
         there = {n: f for n in names if (f := part.follows.get(n)) is not None and f.disk}
         if len(there) < len(names) or any(f.silent or t - f.heard > b.detect for f in there.values()):
             return False
-        return part.hopeless({n: f.disk for n, f in there.items()} | {self.conf.name: self.disk_id})
+        return part.hopeless({n: f.disk for n, f in there.items()} | {self.settings.name: self.disk_id})
 
     async def leave(self) -> None:
         """Hands each partition that is owned here to the first in its order that has all of it."""
@@ -714,75 +737,75 @@
                 self.hand_on(part, able[0])
         await asyncio.gather(*self.trials)
         # The handed-on lots find their owner before this one stops pointing the way.
-        await asyncio.sleep(self.conf.bounds.beat)
+        await asyncio.sleep(self.settings.bounds.beat)
 
-    def fit(self, part: Part, name: str) -> bool:
+    def fit(self, part: Partition, name: str) -> bool:
         """Could this member own the partition now, without anything to wait for?"""
-        f, b, t = part.follows.get(name), self.conf.bounds, now()
+        f, b, t = part.follows.get(name), self.settings.bounds, now()
         if f is None or f.silent or t - f.heard >= b.beat * 4 or part.view.crew.get(name) != f.disk:
             return False
         return part.recorder.get(name, f.disk, "persisted") >= part.covered
 
-    def hand_on(self, part: Part, name: str) -> None:
-        log_events.emit(126, self.conf.name, part=part.id, to=name, epoch=part.epoch)
+    def hand_on(self, part: Partition, name: str) -> None:
+        log_events.emit(126, self.settings.name, part=part.id, to=name, epoch=part.epoch)
         epoch = part.epoch
         part.step_down()
         part.aligned, part.heard = epoch, now()
 
         async def tell() -> None:
-            await self.ask(name, "hello", {"part": part.id, "epoch": epoch, "who": self.conf.name, "hand": 1})
+            await self.ask(name, "hello", {"part": part.id, "epoch": epoch, "who": self.settings.name, "hand": 1})
 
         task = asyncio.create_task(tell())
         self.trials.add(task)
         task.add_done_callback(self.trials.discard)
 
-    def change(self, part: Part) -> None:
+    def change(self, part: Partition) -> None:
         """Brings predicate and members to what the manifest wants: one change at a time, each a record."""
-        man, view = self.news.manifest, part.view
-        assert man is not None
+        configuration, view = self.configuration_view.manifest, part.view
+        assert configuration is not None
         if view.crew_seq > part.covered or view.predicate_seq > part.covered:
             return
         self.prove(part)
-        if man.get("predicate", "") != view.predicate:
-            self.add(part, "predicate", {"text": man.get("predicate", "")})
+        if configuration.get("predicate", "") != view.predicate:
+            self.add(part, "predicate", {"text": configuration.get("predicate", "")})
             return
-        change = next_change(self.situation(part), stays=self.conf.name)
+        change = next_change(self.situation(part), stays=self.settings.name)
         if change is not None:
             self.add(part, "crew", {"crew": change.members})
             log_events.emit(
                 124,
-                self.conf.name,
+                self.settings.name,
                 part=part.id,
                 joins=",".join(change.joins),
                 leaves=",".join(change.leaves),
             )
 
-    def situation(self, part: Part) -> Situation:
+    def situation(self, part: Partition) -> Situation:
         """What a change of a partition's members is decided from, as its owner sees it now."""
-        recent = now() - self.conf.bounds.detect
+        recent = now() - self.settings.bounds.detect
         heard = {n: f.disk for n, f in part.follows.items() if f.disk and not f.silent and f.heard > recent}
         ready = {n: d for n, d in heard.items() if part.recorder.get(n, d, "persisted") >= part.covered}
         if part.persisted >= part.covered:
-            ready[self.conf.name] = self.disk_id
-        answering = [*heard, self.conf.name]
-        return Situation(part.view.crew, self.news.order(part.id), ready, answering, self.topology(part))
+            ready[self.settings.name] = self.disk_id
+        answering = [*heard, self.settings.name]
+        return Situation(part.view.crew, self.configuration_view.order(part.id), ready, answering, self.topology(part))
 
-    def complete(self, part: Part) -> bool:
+    def complete(self, part: Partition) -> bool:
         """As owner: do all members answer, and have they synced the last change of members with the mark that settles it?
         From then on one that has left may lose its disk, and any one of them the next: whatever was held, and the proof
         of who the members are, is on the disks of all of them."""
         here = self.situation(part)  # `live` have synced all that is covered
         return part.proven() and here.live == set(here.current)
 
-    def topology(self, part: Part) -> Topology:
+    def topology(self, part: Partition) -> Topology:
         """Where the machines stand, and what may be lost of them at once."""
-        return Topology(part.areas, self.conf.tolerance)
+        return Topology(part.areas, self.settings.tolerance)
 
-    def tidy(self, part: Part) -> None:
+    def tidy(self, part: Partition) -> None:
         """Lots leave after the retention; one long overdue is ended first."""
-        man, desk, view = self.news.manifest, self.desks[part.id], part.view
-        assert man is not None
-        keep = man.get("retention", 3600.0)
+        configuration, desk, view = self.configuration_view.manifest, self.desks[part.id], part.view
+        assert configuration is not None
+        keep = configuration.get("retention", 3600.0)
         gone = []
         for lot in view.lots.values():
             if "route" in lot.body:
@@ -791,7 +814,7 @@
             elif lot.whole or lot.state == "ended":
                 if now() - desk.done_at.setdefault(lot.id, now()) > keep:
                     gone.append(lot.id)
-            elif self.world.wall() > lot.body["due"] + keep:
+            elif self.environment.wall() > lot.body["due"] + keep:
                 self.add(part, "end", {"id": lot.id})
                 return
         # Refusals and claims stay as long as finished lots do, counted from when this owner first saw them.
@@ -804,16 +827,16 @@
             for name in names:
                 desk.done_at.pop(name, None)
 
-    def add(self, part: Part, kind: str, body: Body, vital: bool = True, raw: Raw = b"") -> Record:
+    def add(self, part: Partition, kind: str, body: Body, vital: bool = True, raw: Raw = b"") -> Record:
         """Sequences one record and streams it at once. Raises Stop, with nothing sequenced, if the disk
         won't take it."""
         if not vital:
             free, _ = self.log.disk.room()
             if free - len(json.dumps(body)) - len(raw) - 256 < self.log.hold:
-                log_events.emit(114, self.conf.name, part=part.id)
-                raise Stop(Fault("append", self.conf.name, "the disk is full", FULL))
+                log_events.emit(114, self.settings.name, part=part.id)
+                raise Stop(Fault("append", self.settings.name, "the disk is full", FULL))
         if self.log.bad:
-            raise Stop(Fault("append", self.conf.name, self.log.bad, BROKE))
+            raise Stop(Fault("append", self.settings.name, self.log.bad, BROKE))
         rec = part.make(kind, body, raw)
         try:
             self.write(part, [rec.entry(part.id)])
@@ -822,7 +845,7 @@
             part.cut(rec.seq - 1)
             part.step_down()
             part.heard = now()
-            raise Stop(Fault("append", self.conf.name, bad.fault.why, SLOW)) from bad
+            raise Stop(Fault("append", self.settings.name, bad.fault.why, SLOW)) from bad
         self.counts[f"rec_{kind}"] += 1
         self.kick_all(part)
         return rec
@@ -840,7 +863,7 @@
                 why = f"partition {part.id}: {body['who']} holds acknowledgements of more than this log has"
                 self.log.bad = why
                 if not self.spoiled.done():
-                    self.spoiled.set_result(Fault("read log", self.conf.name, why))
+                    self.spoiled.set_result(Fault("read log", self.settings.name, why))
             return Ok(about | {"ok": False})
         if body.get("confirm"):
             return Ok(about | {"ok": part.promised <= epoch})
@@ -862,7 +885,9 @@
         # The owner has just connected: whatever link for acknowledgements stands from before may lead to a
         # process that is no more.
         self.fresh.add(body["who"])
-        return Ok(about | {"ok": True, "promised": epoch, "last": part.tape.last, "marks": part.tape.marks()})
+        return Ok(
+            about | {"ok": True, "promised": epoch, "last": part.record_log.last, "marks": part.record_log.marks()}
+        )
 
     async def carry(self, packet: Any) -> None:
         part = self.part(packet.part)
@@ -880,13 +905,15 @@
             part.aligned = part.filling = 0
             if bad.fault.code != FULL:
                 raise
-            log_events.emit(114, self.conf.name, part=part.id)
+            log_events.emit(114, self.settings.name, part=part.id)
         part.covered = (
-            max(part.covered, min(packet.covered, part.tape.last)) if part.aligned == packet.epoch else part.covered
+            max(part.covered, min(packet.covered, part.record_log.last))
+            if part.aligned == packet.epoch
+            else part.covered
         )
         self.note(part, packet.owner)
 
-    def take_packet(self, part: Part, p: Any) -> None:
+    def take_packet(self, part: Partition, p: Any) -> None:
         if p.kind == "beat":
             return  # it goes out between the packets of others
         if p.index == 0:
@@ -899,36 +926,36 @@
             return
         body = b"".join(part.gather)
         part.gather, part.filling = [], 0
-        tape = part.tape
+        record_log = part.record_log
         if p.kind == "start":
-            fits = tape.base_seq <= p.seq <= tape.last and tape.epoch_at(p.seq) == p.born
-            if fits and p.seq < tape.last:
+            fits = record_log.base_seq <= p.seq <= record_log.last and record_log.epoch_at(p.seq) == p.born
+            if fits and p.seq < record_log.last:
                 place = self.log.append([IDL.Entry(part=part.id, op="cut", seq=p.seq)])
                 part.cut(p.seq)
                 part.places.append((place, p.seq))
             part.aligned = p.epoch if fits else 0
         elif p.kind == "snap":
             place = self.log.append([IDL.Entry(part=part.id, op="base", seq=p.seq, epoch=p.born, body=body)])
-            part.tape = Tape(p.seq, p.born, LotView.load(body))
+            part.record_log = RecordLog(p.seq, p.born, JobView.load(body))
             part.places.clear()
             part.places.append((place, p.seq))
             part.persisted, part.aligned, part.covered = 0, p.epoch, p.seq
         elif p.kind == "rec" and part.aligned == p.epoch:
-            if p.seq != tape.last + 1 or p.prior != tape.last_epoch:
+            if p.seq != record_log.last + 1 or p.prior != record_log.last_epoch:
                 part.aligned = 0
                 return
             body, _, kind = body.rpartition(b"\n")
             rec = Record(p.seq, p.born, kind.decode(), body)
             self.write_first(part, rec)
 
-    def write_first(self, part: Part, rec: Record) -> None:
+    def write_first(self, part: Partition, rec: Record) -> None:
         place = self.log.append([rec.entry(part.id)])
-        part.tape.append(rec)
+        part.record_log.append(rec)
         part.places.append((place, rec.seq))
 
-    def note(self, part: Part, owner: str = "", gap: bool = False) -> None:
+    def note(self, part: Partition, owner: str = "", gap: bool = False) -> None:
         owner = owner or part.owner
-        if not owner or owner == self.conf.name:
+        if not owner or owner == self.settings.name:
             return
         self.dirty.setdefault(owner, set()).add(part.id)
         if owner not in self.ackers:
@@ -943,16 +970,16 @@
             await self.ack_kicks[owner].wait()
             self.ack_kicks[owner].clear()
             numbers, self.dirty[owner] = sorted(self.dirty[owner]), set()
-            addr = self.news.addr(owner)
+            addr = self.configuration_view.addr(owner)
             if not addr:
                 continue
             if link is not None and owner in self.fresh:
                 link.close("the owner connected anew")
             self.fresh.discard(owner)
             if link is None or link.closed or link.addr != addr:
-                got = await Link.open(addr, self.conf.bounds.silent)
+                got = await Link.open(addr, self.settings.bounds.silent)
                 if isinstance(got, Err):
-                    await asyncio.sleep(self.conf.bounds.beat)
+                    await asyncio.sleep(self.settings.bounds.beat)
                     continue
                 link = got.unwrap()
                 assert link.pump is not None
@@ -960,7 +987,7 @@
             free, _ = self.log.disk.room()
             link.put("ack", [self.counters(self.parts[n], free < self.log.hold) for n in numbers])
             try:
-                await asyncio.wait_for(link.drain(), self.conf.bounds.silent)
+                await asyncio.wait_for(link.drain(), self.settings.bounds.silent)
             except (TimeoutError, ConnectionError, OSError):
                 link.close("it takes nothing")
 
@@ -974,13 +1001,13 @@
     async def knock(self, owner: str) -> None:
         """A refused connection proves that no process listens there, so the silence needn't be waited out. Only a hint of
         when to stand: who owns is up to the epochs."""
-        addr = self.news.addr(owner)
-        got = await Link.open(addr, self.conf.bounds.promise) if addr else None
+        addr = self.configuration_view.addr(owner)
+        got = await Link.open(addr, self.settings.bounds.promise) if addr else None
         if isinstance(got, Ok):
             got.unwrap().close()
         if got is None or isinstance(got, Ok) or got.unwrap_err().hint != "refused":
             return
-        b = self.conf.bounds
+        b = self.settings.bounds
         mine = [p for p in self.parts.values() if p.owner == owner and not p.owning]
         for part in mine:
             part.down, part.heard = owner, min(part.heard, now() - b.detect)
@@ -990,25 +1017,25 @@
             if part.down == owner and not part.owning:
                 self.doubt(part)
 
-    def counters(self, part: Part, full: bool) -> Any:
+    def counters(self, part: Partition, full: bool) -> Any:
         held = part.aligned > 0 and part.aligned == part.promised
         return IDL.Ack(
-            part=part.id, epoch=part.promised, name=self.conf.name, disk=self.disk_id, promised=part.promised,
-            received=part.tape.last if held else 0, persisted=part.persisted if held else 0,
+            part=part.id, epoch=part.promised, name=self.settings.name, disk=self.disk_id, promised=part.promised,
+            received=part.record_log.last if held else 0, persisted=part.persisted if held else 0,
             gap=not held and (not part.filling or part.filling != part.promised), full=full,
         )  # fmt: skip
 
     # --- callers' side, by way of edges
-    def lead_of(self, number: int, step: str) -> Result[Part, Fault]:
+    def lead_of(self, number: int, step: str) -> Result[Partition, Fault]:
         part = self.parts.get(number)
         if part is None or not part.owning:
-            hint = part.owner if part is not None and part.owner != self.conf.name else ""
-            return Err(Fault(step, self.conf.name, "not the owner", MOVED, hint))
+            hint = part.owner if part is not None and part.owner != self.settings.name else ""
+            return Err(Fault(step, self.settings.name, "not the owner", MOVED, hint))
         if not part.ready:
-            return Err(Fault(step, self.conf.name, "the owner is not ready yet", MOVED, self.conf.name))
+            return Err(Fault(step, self.settings.name, "the owner is not ready yet", MOVED, self.settings.name))
         return Ok(part)
 
-    async def confirm(self, part: Part) -> bool:
+    async def confirm(self, part: Partition) -> bool:
         """A round trip under the epoch: no one else owns this partition now."""
         task = self.confirms.get(part.id)
         if task is not None and not task.done():
@@ -1020,14 +1047,16 @@
             self.confirms[part.id] = task
         return await asyncio.shield(task)
 
-    async def _confirm(self, part: Part, epoch: int) -> bool:
-        voters = {self.conf.name: self.disk_id}
+    async def _confirm(self, part: Partition, epoch: int) -> bool:
+        voters = {self.settings.name: self.disk_id}
         if part.confirmed(voters):
             return part.epoch == epoch
         found = asyncio.Event()
 
         async def one(name: str) -> None:
-            got = await self.ask(name, "hello", {"part": part.id, "epoch": epoch, "who": self.conf.name, "confirm": 1})
+            got = await self.ask(
+                name, "hello", {"part": part.id, "epoch": epoch, "who": self.settings.name, "confirm": 1}
+            )
             if isinstance(got, Ok) and got.unwrap()["ok"]:
                 voters[name] = got.unwrap()["disk"]
                 if part.epoch == epoch and part.confirmed(voters):
@@ -1042,8 +1071,12 @@
         return found.is_set() and part.epoch == epoch
 
     def text_of(self, name: str) -> str:
-        man = self.news.manifest
-        return man["classes"][name].get("predicate", "") if man and name in man["classes"] else ""
+        configuration = self.configuration_view.manifest
+        return (
+            configuration["classes"][name].get("predicate", "")
+            if configuration and name in configuration["classes"]
+            else ""
+        )
 
     async def submit(self, body: Body) -> PeerResponse:
         """Takes a lot: `kept` only past the frontier; refused only if nothing was sequenced, or once a
@@ -1053,7 +1086,7 @@
         if isinstance(got, Err):
             return got
         part = got.unwrap()
-        limit = min(float(body.get("wait", 5.0)), self.conf.bounds.recover)
+        limit = min(float(body.get("wait", 5.0)), self.settings.bounds.recover)
         have = part.view.lots.get(lot["id"])
         if have is None and lot["id"] not in part.view.shed:
             flaw = self.no_room(part)
@@ -1070,56 +1103,56 @@
         if have is None:
             seq = part.view.shed[lot["id"]]
             if await part.wait(seq, "", limit):
-                return Err(Fault("submit", self.conf.name, "this lot was refused; send it under another id", SHED))
-            return Err(Fault("submit", self.conf.name, "not known yet", SLOW))
+                return Err(Fault("submit", self.settings.name, "this lot was refused; send it under another id", SHED))
+            return Err(Fault("submit", self.settings.name, "not known yet", SLOW))
         if have.digest != digest(lot):
-            return Err(Fault("submit", self.conf.name, "a lot with this id and other content is here", CLASH))
+            return Err(Fault("submit", self.settings.name, "a lot with this id and other content is here", CLASH))
         if await part.wait(have.seq, self.text_of(lot["class"]), limit):
             return Ok({"id": lot["id"], "state": "kept"})
-        return Err(Fault("submit", self.conf.name, "not covered yet", SLOW))
+        return Err(Fault("submit", self.settings.name, "not covered yet", SLOW))
 
-    def no_room(self, part: Part) -> Fault | None:
+    def no_room(self, part: Partition) -> Fault | None:
         opened = sum(1 for lot in part.view.lots.values() if lot.state == "open" and not lot.whole)
-        if opened >= self.news.limit("open_lots"):
-            return Fault("submit", self.conf.name, f"{opened} lots are open in this partition", SHED)
-        ahead = sum(len(r.body) for r in part.tape.after(max(part.covered, part.tape.base_seq)))
-        if ahead > self.conf.buffer_bytes // 2:
-            return Fault("submit", self.conf.name, "too much is not covered yet", SHED)
-        free = {n for n, f in part.follows.items() if not f.full and not f.silent} | {self.conf.name}
+        if opened >= self.configuration_view.limit("open_lots"):
+            return Fault("submit", self.settings.name, f"{opened} lots are open in this partition", SHED)
+        ahead = sum(len(r.body) for r in part.record_log.after(max(part.covered, part.record_log.base_seq)))
+        if ahead > self.settings.buffer_bytes // 2:
+            return Fault("submit", self.settings.name, "too much is not covered yet", SHED)
+        free = {n for n, f in part.follows.items() if not f.full and not f.silent} | {self.settings.name}
         if not part.can_cover(free) and any(f.full for f in part.follows.values()):
-            return Fault("submit", self.conf.name, "the disks of the mirrors are full", FULL)
+            return Fault("submit", self.settings.name, "the disks of the mirrors are full", FULL)
         return None
 
-    async def shed(self, part: Part, body: Body, flaw: Fault, limit: float) -> PeerResponse:
+    async def shed(self, part: Partition, body: Body, flaw: Fault, limit: float) -> PeerResponse:
         if not body.get("again"):
             return Err(flaw)
         try:
             rec = self.add(part, "shed", {"id": body["lot"]["id"]})
         except Stop:
-            return Err(Fault("submit", self.conf.name, "not known yet", SLOW))
+            return Err(Fault("submit", self.settings.name, "not known yet", SLOW))
         if await part.wait(rec.seq, "", limit):
             return Err(
                 Fault(flaw.step, flaw.peer, flaw.why + "; this lot is refused, send it under another id", flaw.code)
             )
-        return Err(Fault("submit", self.conf.name, "not known yet", SLOW))
+        return Err(Fault("submit", self.settings.name, "not known yet", SLOW))
 
-    async def _read(self, body: Body, step: str) -> Result[tuple[Part, Lot], Fault]:
+    async def _read(self, body: Body, step: str) -> Result[tuple[Partition, Job], Fault]:
         got = self.lead_of(body["part"], step)
         if isinstance(got, Err):
             return got
         part = got.unwrap()
         if not await self.confirm(part):
-            return Err(Fault(step, self.conf.name, "could not be confirmed", SLOW))
+            return Err(Fault(step, self.settings.name, "could not be confirmed", SLOW))
         lot = part.view.lots.get(body["id"])
         if body["id"] in part.view.shed and part.view.shed[body["id"]] <= part.covered:
-            return Err(Fault(step, self.conf.name, "this lot was refused", SHED))
+            return Err(Fault(step, self.settings.name, "this lot was refused", SHED))
         if body["id"] in part.view.lost:
-            return Err(Fault(step, self.conf.name, "this lot was lost", LACK))
+            return Err(Fault(step, self.settings.name, "this lot was lost", LACK))
         if lot is None or lot.body.get("caller", "") not in ("", body.get("caller", "")):
             lost = f"; this partition lost lots {part.view.losses} time(s)" if part.view.losses else ""
-            return Err(Fault(step, self.conf.name, f"no such lot of this caller{lost}", LACK))
+            return Err(Fault(step, self.settings.name, f"no such lot of this caller{lost}", LACK))
         if lot.seq > part.covered:
-            return Err(Fault(step, self.conf.name, "not known yet", SLOW))
+            return Err(Fault(step, self.settings.name, "not known yet", SLOW))
         return Ok((part, lot))
 
     async def show(self, body: Body) -> PeerResponse:
@@ -1155,7 +1188,7 @@
             except Stop as bad:
                 return Err(bad.fault)
         if not await part.wait(max(lot.state_seq, lot.seq), "", float(body.get("wait", 5.0))):
-            return Err(Fault("end", self.conf.name, "not known yet", SLOW))
+            return Err(Fault("end", self.settings.name, "not known yet", SLOW))
         return Ok({"id": lot.id, "state": "done" if lot.whole and lot.state == "open" else "ended"})
 
     async def claim(self, body: Body) -> PeerResponse:
@@ -1171,7 +1204,7 @@
                 return Err(bad.fault)
         won = part.view.claims[body["key"]]
         if not await part.wait(won["seq"], "", float(body.get("wait", 3.0))):
-            return Err(Fault("claim", self.conf.name, "not covered yet", SLOW))
+            return Err(Fault("claim", self.settings.name, "not covered yet", SLOW))
         return Ok({"won": won["nonce"] == body["nonce"]})
 
     # --- schedulers
@@ -1183,24 +1216,30 @@
             return got
         part = got.unwrap()
         desk, t = self.desks[part.id], now()
-        if (body["term"], body["sched"]) < (desk.term, desk.sched):
+        if (body["term"], body["sched"]) < (desk.term, desk.scheduler):
             return Err(
-                Fault("take", self.conf.name, f"scheduler {desk.sched} has term {desk.term}", CLASH, str(desk.term))
+                Fault(
+                    "take",
+                    self.settings.name,
+                    f"scheduler {desk.scheduler} has term {desk.term}",
+                    CLASH,
+                    str(desk.term),
+                )
             )
-        if (body["term"], body["sched"]) != (desk.term, desk.sched):
-            desk.term, desk.sched = body["term"], body["sched"]
+        if (body["term"], body["sched"]) != (desk.term, desk.scheduler):
+            desk.term, desk.scheduler = body["term"], body["sched"]
         # Before anything is waited for: an item whose end is told right after this question is held no longer.
         held = {(lot, item) for lot, item in body["held"]}
-        until = t + self.conf.bounds.lease * 2
+        until = t + self.settings.bounds.lease * 2
         for key in held:
             desk.leases[key] = Lease(body["sched"], until)
         # The answer starts a lease at the scheduler: only an owner that is one now may give it.
         if not await self.confirm(part):
-            return Err(Fault("take", self.conf.name, "could not be confirmed", SLOW))
+            return Err(Fault("take", self.settings.name, "could not be confirmed", SLOW))
         for key in [
             k
             for k, lease in desk.leases.items()
-            if k[0] not in part.view.lots or (k not in held and (lease.until < t or lease.sched != body["sched"]))
+            if k[0] not in part.view.lots or (k not in held and (lease.until < t or lease.scheduler != body["sched"]))
         ]:
             del desk.leases[key]
         stop = [
@@ -1252,7 +1291,7 @@
             return Ok({"taken": False})
         status, output = body["status"], body["output"]
         if status == "done" and hashlib.sha256(output.encode()).hexdigest()[:16] != body["sum"]:
-            return Err(Fault("done", self.conf.name, "the output doesn't match its sum", BAD))
+            return Err(Fault("done", self.settings.name, "the output doesn't match its sum", BAD))
         if status == "abandoned" and "route" in lot.body:
             pass  # a worker said that it can never be done
         elif status != "done":
@@ -1273,8 +1312,8 @@
         free, whole = self.log.disk.room()
         rows = [
             {
-                "part": p.id, "owner": p.owner, "epoch": max(p.epoch, p.aligned), "last": p.tape.last, "covered": p.covered,
-                "persisted": p.persisted, "owning": p.owning, "ready": p.ready, "bytes": p.tape.size,
+                "part": p.id, "owner": p.owner, "epoch": max(p.epoch, p.aligned), "last": p.record_log.last, "covered": p.covered,
+                "persisted": p.persisted, "owning": p.owning, "ready": p.ready, "bytes": p.record_log.size,
                 "crew": p.crew, "complete": self.complete(p), "losses": p.view.losses,
                 "mirrors": {
                     n: {"persisted": p.recorder.get(n, f.disk, "persisted"), "silent": f.silent, "full": f.full, "disk": f.disk}
@@ -1289,5 +1328,5 @@
 
     def fail(self) -> None:
         """After a failed sync: this folder has no voice any more."""
-        if self.world.disk is not None and self.log.bad:
-            distrust(self.world.disk)
+        if self.environment.disk is not None and self.log.bad:
+            distrust(self.environment.disk)
--- a/postpass/rpc/peer_links.py
+++ b/postpass/rpc/peer_links.py
@@ -245,7 +245,7 @@
 
 
 @dataclass(eq=False)
-class Lines:
+class PeerLinks:
     """Links by address, opened when first wanted. Invariant: at most one open link an address."""
 
     links: dict[str, Link] = field(default_factory=dict)
@@ -287,7 +287,7 @@
 
 
 @dataclass(eq=False)
-class Port:
+class PeerServer:
     """Takes links from peers. Invariant: oneway messages of a link are handled in order, one at a time."""
 
     who: str
--- a/postpass/runtime/environment.py
+++ b/postpass/runtime/environment.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class World:
+class Environment:
     disk: Disk | None = None
     chance: random.Random = field(default_factory=random.Random)
     wall: Callable[[], float] = time.time
@@ -87,11 +87,11 @@
     app: ASGIApp, host: str, port: int, stop: asyncio.Event, drain: float = 2.0, protocol: Any = "httptools"
 ) -> None:
     """Serves until `stop`, then lets open calls come to their end for as long as `drain`."""
-    conf = uvicorn.Config(
+    settings = uvicorn.Config(
         app, host=host, port=port, http=protocol, ws="none", lifespan="off", loop="none",
         log_config=None, access_log=False, timeout_graceful_shutdown=math.ceil(drain), server_header=False, date_header=False,
     )  # fmt: skip
-    server = _Quiet(conf)
+    server = _Quiet(settings)
     server.server_state.connections = OrderedSet()  # type: ignore[assignment]  # closed in the order they were opened
 
     async def watch() -> None:
--- a/postpass/storage/data_directory.py
+++ b/postpass/storage/data_directory.py
@@ -10,7 +10,7 @@
 from postpass.runtime import log_events
 from postpass.runtime.disk import Disk
 from postpass.runtime.errors import Fault, Stop
-from postpass.storage.segmented_log import SegLog
+from postpass.storage.segmented_log import SegmentedLog
 
 MARK = "identity"
 FORMAT = 2  # of the files in a folder that is made now
@@ -18,17 +18,17 @@
 
 
 @dataclass(frozen=True)
-class Vault:
+class DataDirectory:
     """Invariant: `name` names the bytes in the folder, not the machine: a wiped or damaged folder gets
     another one, and with it loses its vote until it has been refilled."""
 
     name: str
     fresh: bool
-    log: SegLog
+    log: SegmentedLog
     entries: list[Any]
 
 
-async def open_vault(
+async def open_data_directory(
     who: str,
     disk: Disk,
     chance: random.Random,
@@ -36,12 +36,12 @@
     held: int,
     strict: bool = False,
     reads: int = FORMAT,
-) -> Vault:
+) -> DataDirectory:
     """Opens or formats a data folder. Damaged files are set aside by name and never served from.
 
     `strict` is the log's; `reads` is the highest format that the caller reads.
     """
-    log = SegLog(who, disk, segment, held=held, strict=strict)
+    log = SegmentedLog(who, disk, segment, held=held, strict=strict)
     names = disk.names()
     ident = ""
     if MARK in names:
@@ -60,7 +60,7 @@
         except Stop as bad:
             log_events.emit(112, who, step=bad.fault.step, why=bad.fault.why)
             ident = ""
-            log = SegLog(who, disk, segment, held=held, strict=strict)
+            log = SegmentedLog(who, disk, segment, held=held, strict=strict)
     if not ident:
         for name in names:
             if name.startswith(("log-", "snap-", "epochs")):
@@ -71,8 +71,8 @@
         ident = f"{who}-{chance.getrandbits(48):012x}"
         await mark_format(disk, ident, FORMAT)
         log_events.emit(110, who, disk=ident)
-        return Vault(ident, True, log, [])
-    return Vault(ident, False, log, entries)
+        return DataDirectory(ident, True, log, [])
+    return DataDirectory(ident, False, log, entries)
 
 
 async def mark_format(disk: Disk, name: str, number: int) -> None:
--- a/postpass/storage/segmented_log.py
+++ b/postpass/storage/segmented_log.py
@@ -61,7 +61,7 @@
 
 
 @dataclass(eq=False)
-class SegLog:
+class SegmentedLog:
     """Invariants: `synced` <= `ends`; entries up to `synced` survive the power; once `bad` is set nothing
     more is called synced. `held` bytes of room are kept for entries marked vital (ends, results, trims).
     `strict`: a last entry of full length whose checksum is wrong counts as damage instead of a torn tail."""
--- a/sim/ailing.py
+++ b/sim/ailing.py
@@ -16,7 +16,7 @@
 
 async def look(world: SimFleet) -> tuple[set[str], list[str]]:
     """What the doctor finds in two looks, and what is pending."""
-    where = [world.man["machines"][n]["http"] for n in world.controls()]
+    where = [world.configuration["machines"][n]["http"] for n in world.controls()]
     first = await main.statuses(where)
     await asyncio.sleep(0.5)
     second = await main.statuses(where)
@@ -33,12 +33,12 @@
 
 
 async def old_edition(world: SimFleet) -> None:
-    for name in world.man["machines"]:
+    for name in world.configuration["machines"]:
         if name != "e2":
             world.cut("e2", name)
             world.cut(name, "e2")
     await asyncio.sleep(1)
-    await world.apply(changed(world.man, "classes.ask.deadline", 14), 1)
+    await world.apply(changed(world.configuration, "classes.ask.deadline", 14), 1)
     await asyncio.sleep(3)
 
 
@@ -55,33 +55,33 @@
 
 
 async def other_config(world: SimFleet) -> None:
-    man = changed(world.man, "machines.e2.duties", ["edge"])
-    await world.apply(man, 1)
+    configuration = changed(world.configuration, "machines.e2.duties", ["edge"])
+    await world.apply(configuration, 1)
     await asyncio.sleep(1)
 
 
 async def clashing_name(world: SimFleet) -> None:
     """Another process is started under a name that is taken, at an address of its own."""
-    m = world.man["machines"]["e2"] | {"peer": "127.2.8.8:7000", "http": "127.2.8.8:8000"}
-    real = world.man
-    world.man = changed(real, "machines.double", m)
+    m = world.configuration["machines"]["e2"] | {"peer": "127.2.8.8:7000", "http": "127.2.8.8:8000"}
+    real = world.configuration
+    world.configuration = changed(real, "machines.double", m)
     world.add_box("double", m)
-    world.man["machines"]["double"] = m
+    world.configuration["machines"]["double"] = m
     box = world.boxes["double"]
     box.host = None
     from bench.plan import config
     from postpass.configuration.settings import parse
-    from postpass.daemon.data_plane import Data
+    from postpass.daemon.data_plane import DataPlane
     from sim.loop import Host
 
     host = world.loop.add(Host("double", box.ips, "b"))
-    conf = parse(config(world.man, "double") | {"name": "e2"}).unwrap()
+    settings = parse(config(world.configuration, "double") | {"name": "e2"}).unwrap()
 
     async def boot() -> None:
-        await Data(conf, world.world("double", None)).run()
+        await DataPlane(settings, world.world("double", None)).run()
 
     world.loop.create_task(boot(), context=host.context())
-    world.man = real
+    world.configuration = real
     await asyncio.sleep(6)
 
 
--- a/sim/announced.py
+++ b/sim/announced.py
@@ -14,9 +14,9 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from postpass.configuration.settings import Config
-from postpass.control import Control
-from postpass.runtime.environment import World
+from postpass.configuration.settings import Settings
+from postpass.control import ControlPlane
+from postpass.runtime.environment import Environment
 from sim.clients import Clients, Entry, Kind
 from sim.disk import SimDisk
 from sim.fleet import Box, SimFleet
@@ -44,7 +44,7 @@
     async def run(self) -> None: ...
 
 
-Compose = Callable[[str, Any, World], Runs]
+Compose = Callable[[str, Any, Environment], Runs]
 
 
 def module(name: str) -> Any:
@@ -54,13 +54,13 @@
     return importlib.import_module(name)
 
 
-def product(role: str, raw: Any, world: World) -> Runs:
+def product(role: str, raw: Any, world: Environment) -> Runs:
     """The product's daemon for a settings file, composed as the platform's folder composes it."""
-    conf: Config = module("settings").config_of(role, raw).unwrap()
+    settings: Settings = module("settings").config_of(role, raw).unwrap()
     path = list(sys.path)
     resident = module("resident")
     sys.path[:] = path
-    made: Runs = resident.daemon_of(role, conf, world)
+    made: Runs = resident.daemon_of(role, settings, world)
     return made
 
 
@@ -420,7 +420,7 @@
             leads = [
                 (b.daemon.epoch, n)
                 for n, b in self.boxes.items()
-                if b.up and isinstance(b.daemon, Control) and b.daemon.epoch
+                if b.up and isinstance(b.daemon, ControlPlane) and b.daemon.epoch
             ]
             return max(leads)[1] if leads else self.pick("acked")
         if word == "busiest":
--- a/sim/broken.py
+++ b/sim/broken.py
@@ -11,14 +11,14 @@
 from result import Err
 
 from postpass.batch import scheduler
-from postpass.batch.job import LotView
-from postpass.control import Control
+from postpass.batch.job import JobView
+from postpass.control import ControlPlane
 from postpass.daemon.process import Daemon
-from postpass.feed.configuration_view import News
+from postpass.feed.configuration_view import ConfigurationView
 from postpass.gateway import attempts, live_requests
 from postpass.gateway.attempts import Move
-from postpass.gateway.worker_load import Floor
-from postpass.replication.partition import Part
+from postpass.gateway.worker_load import WorkerLoad
+from postpass.replication.partition import Partition
 from postpass.replication.store import Store
 from postpass.runtime.errors import OLD, SHED, Fault, Stop
 from postpass.worker_api import openai
@@ -28,17 +28,17 @@
 
 def kept_at_once(mp: pytest.MonkeyPatch) -> None:
     """Calls a lot kept as soon as the owner has it in memory."""
-    mp.setattr(Part, "reach", lambda self, text="": self.tape.last)
+    mp.setattr(Partition, "reach", lambda self, text="": self.record_log.last)
 
 
 def last_result_wins(mp: pytest.MonkeyPatch) -> None:
-    def result(self: LotView, seq: int, body: dict[str, Any]) -> None:
+    def result(self: JobView, seq: int, body: dict[str, Any]) -> None:
         lot = self.lots.get(body["id"])
         if lot is not None:
             lot.results[body["item"]] = (seq, body["status"], body["output"])
             lot.order.append(body["item"])
 
-    mp.setattr(LotView, "_result", result)
+    mp.setattr(JobView, "_result", result)
     plain = Store.done
 
     async def done(self: Store, body: dict[str, Any]) -> Any:
@@ -80,7 +80,7 @@
 
 
 def ending_is_forgotten(mp: pytest.MonkeyPatch) -> None:
-    mp.setattr(LotView, "_end", lambda self, seq, body: None)
+    mp.setattr(JobView, "_end", lambda self, seq, body: None)
 
 
 def once_is_ignored(mp: pytest.MonkeyPatch) -> None:
@@ -111,13 +111,13 @@
 
 
 def leaving_is_ignored(mp: pytest.MonkeyPatch) -> None:
-    plain = Floor.barred
+    plain = WorkerLoad.barred
 
-    def barred(self: Floor, pool: str, name: str, stale: float) -> str:
+    def barred(self: WorkerLoad, pool: str, name: str, stale: float) -> str:
         why = plain(self, pool, name, stale)
         return "" if why == "leaving" or "evacuated" in why else why
 
-    mp.setattr(Floor, "barred", barred)
+    mp.setattr(WorkerLoad, "barred", barred)
 
 
 def deaf_to_news(mp: pytest.MonkeyPatch) -> None:
@@ -126,37 +126,41 @@
     async def in_force(*_: Any) -> list[str]:
         return []
 
-    mp.setattr(Control, "in_force", in_force)
+    mp.setattr(ControlPlane, "in_force", in_force)
     plain = Daemon.fetch
 
     async def fetch(self: Daemon, addr: str, limit: float = 0.0) -> None:
-        if self.news.edition == 0 or not self.conf.name.startswith("e"):
+        if self.configuration_view.edition == 0 or not self.settings.name.startswith("e"):
             await plain(self, addr, limit)
 
     mp.setattr(Daemon, "fetch", fetch)
     sources = Daemon.sources
-    mp.setattr(Daemon, "sources", lambda self: [] if self.news.edition and self.conf.name == "e1" else sources(self))
+    mp.setattr(
+        Daemon,
+        "sources",
+        lambda self: [] if self.configuration_view.edition and self.settings.name == "e1" else sources(self),
+    )
 
 
 def never_deaf(mp: pytest.MonkeyPatch) -> None:
     """A daemon that goes on placing work though it hears nobody."""
-    mp.setattr(News, "heard", property(lambda self: 1e18, lambda self, at: None), raising=False)
+    mp.setattr(ConfigurationView, "heard", property(lambda self: 1e18, lambda self, at: None), raising=False)
 
 
 def last_writer_wins(mp: pytest.MonkeyPatch) -> None:
-    plain = Control.on_apply
+    plain = ControlPlane.on_apply
 
-    async def apply(self: Control, body: dict[str, Any]) -> Any:
+    async def apply(self: ControlPlane, body: dict[str, Any]) -> Any:
         got = await plain(self, body)
         if isinstance(got, Err) and got.unwrap_err().code == OLD:
             return await plain(self, body | {"base": int(got.unwrap_err().hint)})
         return got
 
-    mp.setattr(Control, "on_apply", apply)
+    mp.setattr(ControlPlane, "on_apply", apply)
 
 
 def always_warm(mp: pytest.MonkeyPatch) -> None:
-    mp.setattr(Floor, "warm", lambda self, pool, name: 1.0)
+    mp.setattr(WorkerLoad, "warm", lambda self, pool, name: 1.0)
 
 
 CUT_OFF = """
--- a/sim/clients.py
+++ b/sim/clients.py
@@ -103,7 +103,7 @@
     per_zone: int = 8
     recheck: float = 0.5  # how often a lot is read
     ends: float = 0.1  # the share of lots that are ended midway
-    lots: dict[str, Lot] = field(default_factory=dict)
+    lots: dict[str, Job] = field(default_factory=dict)
     idle: dict[tuple[str, int], Kept] = field(default_factory=dict)
     asks: int = 0
     tasks: set[asyncio.Task[None]] = field(default_factory=set)
@@ -360,7 +360,7 @@
                 if unseen:
                     await self.read_item(lot, self.chance.choice(unseen), zone, client)
 
-    def make_lot(self, kind: Kind, count: int) -> Lot:
+    def make_lot(self, kind: Kind, count: int) -> Job:
         name = self.name()
         items, raw = [], []
         for i in range(count):
@@ -375,7 +375,7 @@
             item = {"id": self.name(), "path": path, "headers": headers, "tokens": prompt + most}
             raw.append(item | {"body": base64.b64encode(body).decode()})
             items.append(item | {"body": digest(body), "size": size, "key": key, "mark": digest(path.encode(), body)})
-        return Lot(name, items, json.dumps({"items": raw}).encode())
+        return Job(name, items, json.dumps({"items": raw}).encode())
 
     async def look(
         self, zone: str, client: int, method: str, path: str, limit: float, more: dict[str, str]
@@ -389,7 +389,7 @@
         except (Broken, Garbled):
             return via, 0, b""
 
-    async def read_lot(self, lot: Lot, zone: str, client: int, start: int, final: bool = False) -> int:
+    async def read_lot(self, lot: Job, zone: str, client: int, start: int, final: bool = False) -> int:
         began = self.now()
         path = f"/-/lots/{lot.id}?startAfter={start}"
         via, status, data = await self.look(
@@ -408,14 +408,14 @@
         self.log(event)
         return status
 
-    async def read_item(self, lot: Lot, item: Event, zone: str, client: int, final: bool = False) -> int:
+    async def read_item(self, lot: Job, item: Event, zone: str, client: int, final: bool = False) -> int:
         began = self.now()
         via, status, data = await self.look(zone, client, "GET", f"/-/items/{lot.id}?id={item['id']}", 1.5, {})
         self.log({"ev": "item_read", "lot": lot.id, "item": item["id"], "via": via, "began": began, "status": status,
                   "body": digest(data) if status == 200 else "", "final": final})  # fmt: skip
         return status
 
-    async def end_lot(self, lot: Lot, zone: str, client: int) -> None:
+    async def end_lot(self, lot: Job, zone: str, client: int) -> None:
         self.log({"ev": "lot_ending", "lot": lot.id})
         for _ in range(8):
             via, status, _ = await self.look(zone, client, "DELETE", f"/-/lots/{lot.id}", 1.5, {})
@@ -447,7 +447,7 @@
 
 
 @dataclass(eq=False)
-class Lot:
+class Job:
     """A lot as its client knows it. `items` are as sent, with digests for bodies."""
 
     id: str
