--- a/sim/fleet.py
+++ b/sim/fleet.py
@@ -13,15 +13,15 @@
 
 import aiohttp
 
-from bench.callers import Callers, Load
+from bench.clients import Callers, Load
 from bench.plan import config
 from bench.worker import PlainServer, Worker
 from postpass.configuration.configuration import part_of
 from postpass.configuration.settings import parse, split
-from postpass.control import Control
-from postpass.daemon.data_plane import Data
+from postpass.control import ControlPlane
+from postpass.daemon.data_plane import DataPlane
 from postpass.daemon.process import Daemon
-from postpass.runtime.environment import World, serve_http
+from postpass.runtime.environment import Environment, serve_http
 from sim.check import Event
 from sim.disk import SimDisk
 from sim.loop import Host, SimLoop
@@ -68,7 +68,7 @@
 @dataclass(eq=False)
 class SimFleet:
     loop: SimLoop
-    man: dict[str, Any]
+    configuration: dict[str, Any]
     seed: int
     bounds: dict[str, float] = field(default_factory=dict)
     tune: dict[str, Any] = field(default_factory=dict)  # config of daemons
@@ -84,9 +84,9 @@
     def __post_init__(self) -> None:
         self.chance = random.Random(f"fleet-{self.seed}")
         self.points = self.loop.points = Points()
-        for name, m in self.man["machines"].items():
+        for name, m in self.configuration["machines"].items():
             self.add_box(name, m)
-        for pool in self.man["pools"].values():
+        for pool in self.configuration["pools"].values():
             for name, s in pool["servers"].items():
                 host, _ = split(s["url"].removeprefix("http://"))
                 self.boxes[name] = Box(name, s["area"], (host,), None)
@@ -113,10 +113,10 @@
         elif event["ev"] == "applied":
             self.points.hit(f"applied.{event['answer']}", event.get("via", ""))
 
-    def world(self, name: str, disk: SimDisk | None) -> World:
+    def world(self, name: str, disk: SimDisk | None) -> Environment:
         self.boxes[name].epoch += 1
         seed = f"{self.seed}-{name}-{self.boxes[name].epoch}"
-        return World(
+        return Environment(
             disk=disk,
             chance=random.Random(seed),
             wall=self.wall,
@@ -130,15 +130,17 @@
             return
         box.host = self.loop.add(Host(name, box.ips, box.area))
         box.since = self.loop.clock
-        if name in self.man["machines"]:
-            control = "control" in self.man["machines"][name]["duties"]
-            raw = config(self.man, name, "data" if box.disk is not None else "", **self.tune)
+        if name in self.configuration["machines"]:
+            control = "control" in self.configuration["machines"][name]["duties"]
+            raw = config(self.configuration, name, "data" if box.disk is not None else "", **self.tune)
             if self.bounds:
                 raw["bounds"] = self.bounds
-            conf = parse(raw, control).unwrap()
+            settings = parse(raw, control).unwrap()
 
             async def boot() -> None:
-                daemon: Daemon = (Control if control else Data)(conf, self.world(name, box.disk), self.release)
+                daemon: Daemon = (ControlPlane if control else DataPlane)(
+                    settings, self.world(name, box.disk), self.release
+                )
                 box.daemon = daemon
                 if self.make is not None:
                     self.make(daemon)
@@ -148,7 +150,7 @@
 
             self.loop.create_task(boot(), context=box.host.context())
             return
-        for pool in self.man["pools"].values():
+        for pool in self.configuration["pools"].values():
             if name in pool["servers"]:
                 server = pool["servers"][name]
                 self.loop.create_task(self.serve(box, pool["kind"], server), context=box.host.context())
@@ -216,7 +218,9 @@
     # --- who is what now
     def stores(self) -> list[tuple[str, Any]]:
         return [
-            (n, b.daemon.store) for n, b in self.boxes.items() if b.up and isinstance(b.daemon, Data) and b.daemon.store
+            (n, b.daemon.store)
+            for n, b in self.boxes.items()
+            if b.up and isinstance(b.daemon, DataPlane) and b.daemon.store
         ]
 
     def owner(self, part: int) -> str:
@@ -239,22 +243,22 @@
             leads = [
                 (b.daemon.epoch, n)
                 for n, b in self.boxes.items()
-                if b.up and isinstance(b.daemon, Control) and b.daemon.epoch
+                if b.up and isinstance(b.daemon, ControlPlane) and b.daemon.epoch
             ]
             if not leads:
                 return ""
             top = max(leads)[1]
             daemon = self.boxes[top].daemon
-            assert isinstance(daemon, Control)
+            assert isinstance(daemon, ControlPlane)
             pair = daemon.held.pair
-            rest_ = [n for n, m in self.man["machines"].items() if "control" in m["duties"] and n not in pair]
+            rest_ = [n for n, m in self.configuration["machines"].items() if "control" in m["duties"] and n not in pair]
             return {"primary": top, "backup": pair.backup, "witness": rest_[0] if rest_ else ""}[kind]
         if kind == "sched":
             return next(
                 (
                     n
                     for n, b in self.boxes.items()
-                    if b.up and isinstance(b.daemon, Data) and b.daemon.sched and b.daemon.sched.active
+                    if b.up and isinstance(b.daemon, DataPlane) and b.daemon.scheduler and b.daemon.scheduler.active
                 ),
                 "",
             )
@@ -270,24 +274,26 @@
         return aiohttp.ClientSession(connector=SimConnector(limit=0, keepalive_timeout=2.0))
 
     def controls(self) -> list[str]:
-        return [n for n, m in self.man["machines"].items() if "control" in m["duties"]]
+        return [n for n, m in self.configuration["machines"].items() if "control" in m["duties"]]
 
-    async def apply(self, man: dict[str, Any], base: int, who: str = "op", via: str = "", tries: int = 1) -> int:
+    async def apply(
+        self, configuration: dict[str, Any], base: int, who: str = "op", via: str = "", tries: int = 1
+    ) -> int:
         """Applies a manifest as an operator would; notes what was answered."""
-        content = json.dumps(man, sort_keys=True)
+        content = json.dumps(configuration, sort_keys=True)
         order = [via] if via else self.controls()
         again = False
         async with self.session() as session:
             for i in range(tries):
                 name = order[i % len(order)]
-                url = f"http://{self.man['machines'][name]['http']}/v1/manifest"
+                url = f"http://{self.configuration['machines'][name]['http']}/v1/manifest"
                 began, status, edition, why = self.loop.clock, 0, 0, ""
                 waits: list[str] = []
                 pause = RETRY_PAUSE_S
                 try:
                     async with session.put(
                         url,
-                        json=man,
+                        json=configuration,
                         headers={"if-match": f'"{base}"'},
                         timeout=aiohttp.ClientTimeout(total=6, sock_connect=1),
                     ) as got:
@@ -301,9 +307,9 @@
                 self.log({"ev": "applied", "who": who, "answer": status, "edition": edition, "base": base, "content": content,
                           "began": began, "why": why, "again": again, "waits": waits, "via": name})  # fmt: skip
                 if status in (200, 202):
-                    self.edition, self.man = (
+                    self.edition, self.configuration = (
                         max(self.edition, edition),
-                        copy.deepcopy(man) if edition >= self.edition else self.man,
+                        copy.deepcopy(configuration) if edition >= self.edition else self.configuration,
                     )
                     return edition
                 if status in (400, 412):
@@ -314,7 +320,7 @@
 
     async def get(self, via: str) -> tuple[dict[str, Any], int] | None:
         """The manifest in force and its edition, as a control machine tells them."""
-        url = f"http://{self.man['machines'][via]['http']}/v1/manifest"
+        url = f"http://{self.configuration['machines'][via]['http']}/v1/manifest"
         try:
             limit = aiohttp.ClientTimeout(total=3, sock_connect=0.5)
             async with self.session() as session, session.get(url, timeout=limit) as got:
@@ -327,7 +333,7 @@
         """Reads the manifest back at each control machine in turn."""
         async with self.session() as session:
             for name in self.controls():
-                url = f"http://{self.man['machines'][name]['http']}/v1/manifest"
+                url = f"http://{self.configuration['machines'][name]['http']}/v1/manifest"
                 began, status, edition = self.loop.clock, 0, 0
                 try:
                     async with session.get(url, timeout=aiohttp.ClientTimeout(total=3, sock_connect=0.5)) as got:
@@ -342,9 +348,20 @@
             await asyncio.sleep(0.25)
             for name, box in self.boxes.items():
                 if box.up and box.daemon is not None and box.host is not None and not box.host.frozen:
-                    news, control = box.daemon.news, isinstance(box.daemon, Control)
-                    fit = self.loop.clock - box.since > 2.0 and news.edition > 0 if control else news.fresh
-                    self.log({"ev": "runs", "daemon": f"{name}/{box.epoch}", "edition": news.edition, "fit": fit})
+                    configuration_view, control = box.daemon.configuration_view, isinstance(box.daemon, ControlPlane)
+                    fit = (
+                        self.loop.clock - box.since > 2.0 and configuration_view.edition > 0
+                        if control
+                        else configuration_view.fresh
+                    )
+                    self.log(
+                        {
+                            "ev": "runs",
+                            "daemon": f"{name}/{box.epoch}",
+                            "edition": configuration_view.edition,
+                            "fit": fit,
+                        }
+                    )
 
     def heard(self, event: Event) -> None:
         """Takes down what a caller saw; of a lot that was just called kept, also on how many disks it is synced."""
@@ -355,11 +372,11 @@
             self.copies.append(sum(any(name in data for data in d.kept.values()) for d in disks))
         word = {"lot": event.get("answer", ""), "ended": "ended", "page": "paged"}.get(event["ev"], "")
         if word in ("kept", "shed", "unknown", "ended", "paged"):
-            part = part_of(event["id"], self.man["parts"])
+            part = part_of(event["id"], self.configuration["parts"])
             self.points.hit(word, self.owner(part) if self.points.watchers else "")
 
-    def callers(self, what: Load, session: aiohttp.ClientSession, salt: str = "") -> Callers:
-        edges = [f"http://{m['http']}" for m in self.man["machines"].values() if "edge" in m["duties"]]
+    def make_clients(self, what: Load, session: aiohttp.ClientSession, salt: str = "") -> Callers:
+        edges = [f"http://{m['http']}" for m in self.configuration["machines"].values() if "edge" in m["duties"]]
         return Callers(
             edges,
             session,
@@ -375,11 +392,11 @@
             self.start(name)
         self.loop.create_task(self.sample())
         await asyncio.sleep(0.5)
-        got = await self.out(self.apply(self.man, 0, tries=8))
+        got = await self.out(self.apply(self.configuration, 0, tries=8))
         assert got == 1, [e for e in self.events if e["ev"] == "applied"][-1]
         for _ in range(200):
             await asyncio.sleep(0.1)
-            if all(self.ready(p) for p in range(self.man["parts"])):
+            if all(self.ready(p) for p in range(self.configuration["parts"])):
                 break
         else:
             raise AssertionError("not every partition found an owner")
--- a/sim/hollow.py
+++ b/sim/hollow.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from sim.announced import AnnouncedFleet
-from sim.clients import Kind, Lot
+from sim.clients import Job, Kind
 from sim.http1 import call
 
 
@@ -20,7 +20,7 @@
     return replace(kind, route=kind.route | more)
 
 
-async def hand_in(fleet: AnnouncedFleet, kind: Kind, lot: Lot) -> tuple[int, bytes]:
+async def hand_in(fleet: AnnouncedFleet, kind: Kind, lot: Job) -> tuple[int, bytes]:
     """One try at the first edge: status and body of its answer."""
     headers = {"Host": kind.route["host"], "Postpass-Attempt-Id": lot.id, "Content-Type": "application/json"}
     head, data = await call(fleet.fronts()[0][2], "POST", f"{kind.route['prefix']}x", headers, lot.body, 10.0)
--- a/sim/interface.py
+++ b/sim/interface.py
@@ -26,7 +26,7 @@
                 async def say(
                     method: str, path: str, body: Any = None, heads: Any = None, to: str = "e1"
                 ) -> tuple[int, Any, Any]:
-                    url = f"http://{world.man['machines'][to]['http']}{path}"
+                    url = f"http://{world.configuration['machines'][to]['http']}{path}"
                     data = body if isinstance(body, (bytes, type(None))) else json.dumps(body).encode()
                     async with session.request(method, url, data=data, headers=heads) as got:
                         text = (await got.read()).decode()
@@ -45,7 +45,7 @@
 
 
 def lasts(world: SimFleet) -> int:
-    return sum(p.tape.last for _, s in world.stores() for p in s.parts.values() if p.owning)
+    return sum(p.record_log.last for _, s in world.stores() for p in s.parts.values() if p.owning)
 
 
 LOT = {"class": "lot", "items": ["a", "b"], "within": 30}
--- a/sim/operators.py
+++ b/sim/operators.py
@@ -15,11 +15,11 @@
 from sim.http1 import Broken, Garbled, call
 from sim.workers import Event
 
-Config = dict[str, Any]
+Settings = dict[str, Any]
 LISTS = ("routes", "services")
 
 
-def patched(base: Config, patch: Config) -> Config:
+def patched(base: Settings, patch: Settings) -> Settings:
     """What a patch makes of a configuration."""
     out = copy.deepcopy(base)
     out["version"] = patch["version"]
@@ -31,12 +31,12 @@
     return out
 
 
-def canonical(config: Config) -> Config:
+def canonical(config: Settings) -> Settings:
     """A configuration for comparing: the order of its lists says nothing."""
     return {k: sorted(v, key=lambda i: str(i.get("name", ""))) if isinstance(v, list) else v for k, v in config.items()}
 
 
-def content_digest(config: Config) -> str:
+def content_digest(config: Settings) -> str:
     """Identifies a configuration, whatever the order of its keys and lists."""
     return hashlib.sha256(json.dumps(canonical(config), sort_keys=True).encode()).hexdigest()[:12]
 
@@ -59,7 +59,7 @@
     chance: random.Random
     ack_s: float = 4.0
     contact_s: float = 3.0
-    config: Config = field(default_factory=dict)
+    config: Settings = field(default_factory=dict)
     sent: int = 0
     acked_by: str = ""
 
@@ -115,7 +115,7 @@
         self,
         method: str,
         body: Any,
-        whole: Config | None,
+        whole: Settings | None,
         base: int,
         valid: bool = True,
         start: int = -1,
@@ -137,10 +137,10 @@
                 self.config = whole
         return status
 
-    async def put(self, config: Config, base: int, **more: Any) -> int:
+    async def put(self, config: Settings, base: int, **more: Any) -> int:
         return await self.change("PUT", config, config, base, **more)
 
-    async def patch(self, patch: Config, base: Config | None = None, **more: Any) -> int:
+    async def patch(self, patch: Settings, base: Settings | None = None, **more: Any) -> int:
         base = base or self.config
         return await self.change("PATCH", patch, patched(base, patch), base["version"], **more)
 
@@ -198,7 +198,7 @@
         """A configuration that must be refused."""
         whole = copy.deepcopy(self.config) | {"version": self.step()}
         base = self.version
-        route: Config = whole["routes"][0]
+        route: Settings = whole["routes"][0]
         if how == "cut_short":
             text = json.dumps(whole).encode()
             return await self.change("PUT", text[: len(text) // 2], None, base, False, keep=self.ack_s)
--- a/sim/points.py
+++ b/sim/points.py
@@ -98,11 +98,11 @@
     put, call, answer, emit, plain = (
         peer_links.Link.put,
         peer_links.Link.call,
-        peer_links.Port._respond,
+        peer_links.PeerServer._respond,
         log_events.emit,
         openai.complete,
     )
-    init = peer_links.Port.__init__
+    init = peer_links.PeerServer.__init__
 
     def tapped_put(self: peer_links.Link, name: str, *vals: Any) -> int:
         hit(f"sends.{name}", self.addr)
@@ -114,7 +114,7 @@
             hit(f"hears.{name}", self.addr)
         return got
 
-    async def tapped_respond(self: peer_links.Port, name: str, seq: int, val: Any, writer: Any) -> None:
+    async def tapped_respond(self: peer_links.PeerServer, name: str, seq: int, val: Any, writer: Any) -> None:
         hit(f"takes.{name}")
         await answer(self, name, seq, val, writer)
 
@@ -122,7 +122,7 @@
         emit(number, who, **more)
         hit(f"E{number}")
 
-    def tapped_init(self: peer_links.Port, *args: Any, **more: Any) -> None:
+    def tapped_init(self: peer_links.PeerServer, *args: Any, **more: Any) -> None:
         init(self, *args, **more)
 
         def around(name: str, handler: peer_links.Handler) -> peer_links.Handler:
@@ -149,8 +149,8 @@
         hit("places", there)
         return plain(session, url, model, prompt, asked, *rest)
 
-    peer_links.Link.put, peer_links.Link.call, peer_links.Port._respond = tapped_put, tapped_call, tapped_respond  # type: ignore[method-assign]
-    peer_links.Port.__init__ = tapped_init  # type: ignore[method-assign]
+    peer_links.Link.put, peer_links.Link.call, peer_links.PeerServer._respond = tapped_put, tapped_call, tapped_respond  # type: ignore[method-assign]
+    peer_links.PeerServer.__init__ = tapped_init  # type: ignore[method-assign]
     log_events.emit = tapped_emit
     for module in (live_requests, scheduler):
         setattr(module, "complete", tapped_complete)  # noqa: B010
--- a/sim/runner.py
+++ b/sim/runner.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import Any
 
-from bench.callers import Load
+from bench.clients import Load
 from bench.deploy import DEPLOYMENTS
 from bench.plan import changed, manifest
 from postpass.runtime import log_events
@@ -219,7 +219,9 @@
     elif verb in ("cut", "cutone"):
         one, two = fleet.pick(args[0]), args[1]
         groups = {"control": "c", "stores": "s", "edges": "e", "daemons": "cse"}
-        others = [n for n in fleet.man["machines"] if n[0] in groups[two]] if two in groups else [fleet.pick(two)]
+        others = (
+            [n for n in fleet.configuration["machines"] if n[0] in groups[two]] if two in groups else [fleet.pick(two)]
+        )
         pairs = [p for o in others if o != one for p in ([(one, o)] if verb == "cutone" else [(one, o), (o, one)])]
         for p in pairs:
             fleet.cut(*p)
@@ -271,33 +273,33 @@
             key, val = x.split("=", 1)
             fleet.out(one_operator(fleet, key, value(val), f"op{i + 1}", i))
     elif verb == "routes":
-        man = fleet.man
+        configuration = fleet.configuration
         for i in range(int(args[0])):
-            man = changed(man, "ways", man["ways"] | {f"/r{fleet.edition}-{i}": "view"})
-        fleet.out(fleet.apply(man, fleet.edition, tries=6))
+            configuration = changed(configuration, "ways", configuration["ways"] | {f"/r{fleet.edition}-{i}": "view"})
+        fleet.out(fleet.apply(configuration, fleet.edition, tries=6))
     elif verb == "add":
         # add NAME AREA DUTY: an empty machine at a new address, started and put in the manifest.
         name, area, duty = args
-        spot = fleet.man["areas"].index(area) + 1
+        spot = fleet.configuration["areas"].index(area) + 1
         ip = f"127.{spot}.7.{len(fleet.boxes)}"
         m = {"area": area, "peer": f"{ip}:7000", "http": f"{ip}:8000", "duties": duty.split("+")}
         fleet.add_box(name, m)
-        man = changed(fleet.man, f"machines.{name}", m)
-        fleet.man = man
+        configuration = changed(fleet.configuration, f"machines.{name}", m)
+        fleet.configuration = configuration
         fleet.start(name)
-        fleet.out(fleet.apply(man, fleet.edition, tries=6))
+        fleet.out(fleet.apply(configuration, fleet.edition, tries=6))
     elif verb == "replace":
         # replace OLD NEW: the old machine is declared gone, an empty one takes its place.
         old, new = fleet.pick(args[0]), args[1]
-        m = fleet.man["machines"][old]
-        ip = f"127.{fleet.man['areas'].index(m['area']) + 1}.7.{len(fleet.boxes)}"
+        m = fleet.configuration["machines"][old]
+        ip = f"127.{fleet.configuration['areas'].index(m['area']) + 1}.7.{len(fleet.boxes)}"
         fresh = {"area": m["area"], "peer": f"{ip}:7000", "http": f"{ip}:8000", "duties": m["duties"]}
         fleet.kill(old, silent=True)
         fleet.add_box(new, fresh)
-        man = changed(changed(fleet.man, f"machines.{old}.gone", True), f"machines.{new}", fresh)
-        fleet.man = man
+        configuration = changed(changed(fleet.configuration, f"machines.{old}.gone", True), f"machines.{new}", fresh)
+        fleet.configuration = configuration
         fleet.start(new)
-        fleet.out(fleet.apply(man, fleet.edition, tries=6))
+        fleet.out(fleet.apply(configuration, fleet.edition, tries=6))
     elif verb == "version":
         name = fleet.pick(args[0])
         fleet.release = args[1]
@@ -309,31 +311,31 @@
 
 async def one_operator(fleet: SimFleet, key: str, val: Any, who: str, first: int) -> None:
     """Makes a change as one of several operators: who loses gets the manifest anew and makes the change from there."""
-    man, base = fleet.man, fleet.edition
+    configuration, base = fleet.configuration, fleet.edition
     for i in range(first, first + 6):
         via = fleet.controls()[i % len(fleet.controls())]
-        got = await fleet.apply(changed(man, key, val), base, who, via)
+        got = await fleet.apply(changed(configuration, key, val), base, who, via)
         if got > 0:
             return
         seen = await fleet.get(via)
         if seen is not None:
-            man, base = seen
+            configuration, base = seen
 
 
 async def change(fleet: SimFleet, pairs: list[list[str]]) -> None:
-    man = fleet.man
+    configuration = fleet.configuration
     for key, val in pairs:
-        man = changed(man, key, value(val))
+        configuration = changed(configuration, key, value(val))
     # What is allowed again may come as soon as the operator asks for it; what is forbidden, once it is answered.
     marks = [m for key, val in pairs for m in told(fleet, key, value(val))]
     for mark in marks:
         if mark["ev"] in ("stay", "return"):
             fleet.log(mark)
-    got = await fleet.apply(man, fleet.edition, tries=10)
+    got = await fleet.apply(configuration, fleet.edition, tries=10)
     if got == -412:
         # As an operator does: looks at what is in force now, and makes the change from there.
         fleet.edition = [e["edition"] for e in fleet.events if e["ev"] == "applied"][-1]
-        got = await fleet.apply(man, fleet.edition, tries=10)
+        got = await fleet.apply(configuration, fleet.edition, tries=10)
     if got <= 0:
         return
     for mark in marks:
@@ -346,7 +348,7 @@
     if key.endswith(".leave"):
         return [{"ev": "leave" if val else "stay", "server": key.split(".")[-2]}]
     if key == "evacuated":
-        return [{"ev": "evacuated" if a in (val or []) else "return", "area": a} for a in fleet.man["areas"]]
+        return [{"ev": "evacuated" if a in (val or []) else "return", "area": a} for a in fleet.configuration["areas"]]
     return []
 
 
@@ -432,7 +434,8 @@
         out[kind] = max((b - a for a, b in zip(spots, spots[1:], strict=False)), default=0.0)
     out |= lateness(seen)
     wanted = {
-        p.id: set(s.news.order(p.id)) == set(p.view.crew) and len(p.view.crew) == fleet.man["copies"]
+        p.id: set(s.configuration_view.order(p.id)) == set(p.view.crew)
+        and len(p.view.crew) == fleet.configuration["copies"]
         for _, s in fleet.stores()
         for p in s.parts.values()
         if p.owning
@@ -444,7 +447,7 @@
     out["lots_told_lost"] = len({e["id"] for e in seen if e["ev"] == "missing" and "this lot was lost" in e["why"]})
     out["lots_missing"] = len({e["id"] for e in seen if e["ev"] == "missing"})
     out["copies"] = min(fleet.copies, default=0)
-    out["full_crews"] = float(len(wanted) == fleet.man["parts"] and all(wanted.values()))
+    out["full_crews"] = float(len(wanted) == fleet.configuration["parts"] and all(wanted.values()))
     out["losses"] = max([p.view.losses for _, s in fleet.stores() for p in s.parts.values()], default=0)
     out["ran"] = fleet.loop.ran
     out |= {f"point_{n}": c for n, c in fleet.points.seen.items()}
@@ -529,12 +532,12 @@
 
     async def main(loop: SimLoop) -> Report:
         whole = DEPLOYMENTS.get(s.deployment)
-        man = copy.deepcopy(whole.manifest) if whole else manifest(**s.fleet)
+        configuration = copy.deepcopy(whole.manifest) if whole else manifest(**s.fleet)
         if whole:
             loop.net.far = whole.delay / 1000
         for key, val in s.set:
-            man = changed(man, key, val)
-        fleet = SimFleet(loop, man, seed, tune=s.tune, make=make, disk_cap=s.disk)
+            configuration = changed(configuration, key, val)
+        fleet = SimFleet(loop, configuration, seed, tune=s.tune, make=make, disk_cap=s.disk)
         await fleet.found()
         began = loop.clock
 
@@ -562,9 +565,9 @@
         async def outside() -> None:
             async with fleet.session() as session:
                 load = replace(whole.load, **extras(s.load)) if whole else loaded(s.load)
-                callers = fleet.callers(load, session)
-                await callers.run(s.run)
-                await callers.audit(s.settle)
+                clients = fleet.make_clients(load, session)
+                await clients.run(s.run)
+                await clients.audit(s.settle)
 
         script = loop.create_task(faults())
         load = fleet.out(outside())
@@ -572,7 +575,7 @@
         load.result()
         await script
         await fleet.out(fleet.read_back())
-        bounds = Bounds(ramp=man["ramp"], retention=man["retention"])
+        bounds = Bounds(ramp=configuration["ramp"], retention=configuration["retention"])
         found = breaches(History(fleet.events, bounds, s.excused))
         errors = loop.errors + loop.unretrieved()
         errors += [f"{s.name}:{w.line}: {w.event} never came so that its fault was caused" for w in late if w.needed]
--- a/tests/batch/test_job.py
+++ b/tests/batch/test_job.py
@@ -6,7 +6,7 @@
 import json
 from typing import Any
 
-from postpass.batch.job import END, LotView, digest, joined, packed, page
+from postpass.batch.job import END, JobView, digest, joined, packed, page
 from postpass.replication.record_log import Record
 
 
@@ -14,8 +14,8 @@
     return Record(seq, 1, kind, json.dumps(body).encode())
 
 
-def _view() -> LotView:
-    view = LotView()
+def _view() -> JobView:
+    view = JobView()
     for rec in (
         _rec(1, "lot", id="x", items=["a", "b"], **{"class": "lot", "due": 9, "caller": "me"}),
         _rec(2, "result", id="x", item=1, status="done", output="B"),
@@ -49,9 +49,9 @@
 
 def test_a_view_comes_back_from_its_dump() -> None:
     view = _view()
-    again = LotView.load(view.dump())
+    again = JobView.load(view.dump())
     assert again.dump() == view.dump() and again.lots["x"].results == view.lots["x"].results
-    assert LotView.load(b"").lots == {}
+    assert JobView.load(b"").lots == {}
 
 
 def test_bodies_of_opaque_items_are_kept_as_bytes_shared_and_let_go_once_nobody_may_ask() -> None:
@@ -60,9 +60,9 @@
     lot, raw = packed({"id": "x", "route": "r", "items": items})
     again = packed({"id": "x", "route": "r", "items": [*items[:2], items[0] | {"id": "i2"}]})[0]
     assert digest(lot) != digest(again) and "body" not in lot["items"][0]
-    view = LotView()
+    view = JobView()
     view.fold(Record(1, 1, "lot", joined(lot, raw)))
-    other, third = view.copy(), LotView.load(view.dump())
+    other, third = view.copy(), JobView.load(view.dump())
     assert other.lots["x"].raw is view.lots["x"].raw
     for have in (view, other, third):
         assert [have.lots["x"].item_body(i) for i in range(3)] == bodies
--- a/tests/batch/test_job_service.py
+++ b/tests/batch/test_job_service.py
@@ -12,10 +12,10 @@
 from absl import logging
 
 from bench.plan import manifest
-from postpass.batch.job_api import LotDesk
-from postpass.batch.scheduler import Sched
+from postpass.batch.job_api import JobApi
+from postpass.batch.scheduler import Scheduler
 from postpass.configuration.configuration import Route
-from postpass.daemon.data_plane import Data
+from postpass.daemon.data_plane import DataPlane
 from postpass.runtime.errors import Fault, Stop
 from sim.fleet import SimFleet
 from sim.loop import SimLoop, run_sim
@@ -75,18 +75,18 @@
     return json.dumps({"items": items}).encode()
 
 
-def with_lots(check: Callable[[SimFleet, list[LotDesk], Pretend], Any], at: str = "e1", **route: Any) -> None:
+def with_lots(check: Callable[[SimFleet, list[JobApi], Pretend], Any], at: str = "e1", **route: Any) -> None:
     logging.set_verbosity(logging.FATAL)
     workers = Pretend()
 
     def make(daemon: Any) -> None:
-        if isinstance(daemon, Data):
+        if isinstance(daemon, DataPlane):
             opened = daemon.open
 
             async def open_more() -> None:
                 await opened()
-                if daemon.sched is not None:
-                    daemon.sched.workers = workers
+                if daemon.scheduler is not None:
+                    daemon.scheduler.workers = workers
 
             daemon.open = open_more  # type: ignore[method-assign]
 
@@ -94,10 +94,10 @@
         fleet = SimFleet(loop, manifest() | {"routes": {"r": dict(ROUTE) | route}}, 1, make=make)
         await fleet.found()
 
-        def desk(name: str) -> LotDesk:
+        def desk(name: str) -> JobApi:
             daemon = fleet.boxes[name].daemon
-            assert isinstance(daemon, Data) and daemon.edge is not None
-            return LotDesk(daemon.edge)
+            assert isinstance(daemon, DataPlane) and daemon.edge is not None
+            return JobApi(daemon.edge)
 
         host = fleet.boxes[at].host
         assert host is not None
@@ -107,16 +107,16 @@
     run_sim(main, 1)
 
 
-def named_scheds(fleet: SimFleet) -> dict[str, Sched]:
+def named_scheds(fleet: SimFleet) -> dict[str, Scheduler]:
     daemons = {n: b.daemon for n, b in fleet.boxes.items()}
-    return {n: d.sched for n, d in daemons.items() if isinstance(d, Data) and d.sched is not None}
+    return {n: d.scheduler for n, d in daemons.items() if isinstance(d, DataPlane) and d.scheduler is not None}
 
 
-def scheds(fleet: SimFleet) -> list[Sched]:
+def scheds(fleet: SimFleet) -> list[Scheduler]:
     return list(named_scheds(fleet).values())
 
 
-async def all_of(desk: LotDesk, name: str) -> list[dict[str, Any]]:
+async def all_of(desk: JobApi, name: str) -> list[dict[str, Any]]:
     out: list[dict[str, Any]] = []
     for _ in range(40):
         got = (await desk.results(name, len(out), 1.0)).unwrap()
@@ -129,7 +129,7 @@
 
 class Test_a_lot_of_a_route:
     def test_is_kept_runs_and_reads_the_same_at_every_edge(self) -> None:
-        async def check(fleet: SimFleet, desks: list[LotDesk], workers: Pretend) -> None:
+        async def check(fleet: SimFleet, desks: list[JobApi], workers: Pretend) -> None:
             began = fleet.loop.clock
             assert (await desks[0].accept("r", ROUTE, "l1", lot("a", "cut", "never", "fails")))[0] == 202
             assert fleet.loop.clock - began < 0.1
@@ -150,7 +150,7 @@
         with_lots(check)
 
     def test_is_refused_past_the_quota_and_taken_once_there_is_room(self) -> None:
-        async def check(fleet: SimFleet, desks: list[LotDesk], workers: Pretend) -> None:
+        async def check(fleet: SimFleet, desks: list[JobApi], workers: Pretend) -> None:
             workers.full = True  # nothing leaves the count by being done
             codes = [(await desks[n % 2].accept("r", ROUTE, f"l{n}", lot("a", tokens=400)))[0] for n in range(4)]
             assert codes == [202, 202, 429, 429]
@@ -162,7 +162,7 @@
         with_lots(check)
 
     def test_is_given_up_once_expired(self) -> None:
-        async def check(fleet: SimFleet, desks: list[LotDesk], workers: Pretend) -> None:
+        async def check(fleet: SimFleet, desks: list[JobApi], workers: Pretend) -> None:
             workers.full = True
             brief: Route = ROUTE | {"expire": 3.0}  # type: ignore[assignment]
             assert (await desks[0].accept("r", brief, "l1", lot("a", "b")))[0] == 202
@@ -173,12 +173,14 @@
         with_lots(check)
 
     def test_is_given_up_at_once_when_its_route_is_gone_and_its_items_are_let_go(self) -> None:
-        async def check(fleet: SimFleet, desks: list[LotDesk], workers: Pretend) -> None:
+        async def check(fleet: SimFleet, desks: list[JobApi], workers: Pretend) -> None:
             workers.full = True
             assert (await desks[0].accept("r", ROUTE, "l1", lot("a", "b")))[0] == 202
             await asyncio.sleep(1.0)
             assert sum(len(s.jobs) for s in scheds(fleet)) == 2
-            assert await fleet.apply({**fleet.man, "routes": {}}, desks[0].edge.news.edition) == 2
+            assert (
+                await fleet.apply({**fleet.configuration, "routes": {}}, desks[0].edge.configuration_view.edition) == 2
+            )
             began = fleet.loop.clock
             assert [r["state"] for r in await all_of(desks[1], "l1")] == ["abandoned", "abandoned"]
             assert fleet.loop.clock - began < 1.0
@@ -189,26 +191,26 @@
         with_lots(check)
 
     def test_goes_by_no_configuration_older_than_its_acceptance(self) -> None:
-        async def check(fleet: SimFleet, desks: list[LotDesk], workers: Pretend) -> None:
-            known = desks[0].edge.news.edition
-            desks[0].edge.news.edition += 2  # as if this edge alone had heard of two more
+        async def check(fleet: SimFleet, desks: list[JobApi], workers: Pretend) -> None:
+            known = desks[0].edge.configuration_view.edition
+            desks[0].edge.configuration_view.edition += 2  # as if this edge alone had heard of two more
             told = asyncio.create_task(desks[0].accept("gone", ROUTE, "l1", lot("a")))
             again = asyncio.create_task(desks[0].accept("r", ROUTE, "l2", lot("b")))
             assert [(await t)[0] for t in (told, again)] == [202, 202]
-            desks[0].edge.news.edition = known
+            desks[0].edge.configuration_view.edition = known
             await asyncio.sleep(2.0)
             assert workers.runs == []  # the route is there, but may have gone elsewhere since
             assert (await desks[1].results("l1", 0, 0)).unwrap()["results"] == []  # and this one may have come since
             for turn in range(2):
-                man = fleet.man | {"retention": 3600.0 + turn}
-                assert await fleet.apply(man, known + turn) == known + turn + 1
+                configuration = fleet.configuration | {"retention": 3600.0 + turn}
+                assert await fleet.apply(configuration, known + turn) == known + turn + 1
             assert [r["state"] for r in await all_of(desks[1], "l2")] == ["done"]
             assert [r["state"] for r in await all_of(desks[1], "l1")] == ["abandoned"]
 
         with_lots(check)
 
     def test_that_is_ended_does_not_run_when_a_scheduler_that_was_frozen_wakes(self) -> None:
-        async def check(fleet: SimFleet, desks: list[LotDesk], workers: Pretend) -> None:
+        async def check(fleet: SimFleet, desks: list[JobApi], workers: Pretend) -> None:
             workers.full = True
             for name, ends in (("l1", ("a", "b")), ("l2", ("c", "d"))):
                 assert (await desks[1].accept("r", ROUTE, name, lot(*ends)))[0] == 202
--- a/tests/configuration/test_configuration.py
+++ b/tests/configuration/test_configuration.py
@@ -51,8 +51,8 @@
 
 
 def test_members_stand_in_distinct_areas_and_owners_spread() -> None:
-    man = small()
-    assert {members(man, p)[0] for p in range(4)} == {"s1", "s2", "s3", "s4"}
-    man["machines"]["s5"] = {"area": "a", "peer": "127.1.0.9:1", "http": "127.1.0.9:2", "duties": ["store"]}
+    configuration = small()
+    assert {members(configuration, p)[0] for p in range(4)} == {"s1", "s2", "s3", "s4"}
+    configuration["machines"]["s5"] = {"area": "a", "peer": "127.1.0.9:1", "http": "127.1.0.9:2", "duties": ["store"]}
     for part in range(16):
-        assert {man["machines"][n]["area"] for n in members(man, part)} == {"a", "b", "c", "d"}
+        assert {configuration["machines"][n]["area"] for n in members(configuration, part)} == {"a", "b", "c", "d"}
--- a/tests/control/test_announced_control.py
+++ b/tests/control/test_announced_control.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 from typing import Any
 
-from postpass.control import Control
+from postpass.control import ControlPlane
 from postpass.membership.registry import Standing
 from sim.disk import SimDisk
 from sim.loop import SimLoop, run_sim
@@ -35,7 +35,7 @@
         assert lead is not None
         await f.until(lambda: len(lead.held.pair.voters) == f.control, 5)
         assert lead.held.pair.voters.keys() == {f"c{i}" for i in range(1, f.control + 1)}
-        return took, lead.news.edition, lead.held.state.man["copies"]
+        return took, lead.configuration_view.edition, lead.held.state.configuration["copies"]
 
     took, edition, copies = play(scene)
     assert 0 < took < 1.5 and edition < 12 and copies == 4
@@ -48,12 +48,12 @@
         await f.until(f.joined, 10)
         lead = f.primary()
         assert lead is not None
-        few = await f.until(lambda: lead.held.state.man["copies"] == 3, 8)
+        few = await f.until(lambda: lead.held.state.configuration["copies"] == 3, 8)
         assert few > 0
         f.first = False
         f.add("s4", "store", "d", "10.1.4.1")
-        await f.until(lambda: lead.held.state.man["copies"] == 4, 8)
-        return 3, lead.held.state.man["copies"]
+        await f.until(lambda: lead.held.state.configuration["copies"] == 4, 8)
+        return 3, lead.held.state.configuration["copies"]
 
     assert play(scene, stores=3) == (3, 4)
 
@@ -74,7 +74,7 @@
             bad: Any = standing(1) | flaw
             got = await f.ask("c1", lambda c, bad=bad: c.beat_worker("w1", bad, 1))  # type: ignore[misc]
             assert got.unwrap_err().code == 400 and got.unwrap_err().why.startswith(next(iter(flaw))), flaw
-        assert f.primary() is lead and lead.held.state.man["pools"] == before.man["pools"]
+        assert f.primary() is lead and lead.held.state.configuration["pools"] == before.configuration["pools"]
         assert lead.held.state.aside == before.aside
         # An operator's document is taken as ever.
         assert (await f.ask("c3", lambda c: c.apply_source(document(3), 0))).is_ok()
@@ -90,21 +90,21 @@
         got = await f.ask("c3", lambda c: c.apply_source(document(3), 0))
         assert got.is_ok() and got.unwrap()["waits"] == [], got
         lead = f.primary()
-        assert lead is not None and list(lead.held.state.man["pools"]["llm"]["servers"]) == ["w1"]
+        assert lead is not None and list(lead.held.state.configuration["pools"]["llm"]["servers"]) == ["w1"]
         assert (await f.ask("c1", lambda c: c.beat_worker("w2", standing(2, cold=True), 1))).is_ok()
-        edition = lead.news.edition
+        edition = lead.configuration_view.edition
         assert (await f.ask("c1", lambda c: c.beat_worker("w2", standing(2, cold=True), 2))).is_ok()
-        assert lead.news.edition == edition
+        assert lead.configuration_view.edition == edition
         began = f.loop.clock
         assert (await f.ask("c2", lambda c: c.beat_worker("w2", standing(2, leave=True), 3))).is_ok()
         assert f.loop.clock - began < 0.3
         for n in f.nodes.values():
-            assert n.daemon is not None and n.daemon.news.manifest is not None
-            if n.conf.duties:
-                assert n.daemon.news.manifest["pools"]["llm"]["servers"]["w2"].get("leave")
+            assert n.daemon is not None and n.daemon.configuration_view.manifest is not None
+            if n.settings.duties:
+                assert n.daemon.configuration_view.manifest["pools"]["llm"]["servers"]["w2"].get("leave")
         # A late word doesn't bring it back.
         assert (await f.ask("c2", lambda c: c.beat_worker("w2", standing(2), 2))).is_ok()
-        name = lead.conf.name
+        name = lead.settings.name
         f.kill(name, silent=True)
         other = next(n for n in ("c1", "c2", "c3") if n != name)
         took = await f.until(lambda: f.primary() is not None, 6)
@@ -128,14 +128,14 @@
             for n in (1, 2, 3, 4) if turn < 2 else (1, 2, 3):
                 via = f"c{(turn + n) % 3 + 1}"
 
-                async def call(c: Control, n: int = n, turn: int = turn) -> Any:
+                async def call(c: ControlPlane, n: int = n, turn: int = turn) -> Any:
                     return await c.beat_worker(f"w{n}", standing(n), turn + 1)
 
                 assert (await f.ask(via, call)).is_ok()
             await asyncio.sleep(1.2)
         lead = f.primary()
         assert lead is not None
-        return sorted(lead.held.state.man["pools"]["llm"]["servers"])
+        return sorted(lead.held.state.configuration["pools"]["llm"]["servers"])
 
     assert play(scene) == ["w1", "w2", "w3"]
 
@@ -150,11 +150,11 @@
             await f.until(f.primary, 3)
             lead = f.primary()
             assert lead is not None
-            name = lead.conf.name if turn % 2 else next(c.conf.name for c in f.controls() if not c.epoch)
-            area = f.nodes[name].conf.area
+            name = lead.settings.name if turn % 2 else next(c.settings.name for c in f.controls() if not c.epoch)
+            area = f.nodes[name].settings.area
             f.kill(name, silent=True)
             await asyncio.sleep(4)
-            live = [f.nodes[c.conf.name].conf.peer for c in f.controls()][:3]
+            live = [f.nodes[c.settings.name].settings.peer for c in f.controls()][:3]
             f.add(f"n{turn}", "control", area, f"10.0.{20 + turn}.1", seeds=live)
 
             def done(new: str = f"n{turn}", old: str = name) -> bool:
@@ -181,14 +181,14 @@
         await f.ask("c1", lambda c: c.apply_source(document(3), 0))
         lead = f.primary()
         assert lead is not None
-        lost = {"primary": lead.conf.name, "backup": lead.held.pair.backup}.get(wiped, "")
+        lost = {"primary": lead.settings.name, "backup": lead.held.pair.backup}.get(wiped, "")
         before, f.first = lead.held.pair.epoch, False
         for name in f.nodes:
             f.kill(name, silent=silent)
         for name, node in f.nodes.items():
             if node.disk is not None and name == lost:
                 node.disk = SimDisk(random.Random(name + "new"))
-            node.conf = replace(node.conf, bootstrap=False)
+            node.settings = replace(node.settings, bootstrap=False)
         await asyncio.sleep(1)
         order = sorted(f.nodes, reverse=True)
         for name in order:
@@ -196,7 +196,7 @@
             await asyncio.sleep(spread / len(order))
 
         def serving() -> bool:
-            edges = [n.daemon for n in f.nodes.values() if n.conf.duties == ("edge",)]
+            edges = [n.daemon for n in f.nodes.values() if n.settings.duties == ("edge",)]
             return f.primary() is not None and all(e is not None and e.ready() == "" for e in edges)
 
         out = [await f.until(f.primary, 6), await f.until(serving, 6)]
@@ -223,7 +223,7 @@
         assert got.is_ok()
         lead = f.primary()
         assert lead is not None and len(lead.held.pair.backups) == 2
-        assert len({f.nodes[n].conf.area for n in lead.held.pair.holders}) == 3
+        assert len({f.nodes[n].settings.area for n in lead.held.pair.holders}) == 3
         f.first = False
         for name in f.nodes:
             f.kill(name, silent=True)
@@ -232,7 +232,7 @@
                 node.disk.power_off()
             if name in lost:
                 node.disk = SimDisk(random.Random(name + "new"))
-            node.conf = replace(node.conf, bootstrap=False)
+            node.settings = replace(node.settings, bootstrap=False)
         await asyncio.sleep(1)
         for name in f.nodes:
             f.boot(name)
@@ -267,10 +267,10 @@
         assert lead is not None
         assert (await f.ask("c2", lambda c: c.evacuate("a", True))).is_ok()
         assert (await f.ask("c3", lambda c: c.evacuate("a", True))).is_ok()
-        assert lead.held.state.man.get("evacuated") == ["a"]
+        assert lead.held.state.configuration.get("evacuated") == ["a"]
         assert (await f.ask("c2", lambda c: c.evacuate("a", False))).is_ok()
-        assert lead.held.state.man.get("evacuated") == []
-        assert lead.held.state.man["pools"]["llm"]["servers"]["w1"].get("cold")
+        assert lead.held.state.configuration.get("evacuated") == []
+        assert lead.held.state.configuration["pools"]["llm"]["servers"]["w1"].get("cold")
         assert (await f.ask("c2", lambda c: c.evacuate("z", True))).unwrap_err().code == 404
         assert (await f.ask("c2", lambda c: c.retire("s9"))).unwrap_err().code == 404
         assert (await f.ask("c2", lambda c: c.retire("s1"))).is_ok()
@@ -284,9 +284,9 @@
                     break
                 await asyncio.sleep(0.2)
             assert got.unwrap()["done"]
-            assert name not in f.primary().held.state.man["machines"]  # type: ignore[union-attr]
+            assert name not in f.primary().held.state.configuration["machines"]  # type: ignore[union-attr]
             assert (await f.ask("c1", lambda c, name=name: c.retired(name))).unwrap()["done"]  # type: ignore[misc]
-        assert f.primary().held.state.man["copies"] == 3  # type: ignore[union-attr]
+        assert f.primary().held.state.configuration["copies"] == 3  # type: ignore[union-attr]
         assert (await f.ask("c2", lambda c: c.retire("s3"))).unwrap_err().code == 409
 
     play(scene, stores=5)
--- a/tests/control/test_configuration.py
+++ b/tests/control/test_configuration.py
@@ -7,7 +7,7 @@
 
 from postpass.control.accepted_orders import ConfigurationOrder
 from postpass.control.configuration import ConfigurationChange
-from postpass.control.state import Held
+from postpass.control.state import ReplicatedState
 from postpass.membership.registry import State, founded, recovered
 from tests.platform.test_configuration import document
 from tests.platform.test_settings import adapter
@@ -37,7 +37,7 @@
 
 def reloaded(state: State) -> State:
     """The state as it comes back from a disk."""
-    return Held.load(Held(1, state=state).dump()).state
+    return ReplicatedState.load(ReplicatedState(1, state=state).dump()).state
 
 
 def test_every_order_is_known_again_after_a_restart() -> None:
@@ -85,6 +85,6 @@
 
 
 def test_after_a_loss_an_older_order_is_neither_acknowledged_nor_refused() -> None:
-    state = recovered(9, after(7).man, 1)
+    state = recovered(9, after(7).configuration, 1)
     assert code(state, document(7), 6) == 504 and code(state, document(8), 7) == 201
     assert code(state, document(8), 6) == 412
--- a/tests/control/test_epochs.py
+++ b/tests/control/test_epochs.py
@@ -4,8 +4,8 @@
 
 from postpass.control.epochs import (
     Acknowledgement,
-    Pair,
     PreVote,
+    ReplicaSet,
     Voters,
     Witness,
     in_touch,
@@ -22,9 +22,9 @@
     w = Witness()
     w1 = w.look(3, "c1")
     assert w1 and w1.look(3, "c2") is None and w1.look(2, "c1") is None
-    pair = Pair(3, "c1", ("c2",), {"c1": "d1"})
+    pair = ReplicaSet(3, "c1", ("c2",), {"c1": "d1"})
     w2 = w1.grant(pair, "c1")
-    assert w2 and w1.grant(Pair(3, "c2", ("c3",)), "c2") is None
+    assert w2 and w1.grant(ReplicaSet(3, "c2", ("c3",)), "c2") is None
     assert Witness.load(w2.dump()) == w2
     w3 = w2.look(4, "c2")
     assert w3 and w3.grant(pair, "c1") is None and w3.pair == pair
@@ -32,9 +32,9 @@
 
 def test_a_dropped_backup_cannot_come_back_with_old_state() -> None:
     voters = {f"c{i}": f"d{i}" for i in range(1, 5)}
-    old, new = Pair(1, "c1", ("c2",), voters), Pair(2, "c1", ("c3",), voters)
+    old, new = ReplicaSet(1, "c1", ("c2",), voters), ReplicaSet(2, "c1", ("c3",), voters)
 
-    def rule(me: str, whole: int, own: Pair, pairs: dict[str, Pair], got: Voters) -> str:
+    def rule(me: str, whole: int, own: ReplicaSet, pairs: dict[str, ReplicaSet], got: Voters) -> str:
         return may_lead(me, whole, own, pairs, voters, got)
 
     three = {n: voters[n] for n in ("c2", "c3", "c4")}
@@ -49,7 +49,7 @@
 
 
 def test_an_answer_counts_for_the_disk_and_the_epoch_that_gave_it() -> None:
-    pair = Pair(4, "c1", ("c2",), {"c1": "d1", "c2": "d2", "c3": "d3"})
+    pair = ReplicaSet(4, "c1", ("c2",), {"c1": "d1", "c2": "d2", "c3": "d3"})
     assert pair.copied_to_all([Acknowledgement("c2", "d2", 4)])
     assert not pair.copied_to_all([Acknowledgement("c2", "new", 4)])
     assert not pair.copied_to_all([Acknowledgement("c2", "d2", 3)])
@@ -59,7 +59,7 @@
 
 def test_a_disk_that_the_replica_set_does_not_name_may_not_lead_with_its_state() -> None:
     voters = {f"c{i}": f"d{i}" for i in range(1, 6)}
-    own = Pair(1, "c1", ("c2",), voters)
+    own = ReplicaSet(1, "c1", ("c2",), voters)
     got = {"c2": "new", "c3": "d3", "c4": "d4", "c5": "d5"}
     assert may_lead("c2", 1, own, dict.fromkeys(got, own), voters, got).startswith("not of the pair")
     assert may_lead("c2", 1, own, dict.fromkeys(got, own), voters, got | {"c2": "d2"}) == ""
@@ -99,7 +99,7 @@
     for size in range(1, 8):
         voters = {f"c{i}": f"d{i}" for i in range(size)}
         for backups in range(min(size, 3)):
-            pair = Pair(4, "c0", tuple(f"c{i}" for i in range(1, backups + 1)), voters)
+            pair = ReplicaSet(4, "c0", tuple(f"c{i}" for i in range(1, backups + 1)), voters)
             for chosen in range(1 << size):
                 members = [f"c{i}" for i in range(size) if chosen >> i & 1]
                 answers = [Acknowledgement(n, voters[n], 4) for n in members]
@@ -123,10 +123,10 @@
 
 def test_a_replica_set_without_previous_voters_is_settled_also_in_the_form_of_earlier_releases() -> None:
     raw = {"epoch": 3, "primary": "c1", "backups": ["c2"], "voters": THREE}
-    assert Pair.of(raw) == Pair(3, "c1", ("c2",), THREE) == Pair.of(raw | {"previous_voters": {}})
-    unsettled = Pair(3, "c1", ("c2",), WIPED, THREE)
-    assert Pair.of(raw | {"voters": WIPED, "previous_voters": THREE}) == unsettled
-    assert unsettled.settled() == Pair(3, "c1", ("c2",), WIPED)
+    assert ReplicaSet.of(raw) == ReplicaSet(3, "c1", ("c2",), THREE) == ReplicaSet.of(raw | {"previous_voters": {}})
+    unsettled = ReplicaSet(3, "c1", ("c2",), WIPED, THREE)
+    assert ReplicaSet.of(raw | {"voters": WIPED, "previous_voters": THREE}) == unsettled
+    assert unsettled.settled() == ReplicaSet(3, "c1", ("c2",), WIPED)
     promised = Witness().look(3, "c1")
     assert promised is not None
     granted = promised.grant(unsettled, "c1")
@@ -134,20 +134,20 @@
 
 
 def test_an_epoch_carries_the_voters_before_it_only_where_they_differ() -> None:
-    settled = Pair(1, "c1", ("c2",), THREE)
+    settled = ReplicaSet(1, "c1", ("c2",), THREE)
     assert previous_voters(settled, THREE) == {}
     assert previous_voters(settled, WIPED) == THREE
     assert voters_after(settled, WIPED) == WIPED
 
 
 def test_voters_change_only_from_a_settled_replica_set() -> None:
-    unsettled = Pair(2, "c2", ("c3",), WIPED, THREE)
+    unsettled = ReplicaSet(2, "c2", ("c3",), WIPED, THREE)
     assert voters_after(unsettled, {"c2": "d2", "c3": "new"}) == WIPED
     assert previous_voters(unsettled, WIPED) == THREE
 
 
 def test_an_unsettled_epoch_is_granted_by_majorities_of_both_sets_of_voters() -> None:
-    unsettled = Pair(2, "c2", ("c3",), WIPED, THREE)
+    unsettled = ReplicaSet(2, "c2", ("c3",), WIPED, THREE)
     for chosen in range(1 << 4):
         answers = [("c1", "d1"), ("c2", "d2"), ("c3", "d3"), ("c3", "new")]
         granted = dict(a for i, a in enumerate(answers) if chosen >> i & 1)
@@ -158,11 +158,11 @@
 
 def test_the_new_voters_of_an_epoch_that_nobody_granted_elect_no_primary() -> None:
     # c1 leads epoch 3, granted by c1 and the disk that c3 had; c2's epoch 2 names the disk that c3 has now.
-    founded, third = Pair(1, "c1", ("c2",), THREE), Pair(3, "c1", ("c3",), THREE)
-    proposed = Pair(2, "c2", ("c3",), WIPED, THREE)
+    founded, third = ReplicaSet(1, "c1", ("c2",), THREE), ReplicaSet(3, "c1", ("c3",), THREE)
+    proposed = ReplicaSet(2, "c2", ("c3",), WIPED, THREE)
     got = {"c2": "d2", "c3": "new"}
-    assert may_lead("c3", 2, proposed, {"c2": founded, "c3": Pair()}, WIPED, got) == "no majority answered"
+    assert may_lead("c3", 2, proposed, {"c2": founded, "c3": ReplicaSet()}, WIPED, got) == "no majority answered"
     # With c1 a majority of both answers, and epoch 3 stands by the voters that granted it.
-    pairs = {"c1": third, "c2": founded, "c3": Pair()}
+    pairs = {"c1": third, "c2": founded, "c3": ReplicaSet()}
     assert "epoch 3" in may_lead("c3", 2, proposed, pairs, WIPED, got | {"c1": "d1"})
     assert may_lead("c3", 2, proposed.settled(), pairs, WIPED, got | {"c1": "d1"}) == ""
--- a/tests/control/test_feed.py
+++ b/tests/control/test_feed.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from postpass.control import Control
-from postpass.daemon.data_plane import Data
+from postpass.control import ControlPlane
+from postpass.daemon.data_plane import DataPlane
 from tests.control.test_announced_control import play, standing
 from tests.platform.test_configuration import document
 from tests.support.announced import Fleet
@@ -35,7 +35,7 @@
         await asyncio.sleep(1.0)
 
 
-async def settle(fleet: Fleet) -> tuple[Control, Control, list[Control]]:
+async def settle(fleet: Fleet) -> tuple[ControlPlane, ControlPlane, list[ControlPlane]]:
     """The primary, its backup and the other members, once all may vote and a configuration is taken."""
     assert await fleet.until(fleet.joined, 10) >= 0
 
@@ -49,17 +49,17 @@
     await asyncio.sleep(3)
     lead = fleet.primary()
     assert lead is not None
-    backup = next(c for c in fleet.controls() if c.conf.name == lead.held.pair.backups[0])
+    backup = next(c for c in fleet.controls() if c.settings.name == lead.held.pair.backups[0])
     return lead, backup, [c for c in fleet.controls() if c not in (lead, backup)]
 
 
-def names(controls: list[Control]) -> list[str]:
-    return [c.conf.name for c in controls]
+def names(controls: list[ControlPlane]) -> list[str]:
+    return [c.settings.name for c in controls]
 
 
-def lease(control: Control) -> float:
+def lease(control: ControlPlane) -> float:
     """How long a member counts as in touch after it last heard its primary."""
-    return control.conf.bounds.contact
+    return control.settings.bounds.contact
 
 
 class Test_LostMember:
@@ -71,11 +71,11 @@
         async def scene(f: Fleet) -> tuple[float, Any]:
             lead, backup, rest = await settle(f)
             lost = {"primary": lead, "backup": backup, "witness": rest[0]}[role]
-            cut(f, lost.conf.name, [n for n in names(f.controls()) if n != lost.conf.name], ways)
-            await asyncio.sleep(lease(lost) + lost.conf.bounds.detect)
+            cut(f, lost.settings.name, [n for n in names(f.controls()) if n != lost.settings.name], ways)
+            await asyncio.sleep(lease(lost) + lost.settings.bounds.detect)
             began = f.loop.clock
-            poll = {"after": lost.news.edition, "wait": 1.0, "who": "e1"}
-            got = (await f.ask(lost.conf.name, lambda c: c.on_follow(poll))).unwrap()
+            poll = {"after": lost.configuration_view.edition, "wait": 1.0, "who": "e1"}
+            got = (await f.ask(lost.settings.name, lambda c: c.on_follow(poll))).unwrap()
             return f.loop.clock - began, got
 
         took, got = play(scene, control=4)
@@ -86,11 +86,11 @@
         async def scene(f: Fleet) -> list[tuple[float, bool]]:
             _, _, rest = await settle(f)
             lost = rest[0]
-            cut(f, lost.conf.name, [n for n in names(f.controls()) if n != lost.conf.name])
+            cut(f, lost.settings.name, [n for n in names(f.controls()) if n != lost.settings.name])
             began = f.loop.clock
             await asyncio.sleep(lease(lost) / 2)
-            poll = {"after": lost.news.edition, "wait": 9.0, "who": "e1"}
-            got = (await f.ask(lost.conf.name, lambda c: c.on_follow(poll))).unwrap()
+            poll = {"after": lost.configuration_view.edition, "wait": 9.0, "who": "e1"}
+            got = (await f.ask(lost.settings.name, lambda c: c.on_follow(poll))).unwrap()
             return [(f.loop.clock - began - lease(lost), bool(got.get("stale")))]
 
         [(late, stale)] = play(scene)
@@ -102,7 +102,7 @@
         async def scene(f: Fleet) -> list[tuple[str, float, int]]:
             lead, backup, rest = await settle(f)
             lost = rest[0]
-            cut(f, lost.conf.name, [n for n in names(f.controls()) if n != lost.conf.name])
+            cut(f, lost.settings.name, [n for n in names(f.controls()) if n != lost.settings.name])
             await asyncio.sleep(lease(lost) + 0.1)
             out = []
             orders: dict[str, Any] = {
@@ -115,7 +115,7 @@
             }
             for name, order in orders.items():
                 began = f.loop.clock
-                got = await f.ask(lost.conf.name, order)
+                got = await f.ask(lost.settings.name, order)
                 out.append((name, f.loop.clock - began, 200 if got.is_ok() else got.unwrap_err().code))
             return out
 
@@ -127,9 +127,9 @@
             lead, backup, rest = await settle(f)
             lost = rest[0]
             edge = f.nodes["e1"].daemon
-            assert isinstance(edge, Data)
+            assert isinstance(edge, DataPlane)
             polls: list[tuple[float, float, str, bool]] = []
-            real = edge.lines.call
+            real = edge.peer_links.call
 
             async def watch(addr: str, name: str, body: Any, wait: float) -> Any:
                 began = f.loop.clock
@@ -138,8 +138,8 @@
                     polls.append((began, f.loop.clock, addr, got.is_ok() and bool(got.unwrap().get("stale"))))
                 return got
 
-            edge.lines.call = watch  # type: ignore[method-assign]
-            cut(f, lost.conf.name, [n for n in names(f.controls()) if n != lost.conf.name])
+            edge.peer_links.call = watch  # type: ignore[method-assign]
+            cut(f, lost.settings.name, [n for n in names(f.controls()) if n != lost.settings.name])
             await asyncio.sleep(10)
             stale = [i for i, (_, _, _, s) in enumerate(polls) if s and i + 1 < len(polls)]
             assert stale and all(polls[i + 1][2] != polls[i][2] for i in stale)
@@ -154,12 +154,12 @@
         async def scene(f: Fleet) -> None:
             lead, backup, rest = await settle(f)
             lost = rest[0]
-            cut(f, lead.conf.name, [lost.conf.name])
+            cut(f, lead.settings.name, [lost.settings.name])
             await asyncio.sleep(lease(lost) + 0.1)
             began = f.loop.clock
-            got = await f.ask(lost.conf.name, lambda c: c.beat_worker("w2", standing(2), 1))
+            got = await f.ask(lost.settings.name, lambda c: c.beat_worker("w2", standing(2), 1))
             assert got.is_ok() and f.loop.clock - began < 1.0, (got, f.loop.clock - began)
-            assert "w2" in lead.held.state.man["pools"]["llm"]["servers"]
+            assert "w2" in lead.held.state.configuration["pools"]["llm"]["servers"]
 
         play(scene)
 
@@ -167,13 +167,13 @@
         async def scene(f: Fleet) -> float:
             _, _, rest = await settle(f)
             lost = rest[0]
-            cut(f, lost.conf.name, [n for n in names(f.controls()) if n != lost.conf.name])
+            cut(f, lost.settings.name, [n for n in names(f.controls()) if n != lost.settings.name])
             await asyncio.sleep(20)
             heal(f)
             began = f.loop.clock
-            poll = {"after": lost.news.edition, "wait": 0.0, "who": "e1"}
+            poll = {"after": lost.configuration_view.edition, "wait": 0.0, "who": "e1"}
             while True:
-                got = (await f.ask(lost.conf.name, lambda c: c.on_follow(poll))).unwrap()
+                got = (await f.ask(lost.settings.name, lambda c: c.on_follow(poll))).unwrap()
                 if not got.get("stale"):
                     return f.loop.clock - began
                 await asyncio.sleep(0.05)
@@ -185,12 +185,12 @@
 
         async def scene(f: Fleet) -> float:
             lead, _, _ = await settle(f)
-            cut(f, lead.conf.name, [n for n in names(f.controls()) if n != lead.conf.name])
+            cut(f, lead.settings.name, [n for n in names(f.controls()) if n != lead.settings.name])
             await asyncio.sleep(2 * lease(lead) + 0.1)
             slowest = 0.0
             for _ in range(40):
                 began = f.loop.clock
-                got = await f.ask(lead.conf.name, lambda c: c.read_source())
+                got = await f.ask(lead.settings.name, lambda c: c.read_source())
                 assert got.unwrap_err().code == 503
                 slowest = max(slowest, f.loop.clock - began)
                 await asyncio.sleep(0.2)
@@ -206,23 +206,23 @@
         async def scene(f: Fleet, left: int) -> tuple[int, float, int]:
             lead, backup, rest = await settle(f)
             for control in [lead, backup, *rest][: f.control - left]:
-                f.kill(control.conf.name, silent=True)
+                f.kill(control.settings.name, silent=True)
             await asyncio.sleep(20)
-            edges = [n.daemon for n in f.nodes.values() if n.conf.duties == ("edge",)]
+            edges = [n.daemon for n in f.nodes.values() if n.settings.duties == ("edge",)]
             for edge in edges:
                 assert edge is not None and edge.ready() == ""
-                assert f.loop.clock - edge.news.heard < edge.conf.bounds.deaf
-            edition = max(e.news.edition for e in edges if e is not None)
+                assert f.loop.clock - edge.configuration_view.heard < edge.settings.bounds.deaf
+            edition = max(e.configuration_view.edition for e in edges if e is not None)
             f.kill("e1")
             f.boot("e1")
             node = f.nodes["e1"]
 
             def fresh() -> bool:
-                return node.daemon is not None and node.daemon.news.fresh
+                return node.daemon is not None and node.daemon.configuration_view.fresh
 
             took = await f.until(fresh, 15)
             assert node.daemon is not None
-            return node.daemon.news.edition, took, edition
+            return node.daemon.configuration_view.edition, took, edition
 
         for left in (0, 1):
             mine, took, edition = play(lambda f: scene(f, left))  # noqa: B023
@@ -238,15 +238,15 @@
 
         async def scene(f: Fleet) -> None:
             lead, backup, _ = await settle(f)
-            name = lead.conf.name
+            name = lead.settings.name
             assert (await f.ask(name, lambda c: c.retire("s1"))).is_ok()
             for _ in range(100):
-                man = lead.news.manifest
-                assert man is not None
-                if await f.ask(name, lambda c, man=man: c.holds_nothing("s1", man)):  # type: ignore[misc]
+                configuration = lead.configuration_view.manifest
+                assert configuration is not None
+                if await f.ask(name, lambda c, configuration=configuration: c.holds_nothing("s1", configuration)):  # type: ignore[misc]
                     break
                 await asyncio.sleep(0.2)
-            disk = f.nodes[backup.conf.name].disk
+            disk = f.nodes[backup.settings.name].disk
             assert disk is not None
             disk.stall = 1e6
             first = asyncio.create_task(f.ask(name, lambda c: c.retired("s1")))
@@ -255,13 +255,13 @@
             second = asyncio.create_task(f.ask(name, lambda c: c.retired("s1")))
             await asyncio.sleep(0.1)
             told = [t.result() for t in (first, second) if t.done()]
-            edition = lead.news.edition
+            edition = lead.configuration_view.edition
             f.kill(name, silent=True)
-            f.kill(backup.conf.name, silent=True)
+            f.kill(backup.settings.name, silent=True)
             disk.power_off()
             disk.stall = 0.0
             f.first = False
-            f.boot(backup.conf.name)
+            f.boot(backup.settings.name)
             assert await f.until(f.primary, 20) >= 0
             new = f.primary()
             assert new is not None
@@ -281,20 +281,20 @@
         async def scene(f: Fleet) -> tuple[bool, float]:
             lead, backup, rest = await settle(f)
             relay = rest[0]
-            worker = asyncio.create_task(heartbeats(f, lead.conf.name, "w1"))
-            cut(f, "e4", [lead.conf.name, backup.conf.name])
+            worker = asyncio.create_task(heartbeats(f, lead.settings.name, "w1"))
+            cut(f, "e4", [lead.settings.name, backup.settings.name])
             await asyncio.sleep(4)
-            cut(f, relay.conf.name, [lead.conf.name, backup.conf.name])
+            cut(f, relay.settings.name, [lead.settings.name, backup.settings.name])
             await asyncio.sleep(quiet)
             worker.cancel()
             edge = f.nodes["e4"].daemon
-            assert edge is not None and edge.news.manifest is not None
-            assert "w1" in edge.news.manifest["pools"]["llm"]["servers"]
+            assert edge is not None and edge.configuration_view.manifest is not None
+            assert "w1" in edge.configuration_view.manifest["pools"]["llm"]["servers"]
             began = f.loop.clock
-            got = await f.ask(lead.conf.name, lambda c: c.beat_worker("w1", standing(1, leave=True), 99))
+            got = await f.ask(lead.settings.name, lambda c: c.beat_worker("w1", standing(1, leave=True), 99))
             took = f.loop.clock - began
             assert got.is_ok()
-            return bool(edge.news.manifest["pools"]["llm"]["servers"]["w1"].get("leave")), took
+            return bool(edge.configuration_view.manifest["pools"]["llm"]["servers"]["w1"].get("leave")), took
 
         knows, took = play(scene, seed)
         bound = 2.0 / 6
@@ -308,7 +308,7 @@
             f.kill("e4", silent=True)
             await asyncio.sleep(3)
             began = f.loop.clock
-            got = await f.ask(lead.conf.name, lambda c: c.beat_worker("w1", standing(1, leave=True), 2))
+            got = await f.ask(lead.settings.name, lambda c: c.beat_worker("w1", standing(1, leave=True), 2))
             assert got.is_ok()
             return f.loop.clock - began
 
--- a/tests/control/test_in_force.py
+++ b/tests/control/test_in_force.py
@@ -6,11 +6,11 @@
 
 from result import Err
 
-from postpass.configuration.configuration import Manifest
+from postpass.configuration.configuration import Configuration
 from postpass.configuration.settings import Bounds
 from postpass.control.contact import last_majority
 from postpass.control.in_force import Hearing, VersionWait, awaited_senders
-from postpass.rpc.peer_links import Lines, PeerResponse
+from postpass.rpc.peer_links import PeerLinks, PeerResponse
 from postpass.runtime.errors import Fault
 
 
@@ -19,7 +19,7 @@
     return Hearing(machines | more, {"c2": 9.7, "c3": 9.6}, 0.0)
 
 
-def _manifest() -> Manifest:
+def _manifest() -> Configuration:
     machines = {n: {"area": "a", "peer": f"{n}:1", "http": "", "duties": d} for n, d in
                 {"c1": ["control"], "c2": ["control"], "c3": ["control"], "e1": ["edge"], "e2": ["edge"], "s1": ["store", "sched"]}.items()}  # fmt: skip
     return {"machines": machines}  # type: ignore[typeddict-item]
@@ -39,7 +39,7 @@
 
 
 def test_a_relays_refusal_tells_nothing_of_another_machine() -> None:
-    wait = VersionWait(Lines(), random.Random(1), Bounds(), 7, "", 0.0, {"e1": "e1:1", "e2": "e2:1"})
+    wait = VersionWait(PeerLinks(), random.Random(1), Bounds(), 7, "", 0.0, {"e1": "e1:1", "e2": "e2:1"})
     refused: PeerResponse = Err(Fault("connect", "e2:1", "refused", hint="refused"))
     assert wait._settles(refused) and not wait._settles_relayed(refused)
 
--- a/tests/control/test_isolation.py
+++ b/tests/control/test_isolation.py
@@ -12,7 +12,7 @@
 import pytest
 from starlette.applications import Starlette
 
-from postpass.control import Control
+from postpass.control import ControlPlane
 from postpass.runtime.errors import BAD, BROKE, CLASH, CROWD, FULL, LACK, MOVED, OLD, SHED, SLOW, Fault
 from sim.linearizability import Attempt, Operation, Order, Outcome, Read, check
 from tests.control.test_announced_control import play, standing
@@ -43,7 +43,7 @@
 
     async def call(self, order: Any) -> tuple[str, Any]:
         """One attempt at a member by chance; None if no answer came in time."""
-        member = self.chance.choice([c.conf.name for c in self.fleet.controls()])
+        member = self.chance.choice([c.settings.name for c in self.fleet.controls()])
         task = asyncio.create_task(self.fleet.ask(member, order))
         await asyncio.wait({task}, timeout=PATIENCE_S)
         got = task.result() if task.done() else None
@@ -90,9 +90,9 @@
         await self.heartbeat(who, standing(number, leave=True), 2)
         self.drains.append(self.clock - began)
         for name, node in self.fleet.nodes.items():
-            man = node.daemon.news.manifest if node.daemon is not None else None
-            if node.conf.duties == ("edge",) and man is not None and node.daemon.news.fresh:  # type: ignore[union-attr]
-                server = man["pools"]["llm"]["servers"].get(who)
+            configuration = node.daemon.configuration_view.manifest if node.daemon is not None else None
+            if node.settings.duties == ("edge",) and configuration is not None and node.daemon.configuration_view.fresh:  # type: ignore[union-attr]
+                server = configuration["pools"]["llm"]["servers"].get(who)
                 if server is not None and not server.get("leave"):
                     self.late.append(f"{who} at {name}")
 
@@ -122,35 +122,37 @@
 ) -> None:
     async def scene(f: Fleet) -> tuple[Callers, str]:
         lead, backup, rest = await settle(f)
-        lost = {"primary": lead, "backup": backup, "witness": rest[0]}[role].conf.name
-        callers = Callers(f, f.loop.clock + CUT_S)
-        callers.history.append(Attempt(Order(0, 3, "3", "3"), 0.0, 0.0, Outcome.TAKEN))
+        lost = {"primary": lead, "backup": backup, "witness": rest[0]}[role].settings.name
+        clients = Callers(f, f.loop.clock + CUT_S)
+        clients.history.append(Attempt(Order(0, 3, "3", "3"), 0.0, 0.0, Outcome.TAKEN))
         cut(f, lost, [n for n in names(f.controls()) if n != lost], ways)
-        tasks = [asyncio.create_task(callers.operator(first)) for first in (1, 2)]
+        tasks = [asyncio.create_task(clients.operator(first)) for first in (1, 2)]
         for number in range(2, 10):
-            tasks.append(asyncio.create_task(callers.worker(number)))
+            tasks.append(asyncio.create_task(clients.worker(number)))
             if number == 4:
                 f.first = False
                 f.kill("e2")
                 f.boot("e2")
             if number == 6:
-                tasks.append(asyncio.create_task(callers.zone()))
+                tasks.append(asyncio.create_task(clients.zone()))
             await asyncio.sleep(CUT_S / 8)
         heal(f)
         await asyncio.wait_for(asyncio.gather(*tasks), 30)
-        while not await callers.read():
+        while not await clients.read():
             await asyncio.sleep(0.2)
-        return callers, lost
+        return clients, lost
 
-    callers, lost = play(scene, control=members)
-    verdict = check(callers.history)
+    clients, lost = play(scene, control=members)
+    verdict = check(clients.history)
     assert verdict.linearizable, verdict
-    assert sum(isinstance(op, Attempt) and op.outcome is Outcome.TAKEN for op in callers.history) > 3
-    assert len(callers.drains) == 8 and callers.late == []
-    assert not [code for _, code in callers.refusals if code in (404, 409)]
+    assert sum(isinstance(op, Attempt) and op.outcome is Outcome.TAKEN for op in clients.history) > 3
+    assert len(clients.drains) == 8 and clients.late == []
+    assert not [code for _, code in clients.refusals if code in (404, 409)]
 
 
-async def get(control: Control, app: Any, method: str, path: str, body: bytes = b"") -> tuple[int, dict[str, str], Any]:
+async def get(
+    control: ControlPlane, app: Any, method: str, path: str, body: bytes = b""
+) -> tuple[int, dict[str, str], Any]:
     """A request of an operator, at the door of a member."""
     sent: list[Any] = []
 
@@ -176,8 +178,8 @@
     async def scene(f: Fleet) -> list[Any]:
         _, _, rest = await settle(f)
         lost = rest[0]
-        cut(f, lost.conf.name, [n for n in names(f.controls()) if n != lost.conf.name])
-        await asyncio.sleep(lost.conf.bounds.contact + 0.1)
+        cut(f, lost.settings.name, [n for n in names(f.controls()) if n != lost.settings.name])
+        await asyncio.sleep(lost.settings.bounds.contact + 0.1)
         own, platform = lost.app(), Starlette(routes=adapter("operators").routes(lost))
         out = []
         for method, path, body in requests:
@@ -185,7 +187,7 @@
             data = json.dumps(body).encode()
             began = f.loop.clock
             got = await f.ask(
-                lost.conf.name,
+                lost.settings.name,
                 lambda c, app=app, method=method, path=path, data=data: get(c, app, method, path, data),  # type: ignore[misc]
             )
             out.append((method, path, *got, f.loop.clock - began))
@@ -212,12 +214,12 @@
     async def scene(f: Fleet) -> list[int]:
         lead, _, rest = await settle(f)
         member = rest[0]
-        address = f.nodes["e1"].conf.peer
-        member.addr = lambda name: address if name == lead.conf.name else ""  # type: ignore[method-assign]
+        address = f.nodes["e1"].settings.peer
+        member.addr = lambda name: address if name == lead.settings.name else ""  # type: ignore[method-assign]
         got = [
-            await f.ask(member.conf.name, lambda c: c.evacuate("a", True)),
-            await f.ask(member.conf.name, lambda c: c.beat_worker("w7", standing(7), 1)),
-            await f.ask(member.conf.name, lambda c: c.read_source()),
+            await f.ask(member.settings.name, lambda c: c.evacuate("a", True)),
+            await f.ask(member.settings.name, lambda c: c.beat_worker("w7", standing(7), 1)),
+            await f.ask(member.settings.name, lambda c: c.read_source()),
         ]
         return [200 if g.is_ok() else g.unwrap_err().code for g in got]
 
--- a/tests/control/test_isolation_runs.py
+++ b/tests/control/test_isolation_runs.py
@@ -122,7 +122,7 @@
             assert result is None or isinstance(result, asyncio.CancelledError), result
         assert await readable(f, day.highest()) >= 0
         assert max(c.held.state.losses for c in f.controls()) == 0
-        pool = leader(f).held.state.man["pools"]["llm"]["servers"]
+        pool = leader(f).held.state.configuration["pools"]["llm"]["servers"]
         assert len(day.drained) == 8, day.drained
         assert all(w not in pool or pool[w].get("leave") for w in day.drained), pool
 
--- a/tests/control/test_journal.py
+++ b/tests/control/test_journal.py
@@ -25,8 +25,8 @@
 )
 from postpass.rpc.peer_links import IDL, pack, unpack
 from postpass.runtime.errors import BROKE, FULL, Stop
-from postpass.storage.data_directory import MARK, STATE_FORMAT, Vault, mark_format, open_vault
-from postpass.storage.segmented_log import HEAD, SegLog, scan
+from postpass.storage.data_directory import MARK, STATE_FORMAT, DataDirectory, mark_format, open_data_directory
+from postpass.storage.segmented_log import HEAD, SegmentedLog, scan
 from sim.disk import SimDisk
 from sim.loop import SimLoop, run_sim
 
@@ -46,9 +46,11 @@
     return image.change_to(1, version, tree(version, **more))
 
 
-async def opened(disk: SimDisk) -> tuple[Vault, StateJournal]:
-    vault = await open_vault("c1", disk, random.Random(2), SEGMENT, 0, strict=True, reads=STATE_FORMAT)
-    return vault, await StateJournal.open("c1", disk, vault.log, vault.entries)
+async def opened(disk: SimDisk) -> tuple[DataDirectory, StateJournal]:
+    data_directory = await open_data_directory(
+        "c1", disk, random.Random(2), SEGMENT, 0, strict=True, reads=STATE_FORMAT
+    )
+    return data_directory, await StateJournal.open("c1", disk, data_directory.log, data_directory.entries)
 
 
 async def filled(disk: SimDisk, versions: int) -> StateJournal:
@@ -143,18 +145,18 @@
         async def run() -> None:
             disk = SimDisk(random.Random(1))
             with pytest.raises(Stop, match="nothing was touched"):
-                await StateJournal.open("c1", disk, SegLog("c1", disk), [entry])
+                await StateJournal.open("c1", disk, SegmentedLog("c1", disk), [entry])
 
         asyncio.run(run())
 
     def test_a_folder_of_a_later_format_is_left_alone(self) -> None:
         async def run() -> None:
             disk = SimDisk(random.Random(1))
-            vault, _ = await opened(disk)
-            await mark_format(disk, vault.name, 4)
+            data_directory, _ = await opened(disk)
+            await mark_format(disk, data_directory.name, 4)
             with pytest.raises(Stop, match="format 4, this release reads up to 3; nothing was touched"):
                 await opened(disk)
-            assert json.loads(disk.read(MARK)) == {"disk": vault.name, "format": 4}
+            assert json.loads(disk.read(MARK)) == {"disk": data_directory.name, "format": 4}
 
         asyncio.run(run())
 
@@ -169,8 +171,8 @@
             disk = SimDisk(random.Random(versions))
             journal = await filled(disk, versions)
             disk.power_off()
-            vault, again = await opened(disk)
-            assert not vault.fresh and again.image == journal.image
+            data_directory, again = await opened(disk)
+            assert not data_directory.fresh and again.image == journal.image
             assert again.image is not None and again.image.position.version == versions
 
         asyncio.run(run())
@@ -191,8 +193,8 @@
                 torn = SimDisk(random.Random(1))
                 torn.files = {n: bytearray(b) for n, b in disk.files.items()}
                 torn.files[name] = bytearray(whole + entry[:size])
-                vault, again = await opened(torn)
-                assert not vault.fresh
+                data_directory, again = await opened(torn)
+                assert not data_directory.fresh
                 assert again.image == (after if size == len(entry) else before), size
                 if size < len(entry):
                     assert (await again.append(change)) == after
@@ -200,8 +202,8 @@
             zeros = SimDisk(random.Random(1))
             zeros.files = {n: bytearray(b) for n, b in disk.files.items()}
             zeros.files[name] = bytearray(whole + bytes(len(entry)))
-            vault, again = await opened(zeros)
-            assert not vault.fresh and again.image == before
+            data_directory, again = await opened(zeros)
+            assert not data_directory.fresh and again.image == before
 
         asyncio.run(run())
 
@@ -225,8 +227,8 @@
                     bad = SimDisk(random.Random(1))
                     bad.files = {n: bytearray(b) for n, b in disk.files.items()}
                     bad.damage(file, place)
-                    vault, journal = await opened(bad)
-                    assert vault.fresh and journal.image is None, (file, place)
+                    data_directory, journal = await opened(bad)
+                    assert data_directory.fresh and journal.image is None, (file, place)
                     assert f"damaged-{file}" in bad.names()
 
         asyncio.run(run())
@@ -269,8 +271,8 @@
             assert len(states) >= 3
             for files in states:
                 other = SimDisk(random.Random(1), files=files)
-                vault, again = await opened(other)
-                assert not vault.fresh and again.image == journal.image
+                data_directory, again = await opened(other)
+                assert not data_directory.fresh and again.image == journal.image
 
         asyncio.run(run())
 
@@ -296,8 +298,8 @@
             disk.cap = 1 << 20
             assert await journal.append(change) == after
             disk.power_off()
-            vault, again = await opened(disk)
-            assert not vault.fresh and again.image == after
+            data_directory, again = await opened(disk)
+            assert not data_directory.fresh and again.image == after
 
         asyncio.run(run())
 
@@ -326,8 +328,8 @@
             for call in calls.values():
                 with pytest.raises(Stop):
                     await call()
-            vault, again = await opened(disk)
-            assert not vault.fresh and again.image in (before, after)
+            data_directory, again = await opened(disk)
+            assert not data_directory.fresh and again.image in (before, after)
             found = again.image
             disk.power_off()
             assert (await opened(disk))[1].image == found
--- a/tests/control/test_leadership.py
+++ b/tests/control/test_leadership.py
@@ -12,13 +12,13 @@
 import pytest
 from result import Ok
 
-from postpass.control import Control
-from postpass.control.epochs import Pair
+from postpass.control import ControlPlane
+from postpass.control.epochs import ReplicaSet
 from postpass.control.journal import replay
 from postpass.control.member import STATE_SEGMENT
 from postpass.membership import registry
 from postpass.membership.registry import Standing
-from postpass.storage.segmented_log import SegLog
+from postpass.storage.segmented_log import SegmentedLog
 from sim.disk import SimDisk
 from sim.loop import SimLoop, run_sim
 from tests.platform.test_configuration import document
@@ -42,13 +42,13 @@
     return run_sim(main, seed)
 
 
-def leader(f: Fleet) -> Control:
+def leader(f: Fleet) -> ControlPlane:
     lead = f.primary()
     assert lead is not None
     return lead
 
 
-async def settle(f: Fleet) -> Control:
+async def settle(f: Fleet) -> ControlPlane:
     """Waits until all have joined, all control members vote, and a first document is in force."""
     assert await f.until(f.joined, 10) >= 0
 
@@ -57,12 +57,12 @@
         return lead is not None and len(lead.held.pair.voters) == f.control
 
     assert await f.until(all_vote, 10) >= 0
-    got = await f.ask(leader(f).conf.name, lambda c: c.apply_source(document(3), 0))
+    got = await f.ask(leader(f).settings.name, lambda c: c.apply_source(document(3), 0))
     assert got.is_ok(), got
     await asyncio.sleep(3)
     f.first = False
     for node in f.nodes.values():
-        node.conf = replace(node.conf, bootstrap=False)
+        node.settings = replace(node.settings, bootstrap=False)
     return leader(f)
 
 
@@ -84,7 +84,7 @@
 
 
 def current_disks(f: Fleet) -> dict[str, str]:
-    return {c.conf.name: c.disk_id for c in f.controls()}
+    return {c.settings.name: c.disk_id for c in f.controls()}
 
 
 async def readable(f: Fleet, version: int, limit: float = RECOVERY_TIME) -> float:
@@ -92,7 +92,7 @@
     began = f.loop.clock
     while f.loop.clock - began < limit:
         for member in f.controls():
-            got = await f.ask(member.conf.name, lambda c: c.read_source())
+            got = await f.ask(member.settings.name, lambda c: c.read_source())
             if got.is_ok() and got.unwrap()["version"] >= version:
                 return f.loop.clock - began
         await asyncio.sleep(0.1)
@@ -112,9 +112,9 @@
         await asyncio.sleep(10)
         lead = leader(f)
         counted = lead.held.pair.voters == current_disks(f)
-        got = await f.ask(lead.conf.name, lambda c: c.apply_source(document(4), 3))
+        got = await f.ask(lead.settings.name, lambda c: c.apply_source(document(4), 3))
         assert got.is_ok(), got
-        lost = leader(f).conf.name
+        lost = leader(f).settings.name
         for name, node in f.nodes.items():
             f.kill(name, silent=True)
             if node.disk is not None:
@@ -137,7 +137,7 @@
 def test_wiping_the_backup_and_later_the_primary_loses_nothing(control: int, gap: float) -> None:
     async def scene(f: Fleet) -> tuple[float, int]:
         lead = await settle(f)
-        backup, first = lead.held.pair.backup, lead.conf.name
+        backup, first = lead.held.pair.backup, lead.settings.name
         wipe(f, backup)
         await asyncio.sleep(gap)
         f.boot(backup)
@@ -169,24 +169,24 @@
         before = max(c.witness.promised for c in f.controls())
         isolate(f, inside, way)
         await asyncio.sleep(CUT_TIME)
-        outside = [c for c in f.controls() if c.conf.name not in inside]
+        outside = [c for c in f.controls() if c.settings.name not in inside]
         led = [c for c in f.controls() if c.epoch]
-        assert len(led) <= 1, [(c.conf.name, c.epoch) for c in led]
+        assert len(led) <= 1, [(c.settings.name, c.epoch) for c in led]
         if 2 * len(outside) > control and not set(holders) <= set(inside):
             assert led, "the majority has no primary"
         highest = max([before, *(c.epoch for c in led)])
         for member in f.controls():
-            assert member.witness.promised <= highest, (member.conf.name, member.witness.promised, highest)
+            assert member.witness.promised <= highest, (member.settings.name, member.witness.promised, highest)
         f.loop.net.cuts.clear()
         if not led:
             assert await f.until(f.primary, RECOVERY_TIME) >= 0
             return
-        expected, until = led[0].conf.name, f.loop.clock + 6
+        expected, until = led[0].settings.name, f.loop.clock + 6
         while f.loop.clock < until:
-            others = [c.conf.name for c in f.controls() if c.epoch and c.conf.name != expected]
+            others = [c.settings.name for c in f.controls() if c.epoch and c.settings.name != expected]
             assert not others, (others, expected)
             await asyncio.sleep(0.02)
-        assert leader(f).conf.name == expected
+        assert leader(f).settings.name == expected
         got = await f.ask(inside[0], lambda c: c.apply_source(document(4), 3))
         assert got.is_ok(), got
 
@@ -197,7 +197,7 @@
 def test_a_cut_off_primary_that_is_sent_orders_burns_no_epochs(seed: int) -> None:
     async def scene(f: Fleet) -> tuple[int, int, int]:
         first = await settle(f)
-        name, epoch = first.conf.name, first.epoch
+        name, epoch = first.settings.name, first.epoch
         isolate(f, [name])
         until = f.loop.clock + CUT_TIME
         while f.loop.clock < until:
@@ -247,7 +247,9 @@
         f.loop.net.cuts.clear()
         assert await f.until(f.primary, RECOVERY_TIME) >= 0
         assert (
-            await f.ask(holders[0], lambda c: c.apply_source(document(5), leader(f).held.state.man["version"]))
+            await f.ask(
+                holders[0], lambda c: c.apply_source(document(5), leader(f).held.state.configuration["version"])
+            )
         ).is_ok()
 
     play(scene, control=5, stores=5)
@@ -259,25 +261,25 @@
         lead = await settle(f)
         node = f.nodes[next(n for n in lead.held.pair.voters if n not in lead.held.pair)]
         member, disk = node.daemon, node.disk
-        assert isinstance(member, Control) and disk is not None
+        assert isinstance(member, ControlPlane) and disk is not None
         believed, epoch = (member.leader, member.witness.promised), lead.epoch
 
-        async def copy(c: Control, **body: Any) -> Any:
+        async def copy(c: ControlPlane, **body: Any) -> Any:
             return (await c.on_copy({"edition": 0, **body})).unwrap()["ok"]
 
         def deliver(**body: Any) -> Any:
-            return f.ask(member.conf.name, lambda c: copy(c, **body))
+            return f.ask(member.settings.name, lambda c: copy(c, **body))
 
         assert not await deliver(epoch=epoch + 5, who="c9", granted=False), "it was promised nothing"
         assert (member.leader, member.witness.promised) == believed
         ask = {"epoch": epoch + 5, "who": "c9", "handover": 1}
-        assert (await f.ask(member.conf.name, lambda c: c.on_look(ask))).unwrap()["ok"]
+        assert (await f.ask(member.settings.name, lambda c: c.on_look(ask))).unwrap()["ok"]
         led, heard = member.led, member.heard
         assert await deliver(epoch=epoch + 5, who="c9", granted=False)
         assert not await deliver(epoch=epoch + 5, who="c8", granted=False), "the promise is another's"
-        pair = Pair(epoch + 5, "c9", (), lead.held.pair.voters)
+        pair = ReplicaSet(epoch + 5, "c9", (), lead.held.pair.voters)
         grant = {"pair": asdict(pair), "who": "c9"}
-        assert (await f.ask(member.conf.name, lambda c: c.on_grant(grant))).unwrap()["ok"]
+        assert (await f.ask(member.settings.name, lambda c: c.on_grant(grant))).unwrap()["ok"]
         assert (member.leader, member.led, member.heard) == (believed[0], led, heard), (
             "an epoch not granted was followed"
         )
@@ -292,7 +294,7 @@
     after_power_loss = SimDisk(random.Random(0))
     after_power_loss.files = {name: bytearray(data) for name, data in disk.kept.items() if data}
     after_power_loss.kept = {name: bytes(data) for name, data in after_power_loss.files.items()}
-    image = replay(SegLog("reader", after_power_loss, STATE_SEGMENT).load())
+    image = replay(SegmentedLog("reader", after_power_loss, STATE_SEGMENT).load())
     return image.position.epoch if image is not None else 0
 
 
@@ -303,7 +305,7 @@
 
         def watch(node: Node) -> None:
             disk = node.disk
-            if disk is None or node.conf.duties:
+            if disk is None or node.settings.duties:
                 return
 
             def synced(what: str) -> None:
@@ -317,7 +319,7 @@
             watch(node)
         lead = await settle(f)
         for turn, (gap, silent) in enumerate(((0.1, True), (0.5, False), (3.0, True), (0.2, True))):
-            name = lead.conf.name if turn % 2 else lead.held.pair.backup
+            name = lead.settings.name if turn % 2 else lead.held.pair.backup
             if turn < 2:
                 f.kill(name, silent=silent)
             else:
@@ -369,9 +371,9 @@
         lead = await settle(f)
         backup = lead.held.pair.backup
         f.kill(backup, silent=True)
-        f.add("n1", "control", f.nodes[backup].conf.area, "10.0.21.1")
+        f.add("n1", "control", f.nodes[backup].settings.area, "10.0.21.1")
         dropped = await f.until(
-            lambda: all(backup not in c.held.state.man["machines"] for c in f.controls() if c.epoch), 20
+            lambda: all(backup not in c.held.state.configuration["machines"] for c in f.controls() if c.epoch), 20
         )
         assert dropped >= 0
         return all(backup not in c.held.pair for c in f.controls() if c.epoch)
--- a/tests/control/test_orders.py
+++ b/tests/control/test_orders.py
@@ -13,7 +13,7 @@
 import pytest
 from result import Err, Ok, Result
 
-from postpass.control import Control, accepted_orders
+from postpass.control import ControlPlane, accepted_orders
 from postpass.control.accepted_orders import DIGEST_LENGTH, ConfigurationOrder, Recollection
 from postpass.control.configuration import ConfigurationChange
 from postpass.daemon.process import Daemon
@@ -42,7 +42,7 @@
         return [name for name in self.fleet.nodes if name.startswith("c")]
 
     async def call(self, member: str, method: str, path: str, body: Any = None, base: int = 0) -> Reply:
-        async def ask(control: Control | None) -> Any:
+        async def ask(control: ControlPlane | None) -> Any:
             if control is None:
                 return None
             kind, *rest = path.removeprefix("/-/").split("/")
@@ -71,7 +71,7 @@
         assert await fleet.until(fleet.joined, 10) >= 0
         fleet.first = False
         for node in fleet.nodes.values():
-            node.conf = replace(node.conf, bootstrap=False)
+            node.settings = replace(node.settings, bootstrap=False)
         operators = RecordingOperators(SimulatedMembers(fleet), lambda: loop.clock, random.Random(f"operators-{seed}"))
         return await scene(fleet, operators)
 
@@ -92,7 +92,7 @@
 async def kill_primary(fleet: Fleet) -> None:
     primary = fleet.primary()
     assert primary is not None
-    name = primary.conf.name
+    name = primary.settings.name
     fleet.kill(name, silent=True)
     await asyncio.sleep(4.0)
     fleet.boot(name)
@@ -102,7 +102,7 @@
     """The primary is told to leave, and comes back."""
     primary = fleet.primary()
     assert primary is not None
-    name = primary.conf.name
+    name = primary.settings.name
     primary.stop.set()
     assert await fleet.until(lambda: fleet.nodes[name].host.dead, 20) >= 0
     fleet.boot(name)
@@ -111,7 +111,7 @@
 async def wipe_one(fleet: Fleet) -> None:
     """A member other than the primary loses its disk."""
     primary = fleet.primary()
-    name = next(c.conf.name for c in fleet.controls() if c is not primary)
+    name = next(c.settings.name for c in fleet.controls() if c is not primary)
     fleet.kill(name, silent=True)
     fleet.nodes[name].disk = SimDisk(random.Random(f"{name}-wiped"))
     await asyncio.sleep(4.0)
@@ -121,11 +121,11 @@
 async def replace_one(fleet: Fleet) -> None:
     """A member goes for good, and an empty one comes."""
     primary = fleet.primary()
-    name = next(c.conf.name for c in fleet.controls() if c is not primary)
+    name = next(c.settings.name for c in fleet.controls() if c is not primary)
     fleet.kill(name, silent=True)
-    area = fleet.nodes.pop(name).conf.area
+    area = fleet.nodes.pop(name).settings.area
     await asyncio.sleep(4.0)
-    seeds = [c.conf.peer for c in fleet.controls()][:3]
+    seeds = [c.settings.peer for c in fleet.controls()][:3]
     fleet.add("c9", "control", area, "10.0.29.1", seeds=seeds)
     await asyncio.sleep(6.0)
 
@@ -155,14 +155,14 @@
 async def cut_off_primary(fleet: Fleet) -> None:
     primary = fleet.primary()
     assert primary is not None
-    await cut_off(fleet, {primary.conf.name}, CUT_S)
+    await cut_off(fleet, {primary.settings.name}, CUT_S)
 
 
 async def cut_off_witness(fleet: Fleet) -> None:
     primary = fleet.primary()
     assert primary is not None
     holders = primary.held.pair.holders
-    await cut_off(fleet, {next(c.conf.name for c in fleet.controls() if c.conf.name not in holders)}, CUT_S)
+    await cut_off(fleet, {next(c.settings.name for c in fleet.controls() if c.settings.name not in holders)}, CUT_S)
 
 
 async def cut_off_holders(fleet: Fleet) -> None:
@@ -331,12 +331,12 @@
             await operators.send(put(document(version), version - 1))
         primary = fleet.primary()
         assert primary is not None
-        edition = primary.news.edition
-        assert await fleet.until(lambda: all(d.news.edition >= edition for d in daemons(fleet)), 10) >= 0
+        edition = primary.configuration_view.edition
+        assert await fleet.until(lambda: all(d.configuration_view.edition >= edition for d in daemons(fleet)), 10) >= 0
         orders = [ConfigurationOrder.of(sent.body) for sent in operators.taken]
         assert len(orders) == 59
         for daemon in daemons(fleet):
-            fed = json.dumps([daemon.news.manifest, vars(daemon.news)], default=repr)
+            fed = json.dumps([daemon.configuration_view.manifest, vars(daemon.configuration_view)], default=repr)
             assert not [order for order in orders if order.digest[:DIGEST_LENGTH] in fed]
 
     play(scene, 1, control=3, edges=2)
@@ -367,14 +367,14 @@
 
 def reads_an_old_version(mp: pytest.MonkeyPatch) -> None:
     """Stale read: one member answers with what it read ten reads ago."""
-    plain = Control.read_source
+    plain = ControlPlane.read_source
     seen: list[Any] = []
 
-    async def read_source(self: Control) -> Any:
+    async def read_source(self: ControlPlane) -> Any:
         seen.append(await plain(self))
-        return seen[max(0, len(seen) - 10)] if self.conf.name == "c2" else seen[-1]
+        return seen[max(0, len(seen) - 10)] if self.settings.name == "c2" else seen[-1]
 
-    mp.setattr(Control, "read_source", read_source)
+    mp.setattr(ControlPlane, "read_source", read_source)
 
 
 def forgets_what_it_took(mp: pytest.MonkeyPatch) -> None:
--- a/tests/control/test_state_recovery.py
+++ b/tests/control/test_state_recovery.py
@@ -12,11 +12,11 @@
 
 import pytest
 
-from postpass.control import Control
+from postpass.control import ControlPlane
 from postpass.control.journal import Image, replay
-from postpass.control.state import Held
-from postpass.daemon.data_plane import Data
-from postpass.storage.data_directory import MARK, STATE_FORMAT, open_vault
+from postpass.control.state import ReplicatedState
+from postpass.daemon.data_plane import DataPlane
+from postpass.storage.data_directory import MARK, STATE_FORMAT, open_data_directory
 from sim.disk import SimDisk
 from sim.loop import SimLoop, run_sim
 from tests.control.test_announced_control import standing
@@ -47,7 +47,7 @@
     async def one(self) -> bool:
         self.asked += 1
         count = self.asked
-        names = [c.conf.name for c in self.fleet.controls() if self.reachable(c.conf.name)]
+        names = [c.settings.name for c in self.fleet.controls() if self.reachable(c.settings.name)]
         via = names[count % len(names)]
         call = asyncio.wait_for(
             self.fleet.ask(via, lambda c: c.beat_worker(COUNTED, standing(1, slots=count), count)), 2.0
@@ -99,7 +99,7 @@
 def count_at(fleet: Fleet, name: str) -> int:
     """The count that a daemon's configuration shows; 0 if it has none."""
     daemon = fleet.nodes[name].daemon
-    manifest = daemon.news.manifest if daemon is not None else None
+    manifest = daemon.configuration_view.manifest if daemon is not None else None
     pool = manifest["pools"].get("llm") if manifest else None
     return pool["servers"][COUNTED]["slots"] if pool and COUNTED in pool["servers"] else 0
 
@@ -161,7 +161,7 @@
         # From here on nobody founds a fleet.
         fleet.first = False
         for node in fleet.nodes.values():
-            node.conf = replace(node.conf, bootstrap=False)
+            node.settings = replace(node.settings, bootstrap=False)
         return await scene(fleet, changes)
 
     return run_sim(main, seed)
@@ -173,10 +173,10 @@
     assert lead is not None
     pair = lead.held.pair
     if role == "primary":
-        return lead.conf.name
+        return lead.settings.name
     if role == "backup":
         return pair.backups[0]
-    return next(n for n in sorted(fleet.nodes) if fleet.nodes[n].conf.duties == () and n not in pair.holders)
+    return next(n for n in sorted(fleet.nodes) if fleet.nodes[n].settings.duties == () and n not in pair.holders)
 
 
 def voters_of(fleet: Fleet) -> int:
@@ -189,9 +189,12 @@
     assert await fleet.until(lambda: fleet.primary() is not None, LEAD_BOUND) >= 0
     lead = fleet.primary()
     assert lead is not None
-    assert count_at(fleet, lead.conf.name) >= changes.acknowledged, (lead.conf.name, count_at(fleet, lead.conf.name))
+    assert count_at(fleet, lead.settings.name) >= changes.acknowledged, (
+        lead.settings.name,
+        count_at(fleet, lead.settings.name),
+    )
     assert lead.held.state.losses == 0
-    return lead.conf.name
+    return lead.settings.name
 
 
 ROLES = ("primary", "backup", "witness")
@@ -257,7 +260,7 @@
             name = role_of(fleet, role)
             fault.strike(fleet, name)
             await changes.make(missed)
-            old = next(c for c in fleet.controls() if c.epoch and c.conf.name != name).conf.name
+            old = next(c for c in fleet.controls() if c.epoch and c.settings.name != name).settings.name
             fault.mend(fleet, name)
             # One that lost its disk counts again only once it has been let in.
             await asyncio.sleep(3.0 if fault.kind == "wiped" else 0.05)
@@ -280,11 +283,11 @@
             fault, name = Fault(kind), role_of(fleet, role)
             fault.strike(fleet, name)
             await changes.make(10)
-            old = next(c for c in fleet.controls() if c.epoch and c.conf.name != name)
+            old = next(c for c in fleet.controls() if c.epoch and c.settings.name != name)
             backup = old.held.pair.backups[0]
             fault.mend(fleet, name)
             await asyncio.sleep(0.05)
-            fleet.kill(old.conf.name, silent=True)
+            fleet.kill(old.settings.name, silent=True)
             fleet.loop.freeze(fleet.nodes[backup].host)
             assert await fleet.until(lambda: fleet.primary() is not None, 6.0) < 0
             fleet.loop.thaw(fleet.nodes[backup].host)
@@ -335,7 +338,7 @@
 
             def serves() -> bool:
                 daemon = fleet.nodes[name].daemon
-                ready = isinstance(daemon, Data) and daemon.ready() == ""
+                ready = isinstance(daemon, DataPlane) and daemon.ready() == ""
                 if ready and started:
                     assert count_at(fleet, name) >= floor, (count_at(fleet, name), floor)
                 return ready and follows(fleet, name, changes)
@@ -362,7 +365,7 @@
 
             def serves() -> bool:
                 daemon = fleet.nodes[name].daemon
-                ready = isinstance(daemon, Data) and daemon.ready() == ""
+                ready = isinstance(daemon, DataPlane) and daemon.ready() == ""
                 assert not ready or count_at(fleet, name) >= floor
                 return ready
 
@@ -376,15 +379,15 @@
             fleet.kill(name, silent=True)
             await changes.make(100)
             floor = changes.acknowledged
-            for control in [c.conf.name for c in fleet.controls()]:
+            for control in [c.settings.name for c in fleet.controls()]:
                 fleet.kill(control, silent=True)
             node = fleet.nodes[name]
-            node.conf = replace(node.conf, seeds=(*node.conf.seeds, fleet.nodes["e2"].conf.peer))
+            node.settings = replace(node.settings, seeds=(*node.settings.seeds, fleet.nodes["e2"].settings.peer))
             fleet.boot(name)
 
             def serves() -> bool:
                 daemon = fleet.nodes[name].daemon
-                ready = isinstance(daemon, Data) and daemon.ready() == ""
+                ready = isinstance(daemon, DataPlane) and daemon.ready() == ""
                 assert not ready or count_at(fleet, name) >= floor
                 return ready
 
@@ -407,7 +410,7 @@
 
             def ready() -> bool:
                 daemon = fleet.nodes[name].daemon
-                return isinstance(daemon, Data) and daemon.ready() == ""
+                return isinstance(daemon, DataPlane) and daemon.ready() == ""
 
             assert await fleet.until(ready, 10.0) < 0
             floor = changes.acknowledged
@@ -438,13 +441,15 @@
         play(scene)
 
 
-def in_the_old_format(disk: SimDisk) -> Held:
+def in_the_old_format(disk: SimDisk) -> ReplicatedState:
     """Turns a folder into one of release 0.2.0: the whole state in one file, no log, format 2."""
 
-    async def state() -> Held:
-        vault = await open_vault("any", disk, random.Random(1), 1 << 16, 0, strict=True, reads=STATE_FORMAT)
-        image = replay(vault.entries)
-        return Held.of(image.tree) if image is not None else Held()
+    async def state() -> ReplicatedState:
+        data_directory = await open_data_directory(
+            "any", disk, random.Random(1), 1 << 16, 0, strict=True, reads=STATE_FORMAT
+        )
+        image = replay(data_directory.entries)
+        return ReplicatedState.of(image.tree) if image is not None else ReplicatedState()
 
     held = asyncio.run(state())
     mark = json.loads(disk.files[MARK])
@@ -494,7 +499,7 @@
             await changes.make(20)
             name = role_of(fleet, "primary")
             daemon, disk = fleet.nodes[name].daemon, fleet.nodes[name].disk
-            assert isinstance(daemon, Control) and disk is not None
+            assert isinstance(daemon, ControlPlane) and disk is not None
             identity = daemon.disk_id
             all_lose_power(fleet)
             await off_loop(partial(in_the_old_format, disk))
@@ -503,7 +508,7 @@
                 fleet.boot(other)
             await leader_with_all(fleet, changes)
             again = fleet.nodes[name].daemon
-            assert isinstance(again, Control) and again.disk_id != identity
+            assert isinstance(again, ControlPlane) and again.disk_id != identity
             assert "damaged-state" in disk.names()
 
         play(scene)
@@ -512,15 +517,15 @@
         """It takes a change for a heartbeat and says yes, which must not count."""
         old_members: set[str] = set()
         sent: list[str] = []
-        on_copy = Control.on_copy
+        on_copy = ControlPlane.on_copy
 
-        async def old_on_copy(control: Control, body: Any) -> Any:
-            if control.conf.name not in old_members:
+        async def old_on_copy(control: ControlPlane, body: Any) -> Any:
+            if control.settings.name not in old_members:
                 return await on_copy(control, body)
             sent.extend(key for key in ("change", "held") if key in body)
             return await on_copy(control, {k: v for k, v in body.items() if k != "change"})
 
-        monkeypatch.setattr(Control, "on_copy", old_on_copy)
+        monkeypatch.setattr(ControlPlane, "on_copy", old_on_copy)
 
         async def scene(fleet: Fleet, changes: Changes) -> None:
             old_members.add(role_of(fleet, "backup"))
@@ -538,7 +543,7 @@
 
         async def scene(fleet: Fleet, changes: Changes) -> None:
             lead, backup = fleet.primary(), fleet.nodes[role_of(fleet, "backup")].daemon
-            assert lead is not None and isinstance(backup, Control) and backup.journal.image is not None
+            assert lead is not None and isinstance(backup, ControlPlane) and backup.journal.image is not None
             image = backup.journal.image
             tree = image.tree | {"state": image.tree["state"] | {"left": ["somebody"]}}
             backup.journal.image = Image.of(image.position.epoch, image.position.version, tree)
--- a/tests/control/test_voters.py
+++ b/tests/control/test_voters.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from postpass.configuration.configuration import Manifest
-from postpass.control import Control
-from postpass.control.epochs import Pair
+from postpass.configuration.configuration import Configuration
+from postpass.control import ControlPlane
+from postpass.control.epochs import ReplicaSet
 from postpass.rpc.peer_links import Body
 from tests.control.test_leadership import (
     DETECTION_TIME,
@@ -25,10 +25,10 @@
 from tests.support.announced import Fleet
 
 
-def pair_on_disk(f: Fleet, name: str) -> Pair:
+def pair_on_disk(f: Fleet, name: str) -> ReplicaSet:
     """The replica set whose state a member has synced."""
     member = f.nodes[name].daemon
-    assert isinstance(member, Control)
+    assert isinstance(member, ControlPlane)
     return member.stored().pair
 
 
@@ -37,31 +37,31 @@
     return {"epoch": epoch, "who": candidate, "handover": 1}
 
 
-async def campaign(candidate: Control, late: dict[str, Body]) -> None:
+async def campaign(candidate: ControlPlane, late: dict[str, Body]) -> None:
     """An election with promises of others that were under way since before the candidate was cut off."""
-    ask_all, man = candidate.ask_all, candidate.known()
-    assert man is not None
+    ask_all, configuration = candidate.ask_all, candidate.known()
+    assert configuration is not None
 
     async def ask_with_late_answers(
-        verb: str, body: Body, names: list[str], man: Manifest, quick: bool = False
+        verb: str, body: Body, names: list[str], configuration: Configuration, quick: bool = False
     ) -> dict[str, Body]:
-        answers = await ask_all(verb, body, names, man, quick)
+        answers = await ask_all(verb, body, names, configuration, quick)
         return answers | {n: a for n, a in late.items() if verb == "look" and n in names}
 
     candidate.ask_all = ask_with_late_answers  # type: ignore[method-assign]
-    prevotes = await candidate.collect_prevotes(man, True)
+    prevotes = await candidate.collect_prevotes(configuration, True)
     prevotes = {n: a | {"promised": min(a["promised"], candidate.witness.promised)} for n, a in prevotes.items()}
     async with candidate.lock:
-        got = await candidate.run_election(man, "primary lost", prevotes=prevotes, change_voters=True)
+        got = await candidate.run_election(configuration, "primary lost", prevotes=prevotes, change_voters=True)
         assert got.is_err(), "it needs a majority of the voters before"
     candidate.ask_all = ask_all  # type: ignore[method-assign]
 
 
-async def propose_to_the_wiped_member(f: Fleet) -> Pair:
+async def propose_to_the_wiped_member(f: Fleet) -> ReplicaSet:
     """The replica set that leads: the primary leads two epochs on, granted by itself and a voter that is then wiped; the backup before has a promise
     of the epoch between, and proposes it with the new disk as voter and backup."""
     primary = await settle(f)
-    first, second = primary.conf.name, primary.held.pair.backup
+    first, second = primary.settings.name, primary.held.pair.backup
     third = next(n for n in ("c1", "c2", "c3") if n not in (first, second))
     epoch = primary.epoch
     isolate(f, [second])
@@ -94,15 +94,15 @@
         epochs = {led.primary: led.epoch}
         for _ in range(int(3 * RECOVERY_TIME)):
             await asyncio.sleep(1)
-            epochs |= {c.conf.name: c.epoch for c in f.controls() if c.epoch and c.conf.name != led.primary}
+            epochs |= {c.settings.name: c.epoch for c in f.controls() if c.epoch and c.settings.name != led.primary}
         assert set(epochs) == {led.primary}, epochs
         # What was cut off comes back, and the fleet goes on from what was acknowledged.
         f.loop.net.cuts.clear()
         assert await readable(f, 3) >= 0
         await asyncio.sleep(2 * DETECTION_TIME)
-        disks = {c.conf.name: c.disk_id for c in f.controls()}
+        disks = {c.settings.name: c.disk_id for c in f.controls()}
         assert leader(f).held.pair.voters == disks
-        assert (await f.ask(leader(f).conf.name, lambda c: c.read_source())).unwrap()["version"] == 3
+        assert (await f.ask(leader(f).settings.name, lambda c: c.read_source())).unwrap()["version"] == 3
 
     play(scene, seed)
 
@@ -112,7 +112,7 @@
     """Else the next loss, right after the repair, could leave too few of the voters before."""
 
     async def scene(f: Fleet) -> None:
-        primary = (await settle(f)).conf.name
+        primary = (await settle(f)).settings.name
         wiped = leader(f).held.pair.backup
         wipe(f, wiped)
         await asyncio.sleep(1)
--- a/tests/feed/test_configuration_view.py
+++ b/tests/feed/test_configuration_view.py
@@ -5,28 +5,32 @@
 import asyncio
 
 from postpass.configuration.configuration import small
-from postpass.feed.configuration_view import KEPT, News
+from postpass.feed.configuration_view import KEPT, ConfigurationView
 
 
 def test_a_daemon_never_goes_back_an_edition() -> None:
     async def run() -> None:
-        news = News("x")
-        assert news.take(3, small()) and not news.take(2, small()) and not news.take(3, small())
-        assert not news.take(4, {"name": "bad"}) and news.edition == 3
-        assert not await news.wait(3, 0.01) and await news.wait(2, 0.01)
+        configuration_view = ConfigurationView("x")
+        assert (
+            configuration_view.take(3, small())
+            and not configuration_view.take(2, small())
+            and not configuration_view.take(3, small())
+        )
+        assert not configuration_view.take(4, {"name": "bad"}) and configuration_view.edition == 3
+        assert not await configuration_view.wait(3, 0.01) and await configuration_view.wait(2, 0.01)
 
     asyncio.run(run())
 
 
 def test_evacuated_members_stand_last() -> None:
-    news = News("x", small(), 1)
-    assert news.order(0)[0] == "s1"
-    news.manifest = small() | {"evacuated": ["a"]}  # type: ignore[assignment]
-    assert news.order(0)[-1] == "s1" and news.evacuated("s1")
+    configuration_view = ConfigurationView("x", small(), 1)
+    assert configuration_view.order(0)[0] == "s1"
+    configuration_view.manifest = small() | {"evacuated": ["a"]}  # type: ignore[assignment]
+    assert configuration_view.order(0)[-1] == "s1" and configuration_view.evacuated("s1")
 
 
 def test_followers_take_changes_from_their_place_or_a_snapshot() -> None:
-    main, near, late = News("m"), News("n"), News("l")
+    main, near, late = ConfigurationView("m"), ConfigurationView("n"), ConfigurationView("l")
     main.take(1, small())
     assert near.follow(main.since(0)) and near.edition == 1
     for edition in range(2, KEPT + 9):
--- a/tests/gateway/test_answers_broken.py
+++ b/tests/gateway/test_answers_broken.py
@@ -11,7 +11,7 @@
 
 from postpass.batch import item_request
 from postpass.batch.item_request import Events
-from postpass.batch.scheduler import Sched
+from postpass.batch.scheduler import Scheduler
 from postpass.configuration.header_names import Dialect
 from postpass.gateway import attempts, relay, upstream_connection
 from postpass.gateway.http_server import front, refusal
@@ -183,13 +183,13 @@
 
 
 def forgets_positions(mp: pytest.MonkeyPatch) -> None:
-    plain = Sched.tell
+    plain = Scheduler.tell
 
-    async def tell(self: Sched, job: Any, body: Any) -> None:
+    async def tell(self: Scheduler, job: Any, body: Any) -> None:
         job.item = 0
         await plain(self, job, body)
 
-    mp.setattr(Sched, "tell", tell)
+    mp.setattr(Scheduler, "tell", tell)
 
 
 def abandons_what_failed(mp: pytest.MonkeyPatch) -> None:
--- a/tests/gateway/test_attempts.py
+++ b/tests/gateway/test_attempts.py
@@ -4,21 +4,21 @@
 
 from typing import Any
 
-from postpass.gateway.attempts import MOST, Ledger, next_attempt, next_move
+from postpass.gateway.attempts import MOST, AttemptLog, next_attempt, next_move
 
 
-def _ledger(*states: tuple[Any, str]) -> Ledger:
-    out = Ledger()
+def _ledger(*states: tuple[Any, str]) -> AttemptLog:
+    out = AttemptLog()
     for state, why in states:
         out = out.plan("w").mark(state, why)
     return out
 
 
 def test_a_once_call_goes_out_again_only_if_no_byte_left() -> None:
-    def move(ledger: Ledger, once: bool, t: float = 0.0, budget: bool = True) -> str:
+    def move(ledger: AttemptLog, once: bool, t: float = 0.0, budget: bool = True) -> str:
         return next_move(ledger, once, t, 10.0, 3, budget).kind
 
-    assert move(Ledger(), True) == "send" and move(Ledger(), True, 11) == "shed"
+    assert move(AttemptLog(), True) == "send" and move(AttemptLog(), True, 11) == "shed"
     assert move(_ledger(("unsent", "refused")), True) == "send"
     assert move(_ledger(("shed", "429")), True) == "send"
     assert move(_ledger(("broken", "reset")), True) == "error"
@@ -31,7 +31,7 @@
     assert not _ledger(("broken", "x"), ("unsent", "y")).never_ran
 
 
-def _next(ledger: Ledger, repeatable: bool, begun: bool = False, resumable: bool = False, t: float = 0.0) -> str:
+def _next(ledger: AttemptLog, repeatable: bool, begun: bool = False, resumable: bool = False, t: float = 0.0) -> str:
     return next_attempt(
         ledger, repeatable=repeatable, resumable=resumable, begun=begun, now=t, hold=1.0, until=10.0, tries=2
     ).kind
@@ -39,7 +39,7 @@
 
 def test_a_relayed_request_goes_on_by_what_is_proved() -> None:
     for repeatable in (False, True):
-        assert _next(Ledger(), repeatable) == "send" and _next(Ledger(), repeatable, t=11) == "shed"
+        assert _next(AttemptLog(), repeatable) == "send" and _next(AttemptLog(), repeatable, t=11) == "shed"
         assert _next(_ledger(("unsent", ""), ("shed", "")), repeatable) == "send"
         assert _next(_ledger(("unsent", "")), repeatable, t=2) == "send"
         assert _next(_ledger(("unsent", ""), ("shed", "")), repeatable, t=2) == "shed"
--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -9,15 +9,15 @@
 
 from prometheus_client import CollectorRegistry
 
-from postpass.configuration.configuration import Manifest, Route, check
+from postpass.configuration.configuration import Configuration, Route, check
 from postpass.configuration.header_names import Dialect
-from postpass.configuration.settings import Bounds, Config
-from postpass.daemon.data_plane import Data
-from postpass.feed.configuration_view import News
+from postpass.configuration.settings import Bounds, Settings
+from postpass.daemon.data_plane import DataPlane
+from postpass.feed.configuration_view import ConfigurationView
 from postpass.gateway.http_server import HeadLimits, front, serve_ready
 from postpass.gateway.relay import Events, Relay, table_of
 from postpass.runtime import log_events
-from postpass.runtime.environment import World, serve_http
+from postpass.runtime.environment import Environment, serve_http
 from sim.loop import Host, SimLoop, run_sim
 
 Head = dict[str, str]
@@ -84,8 +84,8 @@
     return base | more  # type: ignore[no-any-return]
 
 
-def manifest(names: list[str]) -> Manifest:
-    man: Manifest = {
+def manifest(names: list[str]) -> Configuration:
+    configuration: Configuration = {
         "name": "x", "areas": ["a"], "parts": 1, "copies": 1, "classes": {}, "ways": {}, "announced": True,
         "machines": {"e": {"area": "a", "peer": "127.0.0.1:1", "http": "127.0.0.1:2", "duties": ["edge"]}},
         "pools": {"p": {"kind": "plain", "servers": {
@@ -96,12 +96,25 @@
             "lot": route("lot", "/l/"),
         },
     }  # fmt: skip
-    return check(man).unwrap()
+    return check(configuration).unwrap()
 
 
 class Scene:
-    def __init__(self, loop: SimLoop, relay: Relay, news: News, workers: list[Worker], hosts: list[Host]) -> None:
-        self.loop, self.relay, self.news, self.workers, self.hosts = loop, relay, news, workers, hosts
+    def __init__(
+        self,
+        loop: SimLoop,
+        relay: Relay,
+        configuration_view: ConfigurationView,
+        workers: list[Worker],
+        hosts: list[Host],
+    ) -> None:
+        self.loop, self.relay, self.configuration_view, self.workers, self.hosts = (
+            loop,
+            relay,
+            configuration_view,
+            workers,
+            hosts,
+        )
 
     @property
     def ran(self) -> list[int]:
@@ -110,9 +123,9 @@
     def change(self, edit: Callable[[Any], Any]) -> None:
         import copy
 
-        man = copy.deepcopy(self.news.manifest)
-        edit(man)
-        assert self.news.take(self.news.edition + 1, man)
+        configuration = copy.deepcopy(self.configuration_view.manifest)
+        edit(configuration)
+        assert self.configuration_view.take(self.configuration_view.edition + 1, configuration)
 
     async def ask(
         self, path: str, body: bytes = b"", method: str = "POST", host: str = "shop.example:80", **more: str
@@ -158,10 +171,10 @@
             there = loop.add(Host(worker.name, (f"127.0.1.{i + 1}",), "a"))
             hosts.append(there)
             await loop.create_task(asyncio.start_server(worker.take, f"127.0.1.{i + 1}", 9), context=there.context())  # type: ignore[arg-type]
-        conf = Config("e", "a", "127.0.0.1:1", "127.0.0.1:2", ("127.0.0.1:1",), ("edge",), announce=True)
-        news = News("e")
-        assert news.take(1, manifest(list(plays)))
-        relay = Relay(conf, World(), news, Dialect(), CollectorRegistry())
+        settings = Settings("e", "a", "127.0.0.1:1", "127.0.0.1:2", ("127.0.0.1:1",), ("edge",), announce=True)
+        configuration_view = ConfigurationView("e")
+        assert configuration_view.take(1, manifest(list(plays)))
+        relay = Relay(settings, Environment(), configuration_view, Dialect(), CollectorRegistry())
         bound = limits or HeadLimits(16384, 5.0, 15.0)
         stop = asyncio.Event()
         server = loop.create_task(
@@ -169,7 +182,8 @@
         )
         await asyncio.sleep(0.01)
         try:
-            got: Any = await loop.create_task(main(Scene(loop, relay, news, workers, hosts)), context=client.context())  # type: ignore[arg-type]
+            scene = Scene(loop, relay, configuration_view, workers, hosts)
+            got: Any = await loop.create_task(main(scene), context=client.context())  # type: ignore[arg-type]
             assert loop.errors == []
             assert all(s.mine == 0 for s in relay.sights.values())
             return got
@@ -732,15 +746,15 @@
 def test_the_data_plane_of_an_announced_fleet_relays() -> None:
     async def world(loop: SimLoop) -> None:
         here = loop.add(Host("e", ("127.0.0.1",), "a"))
-        conf = Config(
+        settings = Settings(
             "e", "a", "127.0.0.1:1", "127.0.0.1:2", ("127.0.0.8:1",), ("edge",), announce=True, ready="127.0.0.1:3",
             bounds=Bounds(grace=8.0),
         )  # fmt: skip
         worker = Worker("w1", well)
         there = loop.add(Host("w1", ("127.0.1.1",), "a"))
         await loop.create_task(asyncio.start_server(worker.take, "127.0.1.1", 9), context=there.context())  # type: ignore[arg-type]
-        data = Data(conf, World())
-        data.news.take(1, manifest(["w1"]))
+        data = DataPlane(settings, Environment())
+        data.configuration_view.take(1, manifest(["w1"]))
         task = loop.create_task(data.run(), context=here.context())
 
         async def ask(path: str, port: int = 2) -> tuple[int, Head, bytes, bool]:
@@ -753,12 +767,12 @@
         async def main() -> None:
             await asyncio.sleep(0.1)
             assert (await ask("/i/x"))[0] == 503 and (await ask("/x/ready", 3))[0] == 503
-            data.news.fresh = True
+            data.configuration_view.fresh = True
             # Control doesn't know this process yet, so the others don't count it.
             assert (await ask("/i/x"))[0] == 503 and (await ask("/x/ready", 3))[0] == 503
             known = manifest(["w1"])
             known["machines"]["e"]["born"] = data.inc
-            data.news.take(2, known)
+            data.configuration_view.take(2, known)
             assert (await ask("/i/x"))[0] == 200 and (await ask("/x/ready", 3))[0] == 200
             assert (await ask("/health"))[0] == 200 and (await ask("/none"))[0] == 404
             data.stop.set()
--- a/tests/gateway/test_worker_load.py
+++ b/tests/gateway/test_worker_load.py
@@ -6,9 +6,9 @@
 
 import aiohttp
 
-from postpass.feed.configuration_view import News
-from postpass.gateway.worker_load import Floor, Spot, share_of
-from postpass.runtime.environment import World, now
+from postpass.feed.configuration_view import ConfigurationView
+from postpass.gateway.worker_load import Spot, WorkerLoad, share_of
+from postpass.runtime.environment import Environment, now
 from postpass.worker_api.openai import Report
 
 
@@ -23,13 +23,13 @@
 
     async def run() -> None:
         clock = [1000.0]
-        news = News("e1")
-        man = small()
-        man["ramp"] = 10.0
-        man["pools"]["gpu"]["servers"]["w1"]["slots"] = 8
-        news.take(1, man)
+        configuration_view = ConfigurationView("e1")
+        configuration = small()
+        configuration["ramp"] = 10.0
+        configuration["pools"]["gpu"]["servers"]["w1"]["slots"] = 8
+        configuration_view.take(1, configuration)
         async with aiohttp.ClientSession() as session:
-            floor = Floor("e1", World(wall=lambda: clock[0]), news, session)
+            floor = WorkerLoad("e1", Environment(wall=lambda: clock[0]), configuration_view, session)
             assert floor.barred("gpu", "w1", 2.0) == "not polled yet"
             floor.spots[("gpu", "w1")] = Spot(Report(0, 0, 0.0, 1000.0, "m", "1"), now(), "")
             assert floor.barred("gpu", "w1", 2.0) == "" and floor.cap("gpu", "w1") == 1
@@ -38,17 +38,17 @@
             assert sum(floor.quota("gpu", "w1", r, 8) for r in range(8)) == 4
             clock[0] = 1010.0
             assert sum(floor.quota("gpu", "w1", r, 8) for r in range(8)) == 12
-            news.take(
+            configuration_view.take(
                 2,
-                man
+                configuration
                 | {
                     "evacuated": ["a"],
-                    "pools": man["pools"]
+                    "pools": configuration["pools"]
                     | {
                         "gpu": {
                             "kind": "model",
                             "servers": {
-                                "w1": man["pools"]["gpu"]["servers"]["w1"],
+                                "w1": configuration["pools"]["gpu"]["servers"]["w1"],
                                 "w2": {"url": "http://127.2.1.1:9000", "area": "b", "slots": 4},
                             },
                         },
--- a/tests/membership/test_registry.py
+++ b/tests/membership/test_registry.py
@@ -17,7 +17,7 @@
     four = fleet("s1", "s2", "s3", "s4", copies=3)
     assert settled(four, Tolerance(1, 1), False, ["s1", "s2", "s3", "s4"]) is four  # not while they still come
     assert settled(four, Tolerance(1, 1), True, ["s2", "s3", "s4"]) is four  # one is gone, and may be dropped for that
-    assert settled(four, Tolerance(1, 1), True, ["s1", "s2", "s3", "s4"]).man["copies"] == 4
+    assert settled(four, Tolerance(1, 1), True, ["s1", "s2", "s3", "s4"]).configuration["copies"] == 4
     more = fleet("s1", "s2", "s3", "s4", copies=4)
     assert settled(more, Tolerance(1, 1), True, ["s2", "s3"]) is more  # a silence lowers nothing
-    assert settled(fleet("s1", "s2", "s3", copies=4), Tolerance(1, 1), True, []).man["copies"] == 3
+    assert settled(fleet("s1", "s2", "s3", copies=4), Tolerance(1, 1), True, []).configuration["copies"] == 3
--- a/tests/membership/test_retirement.py
+++ b/tests/membership/test_retirement.py
@@ -31,7 +31,7 @@
     four = fleet(4, s1="a", s2="b", s3="c", s4="d")
     assert retire_flaw(four, "s4", Tolerance(1, 1)) is None
     three = retiring(four, "s4", Tolerance(1, 1))
-    assert three.man["copies"] == 3 and set(members(three.man, 0)) == {"s1", "s2", "s3"}
+    assert three.configuration["copies"] == 3 and set(members(three.configuration, 0)) == {"s1", "s2", "s3"}
     # One more would leave two: no majority after a loss. Asked again for the one under way, it is still well.
     assert (retire_flaw(three, "s3", Tolerance(1, 1)) or (0, ""))[0] == 409 and retire_flaw(
         three, "s4", Tolerance(1, 1)
@@ -40,7 +40,10 @@
 
 def test_with_a_spare_store_the_copies_stay() -> None:
     five = fleet(4, s1="a", s2="b", s3="c", s4="d", s5="a")
-    assert retire_flaw(five, "s5", Tolerance(1, 1)) is None and retiring(five, "s5", Tolerance(1, 1)).man["copies"] == 4
+    assert (
+        retire_flaw(five, "s5", Tolerance(1, 1)) is None
+        and retiring(five, "s5", Tolerance(1, 1)).configuration["copies"] == 4
+    )
 
 
 def test_two_of_three_copies_in_one_area_would_be_too_few() -> None:
@@ -63,15 +66,15 @@
     assert "s5" in four.retired and retire_flaw(four, "s5", Tolerance(1, 1)) is None
     assert joined(four, entry("s5", "s5", 2)) is four
     five = joined(four, entry("s5", "new", 2))
-    assert "s5" in five.man["machines"] and "s5" not in five.retired
+    assert "s5" in five.configuration["machines"] and "s5" not in five.retired
     # It holds copies again: to retire it is an order of its own, and not done at once.
     again = retiring(five, "s5", Tolerance(1, 1))
-    assert again.man["machines"]["s5"].get("retire") and "s5" not in again.retired
+    assert again.configuration["machines"]["s5"].get("retire") and "s5" not in again.retired
 
 
 def test_fewer_copies_where_a_retirement_would_leave_two_in_one_area() -> None:
     """Four copies with two in one area don't bear the loss of that area, three copies do."""
     five = fleet(4, s1="a", s2="b", s3="c", s4="d", s5="a")
     without = retiring(five, "s4", Tolerance(1, 1))
-    assert retire_flaw(five, "s4", Tolerance(1, 1)) is None and without.man["copies"] == 3
-    assert all({"s2", "s3"} < set(members(without.man, part)) for part in range(8))
+    assert retire_flaw(five, "s4", Tolerance(1, 1)) is None and without.configuration["copies"] == 3
+    assert all({"s2", "s3"} < set(members(without.configuration, part)) for part in range(8))
--- a/tests/model/test_partition.py
+++ b/tests/model/test_partition.py
@@ -11,9 +11,9 @@
 from model.partition.steps import PartitionModel
 from model.partition.symmetry import canonical, renamed
 from model.search import Limits, search
-from postpass.batch.job import LotView
+from postpass.batch.job import JobView
 from postpass.membership.safe_change import Change, Situation
-from postpass.replication.partition import Part
+from postpass.replication.partition import Partition
 
 SMALL = Size(members=3, epochs=2, lots=1, wipes=0)
 
@@ -29,25 +29,25 @@
     checked: frozenset[Invariant] = EVERY
 
 
-def half_may_lead(part: Part, view: LotView, voters: Disks) -> bool:
+def half_may_lead(part: Partition, view: JobView, voters: Disks) -> bool:
     return bool(view.crew) and 2 * sum(view.crew.get(n) == d for n, d in voters.items()) >= len(view.crew)
 
 
-def leads_under_the_new_members_alone(part: Part, view: LotView, voters: Disks) -> bool:
-    part.covered = part.tape.last
+def leads_under_the_new_members_alone(part: Partition, view: JobView, voters: Disks) -> bool:
+    part.covered = part.record_log.last
     return part.may_lead(view, voters)
 
 
-def covers_at_once(part: Part) -> bool:
-    part.covered = part.tape.last
+def covers_at_once(part: Partition) -> bool:
+    part.covered = part.record_log.last
     return True
 
 
-def settles_what_is_not_covered(part: Part) -> int:
+def settles_what_is_not_covered(part: Partition) -> int:
     return part.view.unsettled()
 
 
-def settles_nothing(part: Part) -> int:
+def settles_nothing(part: Partition) -> int:
     return 0
 
 
@@ -66,7 +66,7 @@
     return True
 
 
-def complete_without_the_mark(part: Part, situation: Situation) -> bool:
+def complete_without_the_mark(part: Partition, situation: Situation) -> bool:
     """The rule up to release 0.2.0: all members have synced the change of members, but not the mark that settles it."""
     change, current = part.view.crew_seq, part.view.crew
     synced = all(part.recorder.get(n, d, "persisted") >= change for n, d in current.items() if n != part.me)
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -36,12 +36,18 @@
 
 
 def test_an_edge_takes_its_place_from_the_file() -> None:
-    conf = adapter("settings").config_of("edge", settings_file() | {"later": {"added": 1}}).unwrap()
-    assert (conf.name, conf.area, conf.areas, conf.duties) == ("edge-a-1", "a", ("a", "b"), ("edge",))
-    assert (conf.peer, conf.http, conf.ready) == ("10.1.0.35:7660", "10.1.0.35:8144", "10.1.0.35:8140")
-    assert conf.seeds == ("10.1.0.38:7660", "10.2.0.31:7660")
-    assert (conf.disks_lost, conf.areas_lost, conf.bootstrap, conf.announce, conf.beat) == (2, 1, True, True, 1.2)
-    assert (conf.bounds.leave, conf.bounds.recover, conf.bounds.sync) == (2.5, 15, 4.7)
+    settings = adapter("settings").config_of("edge", settings_file() | {"later": {"added": 1}}).unwrap()
+    assert (settings.name, settings.area, settings.areas, settings.duties) == ("edge-a-1", "a", ("a", "b"), ("edge",))
+    assert (settings.peer, settings.http, settings.ready) == ("10.1.0.35:7660", "10.1.0.35:8144", "10.1.0.35:8140")
+    assert settings.seeds == ("10.1.0.38:7660", "10.2.0.31:7660")
+    assert (settings.disks_lost, settings.areas_lost, settings.bootstrap, settings.announce, settings.beat) == (
+        2,
+        1,
+        True,
+        True,
+        1.2,
+    )
+    assert (settings.bounds.leave, settings.bounds.recover, settings.bounds.sync) == (2.5, 15, 4.7)
 
 
 def test_a_store_keeps_files_and_a_core_answers_operators() -> None:
--- a/tests/replication/test_partition.py
+++ b/tests/replication/test_partition.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from postpass.batch.job import LotView
-from postpass.replication.partition import Follow, Part, head
-from postpass.replication.record_log import Tape
+from postpass.batch.job import JobView
+from postpass.replication.partition import Follow, Partition, head
+from postpass.replication.record_log import RecordLog
 
 
-def _owner(persisted: bool = True) -> Part:
-    part = Part(0, "s1", "d1")
+def _owner(persisted: bool = True) -> Partition:
+    part = Partition(0, "s1", "d1")
     part.areas = {f"s{i}": c for i, c in zip(range(1, 5), "abcd", strict=True)}
     part.lead(1)
     part.make("crew", {"crew": {f"s{i}": f"d{i}" for i in range(1, 5)}})
@@ -93,10 +93,10 @@
     assert set(part.crew) == {"s1", "s2", "s3"}
 
 
-def _restarted(part: Part) -> tuple[Part, LotView]:
+def _restarted(part: Partition) -> tuple[Partition, JobView]:
     """The same log after a loss of power: what was heard of `covered` is forgotten."""
-    fresh = Part(0, "s1", "d1", Tape(base=LotView(), recs=list(part.tape.recs)), areas=part.areas)
-    return fresh, head(fresh.tape)
+    fresh = Partition(0, "s1", "d1", RecordLog(base=JobView(), recs=list(part.record_log.recs)), areas=part.areas)
+    return fresh, head(fresh.record_log)
 
 
 def test_a_log_that_settles_a_change_needs_no_word_of_who_was_there_before() -> None:
@@ -139,9 +139,9 @@
     assert part.advance() and part.proven()
     part.make("mark", {})
     assert part.proven()  # what comes after is nothing to wait for
-    part.tape.rebase(mark)
-    part.tape.base = LotView.load(part.base_dump())
-    part.view = head(part.tape)
+    part.record_log.rebase(mark)
+    part.record_log.base = JobView.load(part.base_dump())
+    part.view = head(part.record_log)
     assert part.proven()  # a base holds only what is covered
 
 
@@ -158,10 +158,10 @@
     assert [c["s2"] for c, _ in fresh.rules(view)] == ["new", "d2"] and {t for _, t in fresh.rules(view)} == {
         "MIN($ALLWNODES)"
     }
-    assert LotView.load(view.dump()).unsettled() == 5
+    assert JobView.load(view.dump()).unsettled() == 5
     part.make("mark", {"settled": 5})
     fresh, view = _restarted(part)
-    assert fresh.rules(view) == [(view.crew, "MIN($ALLWNODES)")] and LotView.load(view.dump()).unsettled() == 0
+    assert fresh.rules(view) == [(view.crew, "MIN($ALLWNODES)")] and JobView.load(view.dump()).unsettled() == 0
 
 
 def test_buffers_are_freed_once_delivered_everywhere_and_past_the_budget_for_all() -> None:
@@ -170,7 +170,7 @@
         part.make("mark", {})
     part.persisted = part.covered = 102
     part.follows = {"s2": Follow(next=103), "s3": Follow(next=70)}
-    assert part.trim(1 << 20) and part.tape.base_seq == 69
+    assert part.trim(1 << 20) and part.record_log.base_seq == 69
     part.follows["s3"].silent = True
     assert not part.trim(1 << 20)  # too little to be worth it
-    assert part.trim(10) and part.tape.base_seq == 102 and not part.tape.recs
+    assert part.trim(10) and part.record_log.base_seq == 102 and not part.record_log.recs
--- a/tests/replication/test_record_log.py
+++ b/tests/replication/test_record_log.py
@@ -2,18 +2,18 @@
 
 from __future__ import annotations
 
-from postpass.replication.record_log import Record, Tape, match
+from postpass.replication.record_log import Record, RecordLog, match
 
 
-def _tape(*epochs: int) -> Tape:
-    tape = Tape()
+def _tape(*epochs: int) -> RecordLog:
+    record_log = RecordLog()
     for i, epoch in enumerate(epochs):
-        tape.append(Record(i + 1, epoch, "t", b"x"))
-    return tape
+        record_log.append(Record(i + 1, epoch, "t", b"x"))
+    return record_log
 
 
 def test_match_finds_where_two_logs_part() -> None:
-    def meet(one: Tape, two: Tape) -> int:
+    def meet(one: RecordLog, two: RecordLog) -> int:
         there = match(one.marks(), one.last, two.marks(), two.last)
         assert there == match(two.marks(), two.last, one.marks(), one.last)
         return there
@@ -31,13 +31,13 @@
 
 
 def test_cut_and_rebase_keep_the_numbers() -> None:
-    tape = _tape(1, 1, 2)
-    tape.cut(2)
-    assert (tape.last, tape.last_epoch, tape.size) == (2, 1, 2)
-    tape.append(Record(3, 5, "t", b"yy"))
-    assert tape.marks() == [(0, 0), (1, 1), (5, 3)]
+    record_log = _tape(1, 1, 2)
+    record_log.cut(2)
+    assert (record_log.last, record_log.last_epoch, record_log.size) == (2, 1, 2)
+    record_log.append(Record(3, 5, "t", b"yy"))
+    assert record_log.marks() == [(0, 0), (1, 1), (5, 3)]
     try:
-        tape.append(Record(9, 5, "t", b""))
+        record_log.append(Record(9, 5, "t", b""))
     except AssertionError:
         pass
     else:
--- a/tests/replication/test_takeover.py
+++ b/tests/replication/test_takeover.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from postpass.daemon.data_plane import Data
+from postpass.daemon.data_plane import DataPlane
 from postpass.replication.store import Store
 from sim.loop import SimLoop, run_sim
 from tests.support.announced import Fleet
@@ -10,7 +10,7 @@
 
 def stores(fleet: Fleet) -> list[Store]:
     daemons = [n.daemon for n in fleet.nodes.values()]
-    return [d.store for d in daemons if isinstance(d, Data) and d.store is not None]
+    return [d.store for d in daemons if isinstance(d, DataPlane) and d.store is not None]
 
 
 def owned(fleet: Fleet) -> bool:
@@ -33,7 +33,9 @@
                 fleet.kill(name)
             for name in fleet.nodes:
                 fleet.boot(name)
-            known = await fleet.until(lambda: [s.news.manifest is not None for s in stores(fleet)] == [True] * 4, 10.0)
+            known = await fleet.until(
+                lambda: [s.configuration_view.manifest is not None for s in stores(fleet)] == [True] * 4, 10.0
+            )
             took = await fleet.until(lambda: owned(fleet), 10.0)
             return known, took, takeovers(fleet)
 
@@ -54,7 +56,7 @@
             fleet.boot("s1")
             back = fleet.nodes["s1"].daemon
             await fleet.until(lambda: False, 4.0)
-            assert isinstance(back, Data) or back is None
+            assert isinstance(back, DataPlane) or back is None
             mine = stores(fleet)[0]
             return mine.counts["takeovers"], sum(p.ready for p in mine.parts.values())
 
--- a/tests/rpc/test_peer_links.py
+++ b/tests/rpc/test_peer_links.py
@@ -9,7 +9,7 @@
 from result import Err, Ok, Result
 from thriftpy2.thrift import TMessageType
 
-from postpass.rpc.peer_links import IDL, SPEAKS, Body, Lines, Link, Port, _message
+from postpass.rpc.peer_links import IDL, SPEAKS, Body, Link, PeerLinks, PeerServer, _message
 from postpass.runtime.errors import SLOW, Fault
 
 
@@ -24,7 +24,7 @@
             async def carry(packet: Any) -> None:
                 heard.append(packet.seq)
 
-            await Port("two", {"carry": carry}).listen("2:7")
+            await PeerServer("two", {"carry": carry}).listen("2:7")
 
         async def call() -> list[Any]:
             good = (await Link.open("2:7", 1, (SPEAKS[1], SPEAKS[1] + 5))).unwrap()
@@ -64,10 +64,10 @@
                 await asyncio.sleep(0.1 if packet.seq == 1 else 0)
                 cast.append(packet.seq)
 
-            await Port("two", {"show": show, "carry": carry}).listen("2:7")
+            await PeerServer("two", {"show": show, "carry": carry}).listen("2:7")
 
         async def call() -> list[Any]:
-            lines = Lines()
+            lines = PeerLinks()
             slow, fast = asyncio.create_task(lines.call("2:7", "show", {"t": 2}, 9)), None
             fast = await lines.call("2:7", "show", {"t": 1}, 9)
             link = lines.links["2:7"]
--- a/tests/sim/test_ailing.py
+++ b/tests/sim/test_ailing.py
@@ -43,15 +43,15 @@
     monkeypatch.setattr(main, "CONNECTOR", lambda: SimConnector(limit=0))
 
     async def check(world: SimFleet, say: Say) -> None:
-        man: dict[str, Any] = changed(world.man, "evacuated", ["b"])
+        configuration: dict[str, Any] = changed(world.configuration, "evacuated", ["b"])
         m = {"area": "b", "peer": "127.2.7.7:7000", "http": "127.2.7.7:8000", "duties": ["store"]}
-        man = changed(changed(man, "machines.s5", m), "machines.s2.retire", True)
-        await world.apply(man, 1)
+        configuration = changed(changed(configuration, "machines.s5", m), "machines.s2.retire", True)
+        await world.apply(configuration, 1)
         await asyncio.sleep(2)
         _, todo = await look(world)
         # The one that should take the copies isn't running yet: nothing leaves s2, and it says so.
         assert todo[0] == "retire s2: pending, still a member of partitions [0, 1, 2, 3]"
-        world.man = man
+        world.configuration = configuration
         world.add_box("s5", m)
         world.start("s5")
         await asyncio.sleep(8)
--- a/tests/sim/test_broken_variants.py
+++ b/tests/sim/test_broken_variants.py
@@ -13,12 +13,12 @@
 
 from postpass.batch import item_request, scheduler
 from postpass.batch.item_request import Text
-from postpass.batch.job import LotView
-from postpass.batch.job_api import LotDesk
-from postpass.batch.job_service import Routed
+from postpass.batch.job import JobView
+from postpass.batch.job_api import JobApi
+from postpass.batch.job_service import JobService
 from postpass.batch.quota import Budget
-from postpass.control import Control
-from postpass.daemon.data_plane import Data
+from postpass.control import ControlPlane
+from postpass.daemon.data_plane import DataPlane
 from postpass.daemon.process import Daemon
 from postpass.gateway import attempts, load_balancing, relay
 from postpass.gateway.relay import Relay
@@ -26,7 +26,7 @@
 from postpass.membership import registry
 from postpass.runtime.environment import now
 from postpass.runtime.errors import LACK, SLOW, Fault
-from postpass.storage.segmented_log import SegLog
+from postpass.storage.segmented_log import SegmentedLog
 from sim.announced import module
 from sim.rules import CHECKS
 from sim.runner import Report, judge, parse, play_day
@@ -96,7 +96,7 @@
     plain = Relay.relay
 
     async def own(self: Relay, name: str, route: Any, scope: Any, receive: Any, send: Any) -> None:
-        if self.world.chance.random() < 0.1:
+        if self.environment.chance.random() < 0.1:
             await self.answer(send, 403)
         else:
             await plain(self, name, route, scope, receive, send)
@@ -116,62 +116,62 @@
 
 
 def leaves_at_once(mp: pytest.MonkeyPatch) -> None:
-    mp.setattr(Data, "drain", property(lambda self: 0.0))
+    mp.setattr(DataPlane, "drain", property(lambda self: 0.0))
     mp.setattr("postpass.daemon.data_plane.LEAVE_NOTICED", 0.0)
     plain = Daemon.depart
 
     async def depart(self: Daemon) -> None:
-        if self.conf.name.startswith("edge"):
+        if self.settings.name.startswith("edge"):
             self.closed.set()
         else:
             await plain(self)
 
-    mp.setattr(Data, "depart", depart)
+    mp.setattr(DataPlane, "depart", depart)
 
 
 def syncs_nothing(mp: pytest.MonkeyPatch) -> None:
     """Calls synced what was only written."""
 
-    async def sync(self: SegLog) -> None:
+    async def sync(self: SegmentedLog) -> None:
         async with self.busy:
             self.synced = max(self.synced, self.ends)
         self.moved.set()
         self.moved = asyncio.Event()
 
-    mp.setattr(SegLog, "sync", sync)
+    mp.setattr(SegmentedLog, "sync", sync)
 
 
 def forgets_lots(mp: pytest.MonkeyPatch) -> None:
-    plain = Routed.results
+    plain = JobService.results
 
-    async def results(self: Routed, body: Any) -> Any:
+    async def results(self: JobService, body: Any) -> Any:
         got = await plain(self, body)
         late = isinstance(got, Ok) and got.unwrap()["next"] >= got.unwrap()["total"]
-        return Err(Fault("results", self.store.conf.name, "no such lot", LACK)) if late else got
+        return Err(Fault("results", self.store.settings.name, "no such lot", LACK)) if late else got
 
-    mp.setattr(Routed, "results", results)
+    mp.setattr(JobService, "results", results)
 
 
 def forgets_evacuations(mp: pytest.MonkeyPatch) -> None:
     """Evacuations are not among what is read from disk."""
-    plain = Control.open
+    plain = ControlPlane.open
 
-    async def opened(self: Control) -> None:
+    async def opened(self: ControlPlane) -> None:
         await plain(self)
         if self.held.state.manifest is not None:
             self.held = replace(self.held, state=registry.edit(self.held.state, evacuated=[]))
 
-    mp.setattr(Control, "open", opened)
-    mp.setattr(Relay, "barred", lambda self, man, server: bool(server.get("leave")))
+    mp.setattr(ControlPlane, "open", opened)
+    mp.setattr(Relay, "barred", lambda self, configuration, server: bool(server.get("leave")))
 
 
 # --- configuration
 def keeps_the_first_routes(mp: pytest.MonkeyPatch) -> None:
     plain = Relay.learn
 
-    def learn(self: Relay, man: Any) -> None:
+    def learn(self: Relay, configuration: Any) -> None:
         table = self.table
-        plain(self, man)
+        plain(self, configuration)
         self.table = table if table.hosts else self.table
 
     mp.setattr(Relay, "learn", learn)
@@ -179,17 +179,17 @@
 
 
 def both_win(mp: pytest.MonkeyPatch) -> None:
-    plain = Control.configuration
+    plain = ControlPlane.configuration
 
-    def configuration(self: Control, sent: Any, base: int, is_patch: bool) -> Any:
+    def configuration(self: ControlPlane, sent: Any, base: int, is_patch: bool) -> Any:
         def fold(s: Any) -> Any:
-            current = s.man.get("version", 0)
+            current = s.configuration.get("version", 0)
             later = sent | {"version": max(sent["version"], current + 1)} if current > base else sent
             return plain(self, later, current, is_patch)(s)
 
         return fold
 
-    mp.setattr(Control, "configuration", configuration)
+    mp.setattr(ControlPlane, "configuration", configuration)
 
 
 def takes_invalid(mp: pytest.MonkeyPatch) -> None:
@@ -199,23 +199,23 @@
 
 def reads_old(mp: pytest.MonkeyPatch) -> None:
     first: list[Any] = []
-    plain = Control.read_source
+    plain = ControlPlane.read_source
 
-    async def read(self: Control) -> Any:
+    async def read(self: ControlPlane) -> Any:
         got = await plain(self)
         first.append(got)
         return first[0]
 
-    mp.setattr(Control, "read_source", read)
-    plain_order = Control.on_order
+    mp.setattr(ControlPlane, "read_source", read)
+    plain_order = ControlPlane.on_order
 
-    async def on_order(self: Control, body: Any) -> Any:
+    async def on_order(self: ControlPlane, body: Any) -> Any:
         got = await plain_order(self, body)
         if not first and isinstance(got, Ok):
             await self.read_source()
         return got
 
-    mp.setattr(Control, "on_order", on_order)
+    mp.setattr(ControlPlane, "on_order", on_order)
 
 
 def late_routes_wait(mp: pytest.MonkeyPatch) -> None:
@@ -231,23 +231,23 @@
 
 
 def answers_no_order(mp: pytest.MonkeyPatch) -> None:
-    plain = Control.on_order
+    plain = ControlPlane.on_order
 
-    async def on_order(self: Control, body: Any) -> Any:
+    async def on_order(self: ControlPlane, body: Any) -> Any:
         got = await plain(self, body)
-        return Err(Fault("order", self.conf.name, "busy", SLOW)) if now() > LEAD else got
+        return Err(Fault("order", self.settings.name, "busy", SLOW)) if now() > LEAD else got
 
-    mp.setattr(Control, "on_order", on_order)
+    mp.setattr(ControlPlane, "on_order", on_order)
 
 
 def answers_no_leaving(mp: pytest.MonkeyPatch) -> None:
-    plain = Control.beat_worker
+    plain = ControlPlane.beat_worker
 
-    async def beat(self: Control, who: str, standing: Any, seqno: int) -> Any:
+    async def beat(self: ControlPlane, who: str, standing: Any, seqno: int) -> Any:
         got = await plain(self, who, standing, seqno)
-        return Err(Fault("beat", self.conf.name, "busy", SLOW)) if standing["leave"] else got
+        return Err(Fault("beat", self.settings.name, "busy", SLOW)) if standing["leave"] else got
 
-    mp.setattr(Control, "beat_worker", beat)
+    mp.setattr(ControlPlane, "beat_worker", beat)
 
 
 # --- streams
@@ -297,15 +297,15 @@
 
 
 def results_move(mp: pytest.MonkeyPatch) -> None:
-    plain = Routed.results
+    plain = JobService.results
 
-    async def results(self: Routed, body: Any) -> Any:
+    async def results(self: JobService, body: Any) -> Any:
         got = await plain(self, body)
-        if isinstance(got, Ok) and self.store.world.chance.random() < 0.5 and len(got.unwrap()["results"]) > 1:
+        if isinstance(got, Ok) and self.store.environment.chance.random() < 0.5 and len(got.unwrap()["results"]) > 1:
             got.unwrap()["results"].reverse()
         return got
 
-    mp.setattr(Routed, "results", results)
+    mp.setattr(JobService, "results", results)
 
 
 def no_quota(mp: pytest.MonkeyPatch) -> None:
@@ -313,17 +313,17 @@
 
 
 def ending_is_forgotten(mp: pytest.MonkeyPatch) -> None:
-    mp.setattr(LotView, "_end", lambda self, seq, body: None)
+    mp.setattr(JobView, "_end", lambda self, seq, body: None)
 
 
 def refuses_what_it_took(mp: pytest.MonkeyPatch) -> None:
-    plain = LotDesk.accept
+    plain = JobApi.accept
 
-    async def accept(self: LotDesk, *args: Any) -> Any:
+    async def accept(self: JobApi, *args: Any) -> Any:
         status, body = await plain(self, *args)
         return (503 if status == 202 else status), body
 
-    mp.setattr(LotDesk, "accept", accept)
+    mp.setattr(JobApi, "accept", accept)
 
 
 # --- after a loss, and faults
@@ -345,7 +345,7 @@
 
     async def gossip(self: Daemon) -> None:
         task = asyncio.create_task(plain(self))
-        await asyncio.sleep(LEAD + 2 if self.conf.name == "store-zone-b-1" else 1e9)
+        await asyncio.sleep(LEAD + 2 if self.settings.name == "store-zone-b-1" else 1e9)
         task.cancel()
         raise RuntimeError("a defect")
 
--- a/tests/sim/test_interface.py
+++ b/tests/sim/test_interface.py
@@ -10,7 +10,7 @@
 
 from bench.plan import changed
 from bench.words import plain, words
-from postpass.gateway.live_requests import Edge
+from postpass.gateway.live_requests import Gateway
 from sim.fleet import SimFleet
 from sim.interface import BAD_CALLS, BAD_LOTS, LOT, Say, lasts, taken, with_fleet
 from sim.loop import Host
@@ -61,25 +61,27 @@
 
 def test_old_editions_and_bad_manifests_change_nothing() -> None:
     async def check(world: SimFleet, say: Say) -> None:
-        man = world.man
-        got = await say("PUT", "/v1/manifest", man, to="c2")
+        configuration = world.configuration
+        got = await say("PUT", "/v1/manifest", configuration, to="c2")
         assert got[0] == 428 and "If-Match" in got[1]["error"]["why"]
-        got = await say("PUT", "/v1/manifest", changed(man, "name", "other"), {"if-match": '"7"'}, to="c3")
+        got = await say("PUT", "/v1/manifest", changed(configuration, "name", "other"), {"if-match": '"7"'}, to="c3")
         assert got[0] == 412 and got[2]["etag"] == '"1"'
-        bad = changed(changed(man, "classes.ask.share", 2), "predicate", "MAX($ALLWNODES)")
+        bad = changed(changed(configuration, "classes.ask.share", 2), "predicate", "MAX($ALLWNODES)")
         got = await say("PUT", "/v1/manifest", bad, {"if-match": '"1"'}, to="c1")
         assert got[0] == 400 and [f.split(":")[0] for f in got[1]["flaws"]] == [
             "classes.ask.share",
             "classes",
             "predicate",
         ]
-        got = await say("PUT", "/v1/manifest", changed(man, "parts", 9), {"if-match": '"1"'}, to="c1")
+        got = await say("PUT", "/v1/manifest", changed(configuration, "parts", 9), {"if-match": '"1"'}, to="c1")
         assert got[0] == 400 and "parts: stays 4" in got[1]["error"]["why"]
-        got = await say("PUT", "/v1/manifest", changed(man, "machines.s1.retire", True), {"if-match": '"1"'}, to="c1")
+        got = await say(
+            "PUT", "/v1/manifest", changed(configuration, "machines.s1.retire", True), {"if-match": '"1"'}, to="c1"
+        )
         assert got[0] == 400 and "4 copies can't be held by 3 stores" in got[1]["error"]["why"]
-        assert (await say("PUT", "/v1/manifest", man, {"if-match": '"7"'}, to="c1"))[1] == {"edition": 1}
+        assert (await say("PUT", "/v1/manifest", configuration, {"if-match": '"7"'}, to="c1"))[1] == {"edition": 1}
         got = await say("GET", "/v1/manifest", to="c4")
-        assert got[1] == man and got[2]["etag"] == '"1"'
+        assert got[1] == configuration and got[2]["etag"] == '"1"'
 
     with_fleet(check)
 
@@ -88,7 +90,7 @@
     async def check(world: SimFleet, say: Say) -> None:
         body = {"class": "ask", "own": "ask:1 long #n=400", "most": 400}
         async with world.session() as session:
-            url = f"http://{world.man['machines']['e1']['http']}/v1/calls"
+            url = f"http://{world.configuration['machines']['e1']['http']}/v1/calls"
             got = await session.post(url, json=body)
             assert got.status == 200
             await got.content.readline()
@@ -98,8 +100,8 @@
             await asyncio.sleep(0.2)
             assert not any(not r.gone for r in busy[0].runs)
         edge = world.boxes["e1"].daemon.edge  # type: ignore[union-attr]
-        assert isinstance(edge, Edge)
-        assert edge.open.total() == 0 and edge.floor.spots[("gpu", busy[0].name)].mine.total() == 0
+        assert isinstance(edge, Gateway)
+        assert edge.open.total() == 0 and edge.worker_load.spots[("gpu", busy[0].name)].mine.total() == 0
 
     with_fleet(check)
 
@@ -135,7 +137,7 @@
 def test_foreign_bytes_on_an_internal_port_harm_nobody() -> None:
     async def check(world: SimFleet, say: Say) -> None:
         for name in ("s1", "c1", "e1"):
-            host, port = world.man["machines"][name]["peer"].split(":")
+            host, port = world.configuration["machines"][name]["peer"].split(":")
             for data in (
                 b"\x00" * 64,
                 b"\xff\xff\xff\xff",
@@ -159,7 +161,7 @@
 
 def test_pipelined_and_slow_callers_get_their_own_answers() -> None:
     async def check(world: SimFleet, say: Say) -> None:
-        host, port = world.man["machines"]["e1"]["http"].split(":")
+        host, port = world.configuration["machines"]["e1"]["http"].split(":")
         # Three calls at once on one connection: answers come whole, in the order of the calls.
         asked = [f"ask:{i} pipelined #n={5 + i}" for i in range(3)]
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -243,11 +245,11 @@
         older = world.boxes["e2"].daemon
         assert older is not None
         older.fits = lambda raw: ["pools.gpu.offsets: unknown key"] if "offsets" in raw["pools"]["gpu"] else []  # type: ignore[method-assign]
-        new = changed(world.man, "pools.gpu.offsets", False)
+        new = changed(world.configuration, "pools.gpu.offsets", False)
         got = await say("PUT", "/v1/manifest", new, {"if-match": '"1"'}, to="c2")
         assert got[0] == 400
         assert got[1]["flaws"] == ["machines.e2: it does not know this manifest: pools.gpu.offsets: unknown key"]
-        plain_one = changed(world.man, "classes.ask.deadline", 14)
+        plain_one = changed(world.configuration, "classes.ask.deadline", 14)
         assert (await say("PUT", "/v1/manifest", plain_one, {"if-match": '"1"'}, to="c2"))[0] == 200
         older.fits = lambda raw: []  # type: ignore[method-assign]
         assert (await say("PUT", "/v1/manifest", new, {"if-match": '"2"'}, to="c3"))[0] == 200
--- a/tests/sim/test_plugged.py
+++ b/tests/sim/test_plugged.py
@@ -17,14 +17,16 @@
 
 def test_the_example_places_near_and_a_missing_plug_in_is_refused() -> None:
     async def check(world: SimFleet, say: Say) -> None:
-        man = changed(changed(world.man, "classes.ask.place", "near"), "classes.ask.prefix", "all-shared")
-        assert (await say("PUT", "/v1/manifest", man, {"if-match": '"1"'}, to="c1"))[0] == 200
+        configuration = changed(
+            changed(world.configuration, "classes.ask.place", "near"), "classes.ask.prefix", "all-shared"
+        )
+        assert (await say("PUT", "/v1/manifest", configuration, {"if-match": '"1"'}, to="c1"))[0] == 200
         await asyncio.sleep(1)
         for i in range(6):
             await say("POST", "/v1/calls", {"class": "ask", "own": f"ask:{i} x", "shared": ["p"]}, to="e2")
         assert {e["worker"] for e in world.events if e["ev"] == "took"} == {"w2"}, "e2 stands in area b, as w2 does"
         got = await say(
-            "PUT", "/v1/manifest", changed(man, "classes.ask.place", "nowhere"), {"if-match": '"2"'}, to="c1"
+            "PUT", "/v1/manifest", changed(configuration, "classes.ask.place", "nowhere"), {"if-match": '"2"'}, to="c1"
         )
         assert got[0] == 400 and "no plug-in 'nowhere' is installed" in got[1]["flaws"][0]
 
--- a/tests/storage/test_data_directory.py
+++ b/tests/storage/test_data_directory.py
@@ -7,7 +7,7 @@
 import random
 
 from postpass.runtime.errors import Stop
-from postpass.storage.data_directory import FORMAT, MARK, Vault, distrust, open_vault
+from postpass.storage.data_directory import FORMAT, MARK, DataDirectory, distrust, open_data_directory
 
 
 def test_a_damaged_folder_gets_a_new_identity_and_its_files_are_set_aside() -> None:
@@ -16,8 +16,8 @@
 
     disk, chance = SimDisk(random.Random(1)), random.Random(2)
 
-    def opened() -> Vault:
-        return asyncio.run(open_vault("s1", disk, chance, 1 << 20, 0))
+    def opened() -> DataDirectory:
+        return asyncio.run(open_data_directory("s1", disk, chance, 1 << 20, 0))
 
     first = opened()
     first.log.append([IDL.Entry(part=0, op="rec", seq=n, epoch=1, kind="t", body=b"x" * 50) for n in (1, 2, 3)])
@@ -36,12 +36,12 @@
     from sim.disk import SimDisk
 
     disk = SimDisk(random.Random(1))
-    asyncio.run(open_vault("s1", disk, random.Random(2), 1 << 20, 0))
+    asyncio.run(open_data_directory("s1", disk, random.Random(2), 1 << 20, 0))
     later = json.dumps(json.loads(disk.read(MARK)) | {"format": FORMAT + 1}).encode()
     asyncio.run(disk.write(MARK, later))
     before = dict(disk.kept)
     try:
-        asyncio.run(open_vault("s1", disk, random.Random(2), 1 << 20, 0))
+        asyncio.run(open_data_directory("s1", disk, random.Random(2), 1 << 20, 0))
     except Stop as bad:
         assert (bad.fault.step, bad.fault.peer) == (
             "open data folder",
--- a/tests/storage/test_segmented_log.py
+++ b/tests/storage/test_segmented_log.py
@@ -7,7 +7,7 @@
 
 from postpass.rpc.peer_links import IDL
 from postpass.runtime.errors import FULL, Stop
-from postpass.storage.segmented_log import SegLog
+from postpass.storage.segmented_log import SegmentedLog
 
 
 def _entry(seq: int, body: bytes = b"x") -> Any:
@@ -20,18 +20,18 @@
     from sim.disk import SimDisk
 
     disk = SimDisk(random.Random(3))
-    log = SegLog("s1", disk)
+    log = SegmentedLog("s1", disk)
     log.append([_entry(n, b"body%d" % n) for n in range(1, 6)])
     asyncio.run(log.sync())
     whole = len(disk.read("log-00000000"))
     log.append([_entry(6)])
     disk.files["log-00000000"] = disk.files["log-00000000"][: whole + 9]
-    again = SegLog("s1", disk)
+    again = SegmentedLog("s1", disk)
     assert [e.seq for e in again.load()] == [1, 2, 3, 4, 5]
     assert len(disk.read("log-00000000")) == whole
     disk.damage("log-00000000", whole // 2)
     try:
-        SegLog("s1", disk).load()
+        SegmentedLog("s1", disk).load()
     except Stop as bad:
         assert "log-00000000 is damaged at byte" in bad.fault.why
     else:
@@ -44,12 +44,12 @@
     from sim.disk import SimDisk
 
     disk = SimDisk(random.Random(1), cap=2100)
-    log = SegLog("s1", disk, held=1000)
+    log = SegmentedLog("s1", disk, held=1000)
     log.append([_entry(n, b"y" * 100) for n in range(1, 4)], vital=False)
     asyncio.run(log.compact(iter([_entry(3)])))
     log.append([_entry(4)])
     assert disk.names() == ["log-00000001", "snap-00000001"]
-    assert [e.seq for e in SegLog("s1", disk).load()] == [3, 4]
+    assert [e.seq for e in SegmentedLog("s1", disk).load()] == [3, 4]
     try:
         log.append([_entry(5, b"z" * 900)], vital=False)
     except Stop as bad:
--- a/tests/support/announced.py
+++ b/tests/support/announced.py
@@ -8,12 +8,12 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from postpass.configuration.settings import Config, parse, split
-from postpass.control import Control
-from postpass.daemon.data_plane import Data
+from postpass.configuration.settings import Settings, parse, split
+from postpass.control import ControlPlane
+from postpass.daemon.data_plane import DataPlane
 from postpass.daemon.process import Daemon
 from postpass.membership.registry import Translator
-from postpass.runtime.environment import World
+from postpass.runtime.environment import Environment
 from sim.disk import SimDisk
 from sim.fleet import EPOCH, SimConnector
 from sim.loop import Host, SimLoop
@@ -24,7 +24,7 @@
 
 @dataclass(eq=False)
 class Node:
-    conf: Config
+    settings: Settings
     disk: SimDisk | None
     host: Host
     daemon: Daemon | None = None
@@ -56,25 +56,25 @@
         if kind != "edge":
             raw["data"] = "disk"
         disk = disk or (SimDisk(random.Random(name)) if kind != "edge" else None)
-        conf = parse(raw, kind == "control").unwrap()
-        node = self.nodes[name] = Node(conf, disk, self.loop.add(Host(name, (split(conf.peer)[0],), area)))
+        settings = parse(raw, kind == "control").unwrap()
+        node = self.nodes[name] = Node(settings, disk, self.loop.add(Host(name, (split(settings.peer)[0],), area)))
         self.boot(name)
         return node
 
     def boot(self, name: str) -> None:
         node = self.nodes[name]
         if node.host.dead:
-            node.host = self.loop.add(Host(name, (split(node.conf.peer)[0],), node.conf.area))
-        world = World(
+            node.host = self.loop.add(Host(name, (split(node.settings.peer)[0],), node.settings.area))
+        world = Environment(
             node.disk, random.Random(f"{name}{self.loop.clock}"), lambda: EPOCH + self.loop.clock,
             connector=lambda: SimConnector(limit=0, keepalive_timeout=2.0),
         )  # fmt: skip
 
         async def run() -> None:
-            if node.conf.duties:
-                node.daemon = Data(node.conf, world)
+            if node.settings.duties:
+                node.daemon = DataPlane(node.settings, world)
             else:
-                node.daemon = Control(node.conf, world, translator=self.translator)
+                node.daemon = ControlPlane(node.settings, world, translator=self.translator)
             await node.daemon.run()
             self.loop.call_soon(self.kill, name, context=contextvars.Context())
 
@@ -94,10 +94,10 @@
         for i in range(1, self.edges + 1):
             self.add(f"e{i}", "edge", AREAS[(i - 1) % 4], f"10.2.{i}.1")
 
-    def controls(self) -> list[Control]:
-        return [n.daemon for n in self.nodes.values() if isinstance(n.daemon, Control)]
+    def controls(self) -> list[ControlPlane]:
+        return [n.daemon for n in self.nodes.values() if isinstance(n.daemon, ControlPlane)]
 
-    def primary(self) -> Control | None:
+    def primary(self) -> ControlPlane | None:
         return max((c for c in self.controls() if c.epoch), key=lambda c: c.epoch, default=None)
 
     def up(self) -> list[str]:
@@ -121,6 +121,8 @@
         """Does everyone that is up know everyone that is up, and nobody else?"""
         up = set(self.up())
         return all(
-            d is not None and d.news.manifest is not None and set(d.news.manifest["machines"]) == up
+            d is not None
+            and d.configuration_view.manifest is not None
+            and set(d.configuration_view.manifest["machines"]) == up
             for d in (self.nodes[n].daemon for n in up)
         )
--- a/tests/support/answers.py
+++ b/tests/support/answers.py
@@ -16,13 +16,13 @@
 
 from prometheus_client import CollectorRegistry
 
-from postpass.configuration.configuration import Manifest
+from postpass.configuration.configuration import Configuration
 from postpass.configuration.header_names import Dialect
-from postpass.configuration.settings import Config
-from postpass.feed.configuration_view import News
+from postpass.configuration.settings import Settings
+from postpass.feed.configuration_view import ConfigurationView
 from postpass.gateway.http_server import HeadLimits, front
 from postpass.gateway.relay import Relay
-from postpass.runtime.environment import World, serve_http
+from postpass.runtime.environment import Environment, serve_http
 from sim.http1 import Broken, Garbled, Head, Stream
 from sim.loop import Host, SimLoop, run_sim
 from tests.gateway.test_relay import manifest
@@ -450,7 +450,7 @@
         servers = []
         for number in sorted({c.edge for c in scene.connections}):
             servers.append(await start_edge(loop, f"127.0.0.{1 + number}", tuple(names), scene.seed))
-        caller = loop.add(Host("c", ("127.0.0.9",), "a"))
+        client = loop.add(Host("c", ("127.0.0.9",), "a"))
 
         async def reuse(at: float) -> None:
             await asyncio.sleep(at)
@@ -462,11 +462,11 @@
             await asyncio.sleep(number * scene.gap)
             return connection, await call(connection, f"127.0.0.{1 + connection.edge}")
 
-        async def callers() -> list[tuple[Connection, bytes]]:
+        async def clients() -> list[tuple[Connection, bytes]]:
             return await asyncio.gather(*(one(i, c) for i, c in enumerate(scene.connections)))
 
         changes = [loop.create_task(reuse(scene.reused_at))] if scene.reused_at is not None else []
-        got = await loop.create_task(callers(), context=caller.context())
+        got = await loop.create_task(clients(), context=client.context())
         await asyncio.sleep(SETTLE)
         for task in [*servers, *changes]:
             task.cancel()
@@ -476,16 +476,16 @@
 
 
 @functools.cache
-def configuration(workers: tuple[str, ...]) -> Manifest:
+def configuration(workers: tuple[str, ...]) -> Configuration:
     return manifest(list(workers))
 
 
 async def start_edge(loop: SimLoop, ip: str, workers: tuple[str, ...], seed: int) -> asyncio.Task[None]:
     here = loop.add(Host(f"e{ip[-1]}", (ip,), "a"))
-    conf = Config("e", "a", f"{ip}:1", f"{ip}:2", ("127.0.0.1:1",), ("edge",), announce=True)
-    news = News("e")
-    assert news.take(1, configuration(workers))
-    relay = Relay(conf, World(chance=random.Random(seed)), news, NAMES, CollectorRegistry())
+    settings = Settings("e", "a", f"{ip}:1", f"{ip}:2", ("127.0.0.1:1",), ("edge",), announce=True)
+    configuration_view = ConfigurationView("e")
+    assert configuration_view.take(1, configuration(workers))
+    relay = Relay(settings, Environment(chance=random.Random(seed)), configuration_view, NAMES, CollectorRegistry())
     bound = HeadLimits(16384, 5.0, 15.0)
     serving = serve_http(relay, ip, 2, asyncio.Event(), 5.0, front(lambda: bound, 3.0))
     task = loop.create_task(serving, context=here.context())
--- a/tests/support/item_answers.py
+++ b/tests/support/item_answers.py
@@ -18,12 +18,12 @@
 from result import Ok
 
 from postpass.batch.item_request import Text
-from postpass.batch.scheduler import Job, Sched
-from postpass.configuration.settings import Config
-from postpass.feed.configuration_view import News
+from postpass.batch.scheduler import ItemRun, Scheduler
+from postpass.configuration.settings import Settings
+from postpass.feed.configuration_view import ConfigurationView
 from postpass.gateway.upstream_connection import WorkerLinks
 from postpass.rpc.peer_links import Body
-from postpass.runtime.environment import World
+from postpass.runtime.environment import Environment
 from postpass.worker_api.openai import Prompt
 from sim.loop import Host, SimLoop, run_sim
 from tests.support.answers import NAMES, Play, Record, Run, StandInWorker, configuration, events
@@ -58,17 +58,19 @@
     return "\n".join(line.removeprefix("data: ") for line in lines if line.startswith("data: "))
 
 
-def jobs_of(scene: ItemScene) -> list[Job]:
+def jobs_of(scene: ItemScene) -> list[ItemRun]:
     out = []
     for number, size in enumerate(scene.lots):
         for position in range(size):
             call = {"id": item_id(f"lot{number}", position), "path": "/s/x", "headers": {}, "tokens": 9,
                     "body": base64.b64encode(b"body").decode()}  # fmt: skip
-            out.append(Job(0, f"lot{number}", position, "route:lot", 0.0, Prompt((), ""), "", call=call, text=Text()))
+            out.append(
+                ItemRun(0, f"lot{number}", position, "route:lot", 0.0, Prompt((), ""), "", call=call, text=Text())
+            )
     return out
 
 
-class SchedulerWithOwner(Sched):
+class SchedulerWithOwner(Scheduler):
     """The product's scheduler with an owner that takes whatever it is told."""
 
     told: Told
@@ -79,18 +81,20 @@
         return Ok({})
 
 
-def scheduler(told: Told, workers: Sequence[str], seed: int) -> Sched:
-    conf = Config("e", "a", "127.0.0.1:1", "127.0.0.1:2", ("127.0.0.1:1",), ("sched",), announce=True)
-    news = News("e")
-    assert news.take(1, configuration(tuple(workers)))
-    news.heard = 1e9
+def scheduler(told: Told, workers: Sequence[str], seed: int) -> Scheduler:
+    settings = Settings("e", "a", "127.0.0.1:1", "127.0.0.1:2", ("127.0.0.1:1",), ("item_scheduler",), announce=True)
+    configuration_view = ConfigurationView("e")
+    assert configuration_view.take(1, configuration(tuple(workers)))
+    configuration_view.heard = 1e9
     unused = cast(Any, None)
-    world = World(chance=random.Random(seed))
-    sched = SchedulerWithOwner(conf, world, news, unused, unused, unused, CollectorRegistry())
-    sched.told = told
-    sched.active, sched.leases, sched.dialect = True, {0: 1e9}, NAMES
-    sched.workers = cast(Any, WorkerLinks())
-    return sched
+    world = Environment(chance=random.Random(seed))
+    item_scheduler = SchedulerWithOwner(
+        settings, world, configuration_view, unused, unused, unused, CollectorRegistry()
+    )
+    item_scheduler.told = told
+    item_scheduler.active, item_scheduler.leases, item_scheduler.dialect = True, {0: 1e9}, NAMES
+    item_scheduler.workers = cast(Any, WorkerLinks())
+    return item_scheduler
 
 
 def run_items(scene: ItemScene, seed: int = 0) -> Told:
@@ -104,12 +108,12 @@
         here = loop.add(Host("e", ("127.0.0.1",), "a"))
 
         async def schedule() -> None:
-            sched = scheduler(told, names, seed)
-            sched.jobs = {job.key: job for job in jobs_of(scene)}
+            item_scheduler = scheduler(told, names, seed)
+            item_scheduler.jobs = {job.key: job for job in jobs_of(scene)}
             for _ in range(ROUNDS):
-                sched.place_calls(sched.news.manifest or configuration(tuple(names)))
+                item_scheduler.place_calls(item_scheduler.configuration_view.manifest or configuration(tuple(names)))
                 await asyncio.sleep(ROUND_S)
-                if not sched.jobs:
+                if not item_scheduler.jobs:
                     break
 
         await loop.create_task(schedule(), context=here.context())
--- a/tests/support/membership_drill.py
+++ b/tests/support/membership_drill.py
@@ -17,9 +17,9 @@
 
 import fire
 
-from postpass.daemon.data_plane import Data
+from postpass.daemon.data_plane import DataPlane
 from postpass.membership.safe_change import Tolerance, Topology, bears_loss
-from postpass.replication.partition import Part
+from postpass.replication.partition import Partition
 from postpass.replication.store import Store
 from sim.disk import SimDisk
 from sim.loop import SimLoop, run_sim
@@ -82,12 +82,12 @@
 def store_of(fleet: Fleet, name: str) -> Store | None:
     """The store of a machine that is up."""
     daemon = fleet.nodes[name].daemon
-    return daemon.store if isinstance(daemon, Data) and not fleet.nodes[name].host.frozen else None
+    return daemon.store if isinstance(daemon, DataPlane) and not fleet.nodes[name].host.frozen else None
 
 
-def owners(fleet: Fleet) -> dict[int, tuple[str, Part]]:
+def owners(fleet: Fleet) -> dict[int, tuple[str, Partition]]:
     """Who owns each partition and is ready, by the highest epoch."""
-    out: dict[int, tuple[str, Part]] = {}
+    out: dict[int, tuple[str, Partition]] = {}
     for name in fleet.nodes:
         store = store_of(fleet, name)
         for part in store.parts.values() if store is not None else ():
@@ -97,7 +97,7 @@
 
 
 def store_names(fleet: Fleet) -> list[str]:
-    return [n for n, x in fleet.nodes.items() if "store" in x.conf.duties]
+    return [n for n, x in fleet.nodes.items() if "store" in x.settings.duties]
 
 
 @dataclass(eq=False)
@@ -132,7 +132,9 @@
         """An operator that changes the configuration twice a second, at any control machine that is up."""
         turn = 0
         while self.writing:
-            names = [c.conf.name for c in self.fleet.controls() if not self.fleet.nodes[c.conf.name].host.frozen]
+            names = [
+                c.settings.name for c in self.fleet.controls() if not self.fleet.nodes[c.settings.name].host.frozen
+            ]
             if names:
                 self.sent += 1
                 number, base, turn = self.sent, self.version, turn + 1
@@ -179,8 +181,8 @@
             if primary is None:
                 return ""
             if role == "primary":
-                return primary.conf.name
-            others = [c.conf.name for c in self.fleet.controls() if c.conf.name not in primary.held.pair]
+                return primary.settings.name
+            others = [c.settings.name for c in self.fleet.controls() if c.settings.name not in primary.held.pair]
             return primary.held.pair.backup if role == "backup" else next(iter(sorted(others)), "")
         if role in ("owner", "mirror"):
             owner = owners(self.fleet).get(0)
@@ -233,7 +235,7 @@
     def boot(self, name: str) -> None:
         node = self.fleet.nodes[name]
         if name not in self.gone and node.host.dead:
-            node.conf = replace(node.conf, bootstrap=False)
+            node.settings = replace(node.settings, bootstrap=False)
             self.fleet.boot(name)
 
     def later(self, delay: float, act: Callable[[], None]) -> None:
@@ -258,7 +260,7 @@
 
     # --- the steps
     def live_seeds(self) -> list[str]:
-        return [c.conf.peer for c in self.fleet.controls()][:3]
+        return [c.settings.peer for c in self.fleet.controls()][:3]
 
     def add(self, kind: str, area: str) -> str:
         number = len(self.fleet.nodes)
@@ -290,13 +292,19 @@
             self.strike(kind, self.named(role), float(down or 1.0))
         elif verb == "replace":  # lost for good; an empty one comes at another address
             old = self.named(role)
-            area, kind = self.fleet.nodes[old].conf.area, "store" if self.fleet.nodes[old].conf.duties else "control"
+            area, kind = (
+                self.fleet.nodes[old].settings.area,
+                "store" if self.fleet.nodes[old].settings.duties else "control",
+            )
             self.remove(old)
             await asyncio.sleep(1.0)
             self.add(kind, area)
         elif verb == "planned":  # the new one first; then the old one is told to leave, and removed
             old = self.named(role)
-            area, kind = self.fleet.nodes[old].conf.area, "store" if self.fleet.nodes[old].conf.duties else "control"
+            area, kind = (
+                self.fleet.nodes[old].settings.area,
+                "store" if self.fleet.nodes[old].settings.duties else "control",
+            )
             self.add(kind, area)
             await asyncio.sleep(SYNC)
             await self.term(old)
@@ -310,7 +318,7 @@
         """Asks until it is done, then removes the machine with its disk at once."""
         asked = False
         while self.writing:
-            up = [c.conf.name for c in self.fleet.controls() if not self.fleet.nodes[c.conf.name].host.frozen]
+            up = [c.settings.name for c in self.fleet.controls() if not self.fleet.nodes[c.settings.name].host.frozen]
             if up:
                 via = up[0]
                 verb = "retired" if asked else "retire"
@@ -339,7 +347,7 @@
 
         The answer was true if it was so at some moment between the question and the answer: a loss that strikes after the
         question is itself the next loss."""
-        areas = {n: x.conf.area for n, x in self.fleet.nodes.items()}
+        areas = {n: x.settings.area for n, x in self.fleet.nodes.items()}
         topology = Topology(areas, Tolerance(self.drill.lost, 1))
         moments = (when_asked, self.disks_there())
         for number, (_, part) in owners(self.fleet).items():
@@ -440,14 +448,14 @@
         if took < 0:
             lead, mine = self.fleet.primary(), owners(self.fleet)
             lacks = [n for n in range(PARTS) if n not in mine]
-            self.flaw(f"{when}: not serving: primary {lead.conf.name if lead else 'none'}, no owner of {lacks}")
+            self.flaw(f"{when}: not serving: primary {lead.settings.name if lead else 'none'}, no owner of {lacks}")
 
     async def check_kept(self) -> None:
         """Is everything that was acknowledged there, and was no loss told?"""
         f = self.fleet
         lead = f.primary()
         if lead is not None:
-            there = lead.held.state.man.get("version", 0)
+            there = lead.held.state.configuration.get("version", 0)
             if there < self.version:
                 self.flaw(f"configuration {there}, but {self.version} was acknowledged")
             if lead.held.state.losses:
--- a/tests/support/model_mutants.py
+++ b/tests/support/model_mutants.py
@@ -11,7 +11,7 @@
 from model.control.rules import Rules
 from model.control.state import Size
 from postpass.control import epochs
-from postpass.control.epochs import Pair, PreVote, Voters, Witness, majority, may_lead
+from postpass.control.epochs import PreVote, ReplicaSet, Voters, Witness, majority, may_lead
 
 SMALL = Size(members=3, epochs=2, bases=(0,), wipes=0, reads=0, restarts=False)
 
@@ -31,7 +31,7 @@
     after: tuple[str, ...] = ()
 
 
-def leaves_no_less_safe(me: str, replica_set: Pair, answered: Voters, tolerate: int) -> bool:
+def leaves_no_less_safe(me: str, replica_set: ReplicaSet, answered: Voters, tolerate: int) -> bool:
     """The leaver has neither a vote nor a copy, and the others bear the tolerated loss."""
     votes = sum(answered.get(n) == disk for n, disk in replica_set.voters.items())
     borne = 2 * (votes - tolerate) > len(replica_set.voters)
@@ -42,13 +42,15 @@
 REPAIRED = Rules(may_leave=leaves_no_less_safe)
 
 
-def leads_by_new_voters(me: str, whole: int, own: Pair, pairs: dict[str, Pair], voters: Voters, got: Voters) -> str:
+def leads_by_new_voters(
+    me: str, whole: int, own: ReplicaSet, pairs: dict[str, ReplicaSet], voters: Voters, got: Voters
+) -> str:
     """Before release 0.3: whoever holds the state of an epoch that nobody granted needs its voters alone."""
     return may_lead(me, whole, own.settled(), pairs, voters, got)
 
 
 def compares_later_epochs_by_new_voters(
-    me: str, whole: int, own: Pair, pairs: dict[str, Pair], voters: Voters, got: Voters
+    me: str, whole: int, own: ReplicaSet, pairs: dict[str, ReplicaSet], voters: Voters, got: Voters
 ) -> str:
     """The voters before must have answered, but may have granted a later epoch."""
     if own.previous_voters and not majority(own.previous_voters, got):
@@ -56,11 +58,11 @@
     return may_lead(me, whole, own.settled(), pairs, voters, got)
 
 
-def changes_any_voters(own: Pair, wanted: Voters) -> Voters:
+def changes_any_voters(own: ReplicaSet, wanted: Voters) -> Voters:
     return wanted
 
 
-def carries_last_voters(own: Pair, voters: Voters) -> Voters:
+def carries_last_voters(own: ReplicaSet, voters: Voters) -> Voters:
     return own.voters if voters != own.voters else {}
 
 
@@ -84,22 +86,26 @@
 def may_lead_by(count: object) -> Rules:
     """The product's `may_lead` over another way of counting."""
 
-    def rule(me: str, whole: int, own: Pair, pairs: dict[str, Pair], voters: Voters, got: Voters) -> str:
+    def rule(me: str, whole: int, own: ReplicaSet, pairs: dict[str, ReplicaSet], voters: Voters, got: Voters) -> str:
         with mock.patch.object(epochs, "majority", count):
             return may_lead(me, whole, own, pairs, voters, got)
 
-    def elected_by(pair: Pair, granted: Voters) -> bool:
+    def elected_by(pair: ReplicaSet, granted: Voters) -> bool:
         with mock.patch.object(epochs, "majority", count):
             return pair.elected_by(granted)
 
     return replace(REPAIRED, may_lead=rule, elected_by=elected_by, may_campaign=anyone_campaigns)
 
 
-def leads_past_later_epochs(me: str, whole: int, own: Pair, pairs: dict[str, Pair], voters: Voters, got: Voters) -> str:
+def leads_past_later_epochs(
+    me: str, whole: int, own: ReplicaSet, pairs: dict[str, ReplicaSet], voters: Voters, got: Voters
+) -> str:
     return "" if whole and me in own and majority(voters, got) else "no majority answered"
 
 
-def leads_without_the_state(me: str, whole: int, own: Pair, pairs: dict[str, Pair], voters: Voters, got: Voters) -> str:
+def leads_without_the_state(
+    me: str, whole: int, own: ReplicaSet, pairs: dict[str, ReplicaSet], voters: Voters, got: Voters
+) -> str:
     return "" if majority(voters, got) else "no majority answered"
 
 
@@ -111,7 +117,7 @@
     return replace(witness, promised=epoch, to=who)
 
 
-def grants_anything(witness: Witness, pair: Pair, who: str) -> Witness | None:
+def grants_anything(witness: Witness, pair: ReplicaSet, who: str) -> Witness | None:
     promised, to = max((witness.promised, witness.to), (pair.epoch, who))
     return Witness(promised, to, pair)
 
@@ -120,11 +126,11 @@
     return offer.epoch >= offer.promised and offer.names_my_disk
 
 
-def always(replica_set: Pair, answered: Voters) -> bool:
+def always(replica_set: ReplicaSet, answered: Voters) -> bool:
     return True
 
 
-def majority_alone(replica_set: Pair, answered: Voters) -> bool:
+def majority_alone(replica_set: ReplicaSet, answered: Voters) -> bool:
     return majority(replica_set.voters, answered)
 
 
@@ -136,7 +142,9 @@
     return transcribed.without_majority(replace(heard, all_answered=True))
 
 
-def released_may_lead(me: str, whole: int, own: Pair, pairs: dict[str, Pair], voters: Voters, got: Voters) -> str:
+def released_may_lead(
+    me: str, whole: int, own: ReplicaSet, pairs: dict[str, ReplicaSet], voters: Voters, got: Voters
+) -> str:
     """Release 0.2.0: whatever disk the state was meant for."""
     return may_lead(me, whole, own, pairs, voters, got | {me: own.voters.get(me, "")})
 
@@ -146,12 +154,12 @@
     return offer.epoch >= offer.promised and offer.sent >= offer.have
 
 
-def released_acknowledges(replica_set: Pair, answered: Voters) -> bool:
+def released_acknowledges(replica_set: ReplicaSet, answered: Voters) -> bool:
     """Release 0.2.0: by name, and without a majority."""
     return set(replica_set.backups) <= set(answered)
 
 
-def released_whole(replica_set: Pair, answered: Voters) -> bool:
+def released_whole(replica_set: ReplicaSet, answered: Voters) -> bool:
     """Release 0.2.0: the backups' disks were not looked at."""
     return all(replica_set.voters.get(n) == d for n, d in answered.items() if n not in replica_set)
 
--- a/tests/support/naive_system.py
+++ b/tests/support/naive_system.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from postpass.runtime.environment import World
+from postpass.runtime.environment import Environment
 from sim.http1 import Broken, Garbled, Head, Stream, answer, message
 from sim.operators import patched
 from sim.rules import route_of
@@ -34,7 +34,7 @@
     lots: dict[str, dict[str, Any]] = field(default_factory=dict)
     turn: int = 0
 
-    def compose(self, role: str, raw: Any, world: World) -> Naive:
+    def compose(self, role: str, raw: Any, world: Environment) -> Naive:
         return Naive(self, role, raw)
 
 
