--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -34,8 +34,9 @@
 from postpass.batch.job import Job, JobView, digest, packed
 from postpass.batch.job_service import JobService
 from postpass.configuration.configuration import part_of
-from postpass.control import ControlPlane, ReplicatedState
+from postpass.control.daemon import ControlPlane
 from postpass.control.epochs import ReplicaSet
+from postpass.control.state import ReplicatedState
 from postpass.gateway.load_balancing import Prefix, Seat, choose, readers
 from postpass.membership.registry import PARTS, State
 from postpass.replication.partition import Partition
@@ -297,7 +298,7 @@
         configuration = lead.held.state.configuration
         return {
             "daemons": daemons, "workers": workers, "routes": routes, "known": sum(len(p["servers"]) for p in configuration["pools"].values()),
-            "machines": len(configuration["machines"]), "edition": lead.held.state.edition, "manifest": len(json.dumps(configuration)),
+            "machines": len(configuration["machines"]), "edition": lead.held.state.revision, "manifest": len(json.dumps(configuration)),
             "state": len(lead.held.dump()), "memory": memory, "rest": rest, "stores": stores, "change": change, "change_span": watched, "told": max(told), "answers": answers, "seconds": round(time.time() - began, 1),
         }  # fmt: skip
 
--- a/bench/control_state.py
+++ b/bench/control_state.py
@@ -24,7 +24,7 @@
 
 from bench.capacity import Meter, Row, metered, more_routes, roles
 from postpass.configuration.json_delta import patch
-from postpass.control import ControlPlane
+from postpass.control.daemon import ControlPlane
 from postpass.control.journal import Image, StateJournal, Tree
 from postpass.membership.registry import Standing
 from postpass.runtime.disk import RealDisk
@@ -208,7 +208,7 @@
             daemon = box.daemon
             if (
                 isinstance(daemon, ControlPlane)
-                and daemon.configuration_view.edition >= lead.configuration_view.edition > 0
+                and daemon.configuration_view.revision >= lead.configuration_view.revision > 0
             ):
                 follows = loop.clock - back
         return {"missed": missed, "routes": routes, "follows_s": round(follows, 3), "disk_bytes": disk}
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -46,7 +46,7 @@
     root: Path
     procs: dict[str, subprocess.Popen[bytes]] = field(default_factory=dict)
     events: list[Event] = field(default_factory=list)
-    edition: int = 0
+    revision: int = 0
     since: dict[str, float] = field(default_factory=dict)
     starts: Counter[str] = field(default_factory=Counter)
     configuration: dict[str, Any] = field(default_factory=dict)
@@ -130,13 +130,13 @@
                     headers={"if-match": f'"{base}"'},
                     timeout=aiohttp.ClientTimeout(total=6),
                 ) as got:
-                    edition = int(got.headers.get("etag", '"0"').strip('"'))
+                    revision = int(got.headers.get("etag", '"0"').strip('"'))
                     waits = (await got.json()).get("unconfirmed", []) if got.status == 202 else []
-                    self.tell("applied", who=who, answer=got.status, edition=edition, base=base, content=json.dumps(configuration, sort_keys=True),
+                    self.tell("applied", who=who, answer=got.status, edition=revision, base=base, content=json.dumps(configuration, sort_keys=True),
                               began=began, again=False, waits=waits)  # fmt: skip
                     if got.status in (200, 202):
-                        self.edition = edition
-                        return edition
+                        self.revision = revision
+                        return revision
                     if got.status in (400, 412):
                         raise RuntimeError(await got.text())
             except (aiohttp.ClientError, OSError, TimeoutError):
@@ -236,7 +236,7 @@
 
     async def apply(self, configuration: dict[str, Any], what: str) -> None:
         began = time.time()
-        await self.fleet.apply(self.session, configuration, self.fleet.edition)
+        await self.fleet.apply(self.session, configuration, self.fleet.revision)
         last = next(e for e in reversed(self.fleet.events) if e["ev"] == "applied")
         named = f", not confirmed by {', '.join(last['waits'])}" if last["waits"] else ""
         self.note(f"{what} (answered {last['answer']} after {time.time() - began:.2f} s{named})")
@@ -281,7 +281,7 @@
         limit = base["classes"][kind]["deadline"]
         self.note("two operators write at once, from the same edition")
         got = await asyncio.gather(
-            *(fleet.apply(self.session, changed(base, f"classes.{kind}.deadline", limit + i), fleet.edition, f"op{i}") for i in (1, 2)),
+            *(fleet.apply(self.session, changed(base, f"classes.{kind}.deadline", limit + i), fleet.revision, f"op{i}") for i in (1, 2)),
             return_exceptions=True,
         )  # fmt: skip
         self.notes[-1] += f" ({sum(isinstance(g, int) for g in got)} won)"
@@ -336,12 +336,12 @@
         configuration = changed(fleet.configuration, "name", fleet.configuration["name"] + "-again")
         while time.time() - at < 30:
             try:
-                await fleet.apply(self.session, configuration, fleet.edition)
+                await fleet.apply(self.session, configuration, fleet.revision)
                 break
             except RuntimeError as bad:
                 seen = json.loads(str(bad)).get("error", {})
-                fleet.edition = int(seen.get("hint") or fleet.edition)
-        self.note(f"a manifest was taken again {time.time() - at:.1f} s after the loss, as edition {fleet.edition}")
+                fleet.revision = int(seen.get("hint") or fleet.revision)
+        self.note(f"a manifest was taken again {time.time() - at:.1f} s after the loss, as edition {fleet.revision}")
         await asyncio.sleep(10)
         kept = [e["t"] for e in fleet.events if e["ev"] == "lot" and e["answer"] == "kept" and e["began"] > at]
         parts: dict[int, float] = {}
--- a/bench/lag.py
+++ b/bench/lag.py
@@ -109,7 +109,7 @@
 
 class LagLoop(asyncio.SelectorEventLoop):
     delay = 0.0
-    area = ""
+    zone = ""
     mark = ""  # while a file of this name exists, this process is cut off: nothing crosses, nothing is lost
 
     def is_cut(self) -> bool:
@@ -124,7 +124,7 @@
         there = sock.getpeername()[0] if sock is not None else host
         while self.is_cut():
             await asyncio.sleep(0.1)
-        near = isinstance(there, str) and there.split(".")[1:2] == [self.area]
+        near = isinstance(there, str) and there.split(".")[1:2] == [self.zone]
         if not self.mark and (self.delay <= 0 or not isinstance(there, str) or near):
             return await super().create_connection(protocol_factory, host, port, **more)
         inner = protocol_factory()
@@ -141,7 +141,7 @@
     delay, program, *flags = sys.argv[1:]
     LagLoop.delay = float(delay) / 1000
     LagLoop.mark = os.environ.get("POSTPASS_CUT", "")
-    LagLoop.area = next((f.split("=", 1)[1].split(".")[1] for f in flags if f.startswith("--peer=")), "")
+    LagLoop.zone = next((f.split("=", 1)[1].split(".")[1] for f in flags if f.startswith("--peer=")), "")
     asyncio.set_event_loop_policy(Policy())
     sys.argv = [program, *flags]
     import postpass.daemon.data_plane_command
--- a/bench/measure.py
+++ b/bench/measure.py
@@ -464,7 +464,7 @@
             sent.clear()
             began = loop.clock
             await fleet.out(fleet.apply(changed(configuration, "ways./extra", "view"), 1))
-            while any(b.daemon and b.daemon.configuration_view.edition < 2 for b in fleet.boxes.values()):
+            while any(b.daemon and b.daemon.configuration_view.revision < 2 for b in fleet.boxes.values()):
                 await asyncio.sleep(0.01)
             spread_time = loop.clock - began
             await asyncio.sleep(1)
--- a/bench/order_memory.py
+++ b/bench/order_memory.py
@@ -12,10 +12,10 @@
 from dataclasses import dataclass
 from typing import Any, cast
 
+from postpass.configuration import accepted_orders
+from postpass.configuration.accepted_orders import ConfigurationOrder
 from postpass.configuration.configuration import Configuration
 from postpass.configuration.settings import Bounds
-from postpass.control import accepted_orders
-from postpass.control.accepted_orders import ConfigurationOrder
 from postpass.control.state import ReplicatedState
 from postpass.membership.registry import State
 
--- a/bench/plan.py
+++ b/bench/plan.py
@@ -33,23 +33,23 @@
     return out
 
 
-def grid(edges: int, stores: int, control: int, scheds: int, areas: tuple[str, ...] = AREAS) -> Raw:
+def grid(edges: int, stores: int, control: int, scheds: int, zones: tuple[str, ...] = AREAS) -> Raw:
     """Machines spread over the areas; an address tells area, duty and number."""
     out: Raw = {}
     for kind, many, digit in (("c", control, 3), ("s", stores, 2), ("e", edges, 1)):
         for i in range(many):
-            spot = i % len(areas)
+            spot = i % len(zones)
             ip = f"127.{spot + 1}.{digit + 10 * (i // 200)}.{i % 200 + 1}"
             duties = {"c": ["control"], "s": ["store"], "e": ["edge"] + (["sched"] if i < scheds else [])}[kind]
-            out[f"{kind}{i + 1}"] = {"area": areas[spot], "peer": f"{ip}:7000", "http": f"{ip}:8000", "duties": duties}
+            out[f"{kind}{i + 1}"] = {"area": zones[spot], "peer": f"{ip}:7000", "http": f"{ip}:8000", "duties": duties}
     return out
 
 
-def servers(many: int, digit: int, slots: int, letter: str, areas: tuple[str, ...] = AREAS) -> Raw:
+def servers(many: int, digit: int, slots: int, letter: str, zones: tuple[str, ...] = AREAS) -> Raw:
     return {
         f"{letter}{i + 1}": {
-            "url": f"http://127.{i % len(areas) + 1}.{digit}.{i + 1}:9000",
-            "area": areas[i % len(areas)],
+            "url": f"http://127.{i % len(zones) + 1}.{digit}.{i + 1}:9000",
+            "area": zones[i % len(zones)],
             "slots": slots,
         }
         for i in range(many)
--- a/bench/worker.py
+++ b/bench/worker.py
@@ -41,7 +41,7 @@
     wall: Callable[[], float]
     slots: int = 8
     weights: str = "model-1"
-    edition: str = "1.0"
+    revision: str = "1.0"
     step: float = 0.02
     chunk: int = 400  # prompt characters prefilled in a step, beside the decoding of others
     cache_size: int = 64
@@ -171,7 +171,7 @@
         )
 
     async def version(self, _request: Request) -> Response:
-        return JSONResponse({"version": self.edition})
+        return JSONResponse({"version": self.revision})
 
     async def health(self, _request: Request) -> Response:
         self.polls += 1
--- a/plugins/example/postpass_example/near.py
+++ b/plugins/example/postpass_example/near.py
@@ -6,5 +6,5 @@
 
 
 def near(ask: Ask, seats: tuple[Seat, ...]) -> str:
-    here = [s for s in seats if s.area == ask.area]
+    here = [s for s in seats if s.zone == ask.zone]
     return min(here or seats, key=lambda s: (s.load / s.slots, s.name)).name
--- a/postpass/batch/job_api.py
+++ b/postpass/batch/job_api.py
@@ -91,7 +91,7 @@
         items = [{k: item[k] for k in Item.__annotations__} for item in raw["items"]]
         came = edge.environment.wall()
         lot: Body = {"id": lot_id, "route": name, "items": items, "due": round(came + route["due"], 3),
-                     "expire": route["expire"], "tries": route["tries"], "since": edge.configuration_view.edition}  # fmt: skip
+                     "expire": route["expire"], "tries": route["tries"], "since": edge.configuration_view.revision}  # fmt: skip
         got = await edge.to_owner(
             part_of(lot_id, edge.configuration["parts"]), "accept", {"lot": lot}, now() + self.patience()
         )
--- a/postpass/batch/job_service.py
+++ b/postpass/batch/job_service.py
@@ -110,7 +110,7 @@
             if part.epoch != epoch:
                 return Err(Fault("accept", store.settings.name, "not the owner any more", MOVED))
             # Where its items may go is up to this version of the configuration or a later one, never to one before.
-            lot = lot | {"since": max(int(lot.get("since", 0)), store.configuration_view.edition)}
+            lot = lot | {"since": max(int(lot.get("since", 0)), store.configuration_view.revision)}
             try:
                 store.add(part, "lot", lot, vital=False, raw=raw)
             except Stop as bad:
@@ -313,7 +313,7 @@
         keep = store.settings.bounds.keep or (configuration.get("retention", 3600.0) if configuration else 3600.0)
         if lot.whole or lot.state == "ended":
             return age > keep * 1.1
-        gone = store.configuration_view.edition >= lot.body.get("since", 0) and self.route(lot.body["route"]) is None
+        gone = store.configuration_view.revision >= lot.body.get("since", 0) and self.route(lot.body["route"]) is None
         if (gone or age > lot.body["expire"]) and lot.seq <= part.covered:
             for i in range(lot.size):
                 if i not in lot.results:
--- a/postpass/batch/scheduler.py
+++ b/postpass/batch/scheduler.py
@@ -376,7 +376,7 @@
             c = configuration["classes"][job.kind]
             pool = configuration["pools"][c["pool"]]
             load = Tally(j.server for j in self.jobs.values() if j.task is not None)
-            ask = Ask(job.kind, job.prompt.shared, len(job.prompt.text), self.settings.area)
+            ask = Ask(job.kind, job.prompt.shared, len(job.prompt.text), self.settings.zone)
             fond = fond_of(prefix(self.settings.name, c.get("prefix", ""), ask), sorted(room))
             seats = tuple(
                 Seat(n, pool["servers"][n]["area"], room[n] - load[n], pool["servers"][n]["slots"], load[n], n == fond)
@@ -452,7 +452,7 @@
         free: dict[str, dict[str, int]] = {}
         for job in sorted(ready, key=lambda j: (j.due, j.lot, j.item)):
             route = configuration.get("routes", {}).get(job.kind.removeprefix("route:"))
-            if route is None or self.configuration_view.edition < job.since or now() >= self.leases.get(job.part, 0.0):
+            if route is None or self.configuration_view.revision < job.since or now() >= self.leases.get(job.part, 0.0):
                 continue
             split = [
                 (s["pool"], s["weight"])
@@ -482,7 +482,7 @@
             return "the lease has passed"
         if now() - self.configuration_view.heard > self.settings.bounds.deaf:
             return "no news for too long"
-        if self.configuration_view.edition < job.since:
+        if self.configuration_view.revision < job.since:
             return "the configuration known here is older than its lot"
         route = configuration.get("routes", {}).get(job.kind.removeprefix("route:")) if configuration else None
         if configuration is None or route is None or pool not in [s["pool"] for s in route["split"] if s["weight"] > 0]:
--- a/postpass/cli/status.py
+++ b/postpass/cli/status.py
@@ -26,16 +26,16 @@
                 out.append(f"{word} {name}: pending, not all members of partitions {unsynced} have synced that it left")
             else:
                 out.append(f"{word} {name}: complete, no partition counts on it")
-    for area in configuration.get("evacuated", []):
+    for zone in configuration.get("evacuated", []):
         busy = [f"{n}: {k}" for n, m in sorted(machines.items()) for k, s in m.get("servers", {}).items() if s["mine"]
-                and configuration["pools"][k.split("/")[0]]["servers"].get(k.split("/")[1], {}).get("area") == area]  # fmt: skip
-        owns = sorted(p for p, (n, _) in parts.items() if configuration["machines"][n]["area"] == area)
+                and configuration["pools"][k.split("/")[0]]["servers"].get(k.split("/")[1], {}).get("area") == zone]  # fmt: skip
+        owns = sorted(p for p, (n, _) in parts.items() if configuration["machines"][n]["area"] == zone)
         if busy or owns:
             out.append(
-                f"evacuate {area}: pending, {len(busy)} edges still have calls there, partitions owned there: {owns}"
+                f"evacuate {zone}: pending, {len(busy)} edges still have calls there, partitions owned there: {owns}"
             )
         else:
-            out.append(f"evacuate {area}: complete")
+            out.append(f"evacuate {zone}: complete")
     behind = sorted(n for n, m in machines.items() if "edition" in m and m["edition"] < seen["edition"])
     if behind:
         out.append(f"edition {seen['edition']}: pending at {', '.join(behind)}")
@@ -47,9 +47,9 @@
     out = [f"manifest {configuration['name']} edition {seen['edition']}", ""]
     out.append(f"{'machine':10} {'area':8} {'edition':>7} {'release':>8} duties / state")
     for name, m in machines.items():
-        area = configuration["machines"][name]["area"]
+        zone = configuration["machines"][name]["area"]
         if "unreachable" in m:
-            out.append(f"{name:10} {area:8} {'-':>7} {'-':>8} UNREACHABLE {m['unreachable']}")
+            out.append(f"{name:10} {zone:8} {'-':>7} {'-':>8} UNREACHABLE {m['unreachable']}")
             continue
         more = list(m["duties"]) or ["control"]
         control = m.get("control")
@@ -69,7 +69,7 @@
             more.append(f"scheduling, {m['sched']['running']} running")
         if m["ready"]:
             more.append(f"NOT READY: {m['ready']}")
-        out.append(f"{name:10} {area:8} {m['edition']:>7} {m['release']:>8} {' '.join(more)}")
+        out.append(f"{name:10} {zone:8} {m['edition']:>7} {m['release']:>8} {' '.join(more)}")
     views = {n: m["control"] for n, m in machines.items() if "control" in m}
     out += ["", *health_lines(views)] if views else []
     out += [
--- a/postpass/configuration/configuration.py
+++ b/postpass/configuration/configuration.py
@@ -156,8 +156,8 @@
 
 
 def scene(configuration: Configuration, names: tuple[str, ...], me: str) -> Scene:
-    areas = tuple((n, configuration["machines"][n]["area"] if n in configuration["machines"] else "") for n in names)
-    return Scene(names, areas, me)
+    zones = tuple((n, configuration["machines"][n]["area"] if n in configuration["machines"] else "") for n in names)
+    return Scene(names, zones, me)
 
 
 def part_of(lot: str, parts: int) -> int:
@@ -171,13 +171,13 @@
 def deep_flaws(configuration: Configuration) -> list[str]:
     """What the shapes can't say."""
     out: list[str] = []
-    areas, machines, pools = configuration["areas"], configuration["machines"], configuration["pools"]
-    if not areas:
+    zones, machines, pools = configuration["areas"], configuration["machines"], configuration["pools"]
+    if not zones:
         out.append("areas: want at least one")
     for name, m in machines.items():
         path = f"machines.{name}"
         out += addr_flaws(f"{path}.peer", m["peer"]) + addr_flaws(f"{path}.http", m["http"])
-        if m["area"] not in areas:
+        if m["area"] not in zones:
             out.append(f"{path}.area: unknown area {m['area']}")
     seen: dict[str, str] = {}
     for name, m in machines.items():
@@ -188,13 +188,13 @@
             elif not m.get("gone"):
                 seen[addr] = f"machines.{name}.{key}"
     evacuated = configuration.get("evacuated", [])
-    out += [f"evacuated[{i}]: unknown area {a}" for i, a in enumerate(evacuated) if a not in areas]
-    if areas and set(areas) <= set(evacuated) and not configuration.get("announced"):
+    out += [f"evacuated[{i}]: unknown area {a}" for i, a in enumerate(evacuated) if a not in zones]
+    if zones and set(zones) <= set(evacuated) and not configuration.get("announced"):
         out.append("evacuated: the last area can't be evacuated; nothing would serve")
     for name, pool in pools.items():
         for who, s in pool["servers"].items():
             path = f"pools.{name}.servers.{who}"
-            if s["area"] not in areas:
+            if s["area"] not in zones:
                 out.append(f"{path}.area: unknown area {s['area']}")
             if s["slots"] < 1:
                 out.append(f"{path}.slots: want at least 1, got {s['slots']}")
@@ -343,13 +343,13 @@
 
 def small() -> Configuration:
     """A whole manifest for tests."""
-    areas = ["a", "b", "c", "d"]
+    zones = ["a", "b", "c", "d"]
     machines: dict[str, Machine] = {
-        f"s{i}": {"area": areas[i - 1], "peer": f"127.{i}.0.1:7000", "http": f"127.{i}.0.1:8000", "duties": ["store"]}
+        f"s{i}": {"area": zones[i - 1], "peer": f"127.{i}.0.1:7000", "http": f"127.{i}.0.1:8000", "duties": ["store"]}
         for i in range(1, 5)
     }
     return {
-        "name": "small", "areas": areas, "machines": machines, "parts": 4, "copies": 4, "ways": {"/view": "view"},
+        "name": "small", "areas": zones, "machines": machines, "parts": 4, "copies": 4, "ways": {"/view": "view"},
         "classes": {
             "ask": {"kind": "live", "pool": "gpu", "share": 0.75, "lends": True},
             "lot": {"kind": "batch", "pool": "gpu", "share": 0.25, "borrows": ["ask"]},
--- a/postpass/configuration/settings.py
+++ b/postpass/configuration/settings.py
@@ -150,7 +150,7 @@
     """Invariant: `data` is set for every process with the store duty and for every control process."""
 
     name: str
-    area: str
+    zone: str
     peer: str
     http: str
     seeds: tuple[str, ...]
@@ -161,10 +161,10 @@
     # their disks are blank.
     announce: bool = False
     bootstrap: bool = False
-    areas: tuple[str, ...] = ()
+    zones: tuple[str, ...] = ()
     ready: str = ""  # IP:PORT at which readiness is told, beside `http`
     disks_lost: int = 1  # what may be lost at once
-    areas_lost: int = 1
+    zones_lost: int = 1
     beat: float = 1.0  # how often workers beat, in seconds
     # Memory for records not yet delivered everywhere; a mirror past it is refilled from the log.
     buffer_bytes: int = 4 << 20
@@ -175,7 +175,7 @@
     @property
     def tolerance(self) -> Tolerance:
         """What may be lost at once while every promise still holds."""
-        return Tolerance(self.disks_lost, self.areas_lost)
+        return Tolerance(self.disks_lost, self.zones_lost)
 
 
 def split(addr: str) -> tuple[str, int]:
@@ -221,16 +221,17 @@
     ]
     if seen:
         return Err(seen)
-    rest: Any = {k: v for k, v in file.items() if k not in ("bounds", "seeds", "duties", "areas", "tolerate")}
+    rest: Any = {k: v for k, v in file.items() if k not in ("bounds", "seeds", "duties", "area", "areas", "tolerate")}
     lost = file.get("tolerate", {})
     return Ok(
         Settings(
+            zone=file["area"],
             seeds=tuple(file["seeds"]),
             duties=tuple(file.get("duties", [])),
             bounds=Bounds(**file.get("bounds", {})),
-            areas=tuple(file.get("areas", [])),
+            zones=tuple(file.get("areas", [])),
             disks_lost=lost.get("disks", 1),
-            areas_lost=lost.get("areas", 1),
+            zones_lost=lost.get("areas", 1),
             **rest,
         )
     )
--- a/postpass/control/api.py
+++ b/postpass/control/api.py
@@ -108,7 +108,7 @@
                 "epoch": self.witness.pair.epoch, "promised": self.witness.promised, "primary": self.witness.pair.primary,
                 "backup": self.witness.pair.backup, "backups": list(self.witness.pair.backups), "leads": self.epoch > 0, "disk": self.disk_id,
                 "voters": self.witness.pair.voters, "losses": self.committed.state.losses, "bad": self.bad,
-                "committed": self.configuration_view.edition, "held": self.held.state.edition, "in_touch": self.in_touch(),
+                "committed": self.configuration_view.revision, "held": self.held.state.revision, "in_touch": self.in_touch(),
                 "contact": contact if contact < INFINITY else None, "tolerate": self.settings.disks_lost,
                 "backup_heard": round(now() - min(self.copied.values(), default=now()), 3) if self.epoch else None,
             }
--- a/postpass/control/configuration.py
+++ b/postpass/control/configuration.py
@@ -8,9 +8,9 @@
 
 from result import Err, Ok, Result
 
+from postpass.configuration import accepted_orders
+from postpass.configuration.accepted_orders import ConfigurationOrder, Recollection
 from postpass.configuration.configuration import deep_flaws
-from postpass.control import accepted_orders
-from postpass.control.accepted_orders import ConfigurationOrder, Recollection
 from postpass.membership import registry
 from postpass.membership.registry import State, Translator
 from postpass.runtime.errors import BAD, OLD, SLOW, Fault
--- a/postpass/control/contact.py
+++ b/postpass/control/contact.py
@@ -59,7 +59,7 @@
 
     def stale(self) -> Stale:
         """The answer of a member that is out of touch, with the others to ask instead."""
-        return Stale(self.configuration_view.edition, tuple(self.other_members()))
+        return Stale(self.configuration_view.revision, tuple(self.other_members()))
 
     def out_of_touch(self, step: str) -> Fault:
         """The error of a member that is out of touch, with the others to ask instead."""
--- a/postpass/control/election.py
+++ b/postpass/control/election.py
@@ -136,8 +136,8 @@
                         return Err(Fault(step, me, "too few daemons confirm the newest edition", SLOW))
                     if unheard := self.unheard(newest[1], good):
                         return Err(Fault(step, me, f"{', '.join(unheard)} may hold the newest state", SLOW))
-                    edition = max(newest[0], *(a["edition"] for a in good.values())) + 1
-                    state, loss = recovered(edition, newest[1], start.state.losses + 1), True
+                    revision = max(newest[0], *(a["edition"] for a in good.values())) + 1
+                    state, loss = recovered(revision, newest[1], start.state.losses + 1), True
                 elif start.whole != best.epoch:
                     return Err(Fault(step, me, flaw, SLOW))
         # Without a majority of the voters before, all have answered: those are the voters from here on.
@@ -150,17 +150,17 @@
         # A backup's acknowledgements count by its disk, so only one whose disk is among the voters can be a backup.
         rest = [n for n in self.members(configuration) if n != me and n in good and now_voters.get(n) == got[n]]
         rest = [n for n in rest if not good[n].get("leaving")] or rest
-        area = {n: configuration["machines"][n]["area"] for n in self.members(configuration)}
+        zone = {n: configuration["machines"][n]["area"] for n in self.members(configuration)}
         liked = sorted(
             rest,
             key=lambda n: (
                 n == start.pair.primary and why in ("primary lost", "handed over"),
-                self.settings.announce and area[n] == self.settings.area,
+                self.settings.announce and zone[n] == self.settings.zone,
                 self.members(configuration).index(n),
             ),
         )
         backups = backups_of(
-            liked, area if self.settings.announce else {n: n for n in liked}, self.settings.area, self.wanted_backups
+            liked, zone if self.settings.announce else {n: n for n in liked}, self.settings.zone, self.wanted_backups
         )
         pair = ReplicaSet(epoch, me, backups, now_voters, before)
         held = ReplicatedState(epoch, pair, state)
@@ -194,7 +194,7 @@
             self.settings.name,
             epoch=epoch,
             backup=",".join(backups),
-            edition=state.edition,
+            revision=state.revision,
             why=why,
         )
         for name in sorted(set(now_voters) - {n for n, d in voters.items() if now_voters.get(n) == d}):
@@ -267,17 +267,17 @@
 
     def better_replica_set(self, configuration: Configuration, answered: list[str]) -> bool:
         """Could there be more backups, or copies in more areas, with those that answered?"""
-        pair, area = self.held.pair, {n: configuration["machines"][n]["area"] for n in self.members(configuration)}
+        pair, zone = self.held.pair, {n: configuration["machines"][n]["area"] for n in self.members(configuration)}
         if len(pair.backups) < self.wanted_backups:
             return bool(set(answered) - set(pair.holders))
         if not self.settings.announce:
             return False
         there = [*pair.backups, *answered]
-        if not set(pair.backups) <= set(area):
+        if not set(pair.backups) <= set(zone):
             return True
-        best = backups_of(there, area, self.settings.area, self.wanted_backups)
-        return len({self.settings.area, *(area[n] for n in best)}) > len(
-            {self.settings.area, *(area[n] for n in pair.backups)}
+        best = backups_of(there, zone, self.settings.zone, self.wanted_backups)
+        return len({self.settings.zone, *(zone[n] for n in best)}) > len(
+            {self.settings.zone, *(zone[n] for n in pair.backups)}
         )
 
     async def newest_known(self, configuration: Configuration) -> tuple[int, Configuration] | None:
@@ -291,7 +291,7 @@
         if 2 * (len(seen) + 1) <= len(names) + 1:
             return None
         best: tuple[int, Configuration] | None = (
-            (self.configuration_view.edition, self.configuration_view.manifest)
+            (self.configuration_view.revision, self.configuration_view.manifest)
             if self.configuration_view.manifest
             else None
         )
--- a/postpass/control/epochs.py
+++ b/postpass/control/epochs.py
@@ -135,15 +135,15 @@
         return cls(raw["promised"], raw["to"], ReplicaSet.of(raw["pair"]))
 
 
-def backups_of(ranked: list[str], area: Mapping[str, str], mine: str, want: int) -> tuple[str, ...]:
+def backups_of(ranked: list[str], zone: Mapping[str, str], mine: str, want: int) -> tuple[str, ...]:
     """As many as are wanted, the better ranked first, no two of them or with `mine` in one area while areas suffice."""
     out: list[str] = []
     used, rest = {mine}, list(ranked)
     while rest and len(out) < want:
-        name = min(rest, key=lambda n: (area[n] in used, ranked.index(n)))
+        name = min(rest, key=lambda n: (zone[n] in used, ranked.index(n)))
         rest.remove(name)
         out.append(name)
-        used.add(area[name])
+        used.add(zone[name])
     return tuple(out)
 
 
--- a/postpass/control/feed.py
+++ b/postpass/control/feed.py
@@ -35,13 +35,13 @@
             return await super().on_follow(body)
         self.spoke[poll.follower] = now()
         until = now() + poll.hold
-        while self.in_touch() and self.configuration_view.edition <= poll.after and now() < until:
+        while self.in_touch() and self.configuration_view.revision <= poll.after and now() < until:
             lease_end = self.last_contact() + self.settings.bounds.contact
             await self.configuration_view.wait(poll.after, max(min(until, lease_end) - now(), SHORTEST_WAIT_S))
         return Ok(self.configuration_view.since(poll.after) if self.in_touch() else self.stale().as_json())
 
     async def in_force(
-        self, edition: int, before: Configuration | None, after: Configuration, asked: float, limit: float = 0.0
+        self, revision: int, before: Configuration | None, after: Configuration, asked: float, limit: float = 0.0
     ) -> list[str]:
         """Who of the old and the new manifest has neither said that it runs this edition nor is shown not to run."""
         bounds, me = self.settings.bounds, self.settings.name
@@ -58,13 +58,13 @@
             self.peer_links,
             self.environment.chance,
             bounds,
-            edition,
+            revision,
             self.configuration_view.addr(me),
             asked + (limit or bounds.manifest),
             machines,
         )
         waits = await wait.run()
-        log_events.emit(144, me, edition=edition, waits=",".join(waits) or "for nobody")
+        log_events.emit(144, me, revision=revision, waits=",".join(waits) or "for nobody")
         return waits
 
     @property
@@ -100,18 +100,18 @@
                 if self.epoch:
                     # What is being written now counts as well: the round comes after it.
                     async with self.lock:
-                        edition = self.committed.state.edition
-                        return edition if await self.confirm_leadership() else 0
+                        revision = self.committed.state.revision
+                        return revision if await self.confirm_leadership() else 0
                 addr = self.addr(self.leader) if self.leader != self.settings.name else ""
                 if not addr:
                     return 0
                 got = await self.peer_links.call(addr, "read", {"brief": 1}, self.settings.bounds.follow)
                 if isinstance(got, Err):
                     return 0
-                edition = int(got.unwrap()["edition"])
-                if edition > self.configuration_view.edition:
+                revision = int(got.unwrap()["edition"])
+                if revision > self.configuration_view.revision:
                     await self.fetch(addr, self.settings.bounds.follow)
-                return edition
+                return revision
 
         if self.next_confirmation is None:
             self.next_confirmation = asyncio.create_task(one_round())
@@ -126,9 +126,9 @@
             if self.lost_touch():
                 return Err(self.out_of_touch("read"))
             led = self.led_now
-            edition = await self.confirmed()
-            if edition:
-                return Ok({"edition": edition})
+            revision = await self.confirmed()
+            if revision:
+                return Ok({"edition": revision})
             if not await self.wait_for_leader(led, until):
                 return Err(Fault("read", self.settings.name, "no primary now; ask again", SHED))
 
@@ -137,10 +137,10 @@
         if "wait" in body:
             return await self.read_waiting(float(body["wait"]))
         if body.get("brief") and self.epoch:
-            edition = await self.confirmed()
-            if not edition:
+            revision = await self.confirmed()
+            if not revision:
                 return Err(Fault("read", self.settings.name, "could not be confirmed; ask again", SLOW))
-            return Ok({"edition": edition})
+            return Ok({"edition": revision})
         if not self.epoch:
             hint = self.witness.pair.primary if self.witness.pair.primary != self.settings.name else ""
             return Err(Fault("read", self.settings.name, "not the primary", MOVED, hint))
@@ -150,6 +150,6 @@
                 return Err(Fault("read", self.settings.name, "could not be confirmed; ask again", SLOW))
         if body.get("source"):
             return Ok(
-                {"edition": state.edition, "source": state.source, "version": state.configuration.get("version", 0)}
+                {"edition": state.revision, "source": state.source, "version": state.configuration.get("version", 0)}
             )
-        return Ok({"edition": state.edition, "manifest": state.manifest, "losses": state.losses})
+        return Ok({"edition": state.revision, "manifest": state.manifest, "losses": state.losses})
--- a/postpass/control/journal.py
+++ b/postpass/control/journal.py
@@ -138,8 +138,8 @@
 
 def _entry(operation: str, position: Position, base: Position, body: Any) -> Any:
     record = IDL.StateRecord(
-        format=RECORD_FORMAT, epoch=position.epoch, edition=position.version, checksum=position.checksum,
-        base_epoch=base.epoch, base_edition=base.version, base_checksum=base.checksum,
+        format=RECORD_FORMAT, epoch=position.epoch, revision=position.version, checksum=position.checksum,
+        base_epoch=base.epoch, base_revision=base.version, base_checksum=base.checksum,
         body=json.dumps(body, separators=(",", ":")).encode(),
     )  # fmt: skip
     return IDL.Entry(part=0, op=operation, seq=position.version, epoch=position.epoch, kind="state", body=pack(record))
@@ -162,12 +162,12 @@
         raise UnknownFormatError(
             f"record {entry.op!r:.20} has format {record.format}, this release reads {RECORD_FORMAT}"
         )
-    position = Position(record.epoch, record.edition, record.checksum)
+    position = Position(record.epoch, record.revision, record.checksum)
     body = json.loads(record.body)
     if entry.op == CHANGE:
         if image is None:
             raise BaseMismatchError("the log begins with a change")
-        base = Position(record.base_epoch, record.base_edition, record.base_checksum)
+        base = Position(record.base_epoch, record.base_revision, record.base_checksum)
         return image.apply(Change(base, position, body))
     whole = Image.of(position.epoch, position.version, body)
     if whole.position != position:
--- a/postpass/control/member.py
+++ b/postpass/control/member.py
@@ -140,7 +140,7 @@
         # Releases that know only the state file must not go on with it from here on.
         await raise_format(self.disk, STATE_FORMAT)
         if old.whole:
-            await self.journal.replace(Image.of(old.whole, old.state.edition, old.raw()))
+            await self.journal.replace(Image.of(old.whole, old.state.revision, old.raw()))
         if STATE_FILE in self.disk.names():
             self.disk.remove(STATE_FILE)
         if self.journal.image is not None:
@@ -148,7 +148,7 @@
 
     async def store(self, held: ReplicatedState) -> Stored:
         """Syncs a state here, as a change of the one that is held, where there is one."""
-        base, tree, version = self.journal.image, held.raw(), held.state.edition
+        base, tree, version = self.journal.image, held.raw(), held.state.revision
         if base is None:
             image = await self.write_journal(self.journal.replace(Image.of(held.whole, version, tree)))
             return Stored(ReplicatedState.of(image.tree), None)
@@ -211,7 +211,7 @@
     def about(self) -> Body:
         return {
             "disk": self.disk_id, "promised": self.witness.promised, "pair": asdict(self.witness.pair),
-            "whole": self.held.whole, "edition": self.held.state.edition, "news": self.configuration_view.edition,
+            "whole": self.held.whole, "edition": self.held.state.revision, "news": self.configuration_view.revision,
             "leaving": self.leaving,
         }  # fmt: skip
 
@@ -268,7 +268,7 @@
         """Makes a state known that all holders have synced."""
         self.committed = Committed(state)
         if state.manifest is not None:
-            self.configuration_view.take(state.edition, state.manifest)
+            self.configuration_view.take(state.revision, state.manifest)
 
     def known(self) -> Configuration | None:
         return self.configuration_view.manifest or self.held.state.manifest or self.seen
--- a/postpass/control/orders.py
+++ b/postpass/control/orders.py
@@ -7,8 +7,8 @@
 
 from result import Err, Ok, Result
 
+from postpass.configuration import accepted_orders
 from postpass.configuration.configuration import Configuration, check, dump, members, with_duty
-from postpass.control import accepted_orders
 from postpass.control.changes import Fold
 from postpass.control.configuration import ConfigurationChange
 from postpass.control.leadership import Leadership
@@ -30,8 +30,8 @@
         got = await self.take_configuration(body)
         if isinstance(got, Err):
             return got
-        edition = got.unwrap()["edition"]
-        return Ok({"edition": edition, "waits": await self.in_force(edition, before, body["manifest"], asked)})
+        revision = got.unwrap()["edition"]
+        return Ok({"edition": revision, "waits": await self.in_force(revision, before, body["manifest"], asked)})
 
     async def take_configuration(self, body: Body) -> PeerResponse:
         """Takes a whole manifest if it was made from the present edition."""
@@ -47,11 +47,11 @@
             if state.manifest is not None and dump(state.manifest) == dump(configuration):
                 if not await self.confirm_leadership():
                     return Err(self.unconfirmed(step))
-                return Ok({"edition": state.edition})
+                return Ok({"edition": state.revision})
             flaw = await self.configuration_flaw(configuration, base, state)
             if flaw is not None:
                 return Err(flaw)
-            return await self.commit_configuration(State(state.edition + 1, configuration, state.losses))
+            return await self.commit_configuration(State(state.revision + 1, configuration, state.losses))
 
     async def take_first_configuration(self, configuration: Configuration, base: int) -> PeerResponse:
         """Founds the fleet with its first manifest; refuses if this member only doesn't lead. Holds the lock."""
@@ -69,11 +69,11 @@
     async def configuration_flaw(self, configuration: Configuration, base: int, state: State) -> Fault | None:
         """Why a manifest can't follow the state in force, if it can't. Holds the lock."""
         step, me = "apply", self.settings.name
-        if base != state.edition:
+        if base != state.revision:
             if not await self.confirm_leadership():
                 return self.unconfirmed(step)
-            why = f"edition {state.edition} is in force, this was made from {base}"
-            return Fault(step, me, why, OLD, str(state.edition))
+            why = f"edition {state.revision} is in force, this was made from {base}"
+            return Fault(step, me, why, OLD, str(state.revision))
         flaws = await self.configuration_flaws(state, configuration)
         if not flaws:
             return None
@@ -93,7 +93,7 @@
                 self.epoch = 0
                 self.heard = now() - self.settings.bounds.detect
             return Err(Fault("apply", self.settings.name, "not known whether it was taken; ask again", SLOW))
-        return Ok({"edition": state.edition})
+        return Ok({"edition": state.revision})
 
     def unconfirmed(self, step: str) -> Fault:
         """What a member says that leads as far as it knows, and couldn't prove it in time."""
@@ -119,9 +119,9 @@
         """The operator's document in force, with its version."""
         return await self.forward("read", {"source": 1}, self.settings.bounds.manifest / 4)
 
-    async def evacuate(self, area: str, away: bool) -> PeerResponse:
+    async def evacuate(self, zone: str, away: bool) -> PeerResponse:
         """Takes all traffic from a zone, or lets it come back."""
-        return await self.command({"what": "evacuate" if away else "return", "area": area})
+        return await self.command({"what": "evacuate" if away else "return", "area": zone})
 
     async def retire(self, name: str) -> PeerResponse:
         """Asks that a store be emptied for good."""
@@ -145,12 +145,12 @@
         got = await self.change(self.folding(body), 0.0)
         if isinstance(got, Err):
             return Err(got.unwrap_err())
-        edition = got.unwrap()
-        log_events.emit(138, self.settings.name, what=what, edition=edition)
+        revision = got.unwrap()
+        log_events.emit(138, self.settings.name, what=what, revision=revision)
         waits = await self.in_force(
-            edition, None, self.committed.state.configuration, asked, self.settings.bounds.manifest / 5
+            revision, None, self.committed.state.configuration, asked, self.settings.bounds.manifest / 5
         )
-        return Ok({"edition": edition, "waits": waits})
+        return Ok({"edition": revision, "waits": waits})
 
     def folding(self, body: Body) -> Fold:
         """The change of the state that an order asks for."""
@@ -160,11 +160,11 @@
         if what == "patch":
             return self.configuration(body["source"], body["base"], is_patch=True)
         if what in ("evacuate", "return"):
-            area = body["area"]
-            if area not in self.settings.areas:
-                return lambda _: Err(Fault(what, self.settings.name, f"unknown area {area!r:.60}", LACK))
+            zone = body["area"]
+            if zone not in self.settings.zones:
+                return lambda _: Err(Fault(what, self.settings.name, f"unknown area {zone!r:.60}", LACK))
             return lambda state: Ok(
-                registry.evacuated(state, area) if what == "evacuate" else registry.returned(state, area)
+                registry.evacuated(state, zone) if what == "evacuate" else registry.returned(state, zone)
             )
         if what == "retire":
 
--- a/postpass/control/registry.py
+++ b/postpass/control/registry.py
@@ -37,7 +37,7 @@
             got = await asyncio.gather(*asks)
             if all(isinstance(g, Ok) and g.unwrap().get("blank") for g in got) and self.blank():
                 entries: list[Entry] = [self.entry(), *(g.unwrap()["entry"] for g in got)]
-                configuration = registry.founded(entries, self.settings.areas, self.settings.disks_lost)
+                configuration = registry.founded(entries, self.settings.zones, self.settings.disks_lost)
                 async with self.lock:
                     done = await self.run_election(configuration, "founded", State(1, configuration))
                 if isinstance(done, Ok):
@@ -49,7 +49,7 @@
         step, entry = "join", body["entry"]
         if not await self.is_leading():
             return Err(self.not_leader(step))
-        flaws = registry.entry_flaws(entry, self.settings.areas)
+        flaws = registry.entry_flaws(entry, self.settings.zones)
         if flaws:
             return Err(Fault(step, self.settings.name, "\n".join(flaws), BAD))
         self.spoke[entry["name"]] = now()
@@ -60,7 +60,7 @@
         if isinstance(got, Err):
             return Err(got.unwrap_err())
         log_events.emit(
-            136, self.settings.name, joins=entry["name"], duties=",".join(entry["duties"]), edition=got.unwrap()
+            136, self.settings.name, joins=entry["name"], duties=",".join(entry["duties"]), revision=got.unwrap()
         )
         return Ok({"edition": got.unwrap()})
 
@@ -134,12 +134,12 @@
             got = await self.change(fold, 0.0)
             if isinstance(got, Ok):
                 log_events.emit(
-                    137, self.settings.name, machines=",".join(gone), workers=",".join(late), edition=got.unwrap()
+                    137, self.settings.name, machines=",".join(gone), workers=",".join(late), revision=got.unwrap()
                 )
 
     async def beat_worker(self, who: str, standing: Standing, seqno: int) -> PeerResponse:
         # Taken, it would make every later manifest a bad one.
-        flaws = registry.standing_flaws(standing, self.settings.areas)
+        flaws = registry.standing_flaws(standing, self.settings.zones)
         if flaws:
             return Err(Fault("beat", self.settings.name, "\n".join(flaws), BAD))
         leaves = bool(standing.get("leave"))
--- a/postpass/control/replica.py
+++ b/postpass/control/replica.py
@@ -63,7 +63,7 @@
             return False
         if new.order < self.held.order:
             return False
-        await self.write_journal(self.journal.replace(Image.of(new.whole, new.state.edition, new.raw())))
+        await self.write_journal(self.journal.replace(Image.of(new.whole, new.state.revision, new.raw())))
         return True
 
     async def take_change(self, body: Body) -> bool:
@@ -80,10 +80,10 @@
 
     def learn_version(self, body: Body) -> None:
         """The primary tells the edition in force: publishes it, or fetches it if this member has no copy of it."""
-        edition = body.get("edition", 0)
-        if edition <= self.configuration_view.edition:
+        revision = body.get("edition", 0)
+        if revision <= self.configuration_view.revision:
             return
-        if self.held.whole == body["epoch"] and self.held.state.edition == edition:
+        if self.held.whole == body["epoch"] and self.held.state.revision == revision:
             self.publish(self.held.state)
         elif at := self.addr(body["who"]) or body.get("at", ""):
             task = asyncio.create_task(self.fetch(at))
@@ -108,7 +108,7 @@
         if not addr:
             return None
         body: Body = {
-            "epoch": epoch, "who": self.settings.name, "edition": self.configuration_view.edition, "at": self.settings.peer,
+            "epoch": epoch, "who": self.settings.name, "edition": self.configuration_view.revision, "at": self.settings.peer,
             "granted": self.epoch == epoch,
         }  # fmt: skip
         if change is not None:
--- a/postpass/control/state.py
+++ b/postpass/control/state.py
@@ -10,6 +10,20 @@
 from postpass.membership.registry import State
 from postpass.rpc.peer_links import Body
 
+# Keys on disk and between members that differ from the field's name: they are those of release 0.2.0.
+STATE_KEYS = {"revision": "edition"}
+STATE_FIELDS = {key: name for name, key in STATE_KEYS.items()}
+
+
+def state_body(state: State) -> Body:
+    """The state by its keys on disk; shares its parts."""
+    return {STATE_KEYS.get(name, name): value for name, value in vars(state).items()}
+
+
+def state_of(body: Body) -> State:
+    """The state of a body by its keys on disk; shares its parts. Keys that an older release left out take their default."""
+    return State(**{STATE_FIELDS.get(key, key): value for key, value in body.items()})
+
 
 @dataclass(frozen=True)
 class Committed:
@@ -32,16 +46,16 @@
     def order(self) -> tuple[int, bool, int]:
         """Of two states that a member is given the greater one is the later: nothing is written before a replica set is
         settled."""
-        return self.whole, not self.pair.previous_voters, self.state.edition
+        return self.whole, not self.pair.previous_voters, self.state.revision
 
     def raw(self) -> Body:
         """As JSON has it; shares what it can with this one."""
-        return {"whole": self.whole, "pair": asdict(self.pair), "state": dict(vars(self.state))}
+        return {"whole": self.whole, "pair": asdict(self.pair), "state": state_body(self.state)}
 
     @classmethod
     def of(cls, raw: Body) -> ReplicatedState:
         """From JSON; shares its parts with it."""
-        return cls(raw["whole"], ReplicaSet.of(raw["pair"]), State(**raw["state"]))
+        return cls(raw["whole"], ReplicaSet.of(raw["pair"]), state_of(raw["state"]))
 
     def dump(self) -> bytes:
         body = json.dumps(self.raw(), separators=(",", ":"))
--- a/postpass/control/writer.py
+++ b/postpass/control/writer.py
@@ -73,12 +73,12 @@
                 state = got.unwrap_or(state)
                 out.append(got)
             if state is not before:
-                state = replace(state, edition=before.edition + 1)
+                state = replace(state, revision=before.revision + 1)
                 done = await self.commit(state)
             else:
                 done = self.held.pair.confirmed_by(await self.confirmation_round()) and self.epoch == epoch
             if done:
-                return [Ok(state.edition) if isinstance(g, Ok) else Err(g.unwrap_err()) for g in out]
+                return [Ok(state.revision) if isinstance(g, Ok) else Err(g.unwrap_err()) for g in out]
             if self.epoch == epoch:
                 self.epoch = 0
                 again = await self.run_election(state.configuration, "backup lost")
--- a/postpass/daemon/control_plane_command.py
+++ b/postpass/daemon/control_plane_command.py
@@ -4,7 +4,7 @@
 
 import sys
 
-from postpass.control import ControlPlane
+from postpass.control.daemon import ControlPlane
 from postpass.daemon.data_plane_command import _run, start
 
 
--- a/postpass/daemon/data_plane_command.py
+++ b/postpass/daemon/data_plane_command.py
@@ -11,7 +11,7 @@
 from result import Err
 
 from postpass.configuration.settings import load
-from postpass.control import ControlPlane
+from postpass.control.daemon import ControlPlane
 from postpass.daemon.data_plane import DataPlane
 from postpass.daemon.process import Daemon, run_daemon
 from postpass.runtime.disk import RealDisk
--- a/postpass/daemon/process.py
+++ b/postpass/daemon/process.py
@@ -60,7 +60,7 @@
         self.inc = int(self.environment.wall() * 1000)
         self.started = 0.0
         card = MemberRecord(
-            name=self.settings.name, peer=self.settings.peer, area=self.settings.area, duties=list(self.settings.duties), inc=self.inc,
+            name=self.settings.name, peer=self.settings.peer, area=self.settings.zone, duties=list(self.settings.duties), inc=self.inc,
             beat=0, edition=0, release=self.release, disk="",
         )  # fmt: skip
         self.partial_view = PartialView(card, self.environment.chance)
@@ -74,7 +74,7 @@
         # they learn that there was something to lose, and which epochs are spent.
         self.heights: dict[str, int] = {}
         Gauge("postpass_edition", "Edition of the manifest in force", registry=self.registry).set_function(
-            lambda: self.configuration_view.edition
+            lambda: self.configuration_view.revision
         )
         Gauge("postpass_neighbours", "Neighbours in the partial view", registry=self.registry).set_function(
             lambda: len(self.partial_view.neighbours)
@@ -231,7 +231,7 @@
 
     # --- neighbours
     def word(self) -> MemberRecord:
-        return self.partial_view.word(edition=self.configuration_view.edition)
+        return self.partial_view.word(edition=self.configuration_view.revision)
 
     async def on_ping(self, body: Body) -> Result[Body, Fault]:
         """Answers for itself, or, asked to `reach` another, whether that one answers."""
@@ -242,7 +242,7 @@
         if "fits" in body:
             return Ok({"flaws": self.fits(body["fits"])})
         if "reach" in body:
-            if body.get("want", 0) > self.configuration_view.edition and body.get("at"):
+            if body.get("want", 0) > self.configuration_view.revision and body.get("at"):
                 # Whom it reaches will fetch the edition from here.
                 await self.fetch(body["at"], self.settings.bounds.beat)
             ask = {"want": body.get("want", 0), "at": self.settings.peer, "wait": self.settings.bounds.beat * 0.9}
@@ -250,19 +250,19 @@
             if isinstance(got, Err):
                 return Ok({"reached": False, "refused": got.unwrap_err().hint == "refused"})
             return Ok({"reached": True, "edition": got.unwrap()["edition"]})
-        if body.get("want", 0) > self.configuration_view.edition:
+        if body.get("want", 0) > self.configuration_view.revision:
             # Control has taken a newer edition and wants to know when it is in force here.
             self.spawn(self.fetch(body["at"]))
             await self.configuration_view.wait(
                 body["want"] - 1, min(float(body["wait"]), self.settings.bounds.manifest)
             )
-        return Ok({"name": self.settings.name, "inc": self.inc, "edition": self.configuration_view.edition, "release": self.release,
+        return Ok({"name": self.settings.name, "inc": self.inc, "edition": self.configuration_view.revision, "release": self.release,
                    "ready": self.ready(), "leaving": self.leaving})  # fmt: skip
 
     # --- announced fleets
     def entry(self) -> Entry:
         return {
-            "name": self.settings.name, "area": self.settings.area, "peer": self.settings.peer, "http": self.settings.http,
+            "name": self.settings.name, "area": self.settings.zone, "peer": self.settings.peer, "http": self.settings.http,
             "duties": list(self.settings.duties) or ["control"], "born": self.inc, "disk": self.partial_view.me["disk"],
         }  # fmt: skip
 
@@ -271,7 +271,7 @@
         b = self.settings.bounds
         while True:
             if placed(self.configuration_view.manifest, self.entry()):
-                await self.configuration_view.wait(self.configuration_view.edition, b.recover)
+                await self.configuration_view.wait(self.configuration_view.revision, b.recover)
                 continue
             neighbours = [m.card["peer"] for _, m in sorted(self.partial_view.neighbours.items())]
             near = [a for a in dict.fromkeys([*self.sources(), *neighbours]) if a != self.settings.peer]
@@ -287,9 +287,9 @@
             for addr, got in heard.items():
                 if isinstance(got, Err) and got.unwrap_err().peer == addr:
                     self.missed[addr] = now()
-                if isinstance(got, Ok) and got.unwrap()["edition"] > self.configuration_view.edition:
+                if isinstance(got, Ok) and got.unwrap()["edition"] > self.configuration_view.revision:
                     await self.configuration_view.wait(got.unwrap()["edition"] - 1, b.beat / 8)
-                    if got.unwrap()["edition"] > self.configuration_view.edition:
+                    if got.unwrap()["edition"] > self.configuration_view.revision:
                         await self.fetch(addr)
             if not placed(self.configuration_view.manifest, self.entry()):
                 await asyncio.sleep(b.beat / 2 * (0.6 + 0.8 * self.environment.chance.random()))
@@ -304,14 +304,14 @@
     async def on_shuffle(self, body: Body) -> Result[Body, Fault]:
         self.word()
         self.meet(body["cards"])
-        if body["cards"] and body["cards"][0]["edition"] > self.configuration_view.edition:
+        if body["cards"] and body["cards"][0]["edition"] > self.configuration_view.revision:
             # Whoever knows more has just reached this one: it can be asked, even if nobody else can.
             self.spawn(self.fetch(body["cards"][0]["peer"]))
         self.rise_to(body.get("heights", {}))
         return Ok(
             {
                 "cards": self.partial_view.respond(body["cards"]),
-                "edition": self.configuration_view.edition,
+                "edition": self.configuration_view.revision,
                 "heights": self.heights,
             }
         )
@@ -405,7 +405,7 @@
             self.meet(there["cards"])
             self.partial_view.take(there["cards"], offer[1:])
             self.rise_to(there.get("heights", {}))
-            if there["edition"] > self.configuration_view.edition:
+            if there["edition"] > self.configuration_view.revision:
                 await self.fetch(addr)
             self.configuration_view.hear(there["edition"], asked)
 
@@ -421,7 +421,7 @@
 
     async def fetch(self, addr: str, limit: float = 0.0) -> None:
         limit = limit or self.settings.bounds.manifest
-        got = await self.peer_links.call(addr, "follow", Poll(self.configuration_view.edition).as_json(), limit)
+        got = await self.peer_links.call(addr, "follow", Poll(self.configuration_view.revision).as_json(), limit)
         if isinstance(got, Ok) and not self.configuration_view.follow(got.unwrap()):
             again = await self.peer_links.call(addr, "follow", Poll(0).as_json(), self.settings.bounds.manifest)
             if isinstance(again, Ok):
@@ -451,7 +451,7 @@
             if not addr:
                 await asyncio.sleep(b.follow)
                 continue
-            poll = Poll(self.configuration_view.edition, b.follow * (1 + chance.random()), self.settings.name)
+            poll = Poll(self.configuration_view.revision, b.follow * (1 + chance.random()), self.settings.name)
             if await self.poll(addr, poll, rotation):
                 rotation.answered()
             elif rotation.exhausted(sources):
@@ -473,7 +473,7 @@
         self.polls.labels("stale" if stale else "ok").inc()
         if stale:
             rotation.failed_at(addr, (a for a in stale.others if a != self.settings.peer))
-            if stale.version > self.configuration_view.edition and rotation.exhausted(self.sources()):
+            if stale.version > self.configuration_view.revision and rotation.exhausted(self.sources()):
                 await self.fetch(addr)
         elif not self.configuration_view.follow(body):
             await self.fetch(addr)
@@ -493,7 +493,7 @@
         got = await asyncio.gather(*(self.peer_links.call(a, "ping", {}, self.settings.bounds.follow) for a in addrs))
         seen = {a: g.unwrap()["edition"] for a, g in zip(addrs, got, strict=True) if isinstance(g, Ok)}
         best = max(seen, key=lambda a: seen[a], default="")
-        if best and seen[best] > self.configuration_view.edition:
+        if best and seen[best] > self.configuration_view.revision:
             await self.fetch(best)
         if best:
             self.configuration_view.hear(seen[best], asked)
@@ -535,10 +535,10 @@
             heard = await hear(asks, lambda got: any(isinstance(g, Ok) for g in got.values()), 0.0)
             for addr, got in heard.items():
                 if isinstance(got, Ok):
-                    edition = got.unwrap()["edition"]
-                    if edition > self.configuration_view.edition:
+                    revision = got.unwrap()["edition"]
+                    if revision > self.configuration_view.revision:
                         await self.fetch(addr, b.follow)
-                    self.configuration_view.fresh = edition <= self.configuration_view.edition
+                    self.configuration_view.fresh = revision <= self.configuration_view.revision
             if self.configuration_view.fresh:
                 break
             await asyncio.sleep(b.follow / 4 * (0.8 + 0.4 * self.environment.chance.random()))
@@ -549,11 +549,13 @@
                     for n, m in configuration["machines"].items()
                     if n != self.settings.name and not m.get("gone")
                 ]
-                edition = self.configuration_view.edition
+                revision = self.configuration_view.revision
                 self.configuration_view.fresh = (
-                    2 * await self.learn(others) > len(others) and edition == self.configuration_view.edition
+                    2 * await self.learn(others) > len(others) and revision == self.configuration_view.revision
                 )
-        log_events.emit(142, self.settings.name, edition=self.configuration_view.edition, after=f"{now() - began:.2f}")
+        log_events.emit(
+            142, self.settings.name, revision=self.configuration_view.revision, after=f"{now() - began:.2f}"
+        )
 
     # --- operators
     async def http_health(self, _request: Request) -> Response:
@@ -569,8 +571,8 @@
 
     async def http_status(self, _request: Request) -> Response:
         return JSONResponse({
-            "name": self.settings.name, "area": self.settings.area, "peer": self.settings.peer, "http": self.settings.http,
-            "duties": list(self.settings.duties), "release": self.release, "edition": self.configuration_view.edition,
+            "name": self.settings.name, "area": self.settings.zone, "peer": self.settings.peer, "http": self.settings.http,
+            "duties": list(self.settings.duties), "release": self.release, "edition": self.configuration_view.revision,
             "fresh": self.configuration_view.fresh, "leaving": self.leaving, "deaf": self.configuration_view.manifest is not None and now() - self.configuration_view.heard > self.settings.bounds.deaf,
             "up": round(now() - self.started, 3), "ready": self.ready(), "clash": self.clash,
             "neighbours": sorted(self.partial_view.neighbours), **await self.more_status(),
--- a/postpass/feed/configuration_view.py
+++ b/postpass/feed/configuration_view.py
@@ -51,11 +51,15 @@
 class Change:
     """One entry of the feed: leads from the edition before it to its own, whose seal is given."""
 
-    edition: int
+    revision: int
     base: int
     change: Delta
     seal: str
 
+    def body(self) -> dict[str, Any]:
+        """The change by its keys in the feed; shares its parts."""
+        return {"edition": self.revision, "base": self.base, "change": self.change, "seal": self.seal}
+
 
 @dataclass(eq=False)
 class ConfigurationView:
@@ -66,57 +70,57 @@
 
     who: str
     manifest: Configuration | None = None
-    edition: int = 0
+    revision: int = 0
     feed: deque[Change] = field(default_factory=lambda: deque(maxlen=KEPT))
     heard: float = -1e9
     fresh: bool = False
     changed: asyncio.Event = field(default_factory=asyncio.Event)
     weight: int = 0  # the mass of the manifest of an announced fleet
 
-    def take(self, edition: int, raw: Any, change: Delta | None = None, weight: int | None = None) -> bool:
+    def take(self, revision: int, raw: Any, change: Delta | None = None, weight: int | None = None) -> bool:
         """Takes a newer edition; `change` leads to it from the present one, `weight` is its mass, if these are known."""
-        if edition <= self.edition:
+        if revision <= self.revision:
             return False
         # Of an announced fleet control has checked it, and machines and workers change it many times a minute.
         announced = isinstance(raw, dict) and raw.get("announced") is True
         if not announced:
             got = check(raw)
             if not isinstance(got, Ok):
-                log_events.emit(141, self.who, edition=edition, flaws=got.unwrap_err()[:3])
+                log_events.emit(141, self.who, revision=revision, flaws=got.unwrap_err()[:3])
                 return False
         elif weight is None:
             weight = mass(raw) if self.manifest is None else self.weight + shift(self.manifest, raw)
         if self.manifest is not None:
             change = delta(self.manifest, raw) if change is None else change
-            self.feed.append(Change(edition, self.edition, change, seal(raw, weight)))
-        self.manifest, self.edition, self.weight = raw, edition, weight or 0
-        log_events.emit(140, self.who, edition=edition)
+            self.feed.append(Change(revision, self.revision, change, seal(raw, weight)))
+        self.manifest, self.revision, self.weight = raw, revision, weight or 0
+        log_events.emit(140, self.who, revision=revision)
         self.changed.set()
         self.changed = asyncio.Event()
         return True
 
-    def hear(self, edition: int, asked: float) -> None:
+    def hear(self, revision: int, asked: float) -> None:
         """Another daemon, asked at that time, answered and told the edition it runs."""
-        if edition <= self.edition:
+        if revision <= self.revision:
             self.heard = max(self.heard, asked)
 
     def since(self, place: int) -> dict[str, Any]:
         """What a follower at `place` lacks: the changes from there on, or a snapshot."""
-        if place >= self.edition or self.manifest is None:
-            return {"edition": self.edition}
+        if place >= self.revision or self.manifest is None:
+            return {"edition": self.revision}
         tail = [c for c in self.feed if c.base >= place]
         if tail and tail[0].base == place:
-            return {"edition": self.edition, "changes": [vars(c) for c in tail]}
-        return {"edition": self.edition, "snapshot": self.manifest, "seal": seal(self.manifest, self.weight)}
+            return {"edition": self.revision, "changes": [change.body() for change in tail]}
+        return {"edition": self.revision, "snapshot": self.manifest, "seal": seal(self.manifest, self.weight)}
 
     def follow(self, got: dict[str, Any]) -> bool:
         """Takes what `since` gave; False if it doesn't fit, so that a snapshot is wanted."""
         if "snapshot" in got:
             return seal(got["snapshot"]) == got["seal"] and self.take(got["edition"], got["snapshot"])
         for c in got.get("changes", []):
-            if c["edition"] <= self.edition:
+            if c["edition"] <= self.revision:
                 continue
-            if c["base"] != self.edition:
+            if c["base"] != self.revision:
                 return False
             raw = patch(self.manifest, c["change"])
             weight = None
@@ -130,7 +134,7 @@
         """True once an edition past the given one is here."""
         try:
             async with asyncio.timeout(limit):
-                while self.edition <= past:
+                while self.revision <= past:
                     await self.changed.wait()
         except TimeoutError:
             return False
--- a/postpass/gateway/admission.py
+++ b/postpass/gateway/admission.py
@@ -13,7 +13,7 @@
 
     client: str
     fond: str
-    area: str
+    zone: str
     shared: tuple[str, ...]
     size: int
     seat: asyncio.Future[str]
--- a/postpass/gateway/live_requests.py
+++ b/postpass/gateway/live_requests.py
@@ -213,7 +213,7 @@
                 if not seats:
                     break
                 c = self.configuration["classes"][kind]
-                ask = Ask(kind, waiter.shared, waiter.size, waiter.area)
+                ask = Ask(kind, waiter.shared, waiter.size, waiter.zone)
                 name = place(self.settings.name, c.get("place", ""), ask, seats)
                 log.pop()
                 self.open[kind] += 1
@@ -263,14 +263,14 @@
     async def seat(self, kind: str, prompt: Prompt, client: str, left: float) -> str:
         """Waits for a seat; raises Stop if the deadline comes first."""
         c = self.configuration["classes"][kind]
-        ask = Ask(kind, prompt.shared, len(prompt.text), self.settings.area)
+        ask = Ask(kind, prompt.shared, len(prompt.text), self.settings.zone)
         key = prefix(self.settings.name, c.get("prefix", ""), ask)
         names = [
             n
             for n in sorted(self.configuration["pools"][c["pool"]]["servers"])
             if not self.worker_load.barred(c["pool"], n, self.stale)
         ]
-        waiter = Waiter(client, fond_of(key, names), self.settings.area, prompt.shared, len(prompt.text),
+        waiter = Waiter(client, fond_of(key, names), self.settings.zone, prompt.shared, len(prompt.text),
                         asyncio.get_running_loop().create_future())  # fmt: skip
         log = self.backlogs.setdefault(kind, AdmissionQueue())
         log.put(waiter)
--- a/postpass/gateway/relay.py
+++ b/postpass/gateway/relay.py
@@ -235,7 +235,7 @@
         self.lots: Callable[[str, Route, Any, Any, Any], Awaitable[None]] | None = None
         self.sights: dict[str, WorkerHealth] = {}
         self.table = Table({})
-        self.edition = -1
+        self.revision = -1
         self.edges: list[str] = []
         self.started = now()
         self.refused: dict[str, int] = {}  # by cause, since the last line on it
@@ -264,7 +264,7 @@
             await self.inner(scope, receive, send)
             return
         configuration = self.configuration_view.manifest
-        if configuration is not None and self.edition != self.configuration_view.edition:
+        if configuration is not None and self.revision != self.configuration_view.revision:
             self.learn(configuration)
         found = self.table.match(header(scope["headers"], b"host") or b"", scope["raw_path"])
         if found is None:
@@ -391,7 +391,7 @@
     # --- placing
     def learn(self, configuration: Configuration) -> None:
         """Takes a new edition of the manifest in force."""
-        self.table, self.edition = table_of(configuration), self.configuration_view.edition
+        self.table, self.revision = table_of(configuration), self.configuration_view.revision
         self.edges = sorted(
             n for n, m in configuration["machines"].items() if "edge" in m["duties"] and not m.get("gone")
         )
@@ -466,7 +466,7 @@
         """Asked right before the first byte leaves: what speaks against it by the manifest in force now."""
         configuration = self.configuration_view.manifest
         assert configuration is not None
-        if self.edition != self.configuration_view.edition:
+        if self.revision != self.configuration_view.revision:
             self.learn(configuration)
         route = configuration.get("routes", {}).get(request.name)
         if route is None or all(s["pool"] != pool or s["weight"] <= 0 for s in route["split"]):
--- a/postpass/membership/registry.py
+++ b/postpass/membership/registry.py
@@ -9,9 +9,9 @@
 
 from result import Result
 
+from postpass.configuration import accepted_orders
 from postpass.configuration.configuration import Configuration, Limits, Machine, Pool, Route, Server, with_duty
 from postpass.configuration.settings import addr_flaws
-from postpass.control import accepted_orders
 from postpass.membership.safe_change import Presence, Tolerance, copies_bear_loss, machine_to_drop, safe_copies
 
 LEAST_CONTROL = 3  # control machines that stay when one that is silent is dropped
@@ -68,7 +68,7 @@
     memory of accepted orders (`taken_orders`); `aside` holds workers by the pools that they name and that no terms have; `left` are workers
     that said they end; `retired` are emptied stores, by name, with the disk that was emptied."""
 
-    edition: int = 0
+    revision: int = 0
     manifest: Configuration | None = None
     losses: int = 0
     source: Any = None
@@ -88,20 +88,20 @@
     return replace(state, manifest=cast(Configuration, {**state.configuration, **parts}))
 
 
-def recovered(edition: int, manifest: Configuration, losses: int) -> State:
+def recovered(revision: int, manifest: Configuration, losses: int) -> State:
     """The state after a loss, from a manifest that daemons held: no order up to its version is known any more."""
     orders = accepted_orders.forgotten_up_to(manifest.get("version", 0))
-    return State(edition, manifest, losses, orders=orders)
+    return State(revision, manifest, losses, orders=orders)
 
 
 # --- machines
-def entry_flaws(entry: Any, areas: Iterable[str]) -> list[str]:
+def entry_flaws(entry: Any, zones: Iterable[str]) -> list[str]:
     if not isinstance(entry, dict) or set(entry) != set(Entry.__annotations__):
         return [f"entry: want {', '.join(Entry.__annotations__)}, got {entry!r:.80}"]
     out = addr_flaws("peer", str(entry["peer"])) + addr_flaws("http", str(entry["http"]))
     if not entry["name"] or not isinstance(entry["name"], str):
         out.append(f"name: want a name, got {entry['name']!r:.40}")
-    if entry["area"] not in areas:
+    if entry["area"] not in zones:
         out.append(f"area: unknown area {entry['area']!r:.40}")
     if not isinstance(entry["born"], int) or not isinstance(entry["disk"], str):
         out.append("born, disk: want a whole number and a string")
@@ -122,10 +122,10 @@
     return max(4, 2 * lost + 1)
 
 
-def founded(entries: Iterable[Entry], areas: Iterable[str], lost: int) -> Configuration:
+def founded(entries: Iterable[Entry], zones: Iterable[str], lost: int) -> Configuration:
     """The first manifest: nothing but the control machines that found the fleet."""
     return {
-        "name": "announced", "announced": True, "version": 0, "areas": list(areas),
+        "name": "announced", "announced": True, "version": 0, "areas": list(zones),
         "machines": {e["name"]: machine(e) for e in entries}, "parts": PARTS, "copies": wanted_copies(lost),
         "classes": {}, "pools": {}, "ways": {}, "routes": {}, "evacuated": [],
     }  # fmt: skip
@@ -205,7 +205,7 @@
     if not late or not stores:
         return state
     most = wanted_copies(tolerance.machines)
-    there = safe_copies([area for n, area in stores.items() if n in set(heard)], most, tolerance)
+    there = safe_copies([zone for n, zone in stores.items() if n in set(heard)], most, tolerance)
     if configuration["copies"] < there:
         return edit(state, copies=there)
     every = safe_copies(list(stores.values()), most, tolerance)
@@ -260,12 +260,12 @@
     return replace(state, left=[*state.left, *new][-LEFT:]) if new else state
 
 
-def standing_flaws(standing: Standing, areas: Sequence[str]) -> list[str]:
+def standing_flaws(standing: Standing, zones: Sequence[str]) -> list[str]:
     """What the manifest could not take of a worker's word, each with its path. No areas: they aren't known."""
     host = standing["url"].removeprefix("http://")
     out = [] if standing["url"].startswith("http://") else [f"url: want http://IP:PORT, got {standing['url']!r:.60}"]
     out += addr_flaws("url", host)
-    if areas and standing["area"] not in areas:
+    if zones and standing["area"] not in zones:
         out.append(f"area: unknown area {standing['area']!r:.60}")
     if standing["slots"] < 1:
         out.append(f"slots: want at least 1, got {standing['slots']}")
@@ -320,22 +320,22 @@
     return replace(new, source=source, aside=aside, orders=orders)
 
 
-def evacuated(state: State, area: str) -> State:
+def evacuated(state: State, zone: str) -> State:
     now = state.configuration.get("evacuated", [])
-    return state if area in now else edit(state, evacuated=[*now, area])
+    return state if zone in now else edit(state, evacuated=[*now, zone])
 
 
-def returned(state: State, area: str) -> State:
+def returned(state: State, zone: str) -> State:
     """An evacuation is taken back: the area's workers count as cold until they say otherwise."""
     now = state.configuration.get("evacuated", [])
-    if area not in now:
+    if zone not in now:
         return state
 
     def chill(group: dict[str, Server]) -> dict[str, Server]:
-        return {w: cast(Server, {**s, "cold": True}) if s["area"] == area else s for w, s in group.items()}
+        return {w: cast(Server, {**s, "cold": True}) if s["area"] == zone else s for w, s in group.items()}
 
     pools = {n: cast(Pool, {**p, "servers": chill(p["servers"])}) for n, p in state.configuration["pools"].items()}
-    new = edit(state, evacuated=[a for a in now if a != area], pools=pools)
+    new = edit(state, evacuated=[a for a in now if a != zone], pools=pools)
     return replace(new, aside={n: chill(g) for n, g in state.aside.items()})
 
 
--- a/postpass/membership/safe_change.py
+++ b/postpass/membership/safe_change.py
@@ -22,14 +22,14 @@
     """What may be lost at once: so many machines with a disk, or so many whole areas."""
 
     machines: int = 1
-    areas: int = 1
+    zones: int = 1
 
 
 @dataclass(frozen=True)
 class Topology:
     """Where machines stand, and what may be lost of them at once."""
 
-    areas: Mapping[str, str]  # machine -> area
+    zones: Mapping[str, str]  # machine -> area
     tolerance: Tolerance = Tolerance()
 
     def worst_machines(self, live: Collection[str]) -> int:
@@ -38,8 +38,8 @@
 
     def worst_areas(self, live: Collection[str]) -> int:
         """How many of `live` a tolerated loss of whole areas takes at the most. An area that isn't known stands alone."""
-        by_area = Counter(self.areas.get(name) or f"of {name}" for name in live)
-        return sum(sorted(by_area.values(), reverse=True)[: self.tolerance.areas])
+        by_area = Counter(self.zones.get(name) or f"of {name}" for name in live)
+        return sum(sorted(by_area.values(), reverse=True)[: self.tolerance.zones])
 
     def worst_loss(self, live: Collection[str]) -> int:
         """How many of `live` one tolerated loss of either kind takes at the most."""
@@ -51,15 +51,15 @@
     """How many live members are left above a majority after the worst tolerated loss; below 0: no majority is left."""
 
     machines: int
-    areas: int
+    zones: int
 
     def at_least(self, other: Margin) -> bool:
         """Is this one no worse than `other`, whichever kind of loss strikes?"""
-        return self.machines >= other.machines and self.areas >= other.areas
+        return self.machines >= other.machines and self.zones >= other.zones
 
     def lowest(self, other: Margin) -> Margin:
         """For each kind of loss the worse of the two."""
-        return Margin(min(self.machines, other.machines), min(self.areas, other.areas))
+        return Margin(min(self.machines, other.machines), min(self.zones, other.zones))
 
 
 BEARS = Margin(0, 0)
@@ -214,18 +214,18 @@
     """Would a majority of so many copies, spread over these areas, be left after the next tolerated loss?"""
     placed = dict(enumerate(_spread(areas_of_stores, copies)))
     names = [str(index) for index in placed]
-    topology = Topology({str(index): area for index, area in placed.items()}, tolerance)
+    topology = Topology({str(index): zone for index, zone in placed.items()}, tolerance)
     return bears_loss(names, names, topology)
 
 
-def _spread(areas: Sequence[str], copies: int) -> list[str]:
+def _spread(zones: Sequence[str], copies: int) -> list[str]:
     """The areas of so many copies: one in each area before a second in any, as `manifest.members` chooses them."""
-    heads = list(dict.fromkeys(areas))
-    rest = list(areas)
-    for area in heads:
-        rest.remove(area)
+    heads = list(dict.fromkeys(zones))
+    rest = list(zones)
+    for zone in heads:
+        rest.remove(zone)
     # The fullest area last: `members` may choose any of the rest, and the worst choice must be borne.
-    worst = sorted(rest, key=lambda area: -rest.count(area))
+    worst = sorted(rest, key=lambda zone: -rest.count(zone))
     return (heads + worst)[:copies]
 
 
@@ -238,7 +238,7 @@
     """What the primary of control knows of a machine with a disk."""
 
     duties: frozenset[str]
-    area: str
+    zone: str
     silent: float  # seconds since it was last heard
     known: float  # seconds since it first announced itself to this primary
     born: int  # grows with every start of its process
@@ -254,7 +254,7 @@
     """
     long = 2 * patience
     for other in others:
-        if (other.duties, other.area) != (old.duties, old.area) or other.silent > patience:
+        if (other.duties, other.zone) != (old.duties, old.zone) or other.silent > patience:
             continue
         if other.known < old.silent:
             return True
--- a/postpass/replication/partition.py
+++ b/postpass/replication/partition.py
@@ -95,7 +95,7 @@
     follows: dict[str, Follow] = field(default_factory=dict)
     waits: list[tuple[int, str, asyncio.Future[bool]]] = field(default_factory=list)
     stuck: float = 0.0  # since when no covering set is left, though all have answered; 0 if one is
-    areas: dict[str, str] = field(default_factory=dict)
+    zones: dict[str, str] = field(default_factory=dict)
 
     # as mirror: packets of a record that is not yet whole
     gather: list[bytes] = field(default_factory=list)
@@ -123,7 +123,7 @@
 
     def scene(self, crew: Iterable[str]) -> Scene:
         names = tuple(crew)
-        return Scene(names, tuple((n, self.areas.get(n, "")) for n in names), self.me)
+        return Scene(names, tuple((n, self.zones.get(n, "")) for n in names), self.me)
 
     def pred(self, text: str, crew: Crew) -> Callable[[Count], int]:
         """A predicate over a crew; one that doesn't fit the crew falls back to the default."""
--- a/postpass/replication/stability.py
+++ b/postpass/replication/stability.py
@@ -45,11 +45,11 @@
     """The nodes a predicate speaks of. Invariant: `me` is in `areas`; the order of `nodes` gives $1, $2, …"""
 
     nodes: tuple[str, ...]
-    areas: tuple[tuple[str, str], ...]  # (node, area)
+    zones: tuple[tuple[str, str], ...]  # (node, area)
     me: str
 
-    def area(self, node: str) -> str:
-        return dict(self.areas).get(node, "")
+    def zone(self, node: str) -> str:
+        return dict(self.zones).get(node, "")
 
 
 @dataclass(frozen=True)
@@ -79,13 +79,13 @@
     elif name == "MYWNODE":
         names = (scene.me,)
     elif name == "MYAZWNODES":
-        names = tuple(n for n in scene.nodes if scene.area(n) == scene.area(scene.me))
+        names = tuple(n for n in scene.nodes if scene.zone(n) == scene.zone(scene.me))
     elif name.startswith("WNODE_"):
         names = tuple(n for n in scene.nodes if n == name[6:])
         if not names:
             raise Wrong(f"{_at(tree)}: unknown node {name[6:]}; known are {', '.join(scene.nodes)}")
     elif name.startswith("AZ_"):
-        names = tuple(n for n in scene.nodes if scene.area(n) == name[3:])
+        names = tuple(n for n in scene.nodes if scene.zone(n) == name[3:])
         if not names:
             raise Wrong(f"{_at(tree)}: unknown or empty area {name[3:]}")
     elif name.isdigit():
@@ -203,9 +203,9 @@
     if isinstance(built, Err):
         return built.unwrap_err()
     pred = built.unwrap()
-    areas = sorted({a for n, a in scene.areas if n in scene.nodes})
+    zones = sorted({a for n, a in scene.zones if n in scene.nodes})
     losses = [(f"the disk of {n}", frozenset({n})) for n in scene.nodes] + [
-        (f"area {a}", frozenset(n for n in scene.nodes if scene.area(n) == a)) for a in areas
+        (f"area {a}", frozenset(n for n in scene.nodes if scene.zone(n) == a)) for a in zones
     ]
     for held in (frozenset(c) for n in range(len(scene.nodes) + 1) for c in itertools.combinations(scene.nodes, n)):
         covered = pred(lambda n, kind, held=held: 1 if kind == "received" or n in held else 0) >= 1  # type: ignore[misc]
@@ -230,9 +230,9 @@
     return not promises_suffice(pred, nodes, frozenset(nodes) - have)
 
 
-def four(*areas: str) -> Scene:
-    names = tuple(f"s{i + 1}" for i in range(len(areas)))
-    return Scene(names, tuple(zip(names, areas, strict=True)), "s1")
+def four(*zones: str) -> Scene:
+    names = tuple(f"s{i + 1}" for i in range(len(zones)))
+    return Scene(names, tuple(zip(names, zones, strict=True)), "s1")
 
 
 SCENE = four("a", "b", "c", "d")
--- a/postpass/replication/store.py
+++ b/postpass/replication/store.py
@@ -201,9 +201,9 @@
                 # there, one of those that are asked hears it, and says so.
                 if not part.met:
                     part.met, part.heard = True, min(part.heard, now() - self.settings.bounds.detect)
-            areas = {n: m["area"] for n, m in configuration["machines"].items()}
+            zones = {n: m["area"] for n, m in configuration["machines"].items()}
             for part in list(self.parts.values()):
-                part.areas = areas
+                part.zones = zones
                 part.disk = self.disk_id
                 if part.owning:
                     self.own(part)
@@ -393,7 +393,7 @@
                 125,
                 self.settings.name,
                 part=part.id,
-                edition=view.losses + 1,
+                revision=view.losses + 1,
                 last=part.record_log.last,
                 voters=",".join(voters),
                 lots=len(lost),
@@ -799,7 +799,7 @@
 
     def topology(self, part: Partition) -> Topology:
         """Where the machines stand, and what may be lost of them at once."""
-        return Topology(part.areas, self.settings.tolerance)
+        return Topology(part.zones, self.settings.tolerance)
 
     def tidy(self, part: Partition) -> None:
         """Lots leave after the retention; one long overdue is ended first."""
--- a/postpass/rpc/idl/peer.thrift
+++ b/postpass/rpc/idl/peer.thrift
@@ -24,8 +24,8 @@
 
 // One record of control's state: a whole state, or the change that leads to it from the state `base_...`.
 struct StateRecord {
-  1: i32 format, 2: i64 epoch, 3: i64 edition, 4: string checksum,
-  5: i64 base_epoch, 6: i64 base_edition, 7: string base_checksum,
+  1: i32 format, 2: i64 epoch, 3: i64 revision, 4: string checksum,
+  5: i64 base_epoch, 6: i64 base_revision, 7: string base_checksum,
   8: binary body    // JSON
 }
 
--- a/postpass/worker_api/openai.py
+++ b/postpass/worker_api/openai.py
@@ -36,7 +36,7 @@
     cache: float
     start: float
     weights: str
-    edition: str
+    revision: str
 
 
 async def report(session: aiohttp.ClientSession, url: str, limit: float, old: Report | None) -> Report:
@@ -56,18 +56,18 @@
                 for s in family.samples
                 if s.name in GAUGES
             }
-            weights, edition = (old.weights, old.edition) if old else ("", "")
+            weights, revision = (old.weights, old.revision) if old else ("", "")
             if old is None or old.start != seen.get("start", 0.0):
                 step = "models"
                 async with session.get(f"{url}/v1/models") as got:
                     weights = str((await got.json(content_type=None))["data"][0]["id"])
                 step = "version"
                 async with session.get(f"{url}/version") as got:
-                    edition = str((await got.json(content_type=None))["version"])
+                    revision = str((await got.json(content_type=None))["version"])
     except (aiohttp.ClientError, OSError, TimeoutError, ValueError, KeyError, IndexError, TypeError) as bad:
         raise Stop(Fault(step, url, repr(bad)[:120])) from bad
     return Report(int(seen.get("running", 0)), int(seen.get("waiting", 0)), seen.get("cache", 0.0),
-                  seen.get("start", 0.0), weights, edition)  # fmt: skip
+                  seen.get("start", 0.0), weights, revision)  # fmt: skip
 
 
 @dataclass(frozen=True)
--- a/postpass/worker_api/plugins.py
+++ b/postpass/worker_api/plugins.py
@@ -21,7 +21,7 @@
     """A server as a way of placing sees it. Invariant: it may take a call now; `free` >= 1."""
 
     name: str
-    area: str
+    zone: str
     free: int
     slots: int
     load: int
@@ -35,7 +35,7 @@
     kind: str
     shared: tuple[str, ...]
     size: int
-    area: str
+    zone: str
 
 
 Place = Callable[[Ask, tuple[Seat, ...]], str]  # the name of one of the seats
@@ -44,7 +44,7 @@
 
 def least(ask: Ask, seats: tuple[Seat, ...]) -> str:
     """The fond server unless it is much more loaded than the least loaded; the own area breaks ties."""
-    best = min(seats, key=lambda s: (s.load / s.slots, s.area != ask.area, s.name))
+    best = min(seats, key=lambda s: (s.load / s.slots, s.zone != ask.zone, s.name))
     fond = next((s for s in seats if s.fond), None)
     if fond is not None and fond.load / fond.slots <= best.load / best.slots + 0.25:
         return fond.name
--- a/sim/announced.py
+++ b/sim/announced.py
@@ -15,7 +15,7 @@
 from typing import Any, Protocol
 
 from postpass.configuration.settings import Settings
-from postpass.control import ControlPlane
+from postpass.control.daemon import ControlPlane
 from postpass.runtime.environment import Environment
 from sim.clients import Clients, Entry, Kind
 from sim.disk import SimDisk
@@ -233,7 +233,7 @@
         m = self.machines[name]
         if m.gone <= self.loop.clock:
             return
-        box.host = self.loop.add(Host(name, box.ips, box.area))
+        box.host = self.loop.add(Host(name, box.ips, box.zone))
         box.since = self.loop.clock
         if told and (self.founded or name in self.late):
             self.trouble(name, "start")
@@ -321,7 +321,7 @@
     def make_worker(self, name: str, service: str, cold: bool) -> Worker:
         box = self.boxes[name]
         self.workers[name] = Worker(
-            self.services[service], f"{box.ips[0]}:8080", box.area, self.log, self.directory, self.whose,
+            self.services[service], f"{box.ips[0]}:8080", box.zone, self.log, self.directory, self.whose,
             random.Random(f"{name}-{self.seed}-{box.epoch}"), self.ids, self.beat_s, self.limits["drainMs"] / 1000, cold, self.engine,
         )  # fmt: skip
         return self.workers[name]
@@ -332,7 +332,7 @@
         if box.epoch:
             self.make_worker(name, service or self.workers[name].service.name, self.traffic)
         box.epoch += 1
-        box.host = self.loop.add(Host(name, box.ips, box.area))
+        box.host = self.loop.add(Host(name, box.ips, box.zone))
         box.since = self.loop.clock
         box.thing = self.workers[name]
         self.loop.create_task(self.workers[name].run(), context=box.host.context())
@@ -341,7 +341,7 @@
         """The workers of a service are replaced one after the other: the new one first, then the old one drains."""
         old = [n for n, w in self.workers.items() if w.service.name == service and self.boxes[n].up]
         for name in old:
-            fresh = self.add_worker(service, self.boxes[name].area, cold=self.traffic)
+            fresh = self.add_worker(service, self.boxes[name].zone, cold=self.traffic)
             self.start(fresh)
             await asyncio.sleep(gap)
             host = self.boxes[name].host
--- a/sim/broken.py
+++ b/sim/broken.py
@@ -12,7 +12,7 @@
 
 from postpass.batch import scheduler
 from postpass.batch.job import JobView
-from postpass.control import ControlPlane
+from postpass.control.daemon import ControlPlane
 from postpass.daemon.process import Daemon
 from postpass.feed.configuration_view import ConfigurationView
 from postpass.gateway import attempts, live_requests
@@ -130,7 +130,7 @@
     plain = Daemon.fetch
 
     async def fetch(self: Daemon, addr: str, limit: float = 0.0) -> None:
-        if self.configuration_view.edition == 0 or not self.settings.name.startswith("e"):
+        if self.configuration_view.revision == 0 or not self.settings.name.startswith("e"):
             await plain(self, addr, limit)
 
     mp.setattr(Daemon, "fetch", fetch)
@@ -138,7 +138,7 @@
     mp.setattr(
         Daemon,
         "sources",
-        lambda self: [] if self.configuration_view.edition and self.settings.name == "e1" else sources(self),
+        lambda self: [] if self.configuration_view.revision and self.settings.name == "e1" else sources(self),
     )
 
 
--- a/sim/days.py
+++ b/sim/days.py
@@ -163,7 +163,7 @@
 def zone_lost(fleet: AnnouncedFleet, args: list[str], span: float, later: Later) -> None:
     """zone power | kill | freeze | cut N: all machines and workers of a zone; a cut parts it from the other zones."""
     how, zone = args[0], fleet.zones[int(args[1])]
-    names = [n for n, b in fleet.boxes.items() if b.area == zone and b.up]
+    names = [n for n, b in fleet.boxes.items() if b.zone == zone and b.up]
     if how != "cut":
         for name in names:
             if how == "freeze" and name in fleet.machines:
@@ -172,7 +172,7 @@
                 fleet.kill(name, silent=True) if name in fleet.workers else getattr(fleet, how)(name)
                 later(span, partial(fleet.start, name))
         return
-    others = [n for n, b in fleet.boxes.items() if b.area != zone]
+    others = [n for n, b in fleet.boxes.items() if b.zone != zone]
     for name in names:
         fleet.cut_off(name, others, True)
         later(span, partial(fleet.cut_off, name, others, False))
--- a/sim/fleet.py
+++ b/sim/fleet.py
@@ -18,7 +18,7 @@
 from bench.worker import PlainServer, Worker
 from postpass.configuration.configuration import part_of
 from postpass.configuration.settings import parse, split
-from postpass.control import ControlPlane
+from postpass.control.daemon import ControlPlane
 from postpass.daemon.data_plane import DataPlane
 from postpass.daemon.process import Daemon
 from postpass.runtime.environment import Environment, serve_http
@@ -51,7 +51,7 @@
     """A simulated machine: what outlives its processes (address, disk), and the process on it now."""
 
     name: str
-    area: str
+    zone: str
     ips: tuple[str, ...]
     disk: SimDisk | None
     host: Host | None = None
@@ -74,7 +74,7 @@
     tune: dict[str, Any] = field(default_factory=dict)  # config of daemons
     boxes: dict[str, Box] = field(default_factory=dict)
     events: list[Event] = field(default_factory=list)
-    edition: int = 0
+    revision: int = 0
     make: Callable[[Daemon], None] | None = None  # settings of the simulator, laid on each new daemon
     disk_cap: int = 64 << 20
     copies: list[int] = field(default_factory=list)
@@ -128,7 +128,7 @@
         box = self.boxes[name]
         if box.up:
             return
-        box.host = self.loop.add(Host(name, box.ips, box.area))
+        box.host = self.loop.add(Host(name, box.ips, box.zone))
         box.since = self.loop.clock
         if name in self.configuration["machines"]:
             control = "control" in self.configuration["machines"][name]["duties"]
@@ -159,7 +159,7 @@
         host, port = split(server["url"].removeprefix("http://"))
 
         def log(event: Event) -> None:
-            self.log(event | {"area": box.area})
+            self.log(event | {"area": box.zone})
 
         if kind == "model":
             worker = Worker(
@@ -287,7 +287,7 @@
             for i in range(tries):
                 name = order[i % len(order)]
                 url = f"http://{self.configuration['machines'][name]['http']}/v1/manifest"
-                began, status, edition, why = self.loop.clock, 0, 0, ""
+                began, status, revision, why = self.loop.clock, 0, 0, ""
                 waits: list[str] = []
                 pause = RETRY_PAUSE_S
                 try:
@@ -298,20 +298,20 @@
                         timeout=aiohttp.ClientTimeout(total=6, sock_connect=1),
                     ) as got:
                         status = got.status
-                        edition = int(got.headers.get("etag", '"0"').strip('"'))
+                        revision = int(got.headers.get("etag", '"0"').strip('"'))
                         pause = max(pause, float(got.headers.get("retry-after", 0)))
                         why = (await got.text())[:300]
                         waits = json.loads(why).get("unconfirmed", []) if status == 202 else []
                 except (aiohttp.ClientError, OSError, TimeoutError) as bad:
                     why = repr(bad)
-                self.log({"ev": "applied", "who": who, "answer": status, "edition": edition, "base": base, "content": content,
+                self.log({"ev": "applied", "who": who, "answer": status, "edition": revision, "base": base, "content": content,
                           "began": began, "why": why, "again": again, "waits": waits, "via": name})  # fmt: skip
                 if status in (200, 202):
-                    self.edition, self.configuration = (
-                        max(self.edition, edition),
-                        copy.deepcopy(configuration) if edition >= self.edition else self.configuration,
+                    self.revision, self.configuration = (
+                        max(self.revision, revision),
+                        copy.deepcopy(configuration) if revision >= self.revision else self.configuration,
                     )
-                    return edition
+                    return revision
                 if status in (400, 412):
                     return -status
                 again = True
@@ -324,8 +324,8 @@
         try:
             limit = aiohttp.ClientTimeout(total=3, sock_connect=0.5)
             async with self.session() as session, session.get(url, timeout=limit) as got:
-                edition = int(got.headers.get("etag", '"0"').strip('"'))
-                return (await got.json(), edition) if got.status == 200 else None
+                revision = int(got.headers.get("etag", '"0"').strip('"'))
+                return (await got.json(), revision) if got.status == 200 else None
         except (aiohttp.ClientError, OSError, TimeoutError):
             return None
 
@@ -334,13 +334,13 @@
         async with self.session() as session:
             for name in self.controls():
                 url = f"http://{self.configuration['machines'][name]['http']}/v1/manifest"
-                began, status, edition = self.loop.clock, 0, 0
+                began, status, revision = self.loop.clock, 0, 0
                 try:
                     async with session.get(url, timeout=aiohttp.ClientTimeout(total=3, sock_connect=0.5)) as got:
-                        status, edition = got.status, int(got.headers.get("etag", '"0"').strip('"'))
+                        status, revision = got.status, int(got.headers.get("etag", '"0"').strip('"'))
                 except (aiohttp.ClientError, OSError, TimeoutError):
                     pass
-                self.log({"ev": "reads", "began": began, "answer": status, "edition": edition, "via": name})
+                self.log({"ev": "reads", "began": began, "answer": status, "edition": revision, "via": name})
 
     async def sample(self) -> None:
         """Notes which edition each daemon runs; `fit` says that it serves, or that control could have told it."""
@@ -350,7 +350,7 @@
                 if box.up and box.daemon is not None and box.host is not None and not box.host.frozen:
                     configuration_view, control = box.daemon.configuration_view, isinstance(box.daemon, ControlPlane)
                     fit = (
-                        self.loop.clock - box.since > 2.0 and configuration_view.edition > 0
+                        self.loop.clock - box.since > 2.0 and configuration_view.revision > 0
                         if control
                         else configuration_view.fresh
                     )
@@ -358,7 +358,7 @@
                         {
                             "ev": "runs",
                             "daemon": f"{name}/{box.epoch}",
-                            "edition": configuration_view.edition,
+                            "edition": configuration_view.revision,
                             "fit": fit,
                         }
                     )
--- a/sim/loop.py
+++ b/sim/loop.py
@@ -38,7 +38,7 @@
 
     name: str
     ips: tuple[str, ...]
-    area: str
+    zone: str
     dead: bool = False
     frozen: bool = False
     silent: bool = False  # lost power: its peers are told nothing
@@ -244,7 +244,7 @@
         return (one.name, two.name) in self.cuts
 
     def delay(self, chance: random.Random, one: Host, two: Host) -> float:
-        base = self.near if one.area == two.area else self.far
+        base = self.near if one.zone == two.zone else self.far
         more = self.slow.get(one.name, 0.0) + self.slow.get(two.name, 0.0)
         return (base + more) * (1 + self.jitter * chance.random())
 
--- a/sim/runner.py
+++ b/sim/runner.py
@@ -202,8 +202,8 @@
             later(span + 3.0, partial(fleet.start, name))
     elif verb == "area":
         # area power|wipe|kill WHO: all machines, workers and back ends that stand where WHO stands.
-        spot = fleet.boxes[fleet.pick(args[1])].area
-        for name in [n for n, b in fleet.boxes.items() if b.area == spot and b.up]:
+        spot = fleet.boxes[fleet.pick(args[1])].zone
+        for name in [n for n, b in fleet.boxes.items() if b.zone == spot and b.up]:
             getattr(fleet, args[0])(name)
             later(span, partial(fleet.start, name))
     elif verb == "start":
@@ -275,19 +275,19 @@
     elif verb == "routes":
         configuration = fleet.configuration
         for i in range(int(args[0])):
-            configuration = changed(configuration, "ways", configuration["ways"] | {f"/r{fleet.edition}-{i}": "view"})
-        fleet.out(fleet.apply(configuration, fleet.edition, tries=6))
+            configuration = changed(configuration, "ways", configuration["ways"] | {f"/r{fleet.revision}-{i}": "view"})
+        fleet.out(fleet.apply(configuration, fleet.revision, tries=6))
     elif verb == "add":
         # add NAME AREA DUTY: an empty machine at a new address, started and put in the manifest.
-        name, area, duty = args
-        spot = fleet.configuration["areas"].index(area) + 1
+        name, zone, duty = args
+        spot = fleet.configuration["areas"].index(zone) + 1
         ip = f"127.{spot}.7.{len(fleet.boxes)}"
-        m = {"area": area, "peer": f"{ip}:7000", "http": f"{ip}:8000", "duties": duty.split("+")}
+        m = {"area": zone, "peer": f"{ip}:7000", "http": f"{ip}:8000", "duties": duty.split("+")}
         fleet.add_box(name, m)
         configuration = changed(fleet.configuration, f"machines.{name}", m)
         fleet.configuration = configuration
         fleet.start(name)
-        fleet.out(fleet.apply(configuration, fleet.edition, tries=6))
+        fleet.out(fleet.apply(configuration, fleet.revision, tries=6))
     elif verb == "replace":
         # replace OLD NEW: the old machine is declared gone, an empty one takes its place.
         old, new = fleet.pick(args[0]), args[1]
@@ -299,7 +299,7 @@
         configuration = changed(changed(fleet.configuration, f"machines.{old}.gone", True), f"machines.{new}", fresh)
         fleet.configuration = configuration
         fleet.start(new)
-        fleet.out(fleet.apply(configuration, fleet.edition, tries=6))
+        fleet.out(fleet.apply(configuration, fleet.revision, tries=6))
     elif verb == "version":
         name = fleet.pick(args[0])
         fleet.release = args[1]
@@ -311,7 +311,7 @@
 
 async def one_operator(fleet: SimFleet, key: str, val: Any, who: str, first: int) -> None:
     """Makes a change as one of several operators: who loses gets the manifest anew and makes the change from there."""
-    configuration, base = fleet.configuration, fleet.edition
+    configuration, base = fleet.configuration, fleet.revision
     for i in range(first, first + 6):
         via = fleet.controls()[i % len(fleet.controls())]
         got = await fleet.apply(changed(configuration, key, val), base, who, via)
@@ -331,11 +331,11 @@
     for mark in marks:
         if mark["ev"] in ("stay", "return"):
             fleet.log(mark)
-    got = await fleet.apply(configuration, fleet.edition, tries=10)
+    got = await fleet.apply(configuration, fleet.revision, tries=10)
     if got == -412:
         # As an operator does: looks at what is in force now, and makes the change from there.
-        fleet.edition = [e["edition"] for e in fleet.events if e["ev"] == "applied"][-1]
-        got = await fleet.apply(configuration, fleet.edition, tries=10)
+        fleet.revision = [e["edition"] for e in fleet.events if e["ev"] == "applied"][-1]
+        got = await fleet.apply(configuration, fleet.revision, tries=10)
     if got <= 0:
         return
     for mark in marks:
@@ -451,7 +451,7 @@
     out["losses"] = max([p.view.losses for _, s in fleet.stores() for p in s.parts.values()], default=0)
     out["ran"] = fleet.loop.ran
     out |= {f"point_{n}": c for n, c in fleet.points.seen.items()}
-    out["edition"] = fleet.edition
+    out["edition"] = fleet.revision
     return out
 
 
--- a/tests/batch/test_job_service.py
+++ b/tests/batch/test_job_service.py
@@ -179,7 +179,7 @@
             await asyncio.sleep(1.0)
             assert sum(len(s.jobs) for s in scheds(fleet)) == 2
             assert (
-                await fleet.apply({**fleet.configuration, "routes": {}}, desks[0].edge.configuration_view.edition) == 2
+                await fleet.apply({**fleet.configuration, "routes": {}}, desks[0].edge.configuration_view.revision) == 2
             )
             began = fleet.loop.clock
             assert [r["state"] for r in await all_of(desks[1], "l1")] == ["abandoned", "abandoned"]
@@ -192,12 +192,12 @@
 
     def test_goes_by_no_configuration_older_than_its_acceptance(self) -> None:
         async def check(fleet: SimFleet, desks: list[JobApi], workers: Pretend) -> None:
-            known = desks[0].edge.configuration_view.edition
-            desks[0].edge.configuration_view.edition += 2  # as if this edge alone had heard of two more
+            known = desks[0].edge.configuration_view.revision
+            desks[0].edge.configuration_view.revision += 2  # as if this edge alone had heard of two more
             told = asyncio.create_task(desks[0].accept("gone", ROUTE, "l1", lot("a")))
             again = asyncio.create_task(desks[0].accept("r", ROUTE, "l2", lot("b")))
             assert [(await t)[0] for t in (told, again)] == [202, 202]
-            desks[0].edge.configuration_view.edition = known
+            desks[0].edge.configuration_view.revision = known
             await asyncio.sleep(2.0)
             assert workers.runs == []  # the route is there, but may have gone elsewhere since
             assert (await desks[1].results("l1", 0, 0)).unwrap()["results"] == []  # and this one may have come since
--- a/tests/control/test_accepted_orders.py
+++ b/tests/configuration/test_accepted_orders.py
@@ -7,8 +7,7 @@
 
 import pytest
 
-from postpass.configuration.settings import Bounds
-from postpass.control.accepted_orders import (
+from postpass.configuration.accepted_orders import (
     MAXIMUM,
     MINIMUM,
     UNVERSIONED_LIMIT,
@@ -19,6 +18,7 @@
     recall,
     remember,
 )
+from postpass.configuration.settings import Bounds
 
 TAKEN, NOT_TAKEN, FORGOTTEN = Recollection.TAKEN, Recollection.NOT_TAKEN, Recollection.FORGOTTEN
 
--- a/tests/control/test_announced_control.py
+++ b/tests/control/test_announced_control.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 from typing import Any
 
-from postpass.control import ControlPlane
+from postpass.control.daemon import ControlPlane
 from postpass.membership.registry import Standing
 from sim.disk import SimDisk
 from sim.loop import SimLoop, run_sim
@@ -35,12 +35,12 @@
         assert lead is not None
         await f.until(lambda: len(lead.held.pair.voters) == f.control, 5)
         assert lead.held.pair.voters.keys() == {f"c{i}" for i in range(1, f.control + 1)}
-        return took, lead.configuration_view.edition, lead.held.state.configuration["copies"]
+        return took, lead.configuration_view.revision, lead.held.state.configuration["copies"]
 
-    took, edition, copies = play(scene)
-    assert 0 < took < 1.5 and edition < 12 and copies == 4
-    took, edition, copies = play(scene, control=5, stores=8, edges=40, lost=2)
-    assert 0 < took < 2 and edition < 16 and copies == 5
+    took, revision, copies = play(scene)
+    assert 0 < took < 1.5 and revision < 12 and copies == 4
+    took, revision, copies = play(scene, control=5, stores=8, edges=40, lost=2)
+    assert 0 < took < 2 and revision < 16 and copies == 5
 
 
 def test_copies_follow_the_stores_of_a_small_fleet() -> None:
@@ -92,9 +92,9 @@
         lead = f.primary()
         assert lead is not None and list(lead.held.state.configuration["pools"]["llm"]["servers"]) == ["w1"]
         assert (await f.ask("c1", lambda c: c.beat_worker("w2", standing(2, cold=True), 1))).is_ok()
-        edition = lead.configuration_view.edition
+        revision = lead.configuration_view.revision
         assert (await f.ask("c1", lambda c: c.beat_worker("w2", standing(2, cold=True), 2))).is_ok()
-        assert lead.configuration_view.edition == edition
+        assert lead.configuration_view.revision == revision
         began = f.loop.clock
         assert (await f.ask("c2", lambda c: c.beat_worker("w2", standing(2, leave=True), 3))).is_ok()
         assert f.loop.clock - began < 0.3
@@ -151,11 +151,11 @@
             lead = f.primary()
             assert lead is not None
             name = lead.settings.name if turn % 2 else next(c.settings.name for c in f.controls() if not c.epoch)
-            area = f.nodes[name].settings.area
+            zone = f.nodes[name].settings.zone
             f.kill(name, silent=True)
             await asyncio.sleep(4)
             live = [f.nodes[c.settings.name].settings.peer for c in f.controls()][:3]
-            f.add(f"n{turn}", "control", area, f"10.0.{20 + turn}.1", seeds=live)
+            f.add(f"n{turn}", "control", zone, f"10.0.{20 + turn}.1", seeds=live)
 
             def done(new: str = f"n{turn}", old: str = name) -> bool:
                 lead = f.primary()
@@ -223,7 +223,7 @@
         assert got.is_ok()
         lead = f.primary()
         assert lead is not None and len(lead.held.pair.backups) == 2
-        assert len({f.nodes[n].settings.area for n in lead.held.pair.holders}) == 3
+        assert len({f.nodes[n].settings.zone for n in lead.held.pair.holders}) == 3
         f.first = False
         for name in f.nodes:
             f.kill(name, silent=True)
--- a/tests/control/test_configuration.py
+++ b/tests/control/test_configuration.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from typing import Any
 
-from postpass.control.accepted_orders import ConfigurationOrder
+from postpass.configuration.accepted_orders import ConfigurationOrder
 from postpass.control.configuration import ConfigurationChange
 from postpass.control.state import ReplicatedState
 from postpass.membership.registry import State, founded, recovered
--- a/tests/control/test_feed.py
+++ b/tests/control/test_feed.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from postpass.control import ControlPlane
+from postpass.control.daemon import ControlPlane
 from postpass.daemon.data_plane import DataPlane
 from tests.control.test_announced_control import play, standing
 from tests.platform.test_configuration import document
@@ -74,7 +74,7 @@
             cut(f, lost.settings.name, [n for n in names(f.controls()) if n != lost.settings.name], ways)
             await asyncio.sleep(lease(lost) + lost.settings.bounds.detect)
             began = f.loop.clock
-            poll = {"after": lost.configuration_view.edition, "wait": 1.0, "who": "e1"}
+            poll = {"after": lost.configuration_view.revision, "wait": 1.0, "who": "e1"}
             got = (await f.ask(lost.settings.name, lambda c: c.on_follow(poll))).unwrap()
             return f.loop.clock - began, got
 
@@ -89,7 +89,7 @@
             cut(f, lost.settings.name, [n for n in names(f.controls()) if n != lost.settings.name])
             began = f.loop.clock
             await asyncio.sleep(lease(lost) / 2)
-            poll = {"after": lost.configuration_view.edition, "wait": 9.0, "who": "e1"}
+            poll = {"after": lost.configuration_view.revision, "wait": 9.0, "who": "e1"}
             got = (await f.ask(lost.settings.name, lambda c: c.on_follow(poll))).unwrap()
             return [(f.loop.clock - began - lease(lost), bool(got.get("stale")))]
 
@@ -171,7 +171,7 @@
             await asyncio.sleep(20)
             heal(f)
             began = f.loop.clock
-            poll = {"after": lost.configuration_view.edition, "wait": 0.0, "who": "e1"}
+            poll = {"after": lost.configuration_view.revision, "wait": 0.0, "who": "e1"}
             while True:
                 got = (await f.ask(lost.settings.name, lambda c: c.on_follow(poll))).unwrap()
                 if not got.get("stale"):
@@ -212,7 +212,7 @@
             for edge in edges:
                 assert edge is not None and edge.ready() == ""
                 assert f.loop.clock - edge.configuration_view.heard < edge.settings.bounds.deaf
-            edition = max(e.configuration_view.edition for e in edges if e is not None)
+            revision = max(e.configuration_view.revision for e in edges if e is not None)
             f.kill("e1")
             f.boot("e1")
             node = f.nodes["e1"]
@@ -222,11 +222,11 @@
 
             took = await f.until(fresh, 15)
             assert node.daemon is not None
-            return node.daemon.configuration_view.edition, took, edition
+            return node.daemon.configuration_view.revision, took, revision
 
         for left in (0, 1):
-            mine, took, edition = play(lambda f: scene(f, left))  # noqa: B023
-            assert mine == edition and 0 <= took < 6.0, (left, mine, edition, took)
+            mine, took, revision = play(lambda f: scene(f, left))  # noqa: B023
+            assert mine == revision and 0 <= took < 6.0, (left, mine, revision, took)
 
 
 class Test_ProposedState:
@@ -255,7 +255,7 @@
             second = asyncio.create_task(f.ask(name, lambda c: c.retired("s1")))
             await asyncio.sleep(0.1)
             told = [t.result() for t in (first, second) if t.done()]
-            edition = lead.configuration_view.edition
+            revision = lead.configuration_view.revision
             f.kill(name, silent=True)
             f.kill(backup.settings.name, silent=True)
             disk.power_off()
@@ -267,7 +267,7 @@
             assert new is not None
             lost = "s1" not in new.held.state.retired
             assert lost and not any(g.is_ok() and g.unwrap()["done"] for g in told), told
-            assert status["committed"] == edition, (status, edition)
+            assert status["committed"] == revision, (status, revision)
 
         play(scene, stores=5)
 
--- a/tests/control/test_isolation.py
+++ b/tests/control/test_isolation.py
@@ -12,7 +12,7 @@
 import pytest
 from starlette.applications import Starlette
 
-from postpass.control import ControlPlane
+from postpass.control.daemon import ControlPlane
 from postpass.runtime.errors import BAD, BROKE, CLASH, CROWD, FULL, LACK, MOVED, OLD, SHED, SLOW, Fault
 from sim.linearizability import Attempt, Operation, Order, Outcome, Read, check
 from tests.control.test_announced_control import play, standing
--- a/tests/control/test_leadership.py
+++ b/tests/control/test_leadership.py
@@ -12,7 +12,7 @@
 import pytest
 from result import Ok
 
-from postpass.control import ControlPlane
+from postpass.control.daemon import ControlPlane
 from postpass.control.epochs import ReplicaSet
 from postpass.control.journal import replay
 from postpass.control.member import STATE_SEGMENT
@@ -371,7 +371,7 @@
         lead = await settle(f)
         backup = lead.held.pair.backup
         f.kill(backup, silent=True)
-        f.add("n1", "control", f.nodes[backup].settings.area, "10.0.21.1")
+        f.add("n1", "control", f.nodes[backup].settings.zone, "10.0.21.1")
         dropped = await f.until(
             lambda: all(backup not in c.held.state.configuration["machines"] for c in f.controls() if c.epoch), 20
         )
--- a/tests/control/test_orders.py
+++ b/tests/control/test_orders.py
@@ -13,9 +13,10 @@
 import pytest
 from result import Err, Ok, Result
 
-from postpass.control import ControlPlane, accepted_orders
-from postpass.control.accepted_orders import DIGEST_LENGTH, ConfigurationOrder, Recollection
+from postpass.configuration import accepted_orders
+from postpass.configuration.accepted_orders import DIGEST_LENGTH, ConfigurationOrder, Recollection
 from postpass.control.configuration import ConfigurationChange
+from postpass.control.daemon import ControlPlane
 from postpass.daemon.process import Daemon
 from postpass.membership.registry import State
 from postpass.runtime.errors import OLD, Fault
@@ -123,10 +124,10 @@
     primary = fleet.primary()
     name = next(c.settings.name for c in fleet.controls() if c is not primary)
     fleet.kill(name, silent=True)
-    area = fleet.nodes.pop(name).settings.area
+    zone = fleet.nodes.pop(name).settings.zone
     await asyncio.sleep(4.0)
     seeds = [c.settings.peer for c in fleet.controls()][:3]
-    fleet.add("c9", "control", area, "10.0.29.1", seeds=seeds)
+    fleet.add("c9", "control", zone, "10.0.29.1", seeds=seeds)
     await asyncio.sleep(6.0)
 
 
@@ -331,8 +332,10 @@
             await operators.send(put(document(version), version - 1))
         primary = fleet.primary()
         assert primary is not None
-        edition = primary.configuration_view.edition
-        assert await fleet.until(lambda: all(d.configuration_view.edition >= edition for d in daemons(fleet)), 10) >= 0
+        revision = primary.configuration_view.revision
+        assert (
+            await fleet.until(lambda: all(d.configuration_view.revision >= revision for d in daemons(fleet)), 10) >= 0
+        )
         orders = [ConfigurationOrder.of(sent.body) for sent in operators.taken]
         assert len(orders) == 59
         for daemon in daemons(fleet):
--- a/tests/control/test_state_recovery.py
+++ b/tests/control/test_state_recovery.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from postpass.control import ControlPlane
+from postpass.control.daemon import ControlPlane
 from postpass.control.journal import Image, replay
 from postpass.control.state import ReplicatedState
 from postpass.daemon.data_plane import DataPlane
@@ -39,7 +39,7 @@
     fleet: Fleet
     asked: int = 1
     acknowledged: int = 0
-    edition: int = 0
+    revision: int = 0
     refused: int = 0
     times: dict[int, float] = field(default_factory=dict)  # when each count was acknowledged
     going: asyncio.Task[None] | None = None
@@ -59,7 +59,7 @@
         if got is None or got.is_err() or "edition" not in got.unwrap():
             self.refused += 1
             return False
-        self.acknowledged, self.edition = count, got.unwrap()["edition"]
+        self.acknowledged, self.revision = count, got.unwrap()["edition"]
         self.times[count] = self.fleet.loop.clock
         return True
 
--- a/tests/control/test_voters.py
+++ b/tests/control/test_voters.py
@@ -8,7 +8,7 @@
 import pytest
 
 from postpass.configuration.configuration import Configuration
-from postpass.control import ControlPlane
+from postpass.control.daemon import ControlPlane
 from postpass.control.epochs import ReplicaSet
 from postpass.rpc.peer_links import Body
 from tests.control.test_leadership import (
--- a/tests/feed/test_configuration_view.py
+++ b/tests/feed/test_configuration_view.py
@@ -16,7 +16,7 @@
             and not configuration_view.take(2, small())
             and not configuration_view.take(3, small())
         )
-        assert not configuration_view.take(4, {"name": "bad"}) and configuration_view.edition == 3
+        assert not configuration_view.take(4, {"name": "bad"}) and configuration_view.revision == 3
         assert not await configuration_view.wait(3, 0.01) and await configuration_view.wait(2, 0.01)
 
     asyncio.run(run())
@@ -32,14 +32,14 @@
 def test_followers_take_changes_from_their_place_or_a_snapshot() -> None:
     main, near, late = ConfigurationView("m"), ConfigurationView("n"), ConfigurationView("l")
     main.take(1, small())
-    assert near.follow(main.since(0)) and near.edition == 1
-    for edition in range(2, KEPT + 9):
-        main.take(edition, small() | {"name": f"e{edition}"})
-        assert "changes" in main.since(near.edition) and near.follow(main.since(near.edition))
+    assert near.follow(main.since(0)) and near.revision == 1
+    for revision in range(2, KEPT + 9):
+        main.take(revision, small() | {"name": f"e{revision}"})
+        assert "changes" in main.since(near.revision) and near.follow(main.since(near.revision))
     assert near.manifest == main.manifest
     late.take(1, small())
-    assert "snapshot" in main.since(1) and late.follow(main.since(1)) and late.edition == main.edition
-    odd = main.since(main.edition - 1)
-    near.edition -= 1
+    assert "snapshot" in main.since(1) and late.follow(main.since(1)) and late.revision == main.revision
+    odd = main.since(main.revision - 1)
+    near.revision -= 1
     odd["changes"][0]["seal"] = "other"
     assert not near.follow(odd)
--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -125,7 +125,7 @@
 
         configuration = copy.deepcopy(self.configuration_view.manifest)
         edit(configuration)
-        assert self.configuration_view.take(self.configuration_view.edition + 1, configuration)
+        assert self.configuration_view.take(self.configuration_view.revision + 1, configuration)
 
     async def ask(
         self, path: str, body: bytes = b"", method: str = "POST", host: str = "shop.example:80", **more: str
--- a/tests/membership/test_retirement.py
+++ b/tests/membership/test_retirement.py
@@ -7,12 +7,12 @@
 from postpass.membership.safe_change import Tolerance
 
 
-def fleet(copies: int, **areas: str) -> State:
+def fleet(copies: int, **zones: str) -> State:
     entries: list[Entry] = [
         {"name": n, "area": a, "peer": f"{n}:1", "http": f"{n}:2", "duties": ["store"], "born": 1, "disk": n}
-        for n, a in areas.items()
+        for n, a in zones.items()
     ]
-    return edit(State(manifest=founded(entries, sorted(set(areas.values())), 1)), copies=copies)
+    return edit(State(manifest=founded(entries, sorted(set(zones.values())), 1)), copies=copies)
 
 
 def entry(name: str, disk: str, born: int) -> Entry:
--- a/tests/membership/test_safe_change.py
+++ b/tests/membership/test_safe_change.py
@@ -30,23 +30,23 @@
 TWO = Tolerance(2, 1)
 
 
-def topology(areas: str, tolerance: Tolerance = ONE) -> Topology:
+def topology(zones: str, tolerance: Tolerance = ONE) -> Topology:
     """Machines m1, m2, … in areas named by one letter each."""
-    return Topology({f"m{i}": area for i, area in enumerate(areas, 1)}, tolerance)
+    return Topology({f"m{i}": zone for i, zone in enumerate(zones, 1)}, tolerance)
 
 
 def disks(*names: str) -> dict[str, str]:
     return {name: f"disk of {name}" for name in names}
 
 
-def situation(current: str, wanted: str, ready: str, areas: str, tolerance: Tolerance = ONE) -> Situation:
+def situation(current: str, wanted: str, ready: str, zones: str, tolerance: Tolerance = ONE) -> Situation:
     """Members by their numbers: `situation("123", "124", "1234", "abca")`."""
 
     def named(numbers: str) -> list[str]:
         return [f"m{n}" for n in numbers]
 
     ready_disks = disks(*named(ready))
-    return Situation(disks(*named(current)), named(wanted), ready_disks, list(ready_disks), topology(areas, tolerance))
+    return Situation(disks(*named(current)), named(wanted), ready_disks, list(ready_disks), topology(zones, tolerance))
 
 
 def test_margin_counts_what_the_worst_loss_leaves_above_a_majority() -> None:
@@ -98,13 +98,13 @@
 
 
 @pytest.mark.parametrize("tolerance", [ONE, TWO])
-@pytest.mark.parametrize("areas", ["abcdab", "aabbcc", "abcabc", "aaaaaa"])
-def test_every_wanted_set_is_reached_and_no_step_worsens_what_is_borne(areas: str, tolerance: Tolerance) -> None:
+@pytest.mark.parametrize("zones", ["abcdab", "aabbcc", "abcabc", "aaaaaa"])
+def test_every_wanted_set_is_reached_and_no_step_worsens_what_is_borne(zones: str, tolerance: Tolerance) -> None:
     """From each members of 3 to 5 to each wanted ones, all ready: the changes end, and each kept to the rule."""
     for current, wanted in itertools.product(_subsets(3, 5), _subsets(3, 5)):
         members, steps = current, 0
         while set(members) != set(wanted):
-            here = situation(members, wanted, "123456", areas, tolerance)
+            here = situation(members, wanted, "123456", zones, tolerance)
             change = next_change(here)
             assert change is not None, (members, wanted)
             assert len(change.joins) + len(change.leaves) <= 2 and is_safe(here, change)
@@ -118,13 +118,13 @@
         yield from map("".join, itertools.combinations("123456", size))
 
 
-@pytest.mark.parametrize("areas", ["abcdab", "abcabc"])
-def test_with_one_away_no_change_lets_the_next_loss_take_the_majority_that_there_was(areas: str) -> None:
+@pytest.mark.parametrize("zones", ["abcdab", "abcabc"])
+def test_with_one_away_no_change_lets_the_next_loss_take_the_majority_that_there_was(zones: str) -> None:
     """Whatever is away, whatever is wanted: where a loss was borne before a change, one is borne after it."""
-    where = topology(areas)
+    where = topology(zones)
     for current, wanted, away in itertools.product(_subsets(3, 5), _subsets(3, 4), "123456"):
         ready = "123456".replace(away, "")
-        here = situation(current, wanted, ready, areas)
+        here = situation(current, wanted, ready, zones)
         change = next_change(here)
         if change is None or not bears_loss(here.current, here.live, where):
             continue
@@ -144,10 +144,10 @@
     assert safe_copies([], 4, ONE) == 0
 
 
-def present(area: str = "a", **more: float) -> Presence:
+def present(zone: str = "a", **more: float) -> Presence:
     duties = frozenset(["control"])
     known, silent, born = more.get("known", INFINITY), more.get("silent", 0.0), int(more.get("born", 1))
-    return Presence(duties, area, silent, known, born)
+    return Presence(duties, zone, silent, known, born)
 
 
 def dropped(machines: dict[str, Presence]) -> str | None:
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -37,10 +37,10 @@
 
 def test_an_edge_takes_its_place_from_the_file() -> None:
     settings = adapter("settings").config_of("edge", settings_file() | {"later": {"added": 1}}).unwrap()
-    assert (settings.name, settings.area, settings.areas, settings.duties) == ("edge-a-1", "a", ("a", "b"), ("edge",))
+    assert (settings.name, settings.zone, settings.zones, settings.duties) == ("edge-a-1", "a", ("a", "b"), ("edge",))
     assert (settings.peer, settings.http, settings.ready) == ("10.1.0.35:7660", "10.1.0.35:8144", "10.1.0.35:8140")
     assert settings.seeds == ("10.1.0.38:7660", "10.2.0.31:7660")
-    assert (settings.disks_lost, settings.areas_lost, settings.bootstrap, settings.announce, settings.beat) == (
+    assert (settings.disks_lost, settings.zones_lost, settings.bootstrap, settings.announce, settings.beat) == (
         2,
         1,
         True,
--- a/tests/replication/test_partition.py
+++ b/tests/replication/test_partition.py
@@ -9,7 +9,7 @@
 
 def _owner(persisted: bool = True) -> Partition:
     part = Partition(0, "s1", "d1")
-    part.areas = {f"s{i}": c for i, c in zip(range(1, 5), "abcd", strict=True)}
+    part.zones = {f"s{i}": c for i, c in zip(range(1, 5), "abcd", strict=True)}
     part.lead(1)
     part.make("crew", {"crew": {f"s{i}": f"d{i}" for i in range(1, 5)}})
     part.mark = part.make("mark", {}).seq
@@ -95,7 +95,7 @@
 
 def _restarted(part: Partition) -> tuple[Partition, JobView]:
     """The same log after a loss of power: what was heard of `covered` is forgotten."""
-    fresh = Partition(0, "s1", "d1", RecordLog(base=JobView(), recs=list(part.record_log.recs)), areas=part.areas)
+    fresh = Partition(0, "s1", "d1", RecordLog(base=JobView(), recs=list(part.record_log.recs)), zones=part.zones)
     return fresh, head(fresh.record_log)
 
 
--- a/tests/sim/test_broken_variants.py
+++ b/tests/sim/test_broken_variants.py
@@ -17,7 +17,7 @@
 from postpass.batch.job_api import JobApi
 from postpass.batch.job_service import JobService
 from postpass.batch.quota import Budget
-from postpass.control import ControlPlane
+from postpass.control.daemon import ControlPlane
 from postpass.daemon.data_plane import DataPlane
 from postpass.daemon.process import Daemon
 from postpass.gateway import attempts, load_balancing, relay
--- a/tests/sim/test_interface.py
+++ b/tests/sim/test_interface.py
@@ -223,7 +223,7 @@
     async def check(world: SimFleet, say: Say) -> None:
         world.kill("p1")
         box = world.boxes["p1"]
-        host = world.loop.add(Host("p1", box.ips, box.area))
+        host = world.loop.add(Host("p1", box.ips, box.zone))
 
         async def take(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             # A back end of the old kind: the end of the connection is the end of the answer, or a cut.
--- a/tests/support/announced.py
+++ b/tests/support/announced.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from postpass.configuration.settings import Settings, parse, split
-from postpass.control import ControlPlane
+from postpass.control.daemon import ControlPlane
 from postpass.daemon.data_plane import DataPlane
 from postpass.daemon.process import Daemon
 from postpass.membership.registry import Translator
@@ -46,9 +46,9 @@
     def seeds(self) -> list[str]:
         return [f"10.0.{i}.1:7000" for i in range(1, min(3, self.control) + 1)]
 
-    def add(self, name: str, kind: str, area: str, ip: str, disk: SimDisk | None = None, seeds: Any = None) -> Node:
+    def add(self, name: str, kind: str, zone: str, ip: str, disk: SimDisk | None = None, seeds: Any = None) -> Node:
         raw: dict[str, Any] = {
-            "name": name, "area": area, "peer": f"{ip}:7000", "http": f"{ip}:8000", "seeds": seeds or self.seeds(),
+            "name": name, "area": zone, "peer": f"{ip}:7000", "http": f"{ip}:8000", "seeds": seeds or self.seeds(),
             "duties": {"edge": ["edge"], "store": ["store", "sched"], "control": []}[kind], "announce": True,
             "bootstrap": self.first, "areas": AREAS, "tolerate": {"disks": self.lost, "areas": 1}, "beat": 1.2,
             "bounds": {"sync": 5.0},
@@ -57,14 +57,14 @@
             raw["data"] = "disk"
         disk = disk or (SimDisk(random.Random(name)) if kind != "edge" else None)
         settings = parse(raw, kind == "control").unwrap()
-        node = self.nodes[name] = Node(settings, disk, self.loop.add(Host(name, (split(settings.peer)[0],), area)))
+        node = self.nodes[name] = Node(settings, disk, self.loop.add(Host(name, (split(settings.peer)[0],), zone)))
         self.boot(name)
         return node
 
     def boot(self, name: str) -> None:
         node = self.nodes[name]
         if node.host.dead:
-            node.host = self.loop.add(Host(name, (split(node.settings.peer)[0],), node.settings.area))
+            node.host = self.loop.add(Host(name, (split(node.settings.peer)[0],), node.settings.zone))
         world = Environment(
             node.disk, random.Random(f"{name}{self.loop.clock}"), lambda: EPOCH + self.loop.clock,
             connector=lambda: SimConnector(limit=0, keepalive_timeout=2.0),
--- a/tests/support/membership_drill.py
+++ b/tests/support/membership_drill.py
@@ -262,10 +262,10 @@
     def live_seeds(self) -> list[str]:
         return [c.settings.peer for c in self.fleet.controls()][:3]
 
-    def add(self, kind: str, area: str) -> str:
+    def add(self, kind: str, zone: str) -> str:
         number = len(self.fleet.nodes)
         name, net = f"n{number}", {"control": 0, "store": 1}[kind]
-        self.fleet.add(name, kind, area, f"10.{net}.{20 + number}.1", seeds=self.live_seeds())
+        self.fleet.add(name, kind, zone, f"10.{net}.{20 + number}.1", seeds=self.live_seeds())
         self.joined = name
         return name
 
@@ -292,20 +292,20 @@
             self.strike(kind, self.named(role), float(down or 1.0))
         elif verb == "replace":  # lost for good; an empty one comes at another address
             old = self.named(role)
-            area, kind = (
-                self.fleet.nodes[old].settings.area,
+            zone, kind = (
+                self.fleet.nodes[old].settings.zone,
                 "store" if self.fleet.nodes[old].settings.duties else "control",
             )
             self.remove(old)
             await asyncio.sleep(1.0)
-            self.add(kind, area)
+            self.add(kind, zone)
         elif verb == "planned":  # the new one first; then the old one is told to leave, and removed
             old = self.named(role)
-            area, kind = (
-                self.fleet.nodes[old].settings.area,
+            zone, kind = (
+                self.fleet.nodes[old].settings.zone,
                 "store" if self.fleet.nodes[old].settings.duties else "control",
             )
-            self.add(kind, area)
+            self.add(kind, zone)
             await asyncio.sleep(SYNC)
             await self.term(old)
             self.remove(old)
@@ -347,8 +347,8 @@
 
         The answer was true if it was so at some moment between the question and the answer: a loss that strikes after the
         question is itself the next loss."""
-        areas = {n: x.settings.area for n, x in self.fleet.nodes.items()}
-        topology = Topology(areas, Tolerance(self.drill.lost, 1))
+        zones = {n: x.settings.zone for n, x in self.fleet.nodes.items()}
+        topology = Topology(zones, Tolerance(self.drill.lost, 1))
         moments = (when_asked, self.disks_there())
         for number, (_, part) in owners(self.fleet).items():
             crew = part.view.crew
