--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -366,7 +366,7 @@
         kind: Kind = fleet.kinds["batch"]
         scheds = [(m.name, cast(Any, fleet.boxes[m.name].daemon)) for m in fleet.of("store")]
         active = [n for n, d in scheds if d.scheduler is not None and d.scheduler.active]
-        owned = {p.id: n for n, s in fleet.stores() for p in s.parts.values() if p.owning}
+        owned = {p.id: n for n, s in fleet.stores() for p in s.partitions.values() if p.owning}
         while True:  # one whose owner doesn't schedule, so that both are told apart
             lot = clients.make_lot(kind, items)
             if owned[part_of(lot.id, PARTS)] not in active:
@@ -391,7 +391,7 @@
                 views = [
                     p.view.lots[lot.id]
                     for _, s in fleet.stores()
-                    for p in s.parts.values()
+                    for p in s.partitions.values()
                     if p.owning and lot.id in p.view.lots
                 ]
                 return [len(x.order) for x in views]
@@ -399,11 +399,11 @@
             while loop.clock - at < 35.0 and not any(n == items for n in results()):
                 await asyncio.sleep(0.05)
             whole = loop.clock - at
-        owner = [n for n, s in fleet.stores() for p in s.parts.values() if p.owning and lot.id in p.view.lots]
+        owner = [n for n, s in fleet.stores() for p in s.partitions.values() if p.owning and lot.id in p.view.lots]
         mirrors = [
             n
             for n, s in fleet.stores()
-            for p in s.parts.values()
+            for p in s.partitions.values()
             if not p.owning and p.id == part_of(lot.id, PARTS) and n not in active
         ]
         stores = [m.name for m in fleet.of("store")]
--- a/model/partition/rules.py
+++ b/model/partition/rules.py
@@ -10,7 +10,7 @@
 from model.partition.state import LOT, MEMBERS, NO_MEMBER, Ack, Log
 from postpass.batch.job import JobView, joined
 from postpass.membership.safe_change import Change, Situation, Tolerance, Topology, next_change
-from postpass.replication.partition import Partition, head
+from postpass.replication.partition import Partition, latest_view
 from postpass.replication.record_log import Record, RecordLog
 
 Disks = dict[str, str]
@@ -59,12 +59,12 @@
 
 
 def promises(promised: int, epoch: int) -> bool:
-    """Does a store promise this epoch (`Store.promise`)? Transcribed: the product decides it inside a coroutine."""
+    """Does a store promise this epoch (`Election.on_promise`)? Transcribed: the product decides it inside a coroutine."""
     return epoch > promised
 
 
 def takes_stream(promised: int, epoch: int) -> bool:
-    """Does a store follow an owner of this epoch (`Store.hello`)? Transcribed as well."""
+    """Does a store follow an owner of this epoch (`Mirror.on_hello`)? Transcribed as well."""
     return epoch >= promised
 
 
@@ -75,7 +75,7 @@
 
 def complete(part: Partition, situation: Situation) -> bool:
     """Do all members answer, with logs that prove who the members are? Both parts are the product's, joined as in
-    `Store.complete`."""
+    `Reconfiguration.complete`."""
     return part.proven() and situation.live == set(situation.current)
 
 
@@ -115,7 +115,7 @@
 
     def _elects(self, me: int, disk: int, log: Log, voters: tuple[tuple[int, int], ...]) -> bool:
         part = _part(me, disk, log)
-        view = head(part.record_log)
+        view = latest_view(part.record_log)
         named = {name(m): _disk(m, d) for m, d in voters}
         if not self.rules.votes_by_disk:
             named = {n: view.crew.get(n, d) for n, d in named.items()}
@@ -127,9 +127,9 @@
         part = _part(me, disk, log)
         part.persisted = part.record_log.last
         part.lead(epoch)
-        part.mark, part.covered = mark, covered
+        part.epoch_mark, part.covered = mark, covered
         for ack in acks:
-            part.recorder.put(name(ack.member), _disk(ack.member, ack.disk), "persisted", ack.last)
+            part.acknowledgements.put(name(ack.member), _disk(ack.member, ack.disk), "persisted", ack.last)
         self.rules.advance(part)
         change = None
         situation = self._situation(part, acks)
--- a/postpass/batch/job_records.py
+++ b/postpass/batch/job_records.py
@@ -23,7 +23,7 @@
     owner: PartitionOwner
     leadership: LeadershipCheck
 
-    def text_of(self, name: str) -> str:
+    def class_predicate(self, name: str) -> str:
         configuration = self.table.configuration_view.manifest
         return (
             configuration["classes"][name].get("predicate", "")
@@ -31,133 +31,137 @@
             else ""
         )
 
-    async def submit(self, body: Body) -> PeerResponse:
+    async def on_submit(self, body: Body) -> PeerResponse:
         """Takes a lot: `kept` only past the frontier; refused only if nothing was sequenced, or once a
         refusal that wins over the lot is itself covered; otherwise unknown."""
-        lot = body["lot"]
-        got = self.leadership.lead_of(body["part"], "submit")
+        job = body["lot"]
+        got = self.leadership.owned_partition(body["part"], "submit")
         if isinstance(got, Err):
             return got
-        part = got.unwrap()
+        partition = got.unwrap()
         limit = min(float(body.get("wait", 5.0)), self.table.settings.bounds.recover)
-        have = part.view.lots.get(lot["id"])
-        if have is None and lot["id"] not in part.view.shed:
-            flaw = self.no_room(part)
+        have = partition.view.lots.get(job["id"])
+        if have is None and job["id"] not in partition.view.shed:
+            flaw = self.rejection(partition)
             if flaw is None:
                 try:
-                    self.owner.add(part, "lot", lot, vital=False)
+                    self.owner.append(partition, "lot", job, vital=False)
                 except Stop as bad:
                     if bad.fault.code != FULL:
                         return Err(bad.fault)
                     flaw = bad.fault
             if flaw is not None:
-                return await self.shed(part, body, flaw, limit)
-            have = part.view.lots[lot["id"]]
+                return await self.reject(partition, body, flaw, limit)
+            have = partition.view.lots[job["id"]]
         if have is None:
-            seq = part.view.shed[lot["id"]]
-            if await part.wait(seq, "", limit):
+            seq = partition.view.shed[job["id"]]
+            if await partition.wait(seq, "", limit):
                 return Err(
                     Fault("submit", self.table.settings.name, "this lot was refused; send it under another id", SHED)
                 )
             return Err(Fault("submit", self.table.settings.name, "not known yet", SLOW))
-        if have.digest != digest(lot):
+        if have.digest != digest(job):
             return Err(Fault("submit", self.table.settings.name, "a lot with this id and other content is here", CLASH))
-        if await part.wait(have.seq, self.text_of(lot["class"]), limit):
-            return Ok({"id": lot["id"], "state": "kept"})
+        if await partition.wait(have.seq, self.class_predicate(job["class"]), limit):
+            return Ok({"id": job["id"], "state": "kept"})
         return Err(Fault("submit", self.table.settings.name, "not covered yet", SLOW))
 
-    def no_room(self, part: Partition) -> Fault | None:
-        opened = sum(1 for lot in part.view.lots.values() if lot.state == "open" and not lot.whole)
+    def rejection(self, partition: Partition) -> Fault | None:
+        opened = sum(1 for job in partition.view.lots.values() if job.state == "open" and not job.whole)
         if opened >= self.table.configuration_view.limit("open_lots"):
             return Fault("submit", self.table.settings.name, f"{opened} lots are open in this partition", SHED)
-        ahead = sum(len(r.body) for r in part.record_log.after(max(part.covered, part.record_log.base_seq)))
+        ahead = sum(
+            len(r.body) for r in partition.record_log.after(max(partition.covered, partition.record_log.base_seq))
+        )
         if ahead > self.table.settings.buffer_bytes // 2:
             return Fault("submit", self.table.settings.name, "too much is not covered yet", SHED)
-        free = {n for n, f in part.follows.items() if not f.full and not f.silent} | {self.table.settings.name}
-        if not part.can_cover(free) and any(f.full for f in part.follows.values()):
+        free = {n for n, f in partition.mirrors.items() if not f.full and not f.silent} | {self.table.settings.name}
+        if not partition.can_cover(free) and any(f.full for f in partition.mirrors.values()):
             return Fault("submit", self.table.settings.name, "the disks of the mirrors are full", FULL)
         return None
 
-    async def shed(self, part: Partition, body: Body, flaw: Fault, limit: float) -> PeerResponse:
+    async def reject(self, partition: Partition, body: Body, flaw: Fault, limit: float) -> PeerResponse:
         if not body.get("again"):
             return Err(flaw)
         try:
-            rec = self.owner.add(part, "shed", {"id": body["lot"]["id"]})
+            record = self.owner.append(partition, "shed", {"id": body["lot"]["id"]})
         except Stop:
             return Err(Fault("submit", self.table.settings.name, "not known yet", SLOW))
-        if await part.wait(rec.seq, "", limit):
+        if await partition.wait(record.seq, "", limit):
             return Err(
                 Fault(flaw.step, flaw.peer, flaw.why + "; this lot is refused, send it under another id", flaw.code)
             )
         return Err(Fault("submit", self.table.settings.name, "not known yet", SLOW))
 
     async def read(self, body: Body, step: str) -> Result[tuple[Partition, Job], Fault]:
-        got = self.leadership.lead_of(body["part"], step)
+        got = self.leadership.owned_partition(body["part"], step)
         if isinstance(got, Err):
             return got
-        part = got.unwrap()
-        if not await self.leadership.confirm(part):
+        partition = got.unwrap()
+        if not await self.leadership.confirm(partition):
             return Err(Fault(step, self.table.settings.name, "could not be confirmed", SLOW))
-        lot = part.view.lots.get(body["id"])
-        if body["id"] in part.view.shed and part.view.shed[body["id"]] <= part.covered:
+        job = partition.view.lots.get(body["id"])
+        if body["id"] in partition.view.shed and partition.view.shed[body["id"]] <= partition.covered:
             return Err(Fault(step, self.table.settings.name, "this lot was refused", SHED))
-        if body["id"] in part.view.lost:
+        if body["id"] in partition.view.lost:
             return Err(Fault(step, self.table.settings.name, "this lot was lost", LACK))
-        if lot is None or lot.body.get("caller", "") not in ("", body.get("caller", "")):
-            lost = f"; this partition lost lots {part.view.losses} time(s)" if part.view.losses else ""
+        if job is None or job.body.get("caller", "") not in ("", body.get("caller", "")):
+            lost = f"; this partition lost lots {partition.view.losses} time(s)" if partition.view.losses else ""
             return Err(Fault(step, self.table.settings.name, f"no such lot of this caller{lost}", LACK))
-        if lot.seq > part.covered:
+        if job.seq > partition.covered:
             return Err(Fault(step, self.table.settings.name, "not known yet", SLOW))
-        return Ok((part, lot))
+        return Ok((partition, job))
 
-    async def show(self, body: Body) -> PeerResponse:
+    async def on_show(self, body: Body) -> PeerResponse:
         got = await self.read(body, "show")
         if isinstance(got, Err):
             return got
-        part, lot = got.unwrap()
-        shown = [r for r in lot.results.values() if r[0] <= part.covered]
-        ended = lot.state == "ended" and lot.state_seq <= part.covered
-        whole = len(shown) == lot.size
+        partition, job = got.unwrap()
+        shown = [r for r in job.results.values() if r[0] <= partition.covered]
+        ended = job.state == "ended" and job.state_seq <= partition.covered
+        whole = len(shown) == job.size
         return Ok({
-            "id": lot.id, "state": "ended" if ended else "done" if whole else "kept", "class": lot.body["class"],
-            "items": lot.size, "done": sum(r[1] == "done" for r in shown), "failed": sum(r[1] != "done" for r in shown),
-            "due": lot.body["due"], "caller": lot.body.get("caller", ""), "losses": part.view.losses,
+            "id": job.id, "state": "ended" if ended else "done" if whole else "kept", "class": job.body["class"],
+            "items": job.size, "done": sum(r[1] == "done" for r in shown), "failed": sum(r[1] != "done" for r in shown),
+            "due": job.body["due"], "caller": job.body.get("caller", ""), "losses": partition.view.losses,
         })  # fmt: skip
 
-    async def page(self, body: Body) -> PeerResponse:
+    async def on_page(self, body: Body) -> PeerResponse:
         got = await self.read(body, "page")
         if isinstance(got, Err):
             return got
-        part, lot = got.unwrap()
-        rows, spot, done = page(lot, part.covered, body["start"], min(body["most"], 500))
-        return Ok({"id": lot.id, "results": rows, "next": spot, "whole": done})
+        partition, job = got.unwrap()
+        rows, spot, done = page(job, partition.covered, body["start"], min(body["most"], 500))
+        return Ok({"id": job.id, "results": rows, "next": spot, "whole": done})
 
-    async def finish(self, body: Body) -> PeerResponse:
+    async def on_finish(self, body: Body) -> PeerResponse:
         got = await self.read(body, "end")
         if isinstance(got, Err):
             return got
-        part, lot = got.unwrap()
-        if lot.state == "open" and not lot.whole:
+        partition, job = got.unwrap()
+        if job.state == "open" and not job.whole:
             try:
-                self.owner.add(part, "end", {"id": lot.id})
+                self.owner.append(partition, "end", {"id": job.id})
             except Stop as bad:
                 return Err(bad.fault)
-        if not await part.wait(max(lot.state_seq, lot.seq), "", float(body.get("wait", 5.0))):
+        if not await partition.wait(max(job.state_seq, job.seq), "", float(body.get("wait", 5.0))):
             return Err(Fault("end", self.table.settings.name, "not known yet", SLOW))
-        return Ok({"id": lot.id, "state": "done" if lot.whole and lot.state == "open" else "ended"})
+        return Ok({"id": job.id, "state": "done" if job.whole and job.state == "open" else "ended"})
 
-    async def claim(self, body: Body) -> PeerResponse:
+    async def on_claim(self, body: Body) -> PeerResponse:
         """One edge may run a call that may not be repeated: the first claim wins, once it is covered."""
-        got = self.leadership.lead_of(body["part"], "claim")
+        got = self.leadership.owned_partition(body["part"], "claim")
         if isinstance(got, Err):
             return got
-        part = got.unwrap()
-        if body["key"] not in part.view.claims:
+        partition = got.unwrap()
+        if body["key"] not in partition.view.claims:
             try:
-                self.owner.add(part, "claim", {"key": body["key"], "nonce": body["nonce"], "edge": body["edge"]})
+                self.owner.append(
+                    partition, "claim", {"key": body["key"], "nonce": body["nonce"], "edge": body["edge"]}
+                )
             except Stop as bad:
                 return Err(bad.fault)
-        won = part.view.claims[body["key"]]
-        if not await part.wait(won["seq"], "", float(body.get("wait", 3.0))):
+        won = partition.view.claims[body["key"]]
+        if not await partition.wait(won["seq"], "", float(body.get("wait", 3.0))):
             return Err(Fault("claim", self.table.settings.name, "not covered yet", SLOW))
         return Ok({"won": won["nonce"] == body["nonce"]})
--- a/postpass/batch/job_service.py
+++ b/postpass/batch/job_service.py
@@ -59,7 +59,7 @@
     async def accept(self, body: Body) -> PeerResponse:
         """Kept only once covered. Refused (CROWD, FULL) only if nothing was sequenced and nothing that was sent here
         before may still be; otherwise unknown."""
-        got = self.store.lead_of(body["part"], "accept")
+        got = self.store.owned_partition(body["part"], "accept")
         if isinstance(got, Err):
             return got
         part, (lot, raw) = got.unwrap(), packed(body["lot"])
@@ -88,7 +88,7 @@
 
     async def take(self, part: Partition, epoch: int, lot: Body, raw: bytes, limit: float) -> PeerResponse:
         store = self.store
-        flaw = store.no_room(part)
+        flaw = store.rejection(part)
         if flaw is not None:
             return Err(flaw)
         tokens, name = sum(i["tokens"] for i in lot["items"]), lot["route"]
@@ -110,7 +110,7 @@
             # Where its items may go is up to this version of the configuration or a later one, never to one before.
             lot = lot | {"since": max(int(lot.get("since", 0)), store.configuration_view.revision)}
             try:
-                store.add(part, "lot", lot, vital=False, raw=raw)
+                store.append(part, "lot", lot, vital=False, raw=raw)
             except Stop as bad:
                 return Err(
                     bad.fault if bad.fault.code == FULL else Fault("accept", store.settings.name, bad.fault.why, SLOW)
@@ -121,7 +121,7 @@
 
     def wake(self, part: Partition) -> None:
         """Tells the scheduler that there is something to take."""
-        name = self.store.desks[part.id].scheduler
+        name = self.store.owner_states[part.id].scheduler
         addr = self.store.configuration_view.addr(name) if name else ""
         if addr:
             self.spawn(self.store.peer_links.call(addr, "wake", {"part": part.id}, self.store.settings.bounds.beat))
@@ -164,7 +164,7 @@
         turn = 0
         while now() < until:
             order = store.configuration_view.order(number)
-            mine = store.parts.get(number)
+            mine = store.partitions.get(number)
             name = self.holders.get(number) or (mine.owner if mine is not None else "")
             if not name and order:
                 name, turn = order[turn % len(order)], turn + 1
@@ -184,7 +184,7 @@
     async def reserve(self, body: Body) -> PeerResponse:
         """As holder of a route's budget: hears an owner's count and grants what it wants if it fits."""
         store, name = self.store, body["route"]
-        got = store.lead_of(body["part"], "reserve")
+        got = store.owned_partition(body["part"], "reserve")
         if isinstance(got, Err):
             return got
         part = got.unwrap()
@@ -219,7 +219,7 @@
             budget.hear(number, told["epoch"], told["number"], told["count"])
 
     async def waiting(self, body: Body) -> PeerResponse:
-        got = self.store.lead_of(body["part"], "waiting")
+        got = self.store.owned_partition(body["part"], "waiting")
         if isinstance(got, Err):
             return got
         part = got.unwrap()
@@ -236,14 +236,14 @@
             if configuration
             else []
         )
-        for part in [p for p in self.store.parts.values() if p.owning and p.ready] if names else []:
+        for part in [p for p in self.store.partitions.values() if p.owning and p.ready] if names else []:
             for name in names:
                 self.spawn(self.tell(part, name))
 
     def spawn(self, coro: Coroutine[Any, Any, Any]) -> None:
         task = asyncio.create_task(coro)
-        self.store.trials.add(task)
-        task.add_done_callback(self.store.trials.discard)
+        self.store.background_tasks.add(task)
+        task.add_done_callback(self.store.background_tasks.discard)
 
     async def tell(self, part: Partition, name: str) -> None:
         count = self.count(part, name)
@@ -315,5 +315,5 @@
         if (gone or age > lot.body["expire"]) and lot.seq <= part.covered:
             for i in range(lot.size):
                 if i not in lot.results:
-                    store.add(part, "result", {"id": lot.id, "item": i, "status": "abandoned", "output": ""})
+                    store.append(part, "result", {"id": lot.id, "item": i, "status": "abandoned", "output": ""})
         return False
--- a/postpass/batch/leases.py
+++ b/postpass/batch/leases.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(eq=False)
-class Desk:
+class OwnerState:
     """What an owner keeps in memory to hand out items. Invariant: an item is leased to one scheduler at a
     time; losing all of this costs repeated work, never a promise."""
 
@@ -39,108 +39,117 @@
 
 @dataclass(eq=False)
 class Leases:
-    """Hands out items of owned partitions. Owns a `Desk` for each; it is dropped when an ownership begins."""
+    """Hands out items of owned partitions. Owns an `OwnerState` for each; it is dropped when an ownership begins."""
 
     table: PartitionTable
     owner: PartitionOwner
     leadership: LeadershipCheck
-    desks: defaultdict[int, Desk] = field(default_factory=lambda: defaultdict(Desk))
+    owner_states: defaultdict[int, OwnerState] = field(default_factory=lambda: defaultdict(OwnerState))
 
-    async def take(self, body: Body) -> PeerResponse:
+    async def on_take(self, body: Body) -> PeerResponse:
         """Hands out items of covered, open lots, nearest due time first, to the one scheduler of the
         highest term; a lower one is refused."""
-        got = self.leadership.lead_of(body["part"], "take")
+        got = self.leadership.owned_partition(body["part"], "take")
         if isinstance(got, Err):
             return got
-        part = got.unwrap()
-        desk, t = self.desks[part.id], now()
-        if (body["term"], body["sched"]) < (desk.term, desk.scheduler):
+        partition = got.unwrap()
+        state, moment = self.owner_states[partition.id], now()
+        if (body["term"], body["sched"]) < (state.term, state.scheduler):
             return Err(
                 Fault(
                     "take",
                     self.table.settings.name,
-                    f"scheduler {desk.scheduler} has term {desk.term}",
+                    f"scheduler {state.scheduler} has term {state.term}",
                     CLASH,
-                    str(desk.term),
+                    str(state.term),
                 )
             )
-        if (body["term"], body["sched"]) != (desk.term, desk.scheduler):
-            desk.term, desk.scheduler = body["term"], body["sched"]
+        if (body["term"], body["sched"]) != (state.term, state.scheduler):
+            state.term, state.scheduler = body["term"], body["sched"]
         # Before anything is waited for: an item whose end is told right after this question is held no longer.
-        held = {(lot, item) for lot, item in body["held"]}
-        until = t + self.table.settings.bounds.lease * 2
+        held = {(job, item) for job, item in body["held"]}
+        until = moment + self.table.settings.bounds.lease * 2
         for key in held:
-            desk.leases[key] = Lease(body["sched"], until)
+            state.leases[key] = Lease(body["sched"], until)
         # The answer starts a lease at the scheduler: only an owner that is one now may give it.
-        if not await self.leadership.confirm(part):
+        if not await self.leadership.confirm(partition):
             return Err(Fault("take", self.table.settings.name, "could not be confirmed", SLOW))
         for key in [
             k
-            for k, lease in desk.leases.items()
-            if k[0] not in part.view.lots or (k not in held and (lease.until < t or lease.scheduler != body["sched"]))
+            for k, lease in state.leases.items()
+            if k[0] not in partition.view.lots
+            or (k not in held and (lease.until < moment or lease.scheduler != body["sched"]))
         ]:
-            del desk.leases[key]
+            del state.leases[key]
         stop = [
-            lot
-            for lot in sorted({lot for lot, _ in held})
-            if lot not in part.view.lots or part.view.lots[lot].state != "open" or part.view.lots[lot].whole
+            job
+            for job in sorted({job for job, _ in held})
+            if job not in partition.view.lots
+            or partition.view.lots[job].state != "open"
+            or partition.view.lots[job].whole
         ]
-        lots = sorted(
-            (x for x in part.view.lots.values() if x.state == "open" and not x.whole and x.seq <= part.covered),
-            key=lambda x: (x.body["due"], x.seq),
+        jobs = sorted(
+            (
+                job
+                for job in partition.view.lots.values()
+                if job.state == "open" and not job.whole and job.seq <= partition.covered
+            ),
+            key=lambda job: (job.body["due"], job.seq),
         )
         need = dict(body["room"])
-        out_of = Counter(lot for lot, item in desk.leases if item not in part.view.lots[lot].results)
+        out_of = Counter(job for job, item in state.leases if item not in partition.view.lots[job].results)
         out, ahead = [], dict.fromkeys(need, 0)
-        for lot in lots:
-            kind = kind_of(lot.body)
+        for job in jobs:
+            kind = kind_of(job.body)
             # Counted, not listed: what a poll costs must not grow with all items that wait.
-            ahead[kind] = ahead.get(kind, 0) + lot.size - len(lot.results) - out_of[lot.id]
-            free = (i for i in range(lot.size) if i not in lot.results and (lot.id, i) not in desk.leases)
+            ahead[kind] = ahead.get(kind, 0) + job.size - len(job.results) - out_of[job.id]
+            free = (i for i in range(job.size) if i not in job.results and (job.id, i) not in state.leases)
             for i in list(islice(free, max(need.get(kind, 0), 0))):
-                desk.leases[(lot.id, i)] = Lease(body["sched"], until)
+                state.leases[(job.id, i)] = Lease(body["sched"], until)
                 row = {
-                    "lot": lot.id,
+                    "lot": job.id,
                     "item": i,
                     "class": kind,
-                    "due": lot.body["due"],
-                    "caller": lot.body.get("caller", ""),
+                    "due": job.body["due"],
+                    "caller": job.body.get("caller", ""),
                 }
-                if "route" in lot.body:
-                    made = base64.b64encode(lot.item_body(i) or b"").decode()
-                    row |= {"call": lot.body["items"][i] | {"body": made}, "tries": lot.body["tries"]}
-                    row["since"] = lot.body.get("since", 0)
+                if "route" in job.body:
+                    encoded = base64.b64encode(job.item_body(i) or b"").decode()
+                    row |= {"call": job.body["items"][i] | {"body": encoded}, "tries": job.body["tries"]}
+                    row["since"] = job.body.get("since", 0)
                 else:
-                    row |= {"text": lot.body["items"][i], "shared": lot.body.get("shared", [])}
+                    row |= {"text": job.body["items"][i], "shared": job.body.get("shared", [])}
                 out.append(row)
                 need[kind] -= 1
         return Ok({"items": out, "stop": stop, "ahead": ahead})
 
-    async def done(self, body: Body) -> PeerResponse:
+    async def on_done(self, body: Body) -> PeerResponse:
         """Records an item's result; only a whole output comes here as done. The first one wins."""
-        got = self.leadership.lead_of(body["part"], "done")
+        got = self.leadership.owned_partition(body["part"], "done")
         if isinstance(got, Err):
             return got
-        part, key = got.unwrap(), (body["id"], body["item"])
-        desk = self.desks[part.id]
-        lot = part.view.lots.get(body["id"])
-        desk.leases.pop(key, None)
-        if lot is None or lot.state != "open" or body["item"] in lot.results:
+        partition, key = got.unwrap(), (body["id"], body["item"])
+        state = self.owner_states[partition.id]
+        job = partition.view.lots.get(body["id"])
+        state.leases.pop(key, None)
+        if job is None or job.state != "open" or body["item"] in job.results:
             return Ok({"taken": False})
         status, output = body["status"], body["output"]
         if status == "done" and hashlib.sha256(output.encode()).hexdigest()[:16] != body["sum"]:
             return Err(Fault("done", self.table.settings.name, "the output doesn't match its sum", BAD))
-        if status == "abandoned" and "route" in lot.body:
+        if status == "abandoned" and "route" in job.body:
             pass  # a worker said that it can never be done
         elif status != "done":
-            desk.tries[key] += 1
-            if desk.tries[key] < int(body.get("tries", 5)):
+            state.tries[key] += 1
+            if state.tries[key] < int(body.get("tries", 5)):
                 return Ok({"taken": False})
-            status = "abandoned" if "route" in lot.body else "failed"
-            output = "" if "route" in lot.body else output
+            status = "abandoned" if "route" in job.body else "failed"
+            output = "" if "route" in job.body else output
         try:
-            self.owner.add(part, "result", {"id": body["id"], "item": body["item"], "status": status, "output": output})
+            self.owner.append(
+                partition, "result", {"id": body["id"], "item": body["item"], "status": status, "output": output}
+            )
         except Stop as bad:
             return Err(bad.fault)
-        desk.tries.pop(key, None)
+        state.tries.pop(key, None)
         return Ok({"taken": True})
--- a/postpass/batch/partition_access.py
+++ b/postpass/batch/partition_access.py
@@ -9,7 +9,7 @@
 
 if TYPE_CHECKING:
     from postpass.batch.job import Job, Raw
-    from postpass.batch.leases import Desk
+    from postpass.batch.leases import OwnerState
     from postpass.configuration.settings import Settings
     from postpass.feed.configuration_view import ConfigurationView
     from postpass.replication.partition import Partition
@@ -28,30 +28,30 @@
     peer_links: PeerLinks
 
     @property
-    def parts(self) -> dict[int, Partition]:
+    def partitions(self) -> dict[int, Partition]:
         """The partitions that have a copy here, by number."""
 
     @property
-    def trials(self) -> set[asyncio.Task[None]]:
+    def background_tasks(self) -> set[asyncio.Task[None]]:
         """Background tasks; each is kept here until it ends."""
 
     @property
-    def desks(self) -> dict[int, Desk]:
+    def owner_states(self) -> dict[int, OwnerState]:
         """What an owner keeps in memory to hand out items, by partition."""
 
     async def ask(self, name: str, verb: str, body: Body) -> PeerResponse:
         """Asks another store, by its name."""
 
-    def lead_of(self, number: int, step: str) -> Result[Partition, Fault]:
+    def owned_partition(self, number: int, step: str) -> Result[Partition, Fault]:
         """The partition if it is owned here and ready, or MOVED with a hint of its owner."""
 
-    async def confirm(self, part: Partition) -> bool:
+    async def confirm(self, partition: Partition) -> bool:
         """Is this store still the owner? A round trip to the members."""
 
-    def add(self, part: Partition, kind: str, body: Body, vital: bool = True, raw: Raw = b"") -> Record:
+    def append(self, partition: Partition, kind: str, body: Body, vital: bool = True, raw: Raw = b"") -> Record:
         """Sequences one record; raises Stop, with nothing sequenced, if the disk won't take it."""
 
-    def no_room(self, part: Partition) -> Fault | None:
+    def rejection(self, partition: Partition) -> Fault | None:
         """Why no further job is taken now; None if one is."""
 
     async def read(self, body: Body, step: str) -> Result[tuple[Partition, Job], Fault]:
--- a/postpass/batch/retention.py
+++ b/postpass/batch/retention.py
@@ -21,28 +21,32 @@
     leases: Leases
     routed: JobService
 
-    def tidy(self, part: Partition) -> None:
+    def drop_expired(self, partition: Partition) -> None:
         """Lots leave after the retention; one long overdue is ended first."""
-        configuration, desk, view = self.table.configuration_view.manifest, self.leases.desks[part.id], part.view
+        configuration, state, view = (
+            self.table.configuration_view.manifest,
+            self.leases.owner_states[partition.id],
+            partition.view,
+        )
         assert configuration is not None
         keep = configuration.get("retention", 3600.0)
         gone = []
-        for lot in view.lots.values():
-            if "route" in lot.body:
-                if self.routed.over(part, lot):
-                    gone.append(lot.id)
-            elif lot.whole or lot.state == "ended":
-                if now() - desk.done_at.setdefault(lot.id, now()) > keep:
-                    gone.append(lot.id)
-            elif self.table.environment.wall() > lot.body["due"] + keep:
-                self.owner.add(part, "end", {"id": lot.id})
+        for job in view.lots.values():
+            if "route" in job.body:
+                if self.routed.over(partition, job):
+                    gone.append(job.id)
+            elif job.whole or job.state == "ended":
+                if now() - state.done_at.setdefault(job.id, now()) > keep:
+                    gone.append(job.id)
+            elif self.table.environment.wall() > job.body["due"] + keep:
+                self.owner.append(partition, "end", {"id": job.id})
                 return
         # Refusals and claims stay as long as finished lots do, counted from when this owner first saw them.
-        shed = [n for n in view.shed if now() - desk.done_at.setdefault(f"shed {n}", now()) > keep]
-        keys = [k for k in view.claims if now() - desk.done_at.setdefault(f"claim {k}", now()) > keep]
-        lost = [n for n in view.lost if now() - desk.done_at.setdefault(f"lost {n}", now()) > keep]
+        shed = [n for n in view.shed if now() - state.done_at.setdefault(f"shed {n}", now()) > keep]
+        keys = [k for k in view.claims if now() - state.done_at.setdefault(f"claim {k}", now()) > keep]
+        lost = [n for n in view.lost if now() - state.done_at.setdefault(f"lost {n}", now()) > keep]
         if gone or shed or keys or lost:
-            self.owner.add(part, "drop", {"lots": (gone + shed + lost)[:200], "claims": keys[:200]})
+            self.owner.append(partition, "drop", {"lots": (gone + shed + lost)[:200], "claims": keys[:200]})
             names = [*gone, *(f"lost {n}" for n in lost), *(f"shed {n}" for n in shed), *(f"claim {k}" for k in keys)]
             for name in names:
-                desk.done_at.pop(name, None)
+                state.done_at.pop(name, None)
--- a/postpass/configuration/configuration.py
+++ b/postpass/configuration/configuration.py
@@ -11,7 +11,7 @@
 
 from postpass.configuration.schema import flaws
 from postpass.configuration.settings import addr_flaws
-from postpass.replication.stability import DEFAULT, Scene, build, covers, loss_flaw
+from postpass.replication.stability import DEFAULT, PredicateScope, build, covers, loss_flaw
 
 
 class Machine(TypedDict):
@@ -155,9 +155,9 @@
     return tuple(kept[turn:] + kept[:turn])
 
 
-def scene(configuration: Configuration, names: tuple[str, ...], me: str) -> Scene:
+def scene(configuration: Configuration, names: tuple[str, ...], me: str) -> PredicateScope:
     zones = tuple((n, configuration["machines"][n]["area"] if n in configuration["machines"] else "") for n in names)
-    return Scene(names, zones, me)
+    return PredicateScope(names, zones, me)
 
 
 def part_of(lot: str, parts: int) -> int:
@@ -307,7 +307,7 @@
     return [f"{path}: {flaw}" for path, flaw in out.items()]
 
 
-def weaker(text: str, main: str, place: Scene) -> bool:
+def weaker(text: str, main: str, place: PredicateScope) -> bool:
     import itertools
 
     one, two = build(text, place).unwrap(), build(main, place).unwrap()
--- a/postpass/daemon/data_plane.py
+++ b/postpass/daemon/data_plane.py
@@ -49,29 +49,33 @@
         self.edge = self.scheduler = self.store = self.session = self.relay = self.links = None
         if "store" in settings.duties:
             self.store = Store(settings, environment, self.configuration_view, self.peer_links)
-            self.store.owner.rise_to = self.rise_to
+            self.store.owner.announce_epochs = self.rise_to
             election = self.store.election
-            election.ask_kept, election.ask_heights, election.heights = self.ask_kept, self.ask_heights, self.heights
+            election.ask_kept_jobs, election.ask_epochs, election.known_epochs = (
+                self.ask_kept,
+                self.ask_heights,
+                self.heights,
+            )
 
     def gauges(self, store: Store) -> None:
         def gauge(name: str, text: str, read: Callable[[], float]) -> None:
             Gauge(f"postpass_{name}", text, registry=self.registry).set_function(read)
 
         def owned() -> list[Partition]:
-            return [p for p in store.parts.values() if p.owning]
+            return [p for p in store.partitions.values() if p.owning]
 
         gauge("parts_owned", "Partitions owned here", lambda: len(owned()))
         gauge("records_not_covered", "Records of owned partitions beyond the frontier",
               lambda: sum(p.record_log.last - p.covered for p in owned()))  # fmt: skip
         gauge("mirror_lag_records", "How far the furthest mirror is behind",
-              lambda: max((p.record_log.last - p.recorder.get(n, f.disk, "persisted") for p in owned() for n, f in p.follows.items()), default=0))  # fmt: skip
+              lambda: max((p.record_log.last - p.acknowledgements.get(n, f.disk, "persisted") for p in owned() for n, f in p.mirrors.items()), default=0))  # fmt: skip
         gauge("lots_open", "Lots that are not finished", lambda: sum(
             int(x.state == "open" and not x.whole) for p in owned() for x in p.view.lots.values()))  # fmt: skip
         gauge("losses", "How often more was lost than is tolerated", lambda: sum(p.view.losses for p in owned()))
         gauge(
             "tape_bytes",
             "Memory of records not yet folded away",
-            lambda: sum(p.record_log.size for p in store.parts.values()),
+            lambda: sum(p.record_log.size for p in store.partitions.values()),
         )
         gauge("disk_free_bytes", "Room left for the data folder", lambda: store.log.disk.room()[0])
         gauge("takeovers", "Partitions taken over since the start", lambda: store.counts["takeovers"])
@@ -233,7 +237,7 @@
     async def more_status(self) -> Body:
         out: Body = {}
         if self.store is not None:
-            out["store"] = (await self.store.status({})).unwrap()
+            out["store"] = (await self.store.on_parts({})).unwrap()
         if self.edge is not None:
             stale = self.edge.stale
             out["servers"] = {
--- a/postpass/replication/acknowledgements.py
+++ b/postpass/replication/acknowledgements.py
@@ -24,9 +24,9 @@
     def get(self, node: str, disk: str, kind: str) -> int:
         return self.counts.get((node, disk, kind), 0)
 
-    def reach(self, crew: Mapping[str, str], pred: Callable[[Callable[[str, str], int]], int]) -> int:
+    def reach(self, members: Mapping[str, str], predicate: Callable[[Callable[[str, str], int]], int]) -> int:
         """What a predicate yields when only the disks in `crew` have a voice."""
-        return pred(lambda node, kind: self.get(node, crew[node], kind) if node in crew else 0)
+        return predicate(lambda node, kind: self.get(node, members[node], kind) if node in members else 0)
 
     def advance(self, seq: int) -> bool:
         if seq <= self.frontier:
--- a/postpass/replication/catch_up.py
+++ b/postpass/replication/catch_up.py
@@ -8,7 +8,7 @@
 from result import Err, Ok
 
 from postpass.batch.job import JobView
-from postpass.replication.partition import Partition, fresh_tape
+from postpass.replication.partition import Partition, empty_log
 from postpass.replication.partition_table import PartitionTable
 from postpass.replication.record_log import Record, RecordLog, match
 from postpass.rpc.peer_links import IDL, Body, PeerResponse
@@ -23,20 +23,22 @@
 
     table: PartitionTable
 
-    async def pull(self, part: Partition, best: str, there: Body, epoch: int) -> RecordLog | None:
+    async def fetch_log(self, partition: Partition, best: str, there: Body, epoch: int) -> RecordLog | None:
         """Fetches what the best log has beyond this one, into a copy that nothing uses yet."""
-        meet = match(part.record_log.marks(), part.record_log.last, [(e, s) for e, s in there["marks"]], there["last"])
-        mine = part.record_log
+        meet = match(
+            partition.record_log.marks(), partition.record_log.last, [(e, s) for e, s in there["marks"]], there["last"]
+        )
+        mine = partition.record_log
         # A base of its own: this store's may be folded on while it waits.
         staged = RecordLog(mine.base_seq, mine.base_epoch, mine.base.copy(), list(mine.recs), mine.size)
         if meet >= 0:
             staged.cut(meet)
         else:
-            staged = fresh_tape()
+            staged = empty_log()
         after, base, of = meet, bytearray(), -1
         while after < there["last"]:
             got = await self.table.ask(
-                best, "fetch", {"part": part.id, "epoch": epoch, "after": after, "at": len(base)}
+                best, "fetch", {"part": partition.id, "epoch": epoch, "after": after, "at": len(base)}
             )
             if isinstance(got, Err):
                 return None
@@ -60,48 +62,48 @@
                 return None
         return staged
 
-    async def fetch(self, body: Body) -> PeerResponse:
-        part = self.table.part(body["part"])
-        if part.promised != body["epoch"] or part.owning:
-            return Err(Fault("fetch", self.table.settings.name, f"promised to epoch {part.promised}", MOVED))
-        record_log, after = part.record_log, body["after"]
+    async def on_fetch(self, body: Body) -> PeerResponse:
+        partition = self.table.partition(body["part"])
+        if partition.promised != body["epoch"] or partition.owning:
+            return Err(Fault("fetch", self.table.settings.name, f"promised to epoch {partition.promised}", MOVED))
+        record_log, after = partition.record_log, body["after"]
         if after < record_log.base_seq:
-            base, at = part.base_dump(), body.get("at", 0)
+            base, at = partition.base_dump(), body.get("at", 0)
             piece = base64.b64encode(base[at : at + PIECE]).decode()
             return Ok({"recs": [], "base": [record_log.base_seq, record_log.base_epoch, len(base), piece]})
         out: Body = {"recs": []}
         size = 0
-        for rec in record_log.after(after):
-            out["recs"].append([rec.seq, rec.epoch, rec.kind, base64.b64encode(rec.body).decode()])
-            size += len(rec.body)
+        for record in record_log.after(after):
+            out["recs"].append([record.seq, record.epoch, record.kind, base64.b64encode(record.body).decode()])
+            size += len(record.body)
             if size > PIECE:
                 break
         return Ok(out)
 
-    def settle(self, part: Partition, staged: RecordLog) -> None:
+    def adopt(self, partition: Partition, staged: RecordLog) -> None:
         """Takes a staged log as this store's own: cut where they part, then the rest, or base and all."""
-        if staged is part.record_log:
+        if staged is partition.record_log:
             return
         # Always the disk first: what it did not take must not stand in memory, or the next record leaves a gap in the log.
-        meet = match(part.record_log.marks(), part.record_log.last, staged.marks(), staged.last)
+        meet = match(partition.record_log.marks(), partition.record_log.last, staged.marks(), staged.last)
         if meet < 0:
             entries = [
                 IDL.Entry(
-                    part=part.id, op="base", seq=staged.base_seq, epoch=staged.base_epoch, body=staged.base.dump()
+                    part=partition.id, op="base", seq=staged.base_seq, epoch=staged.base_epoch, body=staged.base.dump()
                 )
             ]
-            entries += [r.entry(part.id) for r in staged.recs]
+            entries += [r.entry(partition.id) for r in staged.recs]
             place = self.table.log.append(entries)
-            part.record_log, part.persisted = staged, 0
-            part.places.clear()
+            partition.record_log, partition.persisted = staged, 0
+            partition.unsynced.clear()
         else:
             more = staged.after(meet)
             place = self.table.log.append(
-                [IDL.Entry(part=part.id, op="cut", seq=meet)] + [r.entry(part.id) for r in more]
+                [IDL.Entry(part=partition.id, op="cut", seq=meet)] + [r.entry(partition.id) for r in more]
             )
-            part.cut(meet)
-            for rec in more:
-                part.record_log.append(rec)
-        part.places.append((place, part.record_log.last))
-        part.covered = min(part.covered, part.record_log.last)
-        part.covered = max(part.covered, part.record_log.base_seq)
+            partition.cut(meet)
+            for record in more:
+                partition.record_log.append(record)
+        partition.unsynced.append((place, partition.record_log.last))
+        partition.covered = min(partition.covered, partition.record_log.last)
+        partition.covered = max(partition.covered, partition.record_log.base_seq)
--- a/postpass/replication/handover.py
+++ b/postpass/replication/handover.py
@@ -20,32 +20,37 @@
     async def leave(self) -> None:
         """Hands each partition that is owned here to the first in its order that has all of it."""
         self.table.leaving = True
-        for part in [p for p in self.table.parts.values() if p.owning and p.ready]:
-            able = [n for n in self.table.names(part, part.view) if self.fit(part, n)]
+        for partition in [p for p in self.table.partitions.values() if p.owning and p.ready]:
+            able = [n for n in self.table.other_members(partition, partition.view) if self.can_take_over(partition, n)]
             if able:
-                self.hand_on(part, able[0])
-        await asyncio.gather(*self.table.trials)
+                self.hand_over(partition, able[0])
+        await asyncio.gather(*self.table.background_tasks)
         # The handed-on lots find their owner before this one stops pointing the way.
         await asyncio.sleep(self.table.settings.bounds.beat)
 
-    def fit(self, part: Partition, name: str) -> bool:
+    def can_take_over(self, partition: Partition, name: str) -> bool:
         """Could this member own the partition now, without anything to wait for?"""
-        f, b, t = part.follows.get(name), self.table.settings.bounds, now()
-        if f is None or f.silent or t - f.heard >= b.beat * 4 or part.view.crew.get(name) != f.disk:
+        mirror, bounds, moment = partition.mirrors.get(name), self.table.settings.bounds, now()
+        if (
+            mirror is None
+            or mirror.silent
+            or moment - mirror.heard >= bounds.beat * 4
+            or partition.view.crew.get(name) != mirror.disk
+        ):
             return False
-        return part.recorder.get(name, f.disk, "persisted") >= part.covered
+        return partition.acknowledgements.get(name, mirror.disk, "persisted") >= partition.covered
 
-    def hand_on(self, part: Partition, name: str) -> None:
-        log_events.emit(126, self.table.settings.name, part=part.id, to=name, epoch=part.epoch)
-        epoch = part.epoch
-        part.step_down()
-        part.aligned, part.heard = epoch, now()
+    def hand_over(self, partition: Partition, name: str) -> None:
+        log_events.emit(126, self.table.settings.name, part=partition.id, to=name, epoch=partition.epoch)
+        epoch = partition.epoch
+        partition.step_down()
+        partition.aligned, partition.heard = epoch, now()
 
         async def tell() -> None:
             await self.table.ask(
-                name, "hello", {"part": part.id, "epoch": epoch, "who": self.table.settings.name, "hand": 1}
+                name, "hello", {"part": partition.id, "epoch": epoch, "who": self.table.settings.name, "hand": 1}
             )
 
         task = asyncio.create_task(tell())
-        self.table.trials.add(task)
-        task.add_done_callback(self.table.trials.discard)
+        self.table.background_tasks.add(task)
+        task.add_done_callback(self.table.background_tasks.discard)
--- a/postpass/replication/leadership_check.py
+++ b/postpass/replication/leadership_check.py
@@ -17,50 +17,50 @@
     """Asks the members whether they know of a later owner. Owns the one check that runs for each partition."""
 
     table: PartitionTable
-    confirms: dict[int, asyncio.Task[bool]] = field(default_factory=dict)
+    checks: dict[int, asyncio.Task[bool]] = field(default_factory=dict)
 
-    def lead_of(self, number: int, step: str) -> Result[Partition, Fault]:
-        part = self.table.parts.get(number)
-        if part is None or not part.owning:
-            hint = part.owner if part is not None and part.owner != self.table.settings.name else ""
+    def owned_partition(self, number: int, step: str) -> Result[Partition, Fault]:
+        partition = self.table.partitions.get(number)
+        if partition is None or not partition.owning:
+            hint = partition.owner if partition is not None and partition.owner != self.table.settings.name else ""
             return Err(Fault(step, self.table.settings.name, "not the owner", MOVED, hint))
-        if not part.ready:
+        if not partition.ready:
             return Err(
                 Fault(step, self.table.settings.name, "the owner is not ready yet", MOVED, self.table.settings.name)
             )
-        return Ok(part)
+        return Ok(partition)
 
-    async def confirm(self, part: Partition) -> bool:
+    async def confirm(self, partition: Partition) -> bool:
         """A round trip under the epoch: no one else owns this partition now."""
-        task = self.confirms.get(part.id)
+        task = self.checks.get(partition.id)
         if task is not None and not task.done():
             # One that began before this read proves nothing for it; wait it out and start another.
             await asyncio.wait([task])
-            task = self.confirms.get(part.id)
+            task = self.checks.get(partition.id)
         if task is None or task.done():
-            task = asyncio.create_task(self._confirm(part, part.epoch))
-            self.confirms[part.id] = task
+            task = asyncio.create_task(self._ask_members(partition, partition.epoch))
+            self.checks[partition.id] = task
         return await asyncio.shield(task)
 
-    async def _confirm(self, part: Partition, epoch: int) -> bool:
+    async def _ask_members(self, partition: Partition, epoch: int) -> bool:
         voters = {self.table.settings.name: self.table.disk_id}
-        if part.confirmed(voters):
-            return part.epoch == epoch
+        if partition.confirmed(voters):
+            return partition.epoch == epoch
         found = asyncio.Event()
 
         async def one(name: str) -> None:
             got = await self.table.ask(
-                name, "hello", {"part": part.id, "epoch": epoch, "who": self.table.settings.name, "confirm": 1}
+                name, "hello", {"part": partition.id, "epoch": epoch, "who": self.table.settings.name, "confirm": 1}
             )
             if isinstance(got, Ok) and got.unwrap()["ok"]:
                 voters[name] = got.unwrap()["disk"]
-                if part.epoch == epoch and part.confirmed(voters):
+                if partition.epoch == epoch and partition.confirmed(voters):
                     found.set()
-            elif isinstance(got, Ok) and got.unwrap()["promised"] > epoch and part.epoch == epoch:
-                self.table.fall(part, got.unwrap()["promised"])
+            elif isinstance(got, Ok) and got.unwrap()["promised"] > epoch and partition.epoch == epoch:
+                self.table.step_down(partition, got.unwrap()["promised"])
 
-        every = asyncio.gather(*(one(n) for n in self.table.names(part, part.view)))
+        every = asyncio.gather(*(one(n) for n in self.table.other_members(partition, partition.view)))
         first = asyncio.create_task(found.wait())
         await asyncio.wait([asyncio.ensure_future(every), first], return_when=asyncio.FIRST_COMPLETED)  # type: ignore[type-var]
         first.cancel()
-        return found.is_set() and part.epoch == epoch
+        return found.is_set() and partition.epoch == epoch
--- a/postpass/replication/mirror.py
+++ b/postpass/replication/mirror.py
@@ -27,110 +27,122 @@
     table: PartitionTable
     election: Election
     acknowledger: Acknowledger
-    spoiled: asyncio.Future[Fault] = field(default_factory=lambda: asyncio.get_running_loop().create_future())
+    disk_failed: asyncio.Future[Fault] = field(default_factory=lambda: asyncio.get_running_loop().create_future())
 
     async def watch_disk(self) -> None:
         """Ends the process once a peer has shown that this disk lost what it had synced."""
-        raise Stop(await self.spoiled)
+        raise Stop(await self.disk_failed)
 
-    async def hello(self, body: Body) -> PeerResponse:
-        part, epoch = self.table.part(body["part"]), body["epoch"]
-        about: Body = {"disk": self.table.disk_id, "promised": part.promised}
+    async def on_hello(self, body: Body) -> PeerResponse:
+        partition, epoch = self.table.partition(body["part"]), body["epoch"]
+        about: Body = {"disk": self.table.disk_id, "promised": partition.promised}
         if body.get("hand"):
-            if part.aligned == epoch and not part.trial and not part.owning and not self.table.leaving:
-                self.election.stand_soon(part, epoch)
+            if (
+                partition.aligned == epoch
+                and not partition.in_election
+                and not partition.owning
+                and not self.table.leaving
+            ):
+                self.election.run_soon(partition, epoch)
             return Ok(about | {"ok": True})
         if body.get("spoiled"):
-            if body["spoiled"] == self.table.disk_id and epoch == part.promised:
-                why = f"partition {part.id}: {body['who']} holds acknowledgements of more than this log has"
+            if body["spoiled"] == self.table.disk_id and epoch == partition.promised:
+                why = f"partition {partition.id}: {body['who']} holds acknowledgements of more than this log has"
                 self.table.log.bad = why
-                if not self.spoiled.done():
-                    self.spoiled.set_result(Fault("read log", self.table.settings.name, why))
+                if not self.disk_failed.done():
+                    self.disk_failed.set_result(Fault("read log", self.table.settings.name, why))
             return Ok(about | {"ok": False})
         if body.get("confirm"):
-            return Ok(about | {"ok": part.promised <= epoch})
-        if epoch < part.promised or (part.owning and part.epoch >= epoch):
+            return Ok(about | {"ok": partition.promised <= epoch})
+        if epoch < partition.promised or (partition.owning and partition.epoch >= epoch):
             return Ok(about | {"ok": False})
-        if epoch > part.promised:
-            part.promised = epoch
-            if part.owning:
-                self.table.fall(part, epoch)
-            part.aligned = 0
+        if epoch > partition.promised:
+            partition.promised = epoch
+            if partition.owning:
+                self.table.step_down(partition, epoch)
+            partition.aligned = 0
             try:
-                await self.table.log.wait(self.table.write(part, [IDL.Entry(part=part.id, op="promise", epoch=epoch)]))
+                await self.table.log.wait(
+                    self.table.write(partition, [IDL.Entry(part=partition.id, op="promise", epoch=epoch)])
+                )
             except Stop as bad:
                 return Err(bad.fault)
-            if part.promised != epoch:
-                return Ok(about | {"ok": False, "promised": part.promised})
-        part.heard, part.owner, part.met, part.down = now(), body["who"], True, ""
-        part.filling = 0 if part.aligned == epoch else epoch
+            if partition.promised != epoch:
+                return Ok(about | {"ok": False, "promised": partition.promised})
+        partition.heard, partition.owner, partition.contacted, partition.refused_owner = now(), body["who"], True, ""
+        partition.handshake_epoch = 0 if partition.aligned == epoch else epoch
         # The owner has just connected: whatever link for acknowledgements stands from before may lead to a
         # process that is no more.
-        self.acknowledger.fresh.add(body["who"])
+        self.acknowledger.reconnected.add(body["who"])
         return Ok(
-            about | {"ok": True, "promised": epoch, "last": part.record_log.last, "marks": part.record_log.marks()}
+            about
+            | {"ok": True, "promised": epoch, "last": partition.record_log.last, "marks": partition.record_log.marks()}
         )
 
-    async def carry(self, packet: Any) -> None:
-        part = self.table.part(packet.part)
-        if packet.epoch < part.promised or (part.owning and packet.epoch <= part.epoch):
-            self.acknowledger.note(part, packet.owner)
+    async def on_carry(self, packet: Any) -> None:
+        partition = self.table.partition(packet.part)
+        if packet.epoch < partition.promised or (partition.owning and packet.epoch <= partition.epoch):
+            self.acknowledger.schedule(partition, packet.owner)
             return
-        if packet.epoch > part.promised:
+        if packet.epoch > partition.promised:
             # Seen first in a stream: hello comes before, so this is a stale or foreign one.
-            self.acknowledger.note(part, packet.owner, gap=True)
+            self.acknowledger.schedule(partition, packet.owner, gap=True)
             return
-        part.heard, part.owner = now(), packet.owner
+        partition.heard, partition.owner = now(), packet.owner
         try:
-            self.take_packet(part, packet)
+            self.accept_packet(partition, packet)
         except Stop as bad:
-            part.aligned = part.filling = 0
+            partition.aligned = partition.handshake_epoch = 0
             if bad.fault.code != FULL:
                 raise
-            log_events.emit(114, self.table.settings.name, part=part.id)
-        part.covered = (
-            max(part.covered, min(packet.covered, part.record_log.last))
-            if part.aligned == packet.epoch
-            else part.covered
+            log_events.emit(114, self.table.settings.name, part=partition.id)
+        partition.covered = (
+            max(partition.covered, min(packet.covered, partition.record_log.last))
+            if partition.aligned == packet.epoch
+            else partition.covered
         )
-        self.acknowledger.note(part, packet.owner)
+        self.acknowledger.schedule(partition, packet.owner)
 
-    def take_packet(self, part: Partition, p: Any) -> None:
-        if p.kind == "beat":
+    def accept_packet(self, partition: Partition, packet: Any) -> None:
+        if packet.kind == "beat":
             return  # it goes out between the packets of others
-        if p.index == 0:
-            part.gather = []
-        if p.index != len(part.gather):
-            part.gather, part.aligned, part.filling = [], 0, 0
+        if packet.index == 0:
+            partition.packets = []
+        if packet.index != len(partition.packets):
+            partition.packets, partition.aligned, partition.handshake_epoch = [], 0, 0
             return
-        part.gather.append(p.body)
-        if p.index + 1 < p.total:
+        partition.packets.append(packet.body)
+        if packet.index + 1 < packet.total:
             return
-        body = b"".join(part.gather)
-        part.gather, part.filling = [], 0
-        record_log = part.record_log
-        if p.kind == "start":
-            fits = record_log.base_seq <= p.seq <= record_log.last and record_log.epoch_at(p.seq) == p.born
-            if fits and p.seq < record_log.last:
-                place = self.table.log.append([IDL.Entry(part=part.id, op="cut", seq=p.seq)])
-                part.cut(p.seq)
-                part.places.append((place, p.seq))
-            part.aligned = p.epoch if fits else 0
-        elif p.kind == "snap":
-            place = self.table.log.append([IDL.Entry(part=part.id, op="base", seq=p.seq, epoch=p.born, body=body)])
-            part.record_log = RecordLog(p.seq, p.born, JobView.load(body))
-            part.places.clear()
-            part.places.append((place, p.seq))
-            part.persisted, part.aligned, part.covered = 0, p.epoch, p.seq
-        elif p.kind == "rec" and part.aligned == p.epoch:
-            if p.seq != record_log.last + 1 or p.prior != record_log.last_epoch:
-                part.aligned = 0
+        body = b"".join(partition.packets)
+        partition.packets, partition.handshake_epoch = [], 0
+        record_log = partition.record_log
+        if packet.kind == "start":
+            fits = (
+                record_log.base_seq <= packet.seq <= record_log.last and record_log.epoch_at(packet.seq) == packet.born
+            )
+            if fits and packet.seq < record_log.last:
+                place = self.table.log.append([IDL.Entry(part=partition.id, op="cut", seq=packet.seq)])
+                partition.cut(packet.seq)
+                partition.unsynced.append((place, packet.seq))
+            partition.aligned = packet.epoch if fits else 0
+        elif packet.kind == "snap":
+            place = self.table.log.append(
+                [IDL.Entry(part=partition.id, op="base", seq=packet.seq, epoch=packet.born, body=body)]
+            )
+            partition.record_log = RecordLog(packet.seq, packet.born, JobView.load(body))
+            partition.unsynced.clear()
+            partition.unsynced.append((place, packet.seq))
+            partition.persisted, partition.aligned, partition.covered = 0, packet.epoch, packet.seq
+        elif packet.kind == "rec" and partition.aligned == packet.epoch:
+            if packet.seq != record_log.last + 1 or packet.prior != record_log.last_epoch:
+                partition.aligned = 0
                 return
             body, _, kind = body.rpartition(b"\n")
-            rec = Record(p.seq, p.born, kind.decode(), body)
-            self.write_first(part, rec)
+            record = Record(packet.seq, packet.born, kind.decode(), body)
+            self.append_record(partition, record)
 
-    def write_first(self, part: Partition, rec: Record) -> None:
-        place = self.table.log.append([rec.entry(part.id)])
-        part.record_log.append(rec)
-        part.places.append((place, rec.seq))
+    def append_record(self, partition: Partition, record: Record) -> None:
+        place = self.table.log.append([record.entry(partition.id)])
+        partition.record_log.append(record)
+        partition.unsynced.append((place, record.seq))
--- a/postpass/replication/owner.py
+++ b/postpass/replication/owner.py
@@ -24,12 +24,12 @@
 
     table: PartitionTable
     streams: MirrorStreams
-    begun: Callable[[int], None]  # told of each partition that is taken up, before its first record
-    rise_to: Callable[[dict[str, int]], None] = lambda _: None
+    ownership_began: Callable[[int], None]  # told of each partition that is taken up, before its first record
+    announce_epochs: Callable[[dict[str, int]], None] = lambda _: None
 
-    def rise(
+    def become_owner(
         self,
-        part: Partition,
+        partition: Partition,
         epoch: int,
         view: JobView,
         voters: dict[str, str],
@@ -37,91 +37,91 @@
         normal: bool,
         lost: list[str],
     ) -> None:
-        part.lead(epoch)
-        self.begun(part.id)
-        made: list[Record] = []
+        partition.lead(epoch)
+        self.ownership_began(partition.id)
+        records: list[Record] = []
         if blank:
-            made.append(part.make("crew", {"crew": voters}))
+            records.append(partition.make("crew", {"crew": voters}))
         elif not normal:
-            made.append(part.make("loss", {"crew": voters, "edition": view.losses + 1, "lots": lost}))
+            records.append(partition.make("loss", {"crew": voters, "edition": view.losses + 1, "lots": lost}))
             log_events.emit(
                 125,
                 self.table.settings.name,
-                part=part.id,
+                part=partition.id,
                 revision=view.losses + 1,
-                last=part.record_log.last,
+                last=partition.record_log.last,
                 voters=",".join(voters),
                 lots=len(lost),
             )
-        made.append(part.make("mark", {}))
-        part.mark = part.record_log.last
+        records.append(partition.make("mark", {}))
+        partition.epoch_mark = partition.record_log.last
         try:
-            self.table.write(part, [r.entry(part.id) for r in made])
+            self.table.write(partition, [r.entry(partition.id) for r in records])
         except Stop:
-            part.cut(made[0].seq - 1)
+            partition.cut(records[0].seq - 1)
             raise
-        self.rise_to({str(part.id): epoch})
+        self.announce_epochs({str(partition.id): epoch})
         self.table.counts["takeovers"] += 1
-        log_events.emit(120, self.table.settings.name, part=part.id, epoch=epoch, last=part.record_log.last)
-        self.streams.kick_all(part)
+        log_events.emit(120, self.table.settings.name, part=partition.id, epoch=epoch, last=partition.record_log.last)
+        self.streams.wake_all(partition)
 
-    def moved(self, part: Partition) -> None:
-        if part.advance():
-            self.prove(part)
+    def advance(self, partition: Partition) -> None:
+        if partition.advance():
+            self.settle_changes(partition)
 
-    def prove(self, part: Partition) -> None:
+    def settle_changes(self, partition: Partition) -> None:
         """A change that is covered is settled in the log at once: an election after a loss of power has only the log."""
-        upto = part.provable()
+        upto = partition.provable()
         if upto:
             try:
-                self.add(part, "mark", {"settled": upto})
+                self.append(partition, "mark", {"settled": upto})
             except Stop:
                 return
 
-    def add(self, part: Partition, kind: str, body: Body, vital: bool = True, raw: Raw = b"") -> Record:
+    def append(self, partition: Partition, kind: str, body: Body, vital: bool = True, raw: Raw = b"") -> Record:
         """Sequences one record and streams it at once. Raises Stop, with nothing sequenced, if the disk
         won't take it."""
         if not vital:
             free, _ = self.table.log.disk.room()
             if free - len(json.dumps(body)) - len(raw) - 256 < self.table.log.hold:
-                log_events.emit(114, self.table.settings.name, part=part.id)
+                log_events.emit(114, self.table.settings.name, part=partition.id)
                 raise Stop(Fault("append", self.table.settings.name, "the disk is full", FULL))
         if self.table.log.bad:
             raise Stop(Fault("append", self.table.settings.name, self.table.log.bad, BROKE))
-        rec = part.make(kind, body, raw)
+        record = partition.make(kind, body, raw)
         try:
-            self.table.write(part, [rec.entry(part.id)])
+            self.table.write(partition, [record.entry(partition.id)])
         except Stop as bad:
             # Sequenced in memory but not on disk: this log can't be led from here any more.
-            part.cut(rec.seq - 1)
-            part.step_down()
-            part.heard = now()
+            partition.cut(record.seq - 1)
+            partition.step_down()
+            partition.heard = now()
             raise Stop(Fault("append", self.table.settings.name, bad.fault.why, SLOW)) from bad
         self.table.counts[f"rec_{kind}"] += 1
-        self.streams.kick_all(part)
-        return rec
+        self.streams.wake_all(partition)
+        return record
 
-    async def ack(self, acks: list[Any]) -> None:
-        for a in acks:
-            part = self.table.part(a.part)
-            if a.promised > max(part.promised, part.epoch):
-                if part.owning:
-                    self.table.fall(part, a.promised)
+    async def on_ack(self, acks: list[Any]) -> None:
+        for ack in acks:
+            partition = self.table.partition(ack.part)
+            if ack.promised > max(partition.promised, partition.epoch):
+                if partition.owning:
+                    self.table.step_down(partition, ack.promised)
                 continue
-            if not part.owning or a.epoch != part.epoch:
+            if not partition.owning or ack.epoch != partition.epoch:
                 continue
-            f = part.follows.get(a.name)
-            if f is None or f.disk != a.disk:
+            mirror = partition.mirrors.get(ack.name)
+            if mirror is None or mirror.disk != ack.disk:
                 continue
-            f.heard, f.silent, f.full = now(), False, bool(a.full)
-            if a.gap:
-                f.link = None
-                self.streams.kick_all(part)
+            mirror.heard, mirror.silent, mirror.full = now(), False, bool(ack.full)
+            if ack.gap:
+                mirror.link = None
+                self.streams.wake_all(partition)
                 continue
-            last = part.record_log.last
-            new = part.recorder.put(a.name, a.disk, "received", min(a.received, last))
-            new = part.recorder.put(a.name, a.disk, "persisted", min(a.persisted, last)) or new
+            last = partition.record_log.last
+            new = partition.acknowledgements.put(ack.name, ack.disk, "received", min(ack.received, last))
+            new = partition.acknowledgements.put(ack.name, ack.disk, "persisted", min(ack.persisted, last)) or new
             if new:
-                self.moved(part)
+                self.advance(partition)
                 if self.streams.wait_each:
-                    self.streams.kick_all(part)
+                    self.streams.wake_all(partition)
--- a/postpass/replication/owner_duties.py
+++ b/postpass/replication/owner_duties.py
@@ -24,45 +24,55 @@
     handover: Handover
     retention: Retention
 
-    def own(self, part: Partition) -> None:
-        configuration, b, t = self.table.configuration_view.manifest, self.table.settings.bounds, now()
+    def run(self, partition: Partition) -> None:
+        configuration, bounds, moment = self.table.configuration_view.manifest, self.table.settings.bounds, now()
         assert configuration is not None
-        fresh = {n: f.disk for n, f in part.follows.items() if t - f.heard < b.detect}
-        if not part.confirmed(fresh | {self.table.settings.name: self.table.disk_id}):
-            if t - part.heard > b.detect * 1.5:
-                self.table.fall(part, part.epoch)
+        fresh = {n: mirror.disk for n, mirror in partition.mirrors.items() if moment - mirror.heard < bounds.detect}
+        if not partition.confirmed(fresh | {self.table.settings.name: self.table.disk_id}):
+            if moment - partition.heard > bounds.detect * 1.5:
+                self.table.step_down(partition, partition.epoch)
                 return
         else:
-            part.heard = t
-        self.streams.kick_all(part)
-        if self.lost_cover(part):
-            part.stuck = part.stuck or t
-            if t - part.stuck > b.detect:
+            partition.heard = moment
+        self.streams.wake_all(partition)
+        if self.cannot_cover(partition):
+            partition.uncoverable_since = partition.uncoverable_since or moment
+            if moment - partition.uncoverable_since > bounds.detect:
                 # Nothing can be covered any more from here: only an election, which all answer, may go on.
-                self.table.fall(part, part.epoch)
+                self.table.step_down(partition, partition.epoch)
                 return
         else:
-            part.stuck = 0.0
-        if not part.ready:
+            partition.uncoverable_since = 0.0
+        if not partition.ready:
             return
         try:
-            self.reconfiguration.change(part)
-            self.retention.tidy(part)
+            self.reconfiguration.change_next(partition)
+            self.retention.drop_expired(partition)
         except Stop:
             return
-        order = self.table.configuration_view.order(part.id)
+        order = self.table.configuration_view.order(partition.id)
         if order and order[0] != self.table.settings.name:
             for name in order[: order.index(self.table.settings.name)] if self.table.settings.name in order else order:
-                f = part.follows.get(name)
-                if f is not None and t - f.since > b.detect and self.handover.fit(part, name):
-                    self.handover.hand_on(part, name)
+                mirror = partition.mirrors.get(name)
+                if (
+                    mirror is not None
+                    and moment - mirror.since > bounds.detect
+                    and self.handover.can_take_over(partition, name)
+                ):
+                    self.handover.hand_over(partition, name)
                     return
 
-    def lost_cover(self, part: Partition) -> bool:
+    def cannot_cover(self, partition: Partition) -> bool:
         """Have all members answered, or been declared gone, and no covering set of their disks is left?"""
-        t, b = now(), self.table.settings.bounds
-        names = [n for n in self.table.names(part, part.view) if self.table.configuration_view.addr(n)]
-        there = {n: f for n in names if (f := part.follows.get(n)) is not None and f.disk}
-        if len(there) < len(names) or any(f.silent or t - f.heard > b.detect for f in there.values()):
+        moment, bounds = now(), self.table.settings.bounds
+        names = [
+            n for n in self.table.other_members(partition, partition.view) if self.table.configuration_view.addr(n)
+        ]
+        there = {n: mirror for n in names if (mirror := partition.mirrors.get(n)) is not None and mirror.disk}
+        if len(there) < len(names) or any(
+            mirror.silent or moment - mirror.heard > bounds.detect for mirror in there.values()
+        ):
             return False
-        return part.hopeless({n: f.disk for n, f in there.items()} | {self.table.settings.name: self.table.disk_id})
+        return partition.hopeless(
+            {n: mirror.disk for n, mirror in there.items()} | {self.table.settings.name: self.table.disk_id}
+        )
--- a/postpass/replication/partition_table.py
+++ b/postpass/replication/partition_table.py
@@ -30,10 +30,10 @@
     environment: Environment
     configuration_view: ConfigurationView
     peer_links: PeerLinks
-    parts: dict[int, Partition] = field(default_factory=dict)
+    partitions: dict[int, Partition] = field(default_factory=dict)
     counts: Counter[str] = field(default_factory=Counter)
     data_directory: DataDirectory | None = None
-    trials: set[asyncio.Task[None]] = field(default_factory=set)
+    background_tasks: set[asyncio.Task[None]] = field(default_factory=set)
     leaving: bool = False
 
     @property
@@ -46,25 +46,25 @@
         assert self.data_directory is not None
         return self.data_directory.name
 
-    def part(self, number: int) -> Partition:
-        if number not in self.parts:
-            self.parts[number] = Partition(
+    def partition(self, number: int) -> Partition:
+        if number not in self.partitions:
+            self.partitions[number] = Partition(
                 number, self.settings.name, self.disk_id if self.data_directory else "", heard=now()
             )
-        return self.parts[number]
+        return self.partitions[number]
 
-    def write(self, part: Partition, entries: Iterable[Any], vital: bool = True) -> int:
+    def write(self, partition: Partition, entries: Iterable[Any], vital: bool = True) -> int:
         place: int = self.log.append(entries, vital)
-        part.places.append((place, part.record_log.last))
+        partition.unsynced.append((place, partition.record_log.last))
         return place
 
-    def names(self, part: Partition, view: JobView) -> list[str]:
+    def other_members(self, partition: Partition, view: JobView) -> list[str]:
         """Everyone who has, or should have, a copy, but this store."""
         every = dict.fromkeys(
             [
-                *self.configuration_view.order(part.id),
+                *self.configuration_view.order(partition.id),
                 *view.crew,
-                *(view.old_crew if view.crew_seq > part.covered else {}),
+                *(view.old_crew if view.crew_seq > partition.covered else {}),
             ]
         )
         return [n for n in every if n != self.settings.name]
@@ -75,41 +75,41 @@
             return Err(Fault(verb, name, "gone or unknown", LACK))
         return await self.peer_links.call(addr, verb, body, self.settings.bounds.promise)
 
-    def fall(self, part: Partition, epoch: int) -> None:
-        if part.owning:
-            log_events.emit(121, self.settings.name, part=part.id, epoch=part.epoch, seen=epoch)
-            part.step_down()
-        part.promised = max(part.promised, epoch)
-        part.heard = now()
+    def step_down(self, partition: Partition, epoch: int) -> None:
+        if partition.owning:
+            log_events.emit(121, self.settings.name, part=partition.id, epoch=partition.epoch, seen=epoch)
+            partition.step_down()
+        partition.promised = max(partition.promised, epoch)
+        partition.heard = now()
 
-    async def open(self) -> None:
+    async def load(self) -> None:
         assert self.environment.disk is not None
         held = max(self.settings.segment_bytes // 4, 1024)
         self.data_directory = await open_data_directory(
             self.settings.name, self.environment.disk, self.environment.chance, self.settings.segment_bytes, held
         )
-        for e in self.data_directory.entries:
-            part = self.part(e.part)
-            if e.op == "promise":
-                part.promised = max(part.promised, e.epoch)
-            elif e.op == "base":
-                part.record_log = RecordLog(e.seq, e.epoch, JobView.load(e.body))
-                part.covered = e.seq
-            elif e.op == "cut":
-                part.record_log.cut(e.seq)
-            elif e.op == "rec":
-                part.record_log.append(Record(e.seq, e.epoch, e.kind, e.body))
-            part.persisted = part.record_log.last
+        for entry in self.data_directory.entries:
+            partition = self.partition(entry.part)
+            if entry.op == "promise":
+                partition.promised = max(partition.promised, entry.epoch)
+            elif entry.op == "base":
+                partition.record_log = RecordLog(entry.seq, entry.epoch, JobView.load(entry.body))
+                partition.covered = entry.seq
+            elif entry.op == "cut":
+                partition.record_log.cut(entry.seq)
+            elif entry.op == "rec":
+                partition.record_log.append(Record(entry.seq, entry.epoch, entry.kind, entry.body))
+            partition.persisted = partition.record_log.last
 
     def snapshot(self) -> Iterator[Any]:
-        for part in self.parts.values():
-            record_log = part.record_log
-            yield IDL.Entry(part=part.id, op="promise", epoch=part.promised)
+        for partition in self.partitions.values():
+            record_log = partition.record_log
+            yield IDL.Entry(part=partition.id, op="promise", epoch=partition.promised)
             yield IDL.Entry(
-                part=part.id,
+                part=partition.id,
                 op="base",
                 seq=record_log.base_seq,
                 epoch=record_log.base_epoch,
                 body=record_log.base.dump(),
             )
-            yield from (r.entry(part.id) for r in record_log.recs)
+            yield from (r.entry(partition.id) for r in record_log.recs)
--- a/postpass/replication/reconfiguration.py
+++ b/postpass/replication/reconfiguration.py
@@ -19,46 +19,52 @@
     table: PartitionTable
     owner: PartitionOwner
 
-    def change(self, part: Partition) -> None:
+    def change_next(self, partition: Partition) -> None:
         """Brings predicate and members to what the manifest wants: one change at a time, each a record."""
-        configuration, view = self.table.configuration_view.manifest, part.view
+        configuration, view = self.table.configuration_view.manifest, partition.view
         assert configuration is not None
-        if view.crew_seq > part.covered or view.predicate_seq > part.covered:
+        if view.crew_seq > partition.covered or view.predicate_seq > partition.covered:
             return
-        self.owner.prove(part)
+        self.owner.settle_changes(partition)
         if configuration.get("predicate", "") != view.predicate:
-            self.owner.add(part, "predicate", {"text": configuration.get("predicate", "")})
+            self.owner.append(partition, "predicate", {"text": configuration.get("predicate", "")})
             return
-        change = next_change(self.situation(part), stays=self.table.settings.name)
+        change = next_change(self.situation(partition), stays=self.table.settings.name)
         if change is not None:
-            self.owner.add(part, "crew", {"crew": change.members})
+            self.owner.append(partition, "crew", {"crew": change.members})
             log_events.emit(
                 124,
                 self.table.settings.name,
-                part=part.id,
+                part=partition.id,
                 joins=",".join(change.joins),
                 leaves=",".join(change.leaves),
             )
 
-    def situation(self, part: Partition) -> Situation:
+    def situation(self, partition: Partition) -> Situation:
         """What a change of a partition's members is decided from, as its owner sees it now."""
         recent = now() - self.table.settings.bounds.detect
-        heard = {n: f.disk for n, f in part.follows.items() if f.disk and not f.silent and f.heard > recent}
-        ready = {n: d for n, d in heard.items() if part.recorder.get(n, d, "persisted") >= part.covered}
-        if part.persisted >= part.covered:
+        heard = {n: f.disk for n, f in partition.mirrors.items() if f.disk and not f.silent and f.heard > recent}
+        ready = {
+            n: d for n, d in heard.items() if partition.acknowledgements.get(n, d, "persisted") >= partition.covered
+        }
+        if partition.persisted >= partition.covered:
             ready[self.table.settings.name] = self.table.disk_id
         answering = [*heard, self.table.settings.name]
         return Situation(
-            part.view.crew, self.table.configuration_view.order(part.id), ready, answering, self.topology(part)
+            partition.view.crew,
+            self.table.configuration_view.order(partition.id),
+            ready,
+            answering,
+            self.topology(partition),
         )
 
-    def complete(self, part: Partition) -> bool:
+    def complete(self, partition: Partition) -> bool:
         """As owner: do all members answer, and have they synced the last change of members with the mark that settles it?
         From then on one that has left may lose its disk, and any one of them the next: whatever was held, and the proof
         of who the members are, is on the disks of all of them."""
-        here = self.situation(part)  # `live` have synced all that is covered
-        return part.proven() and here.live == set(here.current)
+        here = self.situation(partition)  # `live` have synced all that is covered
+        return partition.proven() and here.live == set(here.current)
 
-    def topology(self, part: Partition) -> Topology:
+    def topology(self, partition: Partition) -> Topology:
         """Where the machines stand, and what may be lost of them at once."""
-        return Topology(part.zones, self.table.settings.tolerance)
+        return Topology(partition.zones, self.table.settings.tolerance)
--- a/postpass/replication/record_log.py
+++ b/postpass/replication/record_log.py
@@ -24,7 +24,7 @@
 class Base:
     """What records are folded into; `lots.LotView` is the one in use."""
 
-    def fold(self, rec: Record) -> None: ...
+    def fold(self, record: Record) -> None: ...
 
     def copy(self) -> Base:
         return self
@@ -63,11 +63,11 @@
     def after(self, seq: int) -> list[Record]:
         return self.recs[seq - self.base_seq :]
 
-    def append(self, rec: Record) -> None:
-        assert rec.seq == self.last + 1, f"{rec.seq} does not follow {self.last}"
-        assert rec.epoch >= self.last_epoch, f"epoch {rec.epoch} falls below {self.last_epoch}"
-        self.recs.append(rec)
-        self.size += len(rec.body)
+    def append(self, record: Record) -> None:
+        assert record.seq == self.last + 1, f"{record.seq} does not follow {self.last}"
+        assert record.epoch >= self.last_epoch, f"epoch {record.epoch} falls below {self.last_epoch}"
+        self.recs.append(record)
+        self.size += len(record.body)
 
     def cut(self, seq: int) -> None:
         """Drops what follows `seq`."""
@@ -78,8 +78,8 @@
     def rebase(self, seq: int) -> None:
         """Folds the records up to `seq` into the base; only covered ones may go there."""
         epoch = self.epoch_at(seq)
-        for rec in self.recs[: seq - self.base_seq]:
-            self.base.fold(rec)
+        for record in self.recs[: seq - self.base_seq]:
+            self.base.fold(record)
         self.recs = self.recs[seq - self.base_seq :]
         self.base_seq, self.base_epoch = seq, epoch
         self.size = sum(len(r.body) for r in self.recs)
@@ -87,9 +87,9 @@
     def marks(self) -> list[tuple[int, int]]:
         """(epoch, first number) of each run of one epoch, from the base on."""
         out = [(self.base_epoch, self.base_seq)]
-        for rec in self.recs:
-            if rec.epoch != out[-1][0]:
-                out.append((rec.epoch, rec.seq))
+        for record in self.recs:
+            if record.epoch != out[-1][0]:
+                out.append((record.epoch, record.seq))
         return out
 
 
--- a/postpass/replication/stability.py
+++ b/postpass/replication/stability.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True)
-class Scene:
+class PredicateScope:
     """The nodes a predicate speaks of. Invariant: `me` is in `areas`; the order of `nodes` gives $1, $2, …"""
 
     nodes: tuple[str, ...]
@@ -53,12 +53,12 @@
 
 
 @dataclass(frozen=True)
-class Nodes:
+class NodeSet:
     names: tuple[str, ...]
     kind: str = ""
 
 
-class Wrong(Exception):
+class PredicateError(Exception):
     pass
 
 
@@ -68,64 +68,64 @@
     return f"column {getattr(tree.meta, 'column', 1)}"
 
 
-def _nodes(tree: Tree[Token], scene: Scene) -> Nodes:
+def _nodes(tree: Tree[Token], scope: PredicateScope) -> NodeSet:
     name = str(tree.children[0])
     tail = tree.children[1] if len(tree.children) > 1 else None
     kind = str(tail)[1:] if tail is not None else ""
     if kind and kind not in TYPES:
-        raise Wrong(f"{_at(tree)}: unknown type .{kind}; known are {', '.join(TYPES)}")
+        raise PredicateError(f"{_at(tree)}: unknown type .{kind}; known are {', '.join(TYPES)}")
     if name == "ALLWNODES":
-        names = scene.nodes
+        names = scope.nodes
     elif name == "MYWNODE":
-        names = (scene.me,)
+        names = (scope.me,)
     elif name == "MYAZWNODES":
-        names = tuple(n for n in scene.nodes if scene.zone(n) == scene.zone(scene.me))
+        names = tuple(n for n in scope.nodes if scope.zone(n) == scope.zone(scope.me))
     elif name.startswith("WNODE_"):
-        names = tuple(n for n in scene.nodes if n == name[6:])
+        names = tuple(n for n in scope.nodes if n == name[6:])
         if not names:
-            raise Wrong(f"{_at(tree)}: unknown node {name[6:]}; known are {', '.join(scene.nodes)}")
+            raise PredicateError(f"{_at(tree)}: unknown node {name[6:]}; known are {', '.join(scope.nodes)}")
     elif name.startswith("AZ_"):
-        names = tuple(n for n in scene.nodes if scene.zone(n) == name[3:])
+        names = tuple(n for n in scope.nodes if scope.zone(n) == name[3:])
         if not names:
-            raise Wrong(f"{_at(tree)}: unknown or empty area {name[3:]}")
+            raise PredicateError(f"{_at(tree)}: unknown or empty area {name[3:]}")
     elif name.isdigit():
-        if not 1 <= int(name) <= len(scene.nodes):
-            raise Wrong(f"{_at(tree)}: ${name} is outside 1..{len(scene.nodes)}")
-        names = (scene.nodes[int(name) - 1],)
+        if not 1 <= int(name) <= len(scope.nodes):
+            raise PredicateError(f"{_at(tree)}: ${name} is outside 1..{len(scope.nodes)}")
+        names = (scope.nodes[int(name) - 1],)
     else:
-        raise Wrong(f"{_at(tree)}: unknown name ${name}")
-    return Nodes(names, kind)
+        raise PredicateError(f"{_at(tree)}: unknown name ${name}")
+    return NodeSet(names, kind)
 
 
-def _value(tree: Tree[Token] | Token, scene: Scene) -> int | Nodes:
+def _value(tree: Tree[Token] | Token, scope: PredicateScope) -> int | NodeSet:
     """Folds numbers and node sets; both are known once the scene is."""
     assert isinstance(tree, Tree)
     if tree.data == "num":
         return int(str(tree.children[0]))
     if tree.data == "node":
-        return _nodes(tree, scene)
+        return _nodes(tree, scope)
     if tree.data == "group":
-        inner = _value(tree.children[0], scene)
+        inner = _value(tree.children[0], scope)
         if len(tree.children) > 1 and tree.children[1] is not None:
             kind = str(tree.children[1])[1:]
-            if not isinstance(inner, Nodes):
-                raise Wrong(f"{_at(tree)}: .{kind} belongs to nodes, not to a number")
+            if not isinstance(inner, NodeSet):
+                raise PredicateError(f"{_at(tree)}: .{kind} belongs to nodes, not to a number")
             if kind not in TYPES:
-                raise Wrong(f"{_at(tree)}: unknown type .{kind}; known are {', '.join(TYPES)}")
-            return Nodes(inner.names, kind)
+                raise PredicateError(f"{_at(tree)}: unknown type .{kind}; known are {', '.join(TYPES)}")
+            return NodeSet(inner.names, kind)
         return inner
     if tree.data == "size":
-        inner = _value(tree.children[0], scene)
-        if not isinstance(inner, Nodes):
-            raise Wrong(f"{_at(tree)}: SIZEOF wants nodes")
+        inner = _value(tree.children[0], scope)
+        if not isinstance(inner, NodeSet):
+            raise PredicateError(f"{_at(tree)}: SIZEOF wants nodes")
         return len(inner.names)
-    left, right = _value(tree.children[0], scene), _value(tree.children[1], scene)
-    if isinstance(left, Nodes) and isinstance(right, Nodes) and tree.data == "minus":
-        return Nodes(tuple(n for n in left.names if n not in right.names), left.kind or right.kind)
-    if isinstance(left, Nodes) or isinstance(right, Nodes):
-        raise Wrong(f"{_at(tree)}: nodes and numbers don't mix")
+    left, right = _value(tree.children[0], scope), _value(tree.children[1], scope)
+    if isinstance(left, NodeSet) and isinstance(right, NodeSet) and tree.data == "minus":
+        return NodeSet(tuple(n for n in left.names if n not in right.names), left.kind or right.kind)
+    if isinstance(left, NodeSet) or isinstance(right, NodeSet):
+        raise PredicateError(f"{_at(tree)}: nodes and numbers don't mix")
     if tree.data == "over" and right == 0:
-        raise Wrong(f"{_at(tree)}: division by zero")
+        raise PredicateError(f"{_at(tree)}: division by zero")
     sums: dict[str, Callable[[int, int], int]] = {
         "plus": lambda a, b: a + b,
         "minus": lambda a, b: a - b,
@@ -135,7 +135,7 @@
     return sums[str(tree.data)](left, right)
 
 
-def _fold(tree: Tree[Token], scene: Scene) -> Callable[[Count], int]:
+def _fold(tree: Tree[Token], scope: PredicateScope) -> Callable[[Count], int]:
     op = str(tree.children[0])
     inner = tree.children[1]
     assert isinstance(inner, Tree)
@@ -143,72 +143,74 @@
     rank = 1
     if op.startswith("KTH"):
         if len(args) < 2:
-            raise Wrong(f"{_at(tree)}: {op} wants a number and a set")
-        head = _value(args[0], scene) if isinstance(args[0], Tree) and args[0].data != "pred" else None
+            raise PredicateError(f"{_at(tree)}: {op} wants a number and a set")
+        head = _value(args[0], scope) if isinstance(args[0], Tree) and args[0].data != "pred" else None
         if not isinstance(head, int):
-            raise Wrong(f"{_at(args[0])}: {op} wants a number first")
+            raise PredicateError(f"{_at(args[0])}: {op} wants a number first")
         rank, args = head, args[1:]
     leaves: list[Callable[[Count], int]] = []
     for arg in args:
         assert isinstance(arg, Tree)
         if arg.data == "pred":
-            leaves.append(_fold(arg, scene))
+            leaves.append(_fold(arg, scope))
             continue
-        val = _value(arg, scene)
+        val = _value(arg, scope)
         if isinstance(val, int):
-            raise Wrong(f"{_at(arg)}: a bare number is no operand of {op}")
+            raise PredicateError(f"{_at(arg)}: a bare number is no operand of {op}")
         kind = val.kind or "persisted"
         leaves += [lambda count, n=n, kind=kind: count(n, kind) for n in val.names]  # type: ignore[misc]
     if not leaves:
-        raise Wrong(f"{_at(tree)}: {op} over an empty set")
+        raise PredicateError(f"{_at(tree)}: {op} over an empty set")
     if not 1 <= rank <= len(leaves):
-        raise Wrong(f"{_at(tree)}: k is {rank}, outside 1..{len(leaves)}")
+        raise PredicateError(f"{_at(tree)}: k is {rank}, outside 1..{len(leaves)}")
     most = op.endswith("MAX")
     return lambda count: sorted((leaf(count) for leaf in leaves), reverse=most)[rank - 1]
 
 
 @lru_cache(maxsize=256)
-def build(text: str, scene: Scene) -> Result[Callable[[Count], int], str]:
+def build(text: str, scope: PredicateScope) -> Result[Callable[[Count], int], str]:
     """Folds a predicate into a closure, or says what is wrong and where."""
     try:
         tree = PARSER.parse(text)
         root = tree.children[0]
         assert isinstance(root, Tree)
-        return Ok(_fold(root, scene))
+        return Ok(_fold(root, scope))
     except UnexpectedInput as bad:
         return Err(f"column {getattr(bad, 'column', len(text))}: cannot be read as a predicate")
-    except Wrong as bad:
+    except PredicateError as bad:
         return Err(str(bad))
 
 
-def covers(pred: Callable[[Count], int], held: Iterable[str]) -> bool:
+def covers(predicate: Callable[[Count], int], held: Iterable[str]) -> bool:
     """Does the predicate hold for a record that just the nodes in `held` keep synced?"""
     have = frozenset(held)
-    return pred(lambda node, kind: 1 if node in have else 0) >= 1
+    return predicate(lambda node, kind: 1 if node in have else 0) >= 1
 
 
-def quorums(pred: Callable[[Count], int], nodes: tuple[str, ...]) -> list[frozenset[str]]:
+def quorums(predicate: Callable[[Count], int], nodes: tuple[str, ...]) -> list[frozenset[str]]:
     """The smallest sets that cover."""
-    sets = [frozenset(c) for n in range(1, len(nodes) + 1) for c in itertools.combinations(nodes, n) if covers(pred, c)]
+    sets = [
+        frozenset(c) for n in range(1, len(nodes) + 1) for c in itertools.combinations(nodes, n) if covers(predicate, c)
+    ]
     return [s for s in sets if not any(t < s for t in sets)]
 
 
-def loss_flaw(text: str, scene: Scene) -> str:
+def loss_flaw(text: str, scope: PredicateScope) -> str:
     """Names the tolerated loss (one disk, or one area) that could take a covered record; empty if none can.
 
     `received` copies vanish with the power, so only synced ones are counted: a node counts for
     `received` as it does for nothing.
     """
-    built = build(text, scene)
+    built = build(text, scope)
     if isinstance(built, Err):
         return built.unwrap_err()
-    pred = built.unwrap()
-    zones = sorted({a for n, a in scene.zones if n in scene.nodes})
-    losses = [(f"the disk of {n}", frozenset({n})) for n in scene.nodes] + [
-        (f"area {a}", frozenset(n for n in scene.nodes if scene.zone(n) == a)) for a in zones
+    predicate = built.unwrap()
+    zones = sorted({a for n, a in scope.zones if n in scope.nodes})
+    losses = [(f"the disk of {n}", frozenset({n})) for n in scope.nodes] + [
+        (f"area {a}", frozenset(n for n in scope.nodes if scope.zone(n) == a)) for a in zones
     ]
-    for held in (frozenset(c) for n in range(len(scene.nodes) + 1) for c in itertools.combinations(scene.nodes, n)):
-        covered = pred(lambda n, kind, held=held: 1 if kind == "received" or n in held else 0) >= 1  # type: ignore[misc]
+    for held in (frozenset(c) for n in range(len(scope.nodes) + 1) for c in itertools.combinations(scope.nodes, n)):
+        covered = predicate(lambda n, kind, held=held: 1 if kind == "received" or n in held else 0) >= 1  # type: ignore[misc]
         if not covered:
             continue
         for what, lost in losses:
@@ -218,21 +220,21 @@
     return ""
 
 
-def promises_suffice(pred: Callable[[Count], int], nodes: tuple[str, ...], got: Iterable[str]) -> bool:
+def promises_suffice(predicate: Callable[[Count], int], nodes: tuple[str, ...], got: Iterable[str]) -> bool:
     """True if `got` meets every covering set and every other set of promises."""
     have = frozenset(got) & frozenset(nodes)
-    return 2 * len(have) > len(nodes) and not covers(pred, frozenset(nodes) - have)
+    return 2 * len(have) > len(nodes) and not covers(predicate, frozenset(nodes) - have)
 
 
-def confirm_suffice(pred: Callable[[Count], int], nodes: tuple[str, ...], got: Iterable[str]) -> bool:
+def confirm_suffice(predicate: Callable[[Count], int], nodes: tuple[str, ...], got: Iterable[str]) -> bool:
     """True if no new owner can have been promised without one of `got` knowing."""
     have = frozenset(got) & frozenset(nodes)
-    return not promises_suffice(pred, nodes, frozenset(nodes) - have)
+    return not promises_suffice(predicate, nodes, frozenset(nodes) - have)
 
 
-def four(*zones: str) -> Scene:
+def four(*zones: str) -> PredicateScope:
     names = tuple(f"s{i + 1}" for i in range(len(zones)))
-    return Scene(names, tuple(zip(names, zones, strict=True)), "s1")
+    return PredicateScope(names, tuple(zip(names, zones, strict=True)), "s1")
 
 
 SCENE = four("a", "b", "c", "d")
--- a/postpass/replication/store.py
+++ b/postpass/replication/store.py
@@ -16,7 +16,7 @@
 from postpass.batch.job import Job, Raw
 from postpass.batch.job_records import JobRecords
 from postpass.batch.job_service import JobService
-from postpass.batch.leases import Desk, Leases
+from postpass.batch.leases import Leases, OwnerState
 from postpass.batch.retention import Retention
 from postpass.configuration.settings import Settings
 from postpass.feed.configuration_view import ConfigurationView
@@ -51,7 +51,7 @@
     def __post_init__(self) -> None:
         self.table = PartitionTable(self.settings, self.environment, self.configuration_view, self.peer_links)
         self.streams = MirrorStreams(self.table)
-        self.owner = PartitionOwner(self.table, self.streams, self.begun)
+        self.owner = PartitionOwner(self.table, self.streams, self.ownership_began)
         self.leadership = LeadershipCheck(self.table)
         self.catch_up = CatchUp(self.table)
         self.election = Election(self.table, self.owner, self.catch_up)
@@ -65,9 +65,9 @@
         self.retention = Retention(self.table, self.owner, self.leases, self.routed)
         self.duties = OwnerDuties(self.table, self.streams, self.reconfiguration, self.handover, self.retention)
 
-    def begun(self, number: int) -> None:
+    def ownership_began(self, number: int) -> None:
         """An ownership begins: what was kept in memory for the one before counts no more."""
-        self.leases.desks[number] = Desk()
+        self.leases.owner_states[number] = OwnerState()
         self.routed.forget(number)
 
     # --- what the daemon and the routed jobs ask for
@@ -80,23 +80,23 @@
         return self.table.disk_id
 
     @property
-    def parts(self) -> dict[int, Partition]:
-        return self.table.parts
+    def partitions(self) -> dict[int, Partition]:
+        return self.table.partitions
 
     @property
     def counts(self) -> Counter[str]:
         return self.table.counts
 
     @property
-    def trials(self) -> set[asyncio.Task[None]]:
-        return self.table.trials
+    def background_tasks(self) -> set[asyncio.Task[None]]:
+        return self.table.background_tasks
 
     @property
-    def desks(self) -> dict[int, Desk]:
-        return self.leases.desks
+    def owner_states(self) -> dict[int, OwnerState]:
+        return self.leases.owner_states
 
     async def open(self) -> None:
-        await self.table.open()
+        await self.table.load()
 
     async def leave(self) -> None:
         await self.handover.leave()
@@ -104,32 +104,32 @@
     async def ask(self, name: str, verb: str, body: Body) -> PeerResponse:
         return await self.table.ask(name, verb, body)
 
-    def lead_of(self, number: int, step: str) -> Result[Partition, Fault]:
-        return self.leadership.lead_of(number, step)
+    def owned_partition(self, number: int, step: str) -> Result[Partition, Fault]:
+        return self.leadership.owned_partition(number, step)
 
-    async def confirm(self, part: Partition) -> bool:
-        return await self.leadership.confirm(part)
+    async def confirm(self, partition: Partition) -> bool:
+        return await self.leadership.confirm(partition)
 
-    def add(self, part: Partition, kind: str, body: Body, vital: bool = True, raw: Raw = b"") -> Record:
-        return self.owner.add(part, kind, body, vital, raw)
+    def append(self, partition: Partition, kind: str, body: Body, vital: bool = True, raw: Raw = b"") -> Record:
+        return self.owner.append(partition, kind, body, vital, raw)
 
-    def no_room(self, part: Partition) -> Fault | None:
-        return self.jobs.no_room(part)
+    def rejection(self, partition: Partition) -> Fault | None:
+        return self.jobs.rejection(partition)
 
     async def read(self, body: Body, step: str) -> Result[tuple[Partition, Job], Fault]:
         return await self.jobs.read(body, step)
 
-    def complete(self, part: Partition) -> bool:
-        return self.reconfiguration.complete(part)
+    def complete(self, partition: Partition) -> bool:
+        return self.reconfiguration.complete(partition)
 
     def tasks(self) -> list[Any]:
         return [self.table.log.keep(), self.watch_sync(), self.tick(), self.mirror.watch_disk()]
 
     def handlers(self) -> dict[str, Any]:
         return {
-            "carry": self.mirror.carry, "ack": self.owner.ack, "promise": self.election.promise, "hello": self.mirror.hello, "fetch": self.catch_up.fetch,
-            "submit": self.jobs.submit, "show": self.jobs.show, "page": self.jobs.page, "finish": self.jobs.finish, "take": self.leases.take,
-            "done": self.leases.done, "claim": self.jobs.claim, "parts": self.status, **self.routed.handlers(),
+            "carry": self.mirror.on_carry, "ack": self.owner.on_ack, "promise": self.election.on_promise, "hello": self.mirror.on_hello, "fetch": self.catch_up.on_fetch,
+            "submit": self.jobs.on_submit, "show": self.jobs.on_show, "page": self.jobs.on_page, "finish": self.jobs.on_finish, "take": self.leases.on_take,
+            "done": self.leases.on_done, "claim": self.jobs.on_claim, "parts": self.on_parts, **self.routed.handlers(),
         }  # fmt: skip
 
     async def watch_sync(self) -> None:
@@ -139,12 +139,12 @@
             self.synced()
 
     def synced(self) -> None:
-        for part in self.table.parts.values():
-            if part.sync_to(self.table.log.synced):
-                if part.owning:
-                    self.owner.moved(part)
+        for partition in self.table.partitions.values():
+            if partition.sync_to(self.table.log.synced):
+                if partition.owning:
+                    self.owner.advance(partition)
                 else:
-                    self.acknowledger.note(part)
+                    self.acknowledger.schedule(partition)
 
     async def tick(self) -> None:
         while True:
@@ -154,40 +154,43 @@
                 continue
             for number in range(configuration["parts"]):
                 if self.table.settings.name in self.table.configuration_view.order(number):
-                    self.table.part(number)
-            for part in self.table.parts.values():
+                    self.table.partition(number)
+            for partition in self.table.partitions.values():
                 # Nobody was heard since this process started, and there is no waiting for a silence: if an owner is
                 # there, one of those that are asked hears it, and says so.
-                if not part.met:
-                    part.met, part.heard = True, min(part.heard, now() - self.table.settings.bounds.detect)
+                if not partition.contacted:
+                    partition.contacted, partition.heard = (
+                        True,
+                        min(partition.heard, now() - self.table.settings.bounds.detect),
+                    )
             zones = {n: m["area"] for n, m in configuration["machines"].items()}
-            for part in list(self.table.parts.values()):
-                part.zones = zones
-                part.disk = self.table.disk_id
-                if part.owning:
-                    self.duties.own(part)
+            for partition in list(self.table.partitions.values()):
+                partition.zones = zones
+                partition.disk = self.table.disk_id
+                if partition.owning:
+                    self.duties.run(partition)
                 else:
-                    self.election.doubt(part)
-                part.trim(self.table.settings.buffer_bytes // max(len(self.table.parts), 1))
+                    self.election.run_if_silent(partition)
+                partition.trim(self.table.settings.buffer_bytes // max(len(self.table.partitions), 1))
             self.routed.report()
             if self.table.log.heavy():
                 await self.table.log.compact(self.table.snapshot())
                 self.synced()
 
-    async def status(self, _body: Body) -> PeerResponse:
+    async def on_parts(self, _body: Body) -> PeerResponse:
         free, whole = self.table.log.disk.room()
         rows = [
             {
                 "part": p.id, "owner": p.owner, "epoch": max(p.epoch, p.aligned), "last": p.record_log.last, "covered": p.covered,
                 "persisted": p.persisted, "owning": p.owning, "ready": p.ready, "bytes": p.record_log.size,
-                "crew": p.crew, "complete": self.reconfiguration.complete(p), "losses": p.view.losses,
+                "crew": p.members, "complete": self.reconfiguration.complete(p), "losses": p.view.losses,
                 "mirrors": {
-                    n: {"persisted": p.recorder.get(n, f.disk, "persisted"), "silent": f.silent, "full": f.full, "disk": f.disk}
-                    for n, f in sorted(p.follows.items())
+                    n: {"persisted": p.acknowledgements.get(n, f.disk, "persisted"), "silent": f.silent, "full": f.full, "disk": f.disk}
+                    for n, f in sorted(p.mirrors.items())
                 },
                 "lots": len(p.view.lots), "open": sum(x.state == "open" and not x.whole for x in p.view.lots.values()),
             }
-            for p in sorted(self.table.parts.values(), key=lambda p: p.id)
+            for p in sorted(self.table.partitions.values(), key=lambda p: p.id)
         ]  # fmt: skip
         return Ok({"disk": self.table.disk_id, "free": free, "size": whole, "parts": rows, "bad": self.table.log.bad,
                    "held": self.table.log.hold})  # fmt: skip
--- a/sim/announced.py
+++ b/sim/announced.py
@@ -424,7 +424,7 @@
             ]
             return max(leads)[1] if leads else self.pick("acked")
         if word == "busiest":
-            ranked = [(sum(p.owning for p in s.parts.values()), n) for n, s in self.stores()]
+            ranked = [(sum(p.owning for p in s.partitions.values()), n) for n, s in self.stores()]
             return max(ranked)[1] if ranked else self.of("store")[0].name
         if word not in self.boxes:
             raise KeyError(f"no machine {word!r}")
--- a/sim/broken.py
+++ b/sim/broken.py
@@ -40,18 +40,18 @@
             lot.order.append(body["item"])
 
     mp.setattr(JobView, "_result", result)
-    plain = Leases.done
+    plain = Leases.on_done
 
     async def done(self: Leases, body: dict[str, Any]) -> Any:
         got = await plain(self, body)
-        part = self.table.parts[body["part"]]
+        part = self.table.partitions[body["part"]]
         if part.owning and body["item"] % 3 == 0:
-            self.owner.add(
+            self.owner.append(
                 part, "result", {"id": body["id"], "item": body["item"], "status": "done", "output": body["output"]}
             )
         return got
 
-    mp.setattr(Leases, "done", done)
+    mp.setattr(Leases, "on_done", done)
 
 
 def cut_is_an_end(mp: pytest.MonkeyPatch) -> None:
@@ -71,13 +71,13 @@
 
 
 def refuses_what_it_took(mp: pytest.MonkeyPatch) -> None:
-    plain = JobRecords.submit
+    plain = JobRecords.on_submit
 
     async def submit(self: JobRecords, body: dict[str, Any]) -> Any:
         got = await plain(self, body)
         return Err(Fault("submit", "x", "no", SHED)) if body["lot"]["id"][-1] in "13579" else got
 
-    mp.setattr(JobRecords, "submit", submit)
+    mp.setattr(JobRecords, "on_submit", submit)
 
 
 def ending_is_forgotten(mp: pytest.MonkeyPatch) -> None:
--- a/sim/fleet.py
+++ b/sim/fleet.py
@@ -224,7 +224,11 @@
         ]
 
     def owner(self, part: int) -> str:
-        owning = [(s.parts[part].epoch, n) for n, s in self.stores() if part in s.parts and s.parts[part].owning]
+        owning = [
+            (s.partitions[part].epoch, n)
+            for n, s in self.stores()
+            if part in s.partitions and s.partitions[part].owning
+        ]
         return max(owning)[1] if owning else ""
 
     def pick(self, word: str) -> str:
@@ -237,7 +241,7 @@
         if kind == "mirror":
             return next((n for n, _ in self.stores() if n != self.owner(int(rest or 0))), "")
         if kind == "busiest":
-            ranked = [(sum(p.owning for p in s.parts.values()), n) for n, s in self.stores()]
+            ranked = [(sum(p.owning for p in s.partitions.values()), n) for n, s in self.stores()]
             return max(ranked)[1] if ranked else ""
         if kind in ("primary", "backup", "witness"):
             leads = [
@@ -404,4 +408,4 @@
 
     def ready(self, part: int) -> bool:
         owner = self.owner(part)
-        return bool(owner) and any(n == owner and s.parts[part].ready for n, s in self.stores())
+        return bool(owner) and any(n == owner and s.partitions[part].ready for n, s in self.stores())
--- a/sim/interface.py
+++ b/sim/interface.py
@@ -45,7 +45,7 @@
 
 
 def lasts(world: SimFleet) -> int:
-    return sum(p.record_log.last for _, s in world.stores() for p in s.parts.values() if p.owning)
+    return sum(p.record_log.last for _, s in world.stores() for p in s.partitions.values() if p.owning)
 
 
 LOT = {"class": "lot", "items": ["a", "b"], "within": 30}
--- a/sim/runner.py
+++ b/sim/runner.py
@@ -437,10 +437,10 @@
         p.id: set(s.configuration_view.order(p.id)) == set(p.view.crew)
         and len(p.view.crew) == fleet.configuration["copies"]
         for _, s in fleet.stores()
-        for p in s.parts.values()
+        for p in s.partitions.values()
         if p.owning
     }
-    out["lots_held"] = sum(len(p.view.lots) for _, s in fleet.stores() for p in s.parts.values() if p.owning)
+    out["lots_held"] = sum(len(p.view.lots) for _, s in fleet.stores() for p in s.partitions.values() if p.owning)
     out["log_bytes"] = max(
         (sum(map(len, b.disk.files.values())) for n, b in fleet.boxes.items() if b.disk and n[0] == "s"), default=0
     )
@@ -448,7 +448,7 @@
     out["lots_missing"] = len({e["id"] for e in seen if e["ev"] == "missing"})
     out["copies"] = min(fleet.copies, default=0)
     out["full_crews"] = float(len(wanted) == fleet.configuration["parts"] and all(wanted.values()))
-    out["losses"] = max([p.view.losses for _, s in fleet.stores() for p in s.parts.values()], default=0)
+    out["losses"] = max([p.view.losses for _, s in fleet.stores() for p in s.partitions.values()], default=0)
     out["ran"] = fleet.loop.ran
     out |= {f"point_{n}": c for n, c in fleet.points.seen.items()}
     out["edition"] = fleet.revision
--- a/tests/model/test_partition.py
+++ b/tests/model/test_partition.py
@@ -69,7 +69,7 @@
 def complete_without_the_mark(part: Partition, situation: Situation) -> bool:
     """The rule up to release 0.2.0: all members have synced the change of members, but not the mark that settles it."""
     change, current = part.view.crew_seq, part.view.crew
-    synced = all(part.recorder.get(n, d, "persisted") >= change for n, d in current.items() if n != part.me)
+    synced = all(part.acknowledgements.get(n, d, "persisted") >= change for n, d in current.items() if n != part.me)
     return part.ready and change <= part.covered and synced and situation.live == set(current)
 
 
--- a/tests/replication/test_partition.py
+++ b/tests/replication/test_partition.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from postpass.batch.job import JobView
-from postpass.replication.partition import Follow, Partition, head
+from postpass.replication.partition import MirrorProgress, Partition, latest_view
 from postpass.replication.record_log import RecordLog
 
 
@@ -12,63 +12,63 @@
     part.zones = {f"s{i}": c for i, c in zip(range(1, 5), "abcd", strict=True)}
     part.lead(1)
     part.make("crew", {"crew": {f"s{i}": f"d{i}" for i in range(1, 5)}})
-    part.mark = part.make("mark", {}).seq
-    part.recorder.put("s1", "d1", "persisted", 2 if persisted else 0)
+    part.epoch_mark = part.make("mark", {}).seq
+    part.acknowledgements.put("s1", "d1", "persisted", 2 if persisted else 0)
     return part
 
 
 def test_trap_two_the_owners_own_sync_counts_only_once_done() -> None:
     part = _owner(persisted=False)
     for name in ("s2", "s3"):
-        part.recorder.put(name, name.replace("s", "d"), "persisted", 2)
+        part.acknowledgements.put(name, name.replace("s", "d"), "persisted", 2)
     assert not part.advance() and part.covered == 0
-    part.places.append((10, 2))
+    part.unsynced.append((10, 2))
     assert not part.sync_to(9) and part.sync_to(10) and part.advance() and part.covered == 2
 
 
 def test_four_stores_cover_with_three_synced_copies_never_two() -> None:
     part = _owner()
-    part.recorder.put("s2", "d2", "persisted", 2)
-    part.recorder.put("s3", "d3", "received", 2)
-    part.recorder.put("s4", "other", "persisted", 2)  # a wiped disk has no voice
+    part.acknowledgements.put("s2", "d2", "persisted", 2)
+    part.acknowledgements.put("s3", "d3", "received", 2)
+    part.acknowledgements.put("s4", "other", "persisted", 2)  # a wiped disk has no voice
     assert not part.advance()
-    part.recorder.put("s3", "d3", "persisted", 2)
+    part.acknowledgements.put("s3", "d3", "persisted", 2)
     assert part.advance() and part.covered == 2
 
 
 def test_nothing_counts_until_the_epoch_mark_does() -> None:
     part = _owner()
     for name in ("s2", "s3"):
-        part.recorder.put(name, name.replace("s", "d"), "persisted", 1)
+        part.acknowledgements.put(name, name.replace("s", "d"), "persisted", 1)
     assert not part.advance() and not part.ready
-    part.recorder.put("s2", "d2", "persisted", 2)
-    part.recorder.put("s3", "d3", "persisted", 2)
+    part.acknowledgements.put("s2", "d2", "persisted", 2)
+    part.acknowledgements.put("s3", "d3", "persisted", 2)
     assert part.advance() and part.ready
 
 
 def test_while_a_change_is_not_covered_the_frontier_is_the_lower_of_old_and_new() -> None:
     part = _owner()
     for name in ("s2", "s3"):
-        part.recorder.put(name, name.replace("s", "d"), "persisted", 2)
+        part.acknowledgements.put(name, name.replace("s", "d"), "persisted", 2)
     part.advance()
     part.make("predicate", {"text": "MIN($ALLWNODES)"})
-    part.recorder.put("s1", "d1", "persisted", 3)
+    part.acknowledgements.put("s1", "d1", "persisted", 3)
     for name in ("s2", "s3"):
-        part.recorder.put(name, name.replace("s", "d"), "persisted", 3)
+        part.acknowledgements.put(name, name.replace("s", "d"), "persisted", 3)
     assert not part.advance() and part.covered == 2  # the old rule holds, the new one doesn't
-    part.recorder.put("s4", "d4", "persisted", 3)
+    part.acknowledgements.put("s4", "d4", "persisted", 3)
     assert part.advance() and part.covered == 3
     part.make("predicate", {"text": ""})
-    part.recorder.put("s1", "d1", "persisted", 4)
+    part.acknowledgements.put("s1", "d1", "persisted", 4)
     for name in ("s2", "s3"):
-        part.recorder.put(name, name.replace("s", "d"), "persisted", 4)
+        part.acknowledgements.put(name, name.replace("s", "d"), "persisted", 4)
     assert not part.advance()  # the new rule holds, the old one doesn't
-    part.recorder.put("s4", "d4", "persisted", 4)
+    part.acknowledgements.put("s4", "d4", "persisted", 4)
     assert part.advance() and part.covered == 4
     part.make("mark", {})
-    part.recorder.put("s1", "d1", "persisted", 5)
+    part.acknowledgements.put("s1", "d1", "persisted", 5)
     for name in ("s2", "s3"):
-        part.recorder.put(name, name.replace("s", "d"), "persisted", 5)
+        part.acknowledgements.put(name, name.replace("s", "d"), "persisted", 5)
     assert part.advance() and part.covered == 5  # from here on three are enough again
 
 
@@ -88,15 +88,15 @@
     part = _owner()
     part.covered = 2
     part.make("crew", {"crew": {"s1": "d1", "s2": "d2", "s3": "d3"}})
-    assert set(part.crew) == {"s1", "s2", "s3", "s4"}
+    assert set(part.members) == {"s1", "s2", "s3", "s4"}
     part.covered = 3
-    assert set(part.crew) == {"s1", "s2", "s3"}
+    assert set(part.members) == {"s1", "s2", "s3"}
 
 
 def _restarted(part: Partition) -> tuple[Partition, JobView]:
     """The same log after a loss of power: what was heard of `covered` is forgotten."""
     fresh = Partition(0, "s1", "d1", RecordLog(base=JobView(), recs=list(part.record_log.recs)), zones=part.zones)
-    return fresh, head(fresh.record_log)
+    return fresh, latest_view(fresh.record_log)
 
 
 def test_a_log_that_settles_a_change_needs_no_word_of_who_was_there_before() -> None:
@@ -115,33 +115,33 @@
     assert fresh.may_lead(view, now) and not fresh.may_lead(view, {"s1": "d1", "s2": "d2", "s3": "d3"})
     fresh.lead(2)
     assert not fresh.hopeless(now)
-    fresh.mark = fresh.make("mark", {}).seq
+    fresh.epoch_mark = fresh.make("mark", {}).seq
     for name, disk in now.items():
-        fresh.recorder.put(name, disk, "persisted", fresh.mark)
-    assert fresh.advance() and fresh.covered == fresh.mark
+        fresh.acknowledgements.put(name, disk, "persisted", fresh.epoch_mark)
+    assert fresh.advance() and fresh.covered == fresh.epoch_mark
 
 
 def test_a_change_is_proven_once_the_mark_that_settles_it_is_covered() -> None:
     part = _owner()
     members = {"s1": "d1", "s2": "d2", "s3": "d3"}
     for name, disk in members.items():
-        part.recorder.put(name, disk, "persisted", 2)
+        part.acknowledgements.put(name, disk, "persisted", 2)
     assert not part.proven() and part.advance() and part.proven()  # founded: there is nothing to settle
     change = part.make("crew", {"crew": members | {"s4": "new"}}).seq
     assert not part.proven()
     for name, disk in members.items():
-        part.recorder.put(name, disk, "persisted", change)
+        part.acknowledgements.put(name, disk, "persisted", change)
     assert part.advance() and not part.proven()
     mark = part.make("mark", {"settled": change}).seq
     assert not part.proven()
     for name, disk in members.items():
-        part.recorder.put(name, disk, "persisted", mark)
+        part.acknowledgements.put(name, disk, "persisted", mark)
     assert part.advance() and part.proven()
     part.make("mark", {})
     assert part.proven()  # what comes after is nothing to wait for
     part.record_log.rebase(mark)
     part.record_log.base = JobView.load(part.base_dump())
-    part.view = head(part.record_log)
+    part.view = latest_view(part.record_log)
     assert part.proven()  # a base holds only what is covered
 
 
@@ -169,8 +169,8 @@
     for _ in range(100):
         part.make("mark", {})
     part.persisted = part.covered = 102
-    part.follows = {"s2": Follow(next=103), "s3": Follow(next=70)}
+    part.mirrors = {"s2": MirrorProgress(next=103), "s3": MirrorProgress(next=70)}
     assert part.trim(1 << 20) and part.record_log.base_seq == 69
-    part.follows["s3"].silent = True
+    part.mirrors["s3"].silent = True
     assert not part.trim(1 << 20)  # too little to be worth it
     assert part.trim(10) and part.record_log.base_seq == 102 and not part.record_log.recs
--- a/tests/replication/test_takeover.py
+++ b/tests/replication/test_takeover.py
@@ -14,7 +14,7 @@
 
 
 def owned(fleet: Fleet) -> bool:
-    ready = [p.id for s in stores(fleet) for p in s.parts.values() if p.ready]
+    ready = [p.id for s in stores(fleet) for p in s.partitions.values() if p.ready]
     return sorted(ready) == list(range(8))
 
 
@@ -58,7 +58,7 @@
             await fleet.until(lambda: False, 4.0)
             assert isinstance(back, DataPlane) or back is None
             mine = stores(fleet)[0]
-            return mine.counts["takeovers"], sum(p.ready for p in mine.parts.values())
+            return mine.counts["takeovers"], sum(p.ready for p in mine.partitions.values())
 
         taken, ready = run_sim(main, 4)
         assert (taken, ready) == (2, 2)  # its own two again, and no other
--- a/tests/support/data_directories.py
+++ b/tests/support/data_directories.py
@@ -15,7 +15,7 @@
 from postpass.control.daemon import ControlPlane
 from postpass.daemon.data_plane import DataPlane
 from postpass.membership.registry import edit
-from postpass.replication.partition import Partition, head
+from postpass.replication.partition import Partition, latest_view
 from postpass.replication.store import Store
 from postpass.runtime.environment import Environment
 from sim.announced import module
@@ -133,13 +133,13 @@
         "base": [record_log.base_seq, record_log.base_epoch],
         "records": [[record.seq, record.epoch, record.kind, digest(record.body)] for record in record_log.recs],
         "persisted": part.persisted,
-        "view": view_state(head(record_log)),
+        "view": view_state(latest_view(record_log)),
     }
 
 
 def store_state(store: Store) -> Json:
     """All that a store holds on its disk."""
-    parts = {str(number): partition_state(part) for number, part in sorted(store.parts.items())}
+    parts = {str(number): partition_state(part) for number, part in sorted(store.partitions.items())}
     told: Json = as_json({"disk": store.disk_id, "parts": parts})
     return told
 
--- a/tests/support/membership_drill.py
+++ b/tests/support/membership_drill.py
@@ -90,7 +90,7 @@
     out: dict[int, tuple[str, Partition]] = {}
     for name in fleet.nodes:
         store = store_of(fleet, name)
-        for part in store.parts.values() if store is not None else ():
+        for part in store.partitions.values() if store is not None else ():
             if part.ready and (part.id not in out or part.epoch > out[part.id][1].epoch):
                 out[part.id] = (name, part)
     return out
@@ -167,7 +167,7 @@
         body = {"id": lot, "class": "plain", "items": ["x" * 500], "due": 9e9, "caller": ""}
         ask = {"part": number, "lot": body, "wait": 3.0}
         try:
-            got = await asyncio.wait_for(self.fleet.ask(owner, lambda d: d.store.jobs.submit(ask)), timeout=4.0)
+            got = await asyncio.wait_for(self.fleet.ask(owner, lambda d: d.store.jobs.on_submit(ask)), timeout=4.0)
         except (TimeoutError, AttributeError):
             return
         if got.is_ok():
