--- a/postpass/replication/catch_up.py
+++ b/postpass/replication/catch_up.py
@@ -8,6 +8,7 @@
 from result import Err, Ok
 
 from postpass.batch.job import JobView
+from postpass.replication.messages import PromiseAnswer
 from postpass.replication.partition import Partition, empty_log
 from postpass.replication.partition_table import PartitionTable
 from postpass.replication.record_log import Record, RecordLog, match
@@ -23,11 +24,11 @@
 
     table: PartitionTable
 
-    async def fetch_log(self, partition: Partition, best: str, there: Body, epoch: int) -> RecordLog | None:
+    async def fetch_log(self, partition: Partition, best: str, there: PromiseAnswer, epoch: int) -> RecordLog | None:
         """Fetches what the best log has beyond this one, into a copy that nothing uses yet."""
-        meet = match(
-            partition.record_log.marks(), partition.record_log.last, [(e, s) for e, s in there["marks"]], there["last"]
-        )
+        assert there.position is not None and there.marks is not None
+        last = there.position.last
+        meet = match(partition.record_log.marks(), partition.record_log.last, there.marks, last)
         mine = partition.record_log
         # A base of its own: this store's may be folded on while it waits.
         staged = RecordLog(mine.base_seq, mine.base_epoch, mine.base.copy(), list(mine.recs), mine.size)
@@ -36,7 +37,7 @@
         else:
             staged = empty_log()
         after, base, of = meet, bytearray(), -1
-        while after < there["last"]:
+        while after < last:
             got = await self.table.ask(
                 best, "fetch", {"part": partition.id, "epoch": epoch, "after": after, "at": len(base)}
             )
--- a/postpass/replication/handover.py
+++ b/postpass/replication/handover.py
@@ -5,6 +5,7 @@
 import asyncio
 from dataclasses import dataclass
 
+from postpass.replication.messages import Hello
 from postpass.replication.partition import Partition
 from postpass.replication.partition_table import PartitionTable
 from postpass.runtime import log_events
@@ -46,10 +47,10 @@
         partition.step_down()
         partition.aligned, partition.heard = epoch, now()
 
+        hello = Hello(partition.id, epoch, self.table.settings.name, handover=True)
+
         async def tell() -> None:
-            await self.table.ask(
-                name, "hello", {"part": partition.id, "epoch": epoch, "who": self.table.settings.name, "hand": 1}
-            )
+            await self.table.ask(name, "hello", hello.encode())
 
         task = asyncio.create_task(tell())
         self.table.background_tasks.add(task)
--- a/postpass/replication/leadership_check.py
+++ b/postpass/replication/leadership_check.py
@@ -7,6 +7,7 @@
 
 from result import Err, Ok, Result
 
+from postpass.replication.messages import Hello, HelloAnswer
 from postpass.replication.partition import Partition
 from postpass.replication.partition_table import PartitionTable
 from postpass.runtime.errors import MOVED, Fault
@@ -43,23 +44,26 @@
         return await asyncio.shield(task)
 
     async def _ask_members(self, partition: Partition, epoch: int) -> bool:
-        voters = {self.table.settings.name: self.table.disk_id}
+        voters = self.table.own_vote
         if partition.confirmed(voters):
             return partition.epoch == epoch
         found = asyncio.Event()
 
-        async def one(name: str) -> None:
-            got = await self.table.ask(
-                name, "hello", {"part": partition.id, "epoch": epoch, "who": self.table.settings.name, "confirm": 1}
-            )
-            if isinstance(got, Ok) and got.unwrap()["ok"]:
-                voters[name] = got.unwrap()["disk"]
+        hello = Hello(partition.id, epoch, self.table.settings.name, confirm=True)
+
+        async def ask_member(name: str) -> None:
+            response = await self.table.ask(name, "hello", hello.encode())
+            if isinstance(response, Err):
+                return
+            answer = HelloAnswer.decode(response.unwrap())
+            if answer.accepted:
+                voters[name] = answer.disk
                 if partition.epoch == epoch and partition.confirmed(voters):
                     found.set()
-            elif isinstance(got, Ok) and got.unwrap()["promised"] > epoch and partition.epoch == epoch:
-                self.table.step_down(partition, got.unwrap()["promised"])
+            elif answer.promised > epoch and partition.epoch == epoch:
+                self.table.step_down(partition, answer.promised)
 
-        every = asyncio.gather(*(one(n) for n in self.table.other_members(partition, partition.view)))
+        every = asyncio.gather(*(ask_member(n) for n in self.table.other_members(partition, partition.view)))
         first = asyncio.create_task(found.wait())
         await asyncio.wait([asyncio.ensure_future(every), first], return_when=asyncio.FIRST_COMPLETED)  # type: ignore[type-var]
         first.cancel()
--- /dev/null
+++ b/postpass/replication/messages.py
@@ -0,0 +1,171 @@
+"""Messages between stores as typed records; `encode` gives the JSON keys, in the order in which they always stood.
+
+Records and acknowledgements travel as thrift structures (`Packet`, `Ack`) and are not repeated here.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from postpass.rpc.peer_links import Body
+
+Marks = list[tuple[int, int]]
+
+
+class LogPosition(NamedTuple):
+    """How much a log holds; of two, the higher one has more.
+
+    Attributes:
+        epoch: Epoch of the last record.
+        last: Sequence number of the last record.
+    """
+
+    epoch: int
+    last: int
+
+
+@dataclass(frozen=True, slots=True)
+class PromiseRequest:
+    """A candidate asks for a promise not to accept anything below its epoch (verb `promise`).
+
+    Attributes:
+        partition: Number of the partition.
+        candidate: Name of the store that asks.
+        handed_epoch: Epoch of the owner that handed the partition to the candidate; 0 if none did.
+        epoch: Epoch that the candidate runs for.
+        probe: Ask only whether the promise would be given; nothing is promised.
+    """
+
+    partition: int
+    candidate: str
+    handed_epoch: int
+    epoch: int
+    probe: bool
+
+    def encode(self) -> Body:
+        """The body on the wire."""
+        return {
+            "part": self.partition,
+            "who": self.candidate,
+            "hand": self.handed_epoch,
+            "epoch": self.epoch,
+            "probe": int(self.probe),
+        }
+
+    @classmethod
+    def decode(cls, body: Body) -> PromiseRequest:
+        """Reads a body from the wire."""
+        return cls(body["part"], body.get("who", ""), body.get("hand", 0), body["epoch"], bool(body["probe"]))
+
+
+@dataclass(frozen=True, slots=True)
+class PromiseAnswer:
+    """The answer to a `PromiseRequest`.
+
+    Attributes:
+        disk: Identity of the disk that speaks; a promise counts for this disk alone.
+        promised: Highest epoch promised there.
+        granted: Whether the promise was given, or would be.
+        position: Length of the log there; told with a promise only.
+        marks: First sequence number of each run of one epoch in that log; told with a promise only.
+    """
+
+    disk: str
+    promised: int
+    granted: bool
+    position: LogPosition | None = None
+    marks: Marks | None = None
+
+    def encode(self) -> Body:
+        """The body on the wire."""
+        body: Body = {"disk": self.disk, "promised": self.promised, "ok": self.granted}
+        if self.position is None:
+            return body
+        return body | {"last": self.position.last, "last_epoch": self.position.epoch, "marks": self.marks}
+
+    @classmethod
+    def decode(cls, body: Body) -> PromiseAnswer:
+        """Reads a body from the wire."""
+        disk, promised, granted = str(body["disk"]), body["promised"], bool(body["ok"])
+        if "last" not in body:
+            return cls(disk, promised, granted)
+        marks = [(epoch, seq) for epoch, seq in body["marks"]]
+        return cls(disk, promised, granted, LogPosition(body["last_epoch"], body["last"]), marks)
+
+
+@dataclass(frozen=True, slots=True)
+class Hello:
+    """What an owner says to a member under its epoch (verb `hello`). At most one of the last three is set.
+
+    Attributes:
+        partition: Number of the partition.
+        epoch: Epoch of the sender.
+        owner: Name of the sender.
+        failed_disk: Identity of a disk that lost records which it had acknowledged.
+        confirm: Ask only whether a later epoch is known.
+        handover: The sender has stepped down, so that the receiver may run for owner at once.
+    """
+
+    partition: int
+    epoch: int
+    owner: str
+    failed_disk: str = ""
+    confirm: bool = False
+    handover: bool = False
+
+    def encode(self) -> Body:
+        """The body on the wire."""
+        body: Body = {"part": self.partition, "epoch": self.epoch, "who": self.owner}
+        if self.failed_disk:
+            body["spoiled"] = self.failed_disk
+        if self.confirm:
+            body["confirm"] = 1
+        if self.handover:
+            body["hand"] = 1
+        return body
+
+    @classmethod
+    def decode(cls, body: Body) -> Hello:
+        """Reads a body from the wire."""
+        return cls(
+            body["part"],
+            body["epoch"],
+            body["who"],
+            body.get("spoiled", ""),
+            bool(body.get("confirm")),
+            bool(body.get("hand")),
+        )
+
+
+@dataclass(frozen=True, slots=True)
+class HelloAnswer:
+    """The answer to a `Hello`.
+
+    Attributes:
+        disk: Identity of the disk that speaks.
+        promised: Highest epoch promised there.
+        accepted: Whether the sender's epoch is followed, or its question confirmed.
+        last: Sequence number of the last record there; None unless a stream may begin.
+        marks: First sequence number of each run of one epoch there; empty unless a stream may begin.
+    """
+
+    disk: str
+    promised: int
+    accepted: bool
+    last: int | None = None
+    marks: Marks | None = None
+
+    def encode(self) -> Body:
+        """The body on the wire."""
+        body: Body = {"disk": self.disk, "promised": self.promised, "ok": self.accepted}
+        return body if self.last is None else body | {"last": self.last, "marks": self.marks}
+
+    @classmethod
+    def decode(cls, body: Body) -> HelloAnswer:
+        """Reads a body from the wire."""
+        answer = cls(body["disk"], body["promised"], bool(body["ok"]))
+        if "last" not in body:
+            return answer
+        marks = [(epoch, seq) for epoch, seq in body["marks"]]
+        return cls(answer.disk, answer.promised, answer.accepted, body["last"], marks)
--- a/postpass/replication/mirror.py
+++ b/postpass/replication/mirror.py
@@ -11,6 +11,7 @@
 from postpass.batch.job import JobView
 from postpass.replication.acknowledger import Acknowledger
 from postpass.replication.election import Election
+from postpass.replication.messages import Hello, HelloAnswer
 from postpass.replication.partition import Partition
 from postpass.replication.partition_table import PartitionTable
 from postpass.replication.record_log import Record, RecordLog
@@ -34,50 +35,52 @@
         raise Stop(await self.disk_failed)
 
     async def on_hello(self, body: Body) -> PeerResponse:
-        partition, epoch = self.table.partition(body["part"]), body["epoch"]
-        about: Body = {"disk": self.table.disk_id, "promised": partition.promised}
-        if body.get("hand"):
-            if (
-                partition.aligned == epoch
-                and not partition.in_election
-                and not partition.owning
-                and not self.table.leaving
-            ):
-                self.election.run_soon(partition, epoch)
-            return Ok(about | {"ok": True})
-        if body.get("spoiled"):
-            if body["spoiled"] == self.table.disk_id and epoch == partition.promised:
-                why = f"partition {partition.id}: {body['who']} holds acknowledgements of more than this log has"
-                self.table.log.bad = why
-                if not self.disk_failed.done():
-                    self.disk_failed.set_result(Fault("read log", self.table.settings.name, why))
-            return Ok(about | {"ok": False})
-        if body.get("confirm"):
-            return Ok(about | {"ok": partition.promised <= epoch})
-        if epoch < partition.promised or (partition.owning and partition.epoch >= epoch):
-            return Ok(about | {"ok": False})
-        if epoch > partition.promised:
+        """An owner's handshake before its stream, or one of its shorter questions under an epoch."""
+        hello = Hello.decode(body)
+        partition, epoch, disk = self.table.partition(hello.partition), hello.epoch, self.table.disk_id
+        promised = partition.promised
+        if hello.handover:
+            self.take_over(partition, epoch)
+            return Ok(HelloAnswer(disk, promised, True).encode())
+        if hello.failed_disk:
+            self.check_disk(partition, hello)
+            return Ok(HelloAnswer(disk, promised, False).encode())
+        if hello.confirm:
+            return Ok(HelloAnswer(disk, promised, promised <= epoch).encode())
+        if epoch < promised or (partition.owning and partition.epoch >= epoch):
+            return Ok(HelloAnswer(disk, promised, False).encode())
+        if epoch > promised:
             partition.promised = epoch
             if partition.owning:
                 self.table.step_down(partition, epoch)
             partition.aligned = 0
             try:
-                await self.table.log.wait(
-                    self.table.write(partition, [IDL.Entry(part=partition.id, op="promise", epoch=epoch)])
-                )
+                await self.table.log.wait(self.election.write_promise(partition, epoch))
             except Stop as bad:
                 return Err(bad.fault)
             if partition.promised != epoch:
-                return Ok(about | {"ok": False, "promised": partition.promised})
-        partition.heard, partition.owner, partition.contacted, partition.refused_owner = now(), body["who"], True, ""
+                return Ok(HelloAnswer(disk, partition.promised, False).encode())
+        partition.heard, partition.owner, partition.contacted, partition.refused_owner = now(), hello.owner, True, ""
         partition.handshake_epoch = 0 if partition.aligned == epoch else epoch
-        # The owner has just connected: whatever link for acknowledgements stands from before may lead to a
-        # process that is no more.
-        self.acknowledger.reconnected.add(body["who"])
-        return Ok(
-            about
-            | {"ok": True, "promised": epoch, "last": partition.record_log.last, "marks": partition.record_log.marks()}
-        )
+        # The owner has just connected: a link for acknowledgements from before may lead to a process that is no more.
+        self.acknowledger.reconnected.add(hello.owner)
+        record_log = partition.record_log
+        return Ok(HelloAnswer(disk, epoch, True, record_log.last, record_log.marks()).encode())
+
+    def take_over(self, partition: Partition, epoch: int) -> None:
+        """The owner of an epoch has stepped down in favour of this store."""
+        free = partition.aligned == epoch and not partition.in_election and not partition.owning
+        if free and not self.table.leaving:
+            self.election.run_soon(partition, epoch)
+
+    def check_disk(self, partition: Partition, hello: Hello) -> None:
+        """An owner holds acknowledgements of records that this disk does not have: it may not speak any more."""
+        if hello.failed_disk != self.table.disk_id or hello.epoch != partition.promised:
+            return
+        why = f"partition {partition.id}: {hello.owner} holds acknowledgements of more than this log has"
+        self.table.log.bad = why
+        if not self.disk_failed.done():
+            self.disk_failed.set_result(Fault("read log", self.table.settings.name, why))
 
     async def on_carry(self, packet: Any) -> None:
         partition = self.table.partition(packet.part)
--- a/postpass/replication/owner.py
+++ b/postpass/replication/owner.py
@@ -7,7 +7,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from postpass.batch.job import JobView, Raw
+from postpass.batch.job import Raw
+from postpass.replication.election_decision import Step
 from postpass.replication.partition import Partition
 from postpass.replication.partition_table import PartitionTable
 from postpass.replication.record_log import Record
@@ -28,27 +29,33 @@
     announce_epochs: Callable[[dict[str, int]], None] = lambda _: None
 
     def become_owner(
-        self,
-        partition: Partition,
-        epoch: int,
-        view: JobView,
-        voters: dict[str, str],
-        blank: bool,
-        normal: bool,
-        lost: list[str],
+        self, partition: Partition, epoch: int, losses: int, voters: dict[str, str], step: Step, lost: list[str]
     ) -> None:
+        """Takes up a partition under an epoch, with a record that marks the beginning.
+
+        Args:
+            partition: The partition, whose log is the best among the voters'.
+            epoch: The epoch that the voters have promised.
+            losses: How often covered records were lost before.
+            voters: Names and disks of those who promised; they are the first members, or those after a loss.
+            step: FOUND, LEAD or LEAD_AFTER_LOSS.
+            lost: Jobs that were lost, as far as others remember them.
+
+        Raises:
+            Stop: The disk takes no more; nothing is left of the records in memory.
+        """
         partition.lead(epoch)
         self.ownership_began(partition.id)
         records: list[Record] = []
-        if blank:
+        if step is Step.FOUND:
             records.append(partition.make("crew", {"crew": voters}))
-        elif not normal:
-            records.append(partition.make("loss", {"crew": voters, "edition": view.losses + 1, "lots": lost}))
+        elif step is Step.LEAD_AFTER_LOSS:
+            records.append(partition.make("loss", {"crew": voters, "edition": losses + 1, "lots": lost}))
             log_events.emit(
                 125,
                 self.table.settings.name,
                 part=partition.id,
-                revision=view.losses + 1,
+                revision=losses + 1,
                 last=partition.record_log.last,
                 voters=",".join(voters),
                 lots=len(lost),
--- a/postpass/replication/partition_table.py
+++ b/postpass/replication/partition_table.py
@@ -46,6 +46,11 @@
         assert self.data_directory is not None
         return self.data_directory.name
 
+    @property
+    def own_vote(self) -> dict[str, str]:
+        """This store and its disk, as a voter among others."""
+        return {self.settings.name: self.disk_id}
+
     def partition(self, number: int) -> Partition:
         if number not in self.partitions:
             self.partitions[number] = Partition(
--- a/postpass/replication/streaming.py
+++ b/postpass/replication/streaming.py
@@ -7,6 +7,7 @@
 
 from result import Err
 
+from postpass.replication.messages import Hello, HelloAnswer
 from postpass.replication.partition import MirrorProgress, OutgoingMessage, Partition
 from postpass.replication.partition_table import PartitionTable
 from postpass.replication.record_log import match
@@ -38,7 +39,7 @@
         """One FIFO link to one mirror, for all partitions owned here; nothing on it is waited for."""
         link: Link | None = None
         bounds = self.table.settings.bounds
-        beaten: dict[int, float] = {}
+        heartbeats: dict[int, float] = {}  # partition -> when its last heartbeat was sent
         while True:
             addr = self.table.configuration_view.addr(name)
             owned = [
@@ -58,47 +59,48 @@
                     await self.back_off(name, bounds.beat, quiet=True)
                     continue
                 link = got.unwrap()
-            ready: list[tuple[Partition, MirrorProgress]] = []
-            for partition in owned:
-                if not partition.owning or link.closed:
-                    continue
-                mirror = partition.mirrors.setdefault(name, MirrorProgress(since=now(), heard=now()))
-                if (mirror.link is not link or mirror.epoch != partition.epoch) and not await self.handshake(
-                    partition, name, link, mirror
-                ):
-                    continue
-                if not partition.owning:
-                    continue
-                ready.append((partition, mirror))
-                if now() - beaten.get(partition.id, 0.0) >= bounds.beat * 0.9 or beaten.get(partition.id, 0) == 0:
-                    beaten[partition.id] = now()
-                    self.send(link, partition, "beat", partition.record_log.last, partition.epoch, 0, b"")
-                self.suspend_if_silent(partition, name)
-                if mirror.silent:
-                    link.close("the mirror is silent")
-            # Beats have gone out; then each partition has its turn, so that none waits behind another's big records.
-            turns = [
-                self.send_pending(partition, name, link, mirror)
-                for partition, mirror in ready
-                if partition.owning and not link.closed
-            ]
-            sent = any(turns)
-            try:
-                await asyncio.wait_for(link.drain(), bounds.silent)
-            except (TimeoutError, ConnectionError, OSError):
-                link.close("it takes nothing")
-            if not sent:
+            if not await self.send_pass(name, link, owned, heartbeats):
                 await self.back_off(name, bounds.beat / 2)
 
+    async def send_pass(self, name: str, link: Link, owned: list[Partition], heartbeats: dict[int, float]) -> bool:
+        """Sends heartbeats, then as much of each partition's records as has its turn; False if there were none."""
+        bounds = self.table.settings.bounds
+        ready: list[tuple[Partition, MirrorProgress]] = []
+        for partition in owned:
+            if not partition.owning or link.closed:
+                continue
+            mirror = partition.mirrors.setdefault(name, MirrorProgress(since=now(), heard=now()))
+            fresh = mirror.link is link and mirror.epoch == partition.epoch
+            if not fresh and not await self.handshake(partition, name, link, mirror):
+                continue
+            if not partition.owning:
+                continue
+            ready.append((partition, mirror))
+            sent_at = heartbeats.get(partition.id, 0.0)
+            if now() - sent_at >= bounds.beat * 0.9 or sent_at == 0:
+                heartbeats[partition.id] = now()
+                self.send(link, partition, "beat", partition.record_log.last, partition.epoch, 0, b"")
+            self.suspend_if_silent(partition, name)
+            if mirror.silent:
+                link.close("the mirror is silent")
+        # Heartbeats have gone out; then each partition has its turn, so that none waits behind another's big records.
+        turns = [self.send_pending(p, name, link, mirror) for p, mirror in ready if p.owning and not link.closed]
+        sent = any(turns)
+        try:
+            await asyncio.wait_for(link.drain(), bounds.silent)
+        except (TimeoutError, ConnectionError, OSError):
+            link.close("it takes nothing")
+        return sent
+
     async def back_off(self, name: str, limit: float, quiet: bool = False) -> None:
-        kick = self.wake_events[name]
+        wake_event = self.wake_events[name]
         if quiet:
             await asyncio.sleep(limit)
         try:
-            await asyncio.wait_for(kick.wait(), limit)
+            await asyncio.wait_for(wake_event.wait(), limit)
         except TimeoutError:
             pass
-        kick.clear()
+        wake_event.clear()
 
     def suspend_if_silent(self, partition: Partition, name: str) -> None:
         mirror = partition.mirrors.setdefault(name, MirrorProgress(since=now(), heard=now()))
@@ -148,51 +150,47 @@
     async def handshake(self, partition: Partition, name: str, link: Link, mirror: MirrorProgress) -> bool:
         """Learns where a mirror's log meets this one and begins its stream there, or with a snapshot."""
         epoch = partition.epoch
-        got = await link.call(
-            "hello",
-            {"part": partition.id, "epoch": epoch, "who": self.table.settings.name},
-            self.table.settings.bounds.promise,
-        )
-        if isinstance(got, Err):
-            link.close(str(got.unwrap_err()))
+        hello = Hello(partition.id, epoch, self.table.settings.name)
+        response = await link.call("hello", hello.encode(), self.table.settings.bounds.promise)
+        if isinstance(response, Err):
+            link.close(str(response.unwrap_err()))
             return False
-        there = got.unwrap()
+        answer = HelloAnswer.decode(response.unwrap())
         if partition.epoch != epoch:
             return False
-        if not there["ok"]:
-            if there["promised"] > epoch:
-                self.table.step_down(partition, there["promised"])
+        if not answer.accepted:
+            if answer.promised > epoch:
+                self.table.step_down(partition, answer.promised)
             return False
-        acked = partition.acknowledgements.get(name, there["disk"], "persisted")
-        if there["last"] < acked:
-            # It acknowledged more under this very epoch: its disk lost what it had synced. That is no torn tail.
-            log_events.emit(
-                112, self.table.settings.name, part=partition.id, mirror=name, last=there["last"], acknowledged=acked
-            )
-            await link.call(
-                "hello",
-                {"part": partition.id, "epoch": epoch, "who": self.table.settings.name, "spoiled": there["disk"]},
-                self.table.settings.bounds.promise,
-            )
-            link.close("its disk lost what it had acknowledged")
+        assert answer.last is not None and answer.marks is not None
+        acknowledged = partition.acknowledgements.get(name, answer.disk, "persisted")
+        if answer.last < acknowledged:
+            await self.report_failed_disk(partition, name, link, answer, acknowledged)
             return False
-        marks = [(e, s) for e, s in there["marks"]]
-        meet = match(partition.record_log.marks(), partition.record_log.last, marks, there["last"])
-        mirror.link, mirror.epoch, mirror.disk, mirror.outgoing = link, epoch, there["disk"], None
+        meet = match(partition.record_log.marks(), partition.record_log.last, answer.marks, answer.last)
+        mirror.link, mirror.epoch, mirror.disk, mirror.outgoing = link, epoch, answer.disk, None
         if meet >= 0:
             self.send(link, partition, "start", meet, partition.record_log.epoch_at(meet), 0, b"")
             mirror.next = meet + 1
         else:
-            log_events.emit(
-                123, self.table.settings.name, part=partition.id, mirror=name, base=partition.record_log.base_seq
-            )
-            self.table.counts["refills"] += 1
-            mirror.outgoing = OutgoingMessage(
-                "snap",
-                partition.record_log.base_seq,
-                partition.record_log.base_epoch,
-                0,
-                partition.record_log.base.dump(),
-            )
-            mirror.next = partition.record_log.base_seq + 1
+            self.begin_snapshot(partition, name, mirror)
         return True
+
+    async def report_failed_disk(
+        self, partition: Partition, name: str, link: Link, answer: HelloAnswer, acknowledged: int
+    ) -> None:
+        """Tells a mirror that it acknowledged more under this very epoch: its disk lost what it had synced, which is no
+        torn tail."""
+        me = self.table.settings.name
+        log_events.emit(112, me, part=partition.id, mirror=name, last=answer.last, acknowledged=acknowledged)
+        hello = Hello(partition.id, partition.epoch, me, failed_disk=answer.disk)
+        await link.call("hello", hello.encode(), self.table.settings.bounds.promise)
+        link.close("its disk lost what it had acknowledged")
+
+    def begin_snapshot(self, partition: Partition, name: str, mirror: MirrorProgress) -> None:
+        """The logs have nothing in common that both still hold: the mirror's is replaced by base and records."""
+        record_log = partition.record_log
+        log_events.emit(123, self.table.settings.name, part=partition.id, mirror=name, base=record_log.base_seq)
+        self.table.counts["refills"] += 1
+        mirror.outgoing = OutgoingMessage("snap", record_log.base_seq, record_log.base_epoch, 0, record_log.base.dump())
+        mirror.next = record_log.base_seq + 1
--- /dev/null
+++ b/tests/replication/test_election_decision.py
@@ -0,0 +1,49 @@
+"""Tests of postpass.replication.election_decision: each branch, and the order in which they are asked."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from itertools import product
+
+import pytest
+
+from postpass.replication.election_decision import Candidacy, Step, next_step
+
+WON = Candidacy(
+    epoch=5, promised=5, owning=False, quorum=True, all_answered=True, blank=False, known_epoch=None, lost_jobs=None
+)
+LOST_DISKS = replace(WON, quorum=False)
+BLANK = replace(LOST_DISKS, blank=True)
+
+
+@pytest.mark.parametrize(
+    ("candidacy", "step"),
+    [
+        (WON, Step.LEAD),
+        (replace(WON, all_answered=False), Step.LEAD),
+        (replace(LOST_DISKS, all_answered=False), Step.BACK_OFF),
+        (LOST_DISKS, Step.ASK_KEPT_JOBS),
+        (replace(LOST_DISKS, lost_jobs=()), Step.LEAD_AFTER_LOSS),
+        (BLANK, Step.ASK_EPOCHS),
+        (replace(BLANK, known_epoch=0), Step.FOUND),
+        (replace(BLANK, known_epoch=4), Step.ASK_KEPT_JOBS),
+        (replace(BLANK, known_epoch=4, lost_jobs=("a",)), Step.LEAD_AFTER_LOSS),
+        (replace(BLANK, known_epoch=5), Step.BACK_OFF),
+    ],
+)
+def test_each_case_has_its_step(candidacy: Candidacy, step: Step) -> None:
+    assert next_step(candidacy) is step
+
+
+def test_a_candidate_that_was_superseded_always_backs_off() -> None:
+    for quorum, answered, blank, known, lost in product(
+        (False, True), (False, True), (False, True), (None, 0, 4, 9), (None, (), ("a",))
+    ):
+        candidacy = Candidacy(5, 5, False, quorum, answered, blank, known, lost)
+        assert next_step(replace(candidacy, promised=6)) is Step.BACK_OFF
+        assert next_step(replace(candidacy, owning=True)) is Step.BACK_OFF
+
+
+def test_nobody_leads_without_a_quorum_unless_all_have_answered() -> None:
+    for blank, known, lost in product((False, True), (None, 0, 4, 9), (None, (), ("a",))):
+        assert next_step(Candidacy(5, 5, False, False, False, blank, known, lost)) is Step.BACK_OFF
