--- a/postpass/batch/job_records.py
+++ b/postpass/batch/job_records.py
@@ -24,6 +24,7 @@
     leadership: LeadershipCheck
 
     def class_predicate(self, name: str) -> str:
+        """The predicate that a class asks for beyond the partition's own; empty if it asks for none."""
         configuration = self.table.configuration_view.manifest
         return (
             configuration["classes"][name].get("predicate", "")
@@ -32,8 +33,8 @@
         )
 
     async def on_submit(self, body: Body) -> PeerResponse:
-        """Takes a lot: `kept` only past the frontier; refused only if nothing was sequenced, or once a
-        refusal that wins over the lot is itself covered; otherwise unknown."""
+        """Takes a job: `kept` only once it is covered; refused only if nothing was sequenced, or once a
+        refusal that wins over the job is itself covered; otherwise unknown."""
         job = body["lot"]
         got = self.leadership.owned_partition(body["part"], "submit")
         if isinstance(got, Err):
@@ -67,6 +68,7 @@
         return Err(Fault("submit", self.table.settings.name, "not covered yet", SLOW))
 
     def rejection(self, partition: Partition) -> Fault | None:
+        """Why no further job is taken now: the limit of open jobs, too much uncovered, or full mirrors; None if one is."""
         opened = sum(1 for job in partition.view.lots.values() if job.state == "open" and not job.whole)
         if opened >= self.table.configuration_view.limit("open_lots"):
             return Fault("submit", self.table.settings.name, f"{opened} lots are open in this partition", SHED)
@@ -81,6 +83,7 @@
         return None
 
     async def reject(self, partition: Partition, body: Body, flaw: Fault, limit: float) -> PeerResponse:
+        """Refuses a job: at once if it is new, and by a covered record if the client may have sent it before."""
         if not body.get("again"):
             return Err(flaw)
         try:
@@ -94,6 +97,11 @@
         return Err(Fault("submit", self.table.settings.name, "not known yet", SLOW))
 
     async def read(self, body: Body, step: str) -> Result[tuple[Partition, Job], Fault]:
+        """A covered job of the client that asks, after ownership was confirmed.
+
+        Returns:
+            The partition and the job; or LACK (unknown, lost, or of another client), SHED (refused) or SLOW (not known yet).
+        """
         got = self.leadership.owned_partition(body["part"], step)
         if isinstance(got, Err):
             return got
@@ -113,6 +121,7 @@
         return Ok((partition, job))
 
     async def on_show(self, body: Body) -> PeerResponse:
+        """Counts of a job's covered results, and its state: kept, done or ended."""
         got = await self.read(body, "show")
         if isinstance(got, Err):
             return got
@@ -127,6 +136,7 @@
         })  # fmt: skip
 
     async def on_page(self, body: Body) -> PeerResponse:
+        """One page of covered results, in the order of their records."""
         got = await self.read(body, "page")
         if isinstance(got, Err):
             return got
@@ -135,6 +145,7 @@
         return Ok({"id": job.id, "results": rows, "next": spot, "whole": done})
 
     async def on_finish(self, body: Body) -> PeerResponse:
+        """Ends a job; answered once the end is covered."""
         got = await self.read(body, "end")
         if isinstance(got, Err):
             return got
@@ -149,7 +160,7 @@
         return Ok({"id": job.id, "state": "done" if job.whole and job.state == "open" else "ended"})
 
     async def on_claim(self, body: Body) -> PeerResponse:
-        """One edge may run a call that may not be repeated: the first claim wins, once it is covered."""
+        """One gateway may run a request that may not be repeated: the first claim wins, once it is covered."""
         got = self.leadership.owned_partition(body["part"], "claim")
         if isinstance(got, Err):
             return got
--- a/postpass/batch/leases.py
+++ b/postpass/batch/leases.py
@@ -21,6 +21,13 @@
 
 @dataclass(eq=False)
 class Lease:
+    """One item in the hands of a scheduler.
+
+    Attributes:
+        scheduler: Name of the scheduler that runs the item.
+        until: Monotonic time in seconds at which the item may be handed out again, unless it is renewed.
+    """
+
     scheduler: str
     until: float
 
@@ -47,7 +54,7 @@
     owner_states: defaultdict[int, OwnerState] = field(default_factory=lambda: defaultdict(OwnerState))
 
     async def on_take(self, body: Body) -> PeerResponse:
-        """Hands out items of covered, open lots, nearest due time first, to the one scheduler of the
+        """Hands out items of covered, open jobs, nearest due time first, to the one scheduler of the
         highest term; a lower one is refused."""
         got = self.leadership.owned_partition(body["part"], "take")
         if isinstance(got, Err):
@@ -66,7 +73,7 @@
             )
         if (body["term"], body["sched"]) != (state.term, state.scheduler):
             state.term, state.scheduler = body["term"], body["sched"]
-        # Before anything is waited for: an item whose end is told right after this question is held no longer.
+        # Before anything is waited for: an item whose end is told right after this question is leased no longer.
         held = {(job, item) for job, item in body["held"]}
         until = moment + self.table.settings.bounds.lease * 2
         for key in held:
--- a/postpass/batch/retention.py
+++ b/postpass/batch/retention.py
@@ -22,7 +22,7 @@
     routed: JobService
 
     def drop_expired(self, partition: Partition) -> None:
-        """Lots leave after the retention; one long overdue is ended first."""
+        """Drops what has ended for longer than the retention; a job that is long overdue is ended first."""
         configuration, state, view = (
             self.table.configuration_view.manifest,
             self.leases.owner_states[partition.id],
@@ -41,7 +41,7 @@
             elif self.table.environment.wall() > job.body["due"] + keep:
                 self.owner.append(partition, "end", {"id": job.id})
                 return
-        # Refusals and claims stay as long as finished lots do, counted from when this owner first saw them.
+        # Refusals and claims stay as long as finished jobs do, counted from when this owner first saw them.
         shed = [n for n in view.shed if now() - state.done_at.setdefault(f"shed {n}", now()) > keep]
         keys = [k for k in view.claims if now() - state.done_at.setdefault(f"claim {k}", now()) > keep]
         lost = [n for n in view.lost if now() - state.done_at.setdefault(f"lost {n}", now()) > keep]
--- a/postpass/replication/acknowledgements.py
+++ b/postpass/replication/acknowledgements.py
@@ -1,4 +1,4 @@
-"""The recorder: for every mirror and every type, the highest sequence number acknowledged."""
+"""Acknowledgements: for every mirror and every type, the highest sequence number acknowledged."""
 
 from __future__ import annotations
 
@@ -15,6 +15,7 @@
     frontier: int = 0
 
     def put(self, node: str, disk: str, kind: str, seq: int) -> bool:
+        """Counts an acknowledgement; False if it says nothing new."""
         key = (node, disk, kind)
         if seq <= self.counts.get(key, 0):
             return False
@@ -22,13 +23,15 @@
         return True
 
     def get(self, node: str, disk: str, kind: str) -> int:
+        """The highest sequence number that one disk of a node has acknowledged; 0 if none."""
         return self.counts.get((node, disk, kind), 0)
 
     def reach(self, members: Mapping[str, str], predicate: Callable[[Callable[[str, str], int]], int]) -> int:
-        """What a predicate yields when only the disks in `crew` have a voice."""
+        """What a predicate yields when only the disks in `members` have a voice."""
         return predicate(lambda node, kind: self.get(node, members[node], kind) if node in members else 0)
 
     def advance(self, seq: int) -> bool:
+        """Raises the frontier; False if it stands there already."""
         if seq <= self.frontier:
             return False
         self.frontier = seq
--- a/postpass/replication/acknowledger.py
+++ b/postpass/replication/acknowledger.py
@@ -27,6 +27,13 @@
     send_loops: dict[str, asyncio.Task[None]] = field(default_factory=dict)
 
     def schedule(self, partition: Partition, owner: str = "", gap: bool = False) -> None:
+        """Has the newest counters of a partition sent to its owner, with others that are due.
+
+        Args:
+            partition: The partition.
+            owner: Name of the store to tell; empty for the owner as it is known.
+            gap: The stream does not fit. Told by the counters themselves, which show a log that is not aligned.
+        """
         owner = owner or partition.owner
         if not owner or owner == self.table.settings.name:
             return
@@ -67,15 +74,15 @@
                 link.close("it takes nothing")
 
     def probe_soon(self, owner: str) -> None:
-        """The link to an owner broke. Nothing is proved by that, but it is worth a question at once."""
+        """The link to an owner broke. That proves nothing, but the owner is asked at once."""
         if not self.table.leaving and any(p.owner == owner and not p.owning for p in self.table.partitions.values()):
             task = asyncio.create_task(self.probe(owner))
             self.table.background_tasks.add(task)
             task.add_done_callback(self.table.background_tasks.discard)
 
     async def probe(self, owner: str) -> None:
-        """A refused connection proves that no process listens there, so the silence needn't be waited out. Only a hint of
-        when to stand: who owns is up to the epochs."""
+        """A refused connection proves that no process listens there, so the detection time need not pass. Only a hint of
+        when to run for owner: who owns is up to the epochs."""
         addr = self.table.configuration_view.addr(owner)
         got = await Link.open(addr, self.table.settings.bounds.promise) if addr else None
         if isinstance(got, Ok):
@@ -93,6 +100,7 @@
                 self.election.run_if_silent(partition)
 
     def acknowledgement(self, partition: Partition, full: bool) -> Any:
+        """The counters of one partition; all zero unless the log is aligned with the owner's stream."""
         held = partition.aligned > 0 and partition.aligned == partition.promised
         return IDL.Ack(
             part=partition.id, epoch=partition.promised, name=self.table.settings.name, disk=self.table.disk_id, promised=partition.promised,
--- a/postpass/replication/catch_up.py
+++ b/postpass/replication/catch_up.py
@@ -47,7 +47,7 @@
             if "base" in more:
                 seq, born, size, piece = more["base"]
                 if seq != of and base:
-                    base, of = bytearray(), seq  # it was folded on meanwhile
+                    base, of = bytearray(), seq  # records were folded into it meanwhile
                     continue
                 base, of = base + base64.b64decode(piece), seq
                 if len(base) == size:
@@ -64,6 +64,7 @@
         return staged
 
     async def on_fetch(self, body: Body) -> PeerResponse:
+        """Hands out records after a sequence number, or a piece of the base, to the candidate that this store has promised to."""
         partition = self.table.partition(body["part"])
         if partition.promised != body["epoch"] or partition.owning:
             return Err(Fault("fetch", self.table.settings.name, f"promised to epoch {partition.promised}", MOVED))
@@ -85,7 +86,7 @@
         """Takes a staged log as this store's own: cut where they part, then the rest, or base and all."""
         if staged is partition.record_log:
             return
-        # Always the disk first: what it did not take must not stand in memory, or the next record leaves a gap in the log.
+        # Always the disk first: what it did not take must not be in memory, or the next record leaves a gap in the log.
         meet = match(partition.record_log.marks(), partition.record_log.last, staged.marks(), staged.last)
         if meet < 0:
             entries = [
--- a/postpass/replication/election.py
+++ b/postpass/replication/election.py
@@ -87,7 +87,7 @@
         request: PromiseRequest,
         have: dict[str, str] | None = None,
     ) -> dict[str, PromiseAnswer]:
-        """Asks for promises beside those in `have`; waits for the last ones only as long as it hasn't got enough."""
+        """Asks for promises beside those in `have`; waits for the last ones only as long as it has not got enough."""
 
         def enough(answers: dict[str, PeerResponse]) -> bool:
             decoded = {n: PromiseAnswer.decode(a.unwrap()) for n, a in answers.items() if isinstance(a, Ok)}
--- a/postpass/replication/handover.py
+++ b/postpass/replication/handover.py
@@ -26,7 +26,7 @@
             if able:
                 self.hand_over(partition, able[0])
         await asyncio.gather(*self.table.background_tasks)
-        # The handed-on lots find their owner before this one stops pointing the way.
+        # Requests for the jobs that were handed over find the new owner before this store stops redirecting them.
         await asyncio.sleep(self.table.settings.bounds.beat)
 
     def can_take_over(self, partition: Partition, name: str) -> bool:
@@ -42,6 +42,7 @@
         return partition.acknowledgements.get(name, mirror.disk, "persisted") >= partition.covered
 
     def hand_over(self, partition: Partition, name: str) -> None:
+        """Steps down and tells a member that it may run for owner at once."""
         log_events.emit(126, self.table.settings.name, part=partition.id, to=name, epoch=partition.epoch)
         epoch = partition.epoch
         partition.step_down()
@@ -49,9 +50,9 @@
 
         hello = Hello(partition.id, epoch, self.table.settings.name, handover=True)
 
-        async def tell() -> None:
+        async def notify() -> None:
             await self.table.ask(name, "hello", hello.encode())
 
-        task = asyncio.create_task(tell())
+        task = asyncio.create_task(notify())
         self.table.background_tasks.add(task)
         task.add_done_callback(self.table.background_tasks.discard)
--- a/postpass/replication/leadership_check.py
+++ b/postpass/replication/leadership_check.py
@@ -21,6 +21,7 @@
     checks: dict[int, asyncio.Task[bool]] = field(default_factory=dict)
 
     def owned_partition(self, number: int, step: str) -> Result[Partition, Fault]:
+        """The partition if it is owned here and ready, or MOVED with a hint of its owner."""
         partition = self.table.partitions.get(number)
         if partition is None or not partition.owning:
             hint = partition.owner if partition is not None and partition.owner != self.table.settings.name else ""
--- a/postpass/replication/mirror.py
+++ b/postpass/replication/mirror.py
@@ -83,6 +83,7 @@
             self.disk_failed.set_result(Fault("read log", self.table.settings.name, why))
 
     async def on_carry(self, packet: Any) -> None:
+        """One packet of an owner's stream. Refused below the promised epoch; the answer is an acknowledgement, sent later."""
         partition = self.table.partition(packet.part)
         if packet.epoch < partition.promised or (partition.owning and packet.epoch <= partition.epoch):
             self.acknowledger.schedule(partition, packet.owner)
@@ -107,8 +108,13 @@
         self.acknowledger.schedule(partition, packet.owner)
 
     def accept_packet(self, partition: Partition, packet: Any) -> None:
+        """Gathers packets into a message and applies it: start, snap (a base) or rec (a record).
+
+        Raises:
+            Stop: The disk takes no more; nothing of the message stands in memory.
+        """
         if packet.kind == "beat":
-            return  # it goes out between the packets of others
+            return  # a heartbeat goes out between the packets of other messages
         if packet.index == 0:
             partition.packets = []
         if packet.index != len(partition.packets):
@@ -146,6 +152,7 @@
             self.append_record(partition, record)
 
     def append_record(self, partition: Partition, record: Record) -> None:
+        """Writes a record to disk and then to memory."""
         place = self.table.log.append([record.entry(partition.id)])
         partition.record_log.append(record)
         partition.unsynced.append((place, record.seq))
--- a/postpass/replication/owner.py
+++ b/postpass/replication/owner.py
@@ -73,6 +73,7 @@
         self.streams.wake_all(partition)
 
     def advance(self, partition: Partition) -> None:
+        """Recomputes what is covered, after an acknowledgement or a sync."""
         if partition.advance():
             self.settle_changes(partition)
 
@@ -109,6 +110,7 @@
         return record
 
     async def on_ack(self, acks: list[Any]) -> None:
+        """Counters of mirrors. Those of another epoch or another disk are passed over."""
         for ack in acks:
             partition = self.table.partition(ack.part)
             if ack.promised > max(partition.promised, partition.epoch):
--- a/postpass/replication/owner_duties.py
+++ b/postpass/replication/owner_duties.py
@@ -25,6 +25,8 @@
     retention: Retention
 
     def run(self, partition: Partition) -> None:
+        """One heartbeat of an owner. Steps down if no quorum was heard for 1.5 times the detection time, or if what is left
+        can cover nothing."""
         configuration, bounds, moment = self.table.configuration_view.manifest, self.table.settings.bounds, now()
         assert configuration is not None
         fresh = {n: mirror.disk for n, mirror in partition.mirrors.items() if moment - mirror.heard < bounds.detect}
--- a/postpass/replication/partition.py
+++ b/postpass/replication/partition.py
@@ -1,4 +1,4 @@
-"""One partition on one store: its tape, what was promised, and, while it is the owner, its counting."""
+"""One partition on one store: its record log, its promises, and, while the store is owner, its acknowledgements."""
 
 from __future__ import annotations
 
@@ -27,7 +27,16 @@
 
 @dataclass(eq=False)
 class OutgoingMessage:
-    """A message of which some packets have been sent."""
+    """A message of which some packets have been sent.
+
+    Attributes:
+        kind: beat, start, snap or rec.
+        seq: Sequence number of the record, or of the base.
+        born: Epoch under which the record was made.
+        prior: Epoch of the record before it.
+        body: The bytes, cut into packets of `PACKET` bytes.
+        index: Number of the next packet.
+    """
 
     kind: str
     seq: int
@@ -38,13 +47,14 @@
 
     @property
     def total(self) -> int:
+        """How many packets the message takes."""
         return max(1, -(-len(self.body) // PACKET))
 
 
 @dataclass(eq=False)
 class MirrorProgress:
     """How far the owner's stream to one mirror has come. Invariant: records below `next` were sent on
-    the link that `link` names, in order, once each, but for the rest of `sending`."""
+    the link that `link` names, in order, once each, but for the rest of `outgoing`."""
 
     link: object = None
     epoch: int = 0
@@ -58,11 +68,12 @@
 
 
 def empty_log() -> RecordLog:
+    """A log without records, over an empty view."""
     return RecordLog(base=JobView())
 
 
 def latest_view(record_log: RecordLog) -> JobView:
-    """The view at the tape's end."""
+    """The jobs and members after the last record of a log."""
     view = record_log.base.copy()
     assert isinstance(view, JobView)
     for record in record_log.recs:
@@ -72,12 +83,18 @@
 
 @dataclass(eq=False)
 class Partition:
-    """Invariants:
+    """The state of one partition on one store. `Partition` owns all its fields; the parts of the store change them between
+    two awaits, on the one event loop.
+
+    States: follower (`epoch` 0), aligned follower (`aligned` is the epoch of the owner's stream), owner (`epoch` > 0), and
+    ready owner (`covered` has reached `epoch_mark`). Times are monotonic, in seconds.
+
+    Invariants:
     - `promised` is synced before it is told, never falls, and nothing below it is accepted.
     - records are appended by a stream only while `aligned` is the epoch that the stream runs under.
-    - `persisted` <= tape.last, and what it counts was synced after it was aligned.
+    - `persisted` <= record_log.last, and what it counts was synced after it was aligned.
     - `covered` never falls, and a covered record is never cut.
-    - as owner: nothing counts as covered until the mark of the own epoch (`mark`) is.
+    - as owner: nothing counts as covered until the first mark record of the own epoch (`epoch_mark`) is.
     """
 
     id: int
@@ -87,10 +104,11 @@
     promised: int = 0
     owner: str = ""
     heard: float = 0.0
-    refused_owner: str = (
-        ""  # an owner whose machine has refused a connection since it was heard: its process is no more
+    # An owner whose machine has refused a connection since it was heard: its process is no more.
+    refused_owner: str = ""
+    contacted: bool = (
+        False  # has an owner, or a candidate, been heard in this life, or has this store's turn to run come
     )
-    contacted: bool = False  # has an owner, or a candidate, been heard in this life, or has its turn to stand come
     aligned: int = 0
     covered: int = 0
     persisted: int = 0
@@ -107,22 +125,27 @@
     uncoverable_since: float = 0.0  # since when no covering set is left, though all have answered; 0 if one is
     zones: dict[str, str] = field(default_factory=dict)
 
-    # as mirror: packets of a record that is not yet whole
+    # as mirror: packets of a message that is not yet complete
     packets: list[bytes] = field(default_factory=list)
-    handshake_epoch: int = 0  # the epoch whose stream has been greeted and has not begun yet: no gap, but nothing held
+    handshake_epoch: int = (
+        0  # epoch whose handshake was answered and whose stream has not begun: neither a gap nor aligned
+    )
     base_bytes: tuple[int, bytes] = (-1, b"")  # the base as bytes, while a candidate fetches it piece by piece
 
     def base_dump(self) -> bytes:
+        """The base as bytes; kept until the base moves."""
         if self.base_bytes[0] != self.record_log.base_seq:
             self.base_bytes = (self.record_log.base_seq, self.record_log.base.dump())
         return self.base_bytes[1]
 
     @property
     def owning(self) -> bool:
+        """Is this store the owner, ready or not?"""
         return self.epoch > 0
 
     @property
     def ready(self) -> bool:
+        """Is the first record of this ownership covered, so that all before it is known to be?"""
         return self.owning and self.covered >= self.epoch_mark
 
     @property
@@ -132,11 +155,12 @@
         return old | self.view.crew
 
     def scope(self, members: Iterable[str]) -> PredicateScope:
+        """What a predicate over these members may name."""
         names = tuple(members)
         return PredicateScope(names, tuple((n, self.zones.get(n, "")) for n in names), self.me)
 
     def predicate_over(self, text: str, members: Members) -> Callable[[Count], int]:
-        """A predicate over a crew; one that doesn't fit the crew falls back to the default."""
+        """A predicate over these members; one that doesn't fit them falls back to the default."""
         return build(text or DEFAULT, self.scope(members)).unwrap_or_else(
             lambda _: build(DEFAULT, self.scope(members)).unwrap()
         )
@@ -161,7 +185,7 @@
             return False
         seq = min(self.reach(), self.record_log.last)
         moved = False
-        # A crew change that is covered lifts the old rule, which may let the frontier go on at once.
+        # A change of members that is covered lifts the old rule, which may let the frontier go on at once.
         while seq >= self.epoch_mark and seq > self.covered:
             self.covered, moved = seq, True
             self.acknowledgements.advance(seq)
@@ -171,6 +195,7 @@
         return moved
 
     def _wake(self) -> None:
+        """Resolves the waiters whose record is covered."""
         far = {t: self.reach(t) for t in {t for _, t, _ in self.waiters if t}}
         left = []
         for seq, text, future in self.waiters:
@@ -201,12 +226,15 @@
         )
 
     def may_lead(self, view: JobView, voters: Members) -> bool:
+        """Do these promises suffice to lead?"""
         return self.enough(view, voters, promises_suffice)
 
     def confirmed(self, voters: Members) -> bool:
+        """Do these answers prove that there is no later owner?"""
         return self.enough(self.view, voters, confirm_suffice)
 
     def can_cover(self, names: set[str]) -> bool:
+        """Could records be covered by these members alone?"""
         return all(covers(self.predicate_over(t, c), names & set(c)) for c, t in self.rules(self.view))
 
     def hopeless(self, disks: Members) -> bool:
@@ -217,6 +245,7 @@
         )
 
     def lead(self, epoch: int) -> None:
+        """Becomes owner under an epoch, with what the log holds."""
         self.epoch, self.owner, self.aligned = epoch, self.me, epoch
         self.view = latest_view(self.record_log)
         self.acknowledgements = Acknowledgements()
@@ -225,6 +254,7 @@
         self.mirrors, self.packets, self.waiters = {}, [], []
 
     def step_down(self) -> None:
+        """Is owner no more: whoever waits for a record learns that nothing is proved."""
         self.epoch, self.aligned, self.epoch_mark, self.uncoverable_since = 0, 0, 0, 0.0
         self.view, self.acknowledgements, self.mirrors = JobView(), Acknowledgements(), {}
         for _, _, future in self.waiters:
@@ -268,6 +298,7 @@
         return True
 
     def cut(self, seq: int) -> None:
+        """Drops what follows a sequence number, here and among what is to be synced."""
         self.record_log.cut(seq)
         self.unsynced = deque((p, min(s, seq)) for p, s in self.unsynced)
         self.persisted = min(self.persisted, seq)
--- a/postpass/replication/partition_table.py
+++ b/postpass/replication/partition_table.py
@@ -38,11 +38,13 @@
 
     @property
     def log(self) -> Any:
+        """The log on disk, which all partitions share."""
         assert self.data_directory is not None
         return self.data_directory.log
 
     @property
     def disk_id(self) -> str:
+        """Identity of the disk; a wiped one has another."""
         assert self.data_directory is not None
         return self.data_directory.name
 
@@ -52,6 +54,7 @@
         return {self.settings.name: self.disk_id}
 
     def partition(self, number: int) -> Partition:
+        """The partition of a number; made when it is first asked for."""
         if number not in self.partitions:
             self.partitions[number] = Partition(
                 number, self.settings.name, self.disk_id if self.data_directory else "", heard=now()
@@ -59,6 +62,16 @@
         return self.partitions[number]
 
     def write(self, partition: Partition, entries: Iterable[Any], vital: bool = True) -> int:
+        """Appends entries to the log on disk and notes up to which record it will be synced then.
+
+        Args:
+            partition: The partition whose records end here.
+            entries: Log entries.
+            vital: Whether they may use the space that is held back for records which the protocol needs.
+
+        Raises:
+            Stop: The disk takes no more.
+        """
         place: int = self.log.append(entries, vital)
         partition.unsynced.append((place, partition.record_log.last))
         return place
@@ -75,12 +88,14 @@
         return [n for n in every if n != self.settings.name]
 
     async def ask(self, name: str, verb: str, body: Body) -> PeerResponse:
+        """Asks another store; LACK if it has no address."""
         addr = self.configuration_view.addr(name)
         if not addr:
             return Err(Fault(verb, name, "gone or unknown", LACK))
         return await self.peer_links.call(addr, verb, body, self.settings.bounds.promise)
 
     def step_down(self, partition: Partition, epoch: int) -> None:
+        """Ends an ownership, if there is one, since an epoch was seen; the next election waits for the full timeout."""
         if partition.owning:
             log_events.emit(121, self.settings.name, part=partition.id, epoch=partition.epoch, seen=epoch)
             partition.step_down()
@@ -88,6 +103,7 @@
         partition.heard = now()
 
     async def load(self) -> None:
+        """Reads the log on disk into partitions."""
         assert self.environment.disk is not None
         held = max(self.settings.segment_bytes // 4, 1024)
         self.data_directory = await open_data_directory(
@@ -107,6 +123,7 @@
             partition.persisted = partition.record_log.last
 
     def snapshot(self) -> Iterator[Any]:
+        """Entries that stand for all partitions: what a compacted log begins with."""
         for partition in self.partitions.values():
             record_log = partition.record_log
             yield IDL.Entry(part=partition.id, op="promise", epoch=partition.promised)
--- a/postpass/replication/record_log.py
+++ b/postpass/replication/record_log.py
@@ -18,24 +18,28 @@
     body: bytes
 
     def entry(self, part: int) -> Any:
+        """The log entry on disk."""
         return IDL.Entry(part=part, op="rec", seq=self.seq, epoch=self.epoch, kind=self.kind, body=self.body)
 
 
 class Base:
-    """What records are folded into; `lots.LotView` is the one in use."""
+    """What records are folded into; `JobView` is the one in use."""
 
-    def fold(self, record: Record) -> None: ...
+    def fold(self, record: Record) -> None:
+        """Applies one record."""
 
     def copy(self) -> Base:
+        """Another base that can be folded on."""
         return self
 
     def dump(self) -> bytes:
+        """The bytes on disk and on the wire."""
         return b""
 
 
 @dataclass(eq=False)
 class RecordLog:
-    """Invariants: recs are numbered base_seq+1, +2, … without a gap; epochs never fall along them;
+    """Invariants: recs are numbered base_seq+1, +2, … without a gap; epochs never decrease along them;
     base_seq never passes what was covered, so a covered record is never cut."""
 
     base_seq: int = 0
@@ -46,24 +50,30 @@
 
     @property
     def last(self) -> int:
+        """Sequence number of the last record."""
         return self.base_seq + len(self.recs)
 
     @property
     def last_epoch(self) -> int:
+        """Epoch of the last record."""
         return self.recs[-1].epoch if self.recs else self.base_epoch
 
     def epoch_at(self, seq: int) -> int:
+        """Epoch of the record with a sequence number at or after the base."""
         if seq == self.base_seq:
             return self.base_epoch
         return self.recs[seq - self.base_seq - 1].epoch
 
     def get(self, seq: int) -> Record:
+        """The record with a sequence number after the base."""
         return self.recs[seq - self.base_seq - 1]
 
     def after(self, seq: int) -> list[Record]:
+        """The records that follow a sequence number."""
         return self.recs[seq - self.base_seq :]
 
     def append(self, record: Record) -> None:
+        """Adds the next record."""
         assert record.seq == self.last + 1, f"{record.seq} does not follow {self.last}"
         assert record.epoch >= self.last_epoch, f"epoch {record.epoch} falls below {self.last_epoch}"
         self.recs.append(record)
--- a/postpass/replication/stability.py
+++ b/postpass/replication/stability.py
@@ -8,6 +8,7 @@
 from __future__ import annotations
 
 import itertools
+import operator
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 from functools import lru_cache
@@ -42,24 +43,27 @@
 
 @dataclass(frozen=True)
 class PredicateScope:
-    """The nodes a predicate speaks of. Invariant: `me` is in `areas`; the order of `nodes` gives $1, $2, …"""
+    """The nodes a predicate speaks of. Invariant: `me` is in `zones`; the order of `nodes` gives $1, $2, …"""
 
     nodes: tuple[str, ...]
-    zones: tuple[tuple[str, str], ...]  # (node, area)
+    zones: tuple[tuple[str, str], ...]  # (node, zone)
     me: str
 
     def zone(self, node: str) -> str:
+        """The zone of a node; empty if it is unknown."""
         return dict(self.zones).get(node, "")
 
 
 @dataclass(frozen=True)
 class NodeSet:
+    """A set of nodes in a predicate, with the type of acknowledgement asked of them."""
+
     names: tuple[str, ...]
     kind: str = ""
 
 
 class PredicateError(Exception):
-    pass
+    """A predicate that can be parsed and means nothing; its text says where and why."""
 
 
 def _at(tree: Tree[Token] | Token) -> str:
@@ -127,10 +131,10 @@
     if tree.data == "over" and right == 0:
         raise PredicateError(f"{_at(tree)}: division by zero")
     sums: dict[str, Callable[[int, int], int]] = {
-        "plus": lambda a, b: a + b,
-        "minus": lambda a, b: a - b,
-        "times": lambda a, b: a * b,
-        "over": lambda a, b: a // b,
+        "plus": operator.add,
+        "minus": operator.sub,
+        "times": operator.mul,
+        "over": operator.floordiv,
     }
     return sums[str(tree.data)](left, right)
 
@@ -158,7 +162,7 @@
         if isinstance(val, int):
             raise PredicateError(f"{_at(arg)}: a bare number is no operand of {op}")
         kind = val.kind or "persisted"
-        leaves += [lambda count, n=n, kind=kind: count(n, kind) for n in val.names]  # type: ignore[misc]
+        leaves += [lambda count, node=node, kind=kind: count(node, kind) for node in val.names]  # type: ignore[misc]
     if not leaves:
         raise PredicateError(f"{_at(tree)}: {op} over an empty set")
     if not 1 <= rank <= len(leaves):
@@ -181,9 +185,9 @@
         return Err(str(bad))
 
 
-def covers(predicate: Callable[[Count], int], held: Iterable[str]) -> bool:
-    """Does the predicate hold for a record that just the nodes in `held` keep synced?"""
-    have = frozenset(held)
+def covers(predicate: Callable[[Count], int], synced: Iterable[str]) -> bool:
+    """Does the predicate hold for a record that just the nodes in `synced` keep on disk?"""
+    have = frozenset(synced)
     return predicate(lambda node, kind: 1 if node in have else 0) >= 1
 
 
@@ -196,7 +200,7 @@
 
 
 def loss_flaw(text: str, scope: PredicateScope) -> str:
-    """Names the tolerated loss (one disk, or one area) that could take a covered record; empty if none can.
+    """Names the tolerated loss (one disk, or one zone) that could take a covered record; empty if none can.
 
     `received` copies vanish with the power, so only synced ones are counted: a node counts for
     `received` as it does for nothing.
@@ -209,13 +213,13 @@
     losses = [(f"the disk of {n}", frozenset({n})) for n in scope.nodes] + [
         (f"area {a}", frozenset(n for n in scope.nodes if scope.zone(n) == a)) for a in zones
     ]
-    for held in (frozenset(c) for n in range(len(scope.nodes) + 1) for c in itertools.combinations(scope.nodes, n)):
-        covered = predicate(lambda n, kind, held=held: 1 if kind == "received" or n in held else 0) >= 1  # type: ignore[misc]
+    for synced in (frozenset(c) for n in range(len(scope.nodes) + 1) for c in itertools.combinations(scope.nodes, n)):
+        covered = predicate(lambda node, kind, synced=synced: 1 if kind == "received" or node in synced else 0) >= 1  # type: ignore[misc]
         if not covered:
             continue
         for what, lost in losses:
-            if held <= lost:
-                where = ", ".join(sorted(held)) or "no synced disk at all"
+            if synced <= lost:
+                where = ", ".join(sorted(synced)) or "no synced disk at all"
                 return f"does not survive the loss of {what}: it holds with copies on {where} alone"
     return ""
 
@@ -230,11 +234,3 @@
     """True if no new owner can have been promised without one of `got` knowing."""
     have = frozenset(got) & frozenset(nodes)
     return not promises_suffice(predicate, nodes, frozenset(nodes) - have)
-
-
-def four(*zones: str) -> PredicateScope:
-    names = tuple(f"s{i + 1}" for i in range(len(zones)))
-    return PredicateScope(names, tuple(zip(names, zones, strict=True)), "s1")
-
-
-SCENE = four("a", "b", "c", "d")
--- a/postpass/replication/store.py
+++ b/postpass/replication/store.py
@@ -70,62 +70,79 @@
         self.leases.owner_states[number] = OwnerState()
         self.routed.forget(number)
 
-    # --- what the daemon and the routed jobs ask for
+    # --- asked for by the daemon and the job service
     @property
     def log(self) -> Any:
+        """The log on disk."""
         return self.table.log
 
     @property
     def disk_id(self) -> str:
+        """Identity of the disk."""
         return self.table.disk_id
 
     @property
     def partitions(self) -> dict[int, Partition]:
+        """The partitions that have a copy here, by number."""
         return self.table.partitions
 
     @property
     def counts(self) -> Counter[str]:
+        """Counters since the start, by name."""
         return self.table.counts
 
     @property
     def background_tasks(self) -> set[asyncio.Task[None]]:
+        """Background tasks; each is kept here until it ends."""
         return self.table.background_tasks
 
     @property
     def owner_states(self) -> dict[int, OwnerState]:
+        """What an owner keeps in memory to hand out items, by partition."""
         return self.leases.owner_states
 
     async def open(self) -> None:
+        """Opens the data folder and reads the log."""
         await self.table.load()
 
     async def leave(self) -> None:
+        """Hands owned partitions to others before the process ends."""
         await self.handover.leave()
 
     async def ask(self, name: str, verb: str, body: Body) -> PeerResponse:
+        """Asks another store, by its name."""
         return await self.table.ask(name, verb, body)
 
     def owned_partition(self, number: int, step: str) -> Result[Partition, Fault]:
+        """The partition if it is owned here and ready, or MOVED with a hint of its owner."""
         return self.leadership.owned_partition(number, step)
 
     async def confirm(self, partition: Partition) -> bool:
+        """Is this store still the owner? A round trip to the members."""
         return await self.leadership.confirm(partition)
 
     def append(self, partition: Partition, kind: str, body: Body, vital: bool = True, raw: Raw = b"") -> Record:
+        """Sequences one record; raises Stop, with nothing sequenced, if the disk won't take it."""
         return self.owner.append(partition, kind, body, vital, raw)
 
     def rejection(self, partition: Partition) -> Fault | None:
+        """Why no further job is taken now; None if one is."""
         return self.jobs.rejection(partition)
 
     async def read(self, body: Body, step: str) -> Result[tuple[Partition, Job], Fault]:
+        """A covered job of the client that asks, after ownership was confirmed."""
         return await self.jobs.read(body, step)
 
     def complete(self, partition: Partition) -> bool:
+        """As owner: have all members synced the last change of members, with the proof of it?"""
         return self.reconfiguration.complete(partition)
 
     def tasks(self) -> list[Any]:
+        """What runs as long as the process does."""
         return [self.table.log.keep(), self.watch_sync(), self.tick(), self.mirror.watch_disk()]
 
     def handlers(self) -> dict[str, Any]:
+        """The verbs of peers and who answers them."""
         return {
             "carry": self.mirror.on_carry, "ack": self.owner.on_ack, "promise": self.election.on_promise, "hello": self.mirror.on_hello, "fetch": self.catch_up.on_fetch,
             "submit": self.jobs.on_submit, "show": self.jobs.on_show, "page": self.jobs.on_page, "finish": self.jobs.on_finish, "take": self.leases.on_take,
@@ -133,12 +150,14 @@
         }  # fmt: skip
 
     async def watch_sync(self) -> None:
+        """Counts what the disk has synced, each time that it has."""
         while True:
             moved = self.table.log.moved
             await moved.wait()
             self.synced()
 
     def synced(self) -> None:
+        """Tells each partition how far the log on disk is synced."""
         for partition in self.table.partitions.values():
             if partition.sync_to(self.table.log.synced):
                 if partition.owning:
@@ -147,6 +166,7 @@
                     self.acknowledger.schedule(partition)
 
     async def tick(self) -> None:
+        """The heartbeat of the duty, at random intervals around `bounds.beat` seconds."""
         while True:
             await asyncio.sleep(self.table.settings.bounds.beat * (0.8 + 0.4 * self.table.environment.chance.random()))
             configuration = self.table.configuration_view.manifest
@@ -156,8 +176,8 @@
                 if self.table.settings.name in self.table.configuration_view.order(number):
                     self.table.partition(number)
             for partition in self.table.partitions.values():
-                # Nobody was heard since this process started, and there is no waiting for a silence: if an owner is
-                # there, one of those that are asked hears it, and says so.
+                # Nobody was heard since this process started, and no timeout is waited for: if there is an owner, one of
+                # those that are asked for promises hears it, and says so.
                 if not partition.contacted:
                     partition.contacted, partition.heard = (
                         True,
@@ -178,6 +198,7 @@
                 self.synced()
 
     async def on_parts(self, _body: Body) -> PeerResponse:
+        """The partitions and the disk of this store, for operators."""
         free, whole = self.table.log.disk.room()
         rows = [
             {
@@ -190,12 +211,12 @@
                 },
                 "lots": len(p.view.lots), "open": sum(x.state == "open" and not x.whole for x in p.view.lots.values()),
             }
-            for p in sorted(self.table.partitions.values(), key=lambda p: p.id)
+            for p in sorted(self.table.partitions.values(), key=lambda partition: partition.id)
         ]  # fmt: skip
         return Ok({"disk": self.table.disk_id, "free": free, "size": whole, "parts": rows, "bad": self.table.log.bad,
                    "held": self.table.log.hold})  # fmt: skip
 
     def fail(self) -> None:
-        """After a failed sync: this folder has no voice any more."""
+        """After a failed sync: nothing this folder says counts any more."""
         if self.table.environment.disk is not None and self.table.log.bad:
             distrust(self.table.environment.disk)
--- a/postpass/replication/streaming.py
+++ b/postpass/replication/streaming.py
@@ -15,7 +15,7 @@
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
 
-TURN = 4 * PACKET  # what one partition may send to a mirror before the others' beats and records have their turn
+TURN = 4 * PACKET  # what one partition may send to a mirror before the others' heartbeats and records have their turn
 
 
 @dataclass(eq=False)
@@ -29,6 +29,7 @@
     wait_each: bool = False
 
     def wake_all(self, partition: Partition) -> None:
+        """Has the send loops of all other members look for something to send."""
         for name in self.table.other_members(partition, partition.view):
             if name not in self.wake_events:
                 self.wake_events[name] = asyncio.Event()
@@ -93,6 +94,13 @@
         return sent
 
     async def back_off(self, name: str, limit: float, quiet: bool = False) -> None:
+        """Waits for a wake-up.
+
+        Args:
+            name: The mirror.
+            limit: Seconds after which it goes on anyhow.
+            quiet: Wait that long before a wake-up counts, since the mirror could not be reached.
+        """
         wake_event = self.wake_events[name]
         if quiet:
             await asyncio.sleep(limit)
@@ -103,6 +111,7 @@
         wake_event.clear()
 
     def suspend_if_silent(self, partition: Partition, name: str) -> None:
+        """Stops a stream whose mirror has not acknowledged for `bounds.silent` seconds."""
         mirror = partition.mirrors.setdefault(name, MirrorProgress(since=now(), heard=now()))
         if not mirror.silent and now() - mirror.heard > self.table.settings.bounds.silent:
             mirror.silent = True
@@ -110,12 +119,13 @@
             log_events.emit(122, self.table.settings.name, part=partition.id, mirror=name)
 
     def send(self, link: Link, partition: Partition, kind: str, seq: int, born: int, prior: int, body: bytes) -> None:
+        """Sends a whole message, packet by packet."""
         message = OutgoingMessage(kind, seq, born, prior, body)
         while message.index < message.total:
             self.send_packet(link, partition, message)
 
     def send_packet(self, link: Link, partition: Partition, message: OutgoingMessage) -> int:
-        """Hands one more packet of a message to the link; tells about how many bytes that was."""
+        """Hands one more packet of a message to the link; returns about how many bytes that was."""
         piece = message.body[message.index * PACKET : (message.index + 1) * PACKET]
         link.put("carry", IDL.Packet(
             part=partition.id, epoch=partition.epoch, owner=self.table.settings.name, kind=message.kind, seq=message.seq, born=message.born, prior=message.prior,
@@ -130,7 +140,7 @@
         while size < TURN:
             if mirror.outgoing is None:
                 if mirror.next <= partition.record_log.base_seq:
-                    mirror.link = None  # the memory stream went past it; it is greeted anew and refilled
+                    mirror.link = None  # the memory stream went past it; a new handshake begins with a snapshot
                     return True
                 if mirror.next > partition.record_log.last:
                     break
--- a/tests/replication/test_stability.py
+++ b/tests/replication/test_stability.py
@@ -4,16 +4,23 @@
 
 from postpass.replication.stability import (
     DEFAULT,
-    SCENE,
+    PredicateScope,
     build,
     confirm_suffice,
-    four,
     loss_flaw,
     promises_suffice,
     quorums,
 )
 
 
+def four(*zones: str) -> PredicateScope:
+    names = tuple(f"s{i + 1}" for i in range(len(zones)))
+    return PredicateScope(names, tuple(zip(names, zones, strict=True)), "s1")
+
+
+SCENE = four("a", "b", "c", "d")
+
+
 def test_operators_keep_the_sources_meaning() -> None:
     have = {"s1": 18, "s2": 28, "s3": 5, "s4": 9}
 
