--- a/postpass/batch/leases.py
+++ b/postpass/batch/leases.py
@@ -10,14 +10,17 @@
 
 from result import Err, Ok
 
-from postpass.batch.job import kind_of
+from postpass.batch.job import Job, kind_of
 from postpass.replication.leadership_check import LeadershipCheck
 from postpass.replication.owner import PartitionOwner
+from postpass.replication.partition import Partition
 from postpass.replication.partition_table import PartitionTable
 from postpass.rpc.peer_links import Body, PeerResponse
 from postpass.runtime.environment import now
 from postpass.runtime.errors import BAD, CLASH, SLOW, Fault, Stop
 
+ItemKey = tuple[str, int]  # a job and the number of one of its items
+
 
 @dataclass(eq=False)
 class Lease:
@@ -37,13 +40,32 @@
     """What an owner keeps in memory to hand out items. Invariant: an item is leased to one scheduler at a
     time; losing all of this costs repeated work, never a promise."""
 
-    leases: dict[tuple[str, int], Lease] = field(default_factory=dict)
-    tries: Counter[tuple[str, int]] = field(default_factory=Counter)
+    leases: dict[ItemKey, Lease] = field(default_factory=dict)
+    tries: Counter[ItemKey] = field(default_factory=Counter)
     term: int = 0
     scheduler: str = ""
     done_at: dict[str, float] = field(default_factory=dict)
 
 
+def item_row(job: Job, number: int, kind: str) -> Body:
+    """An item as a scheduler gets it."""
+    row = {
+        "lot": job.id,
+        "item": number,
+        "class": kind,
+        "due": job.body["due"],
+        "caller": job.body.get("caller", ""),
+    }
+    item = job.body["items"][number]
+    if "route" in job.body:
+        encoded = base64.b64encode(job.item_body(number) or b"").decode()
+        row |= {"call": item | {"body": encoded}, "tries": job.body["tries"]}
+        row["since"] = job.body.get("since", 0)
+    else:
+        row |= {"text": item, "shared": job.body.get("shared", [])}
+    return row
+
+
 @dataclass(eq=False)
 class Leases:
     """Hands out items of owned partitions. Owns an `OwnerState` for each; it is dropped when an ownership begins."""
@@ -81,20 +103,40 @@
         # The answer starts a lease at the scheduler: only an owner that is one now may give it.
         if not await self.leadership.confirm(partition):
             return Err(Fault("take", self.table.settings.name, "could not be confirmed", SLOW))
+        self.drop_leases(partition, state, held, body["sched"], moment)
+        items, ahead = self.lease_items(partition, state, dict(body["room"]), body["sched"], until)
+        return Ok({"items": items, "stop": self.ended_jobs(partition, held), "ahead": ahead})
+
+    def drop_leases(
+        self, partition: Partition, state: OwnerState, held: set[ItemKey], scheduler: str, moment: float
+    ) -> None:
+        """Drops leases of jobs that are gone, and those that the scheduler does not name and that ran out or were
+        another's."""
         for key in [
             k
             for k, lease in state.leases.items()
             if k[0] not in partition.view.lots
-            or (k not in held and (lease.until < moment or lease.scheduler != body["sched"]))
+            or (k not in held and (lease.until < moment or lease.scheduler != scheduler))
         ]:
             del state.leases[key]
-        stop = [
-            job
-            for job in sorted({job for job, _ in held})
-            if job not in partition.view.lots
-            or partition.view.lots[job].state != "open"
-            or partition.view.lots[job].whole
+
+    def ended_jobs(self, partition: Partition, held: set[ItemKey]) -> list[str]:
+        """Jobs among those held by the scheduler of which nothing is to be run any more."""
+        jobs = partition.view.lots
+        return [
+            name
+            for name in sorted({name for name, _ in held})
+            if name not in jobs or jobs[name].state != "open" or jobs[name].whole
         ]
+
+    def lease_items(
+        self, partition: Partition, state: OwnerState, need: dict[str, int], scheduler: str, until: float
+    ) -> tuple[list[Body], dict[str, int]]:
+        """Leases waiting items, as many of each class as the scheduler has room for.
+
+        Returns:
+            The items, and the number of items that wait, by class.
+        """
         jobs = sorted(
             (
                 job
@@ -103,32 +145,19 @@
             ),
             key=lambda job: (job.body["due"], job.seq),
         )
-        need = dict(body["room"])
-        out_of = Counter(job for job, item in state.leases if item not in partition.view.lots[job].results)
-        out, ahead = [], dict.fromkeys(need, 0)
+        leased = Counter(name for name, item in state.leases if item not in partition.view.lots[name].results)
+        items: list[Body] = []
+        ahead = dict.fromkeys(need, 0)
         for job in jobs:
             kind = kind_of(job.body)
             # Counted, not listed: what a poll costs must not grow with all items that wait.
-            ahead[kind] = ahead.get(kind, 0) + job.size - len(job.results) - out_of[job.id]
+            ahead[kind] = ahead.get(kind, 0) + job.size - len(job.results) - leased[job.id]
             free = (i for i in range(job.size) if i not in job.results and (job.id, i) not in state.leases)
             for i in list(islice(free, max(need.get(kind, 0), 0))):
-                state.leases[(job.id, i)] = Lease(body["sched"], until)
-                row = {
-                    "lot": job.id,
-                    "item": i,
-                    "class": kind,
-                    "due": job.body["due"],
-                    "caller": job.body.get("caller", ""),
-                }
-                if "route" in job.body:
-                    encoded = base64.b64encode(job.item_body(i) or b"").decode()
-                    row |= {"call": job.body["items"][i] | {"body": encoded}, "tries": job.body["tries"]}
-                    row["since"] = job.body.get("since", 0)
-                else:
-                    row |= {"text": job.body["items"][i], "shared": job.body.get("shared", [])}
-                out.append(row)
+                state.leases[(job.id, i)] = Lease(scheduler, until)
+                items.append(item_row(job, i, kind))
                 need[kind] -= 1
-        return Ok({"items": out, "stop": stop, "ahead": ahead})
+        return items, ahead
 
     async def on_done(self, body: Body) -> PeerResponse:
         """Records an item's result; only a whole output comes here as done. The first one wins."""
--- a/postpass/replication/catch_up.py
+++ b/postpass/replication/catch_up.py
@@ -2,13 +2,12 @@
 
 from __future__ import annotations
 
-import base64
 from dataclasses import dataclass
 
 from result import Err, Ok
 
 from postpass.batch.job import JobView
-from postpass.replication.messages import PromiseAnswer
+from postpass.replication.messages import BasePiece, FetchAnswer, FetchRequest, PromiseAnswer
 from postpass.replication.partition import Partition, empty_log
 from postpass.replication.partition_table import PartitionTable
 from postpass.replication.record_log import Record, RecordLog, match
@@ -36,51 +35,53 @@
             staged.cut(meet)
         else:
             staged = empty_log()
-        after, base, of = meet, bytearray(), -1
+        after, base, base_seq = meet, bytearray(), -1
         while after < last:
-            got = await self.table.ask(
-                best, "fetch", {"part": partition.id, "epoch": epoch, "after": after, "at": len(base)}
-            )
-            if isinstance(got, Err):
+            request = FetchRequest(partition.id, epoch, after, len(base))
+            response = await self.table.ask(best, "fetch", request.encode())
+            if isinstance(response, Err):
                 return None
-            more = got.unwrap()
-            if "base" in more:
-                seq, born, size, piece = more["base"]
-                if seq != of and base:
-                    base, of = bytearray(), seq  # records were folded into it meanwhile
+            answer = FetchAnswer.decode(response.unwrap())
+            piece = answer.base
+            if piece is not None:
+                if piece.seq != base_seq and base:
+                    base, base_seq = bytearray(), piece.seq  # records were folded into it meanwhile
                     continue
-                base, of = base + base64.b64decode(piece), seq
-                if len(base) == size:
-                    staged = RecordLog(seq, born, JobView.load(bytes(base)))
-                    after, base = seq, bytearray()
-                elif not piece:
+                base, base_seq = base + piece.data, piece.seq
+                if len(base) == piece.size:
+                    staged = RecordLog(piece.seq, piece.epoch, JobView.load(bytes(base)))
+                    after, base = piece.seq, bytearray()
+                elif not piece.data:
                     return None
                 continue
-            for seq, born, kind, body in more["recs"]:
-                staged.append(Record(seq, born, kind, base64.b64decode(body)))
-                after = seq
-            if not more["recs"]:
+            for record in answer.records:
+                staged.append(record)
+                after = record.seq
+            if not answer.records:
                 return None
         return staged
 
     async def on_fetch(self, body: Body) -> PeerResponse:
-        """Hands out records after a sequence number, or a piece of the base, to the candidate that this store has promised to."""
-        partition = self.table.partition(body["part"])
-        if partition.promised != body["epoch"] or partition.owning:
+        """Hands out records after a sequence number, or a piece of the base, to the candidate that this store has
+        promised to."""
+        request = FetchRequest.decode(body)
+        partition = self.table.partition(request.partition)
+        if partition.promised != request.epoch or partition.owning:
             return Err(Fault("fetch", self.table.settings.name, f"promised to epoch {partition.promised}", MOVED))
-        record_log, after = partition.record_log, body["after"]
-        if after < record_log.base_seq:
-            base, at = partition.base_dump(), body.get("at", 0)
-            piece = base64.b64encode(base[at : at + PIECE]).decode()
-            return Ok({"recs": [], "base": [record_log.base_seq, record_log.base_epoch, len(base), piece]})
-        out: Body = {"recs": []}
+        record_log = partition.record_log
+        if request.after < record_log.base_seq:
+            base = partition.base_dump()
+            data = base[request.offset : request.offset + PIECE]
+            piece = BasePiece(record_log.base_seq, record_log.base_epoch, len(base), data)
+            return Ok(FetchAnswer([], piece).encode())
+        records: list[Record] = []
         size = 0
-        for record in record_log.after(after):
-            out["recs"].append([record.seq, record.epoch, record.kind, base64.b64encode(record.body).decode()])
+        for record in record_log.after(request.after):
+            records.append(record)
             size += len(record.body)
             if size > PIECE:
                 break
-        return Ok(out)
+        return Ok(FetchAnswer(records).encode())
 
     def adopt(self, partition: Partition, staged: RecordLog) -> None:
         """Takes a staged log as this store's own: cut where they part, then the rest, or base and all."""
--- a/postpass/replication/messages.py
+++ b/postpass/replication/messages.py
@@ -5,9 +5,11 @@
 
 from __future__ import annotations
 
+import base64
 from dataclasses import dataclass
 from typing import NamedTuple
 
+from postpass.replication.record_log import Record
 from postpass.rpc.peer_links import Body
 
 Marks = list[tuple[int, int]]
@@ -169,3 +171,71 @@
             return answer
         marks = [(epoch, seq) for epoch, seq in body["marks"]]
         return cls(answer.disk, answer.promised, answer.accepted, body["last"], marks)
+
+
+@dataclass(frozen=True, slots=True)
+class FetchRequest:
+    """A candidate asks for what a longer log has beyond its own (verb `fetch`).
+
+    Attributes:
+        partition: Number of the partition.
+        epoch: Epoch that the candidate runs for.
+        after: Sequence number after which records are wanted.
+        offset: How many bytes of the base have arrived, if the records after `after` are folded into it.
+    """
+
+    partition: int
+    epoch: int
+    after: int
+    offset: int
+
+    def encode(self) -> Body:
+        """The body on the wire."""
+        return {"part": self.partition, "epoch": self.epoch, "after": self.after, "at": self.offset}
+
+    @classmethod
+    def decode(cls, body: Body) -> FetchRequest:
+        """Reads a body from the wire."""
+        return cls(body["part"], body["epoch"], body["after"], body.get("at", 0))
+
+
+@dataclass(frozen=True, slots=True)
+class BasePiece:
+    """A piece of a log's base.
+
+    Attributes:
+        seq: Sequence number of the last record that is folded into the base.
+        epoch: Epoch of that record.
+        size: Bytes of the whole base.
+        data: The bytes from the offset that was asked for.
+    """
+
+    seq: int
+    epoch: int
+    size: int
+    data: bytes
+
+
+@dataclass(frozen=True, slots=True)
+class FetchAnswer:
+    """Records after the one that was asked for, or a piece of the base if they are folded into it."""
+
+    records: list[Record]
+    base: BasePiece | None = None
+
+    def encode(self) -> Body:
+        """The body on the wire."""
+        body: Body = {"recs": [[r.seq, r.epoch, r.kind, base64.b64encode(r.body).decode()] for r in self.records]}
+        if self.base is None:
+            return body
+        piece = self.base
+        return body | {"base": [piece.seq, piece.epoch, piece.size, base64.b64encode(piece.data).decode()]}
+
+    @classmethod
+    def decode(cls, body: Body) -> FetchAnswer:
+        """Reads a body from the wire."""
+        records = [Record(seq, epoch, kind, base64.b64decode(data)) for seq, epoch, kind, data in body["recs"]]
+        if "base" not in body:
+            return cls(records)
+        seq, epoch, size, data = body["base"]
+        return cls(records, BasePiece(seq, epoch, size, base64.b64decode(data)))
--- a/tests/replication/test_messages.py
+++ b/tests/replication/test_messages.py
@@ -6,10 +6,24 @@
 
 import pytest
 
-from postpass.replication.messages import Hello, HelloAnswer, LogPosition, PromiseAnswer, PromiseRequest
+from postpass.replication.messages import (
+    BasePiece,
+    FetchAnswer,
+    FetchRequest,
+    Hello,
+    HelloAnswer,
+    LogPosition,
+    PromiseAnswer,
+    PromiseRequest,
+)
+from postpass.replication.record_log import Record
 from postpass.rpc.peer_links import Body
 
-WIRE: list[tuple[PromiseRequest | PromiseAnswer | Hello | HelloAnswer, str]] = [
+Message = PromiseRequest | PromiseAnswer | Hello | HelloAnswer | FetchRequest | FetchAnswer
+WIRE: list[tuple[Message, str]] = [
+    (FetchRequest(3, 7, 4, 0), '{"part": 3, "epoch": 7, "after": 4, "at": 0}'),
+    (FetchAnswer([Record(5, 6, "mark", b"{}")]), '{"recs": [[5, 6, "mark", "e30="]]}'),
+    (FetchAnswer([], BasePiece(4, 6, 9, b"abc")), '{"recs": [], "base": [4, 6, 9, "YWJj"]}'),
     (PromiseRequest(3, "s1", 0, 7, True), '{"part": 3, "who": "s1", "hand": 0, "epoch": 7, "probe": 1}'),
     (PromiseRequest(3, "s1", 6, 7, False), '{"part": 3, "who": "s1", "hand": 6, "epoch": 7, "probe": 0}'),
     (PromiseAnswer("d1", 7, False), '{"disk": "d1", "promised": 7, "ok": false}'),
@@ -30,9 +44,7 @@
 
 
 @pytest.mark.parametrize(("message", "wire"), WIRE)
-def test_messages_keep_their_keys_and_order(
-    message: PromiseRequest | PromiseAnswer | Hello | HelloAnswer, wire: str
-) -> None:
+def test_messages_keep_their_keys_and_order(message: Message, wire: str) -> None:
     body: Body = message.encode()
     assert json.dumps(body) == wire
     assert type(message).decode(json.loads(wire)) == message
