--- a/postpass/batch/leases.py
+++ b/postpass/batch/leases.py
@@ -37,8 +37,17 @@
 
 @dataclass(eq=False)
 class OwnerState:
-    """What an owner keeps in memory to hand out items. Invariant: an item is leased to one scheduler at a
-    time; losing all of this costs repeated work, never a promise."""
+    """What an owner keeps in memory to hand out items.
+
+    Invariant: an item is leased to one scheduler at a time. Losing all of this costs repeated work, never a promise.
+
+    Attributes:
+        leases: The items that schedulers run.
+        tries: How often an item has failed under this ownership.
+        term: Highest term of a scheduler that has asked.
+        scheduler: Name of the scheduler of that term.
+        done_at: When this owner first saw a job ended, or a refusal, claim or loss, in monotonic seconds; for retention.
+    """
 
     leases: dict[ItemKey, Lease] = field(default_factory=dict)
     tries: Counter[ItemKey] = field(default_factory=Counter)
--- a/postpass/replication/acknowledgements.py
+++ b/postpass/replication/acknowledgements.py
@@ -27,11 +27,11 @@
         return self.counts.get((node, disk, kind), 0)
 
     def reach(self, members: Mapping[str, str], predicate: Callable[[Callable[[str, str], int]], int]) -> int:
-        """What a predicate yields when only the disks in `members` have a voice."""
+        """What a predicate yields when only the disks in `members` count."""
         return predicate(lambda node, kind: self.get(node, members[node], kind) if node in members else 0)
 
     def advance(self, seq: int) -> bool:
-        """Raises the frontier; False if it stands there already."""
+        """Raises the frontier; False if it is there already."""
         if seq <= self.frontier:
             return False
         self.frontier = seq
--- a/postpass/replication/acknowledger.py
+++ b/postpass/replication/acknowledger.py
@@ -101,9 +101,9 @@
 
     def acknowledgement(self, partition: Partition, full: bool) -> Any:
         """The counters of one partition; all zero unless the log is aligned with the owner's stream."""
-        held = partition.aligned > 0 and partition.aligned == partition.promised
+        aligned = partition.aligned > 0 and partition.aligned == partition.promised
         return IDL.Ack(
             part=partition.id, epoch=partition.promised, name=self.table.settings.name, disk=self.table.disk_id, promised=partition.promised,
-            received=partition.record_log.last if held else 0, persisted=partition.persisted if held else 0,
-            gap=not held and (not partition.handshake_epoch or partition.handshake_epoch != partition.promised), full=full,
+            received=partition.record_log.last if aligned else 0, persisted=partition.persisted if aligned else 0,
+            gap=not aligned and (not partition.handshake_epoch or partition.handshake_epoch != partition.promised), full=full,
         )  # fmt: skip
--- a/postpass/replication/mirror.py
+++ b/postpass/replication/mirror.py
@@ -111,7 +111,7 @@
         """Gathers packets into a message and applies it: start, snap (a base) or rec (a record).
 
         Raises:
-            Stop: The disk takes no more; nothing of the message stands in memory.
+            Stop: The disk takes no more; nothing of the message is in memory.
         """
         if packet.kind == "beat":
             return  # a heartbeat goes out between the packets of other messages
--- a/postpass/replication/partition.py
+++ b/postpass/replication/partition.py
@@ -53,8 +53,22 @@
 
 @dataclass(eq=False)
 class MirrorProgress:
-    """How far the owner's stream to one mirror has come. Invariant: records below `next` were sent on
-    the link that `link` names, in order, once each, but for the rest of `outgoing`."""
+    """How far the owner's stream to one mirror has come.
+
+    Invariant: records below `next` were sent on the link that `link` names, in order, once each, but for the rest of
+    `outgoing`. Owned by the mirror's send loop; `on_ack` sets `heard`, `silent` and `full`, and clears `link` at a gap.
+
+    Attributes:
+        link: The link whose handshake is done; None if one is needed.
+        epoch: Epoch of that handshake.
+        next: Sequence number of the next record to send.
+        disk: Identity of the mirror's disk.
+        heard: When it acknowledged last, in monotonic seconds.
+        silent: Whether that is longer ago than `bounds.silent`; nothing is counted on it then.
+        full: Whether its disk is full.
+        since: When the owner began to follow it, in monotonic seconds.
+        outgoing: A message of which some packets have been sent.
+    """
 
     link: object = None
     epoch: int = 0
@@ -106,9 +120,8 @@
     heard: float = 0.0
     # An owner whose machine has refused a connection since it was heard: its process is no more.
     refused_owner: str = ""
-    contacted: bool = (
-        False  # has an owner, or a candidate, been heard in this life, or has this store's turn to run come
-    )
+    # Has an owner or a candidate been heard since the process started, or has this store's turn to run come?
+    contacted: bool = False
     aligned: int = 0
     covered: int = 0
     persisted: int = 0
--- a/postpass/replication/partition_table.py
+++ b/postpass/replication/partition_table.py
@@ -105,9 +105,9 @@
     async def load(self) -> None:
         """Reads the log on disk into partitions."""
         assert self.environment.disk is not None
-        held = max(self.settings.segment_bytes // 4, 1024)
+        reserved = max(self.settings.segment_bytes // 4, 1024)
         self.data_directory = await open_data_directory(
-            self.settings.name, self.environment.disk, self.environment.chance, self.settings.segment_bytes, held
+            self.settings.name, self.environment.disk, self.environment.chance, self.settings.segment_bytes, reserved
         )
         for entry in self.data_directory.entries:
             partition = self.partition(entry.part)
@@ -123,7 +123,7 @@
             partition.persisted = partition.record_log.last
 
     def snapshot(self) -> Iterator[Any]:
-        """Entries that stand for all partitions: what a compacted log begins with."""
+        """Entries that describe all partitions: what a compacted log begins with."""
         for partition in self.partitions.values():
             record_log = partition.record_log
             yield IDL.Entry(part=partition.id, op="promise", epoch=partition.promised)
--- a/postpass/replication/reconfiguration.py
+++ b/postpass/replication/reconfiguration.py
@@ -20,7 +20,7 @@
     owner: PartitionOwner
 
     def change_next(self, partition: Partition) -> None:
-        """Brings predicate and members to what the manifest wants: one change at a time, each a record."""
+        """Brings predicate and members to what the configuration wants: one change at a time, each a record."""
         configuration, view = self.table.configuration_view.manifest, partition.view
         assert configuration is not None
         if view.crew_seq > partition.covered or view.predicate_seq > partition.covered:
@@ -60,11 +60,11 @@
 
     def complete(self, partition: Partition) -> bool:
         """As owner: do all members answer, and have they synced the last change of members with the mark that settles it?
-        From then on one that has left may lose its disk, and any one of them the next: whatever was held, and the proof
+        From then on one that has left may lose its disk, and any one of them the next: all covered records, and the proof
         of who the members are, is on the disks of all of them."""
         here = self.situation(partition)  # `live` have synced all that is covered
         return partition.proven() and here.live == set(here.current)
 
     def topology(self, partition: Partition) -> Topology:
-        """Where the machines stand, and what may be lost of them at once."""
+        """The zones of the machines, and what may be lost of them at once."""
         return Topology(partition.zones, self.table.settings.tolerance)
--- a/postpass/replication/store.py
+++ b/postpass/replication/store.py
@@ -1,7 +1,12 @@
 """The store duty: partitions of durable jobs, replicated after Stabilizer.
 
-As owner: one order, streamed to each mirror without waiting; the recorder and the predicate say what is
-covered. As mirror: append, sync, acknowledge on a link of its own. Takeover runs under epochs.
+As owner, a store gives the records of a partition one order and streams them to each mirror without waiting; the
+acknowledgements and the predicate say what is covered. As mirror, it appends, syncs and acknowledges on a link of its
+own. Owners change by elections, under epochs.
+
+Where to look: `election` (when a store runs for owner) and `election_decision` (who wins), `owner` (the order of records),
+`streaming` and `mirror` (both ends of the stream), `acknowledger` (a mirror's answers), `leadership_check` (before a read),
+`reconfiguration` (members and predicate), `handover` (planned changes of owner), `catch_up` (fetching a longer log).
 """
 
 from __future__ import annotations
@@ -41,7 +46,11 @@
 
 @dataclass(eq=False)
 class Store:
-    """Wires the parts of a store, routes the verbs of peers to them, and runs the heartbeat of the duty."""
+    """Wires the parts of a store, routes the verbs of peers to them, and runs the heartbeat of the duty.
+
+    Each part owns its fields; what all share is in `table`. The daemon opens the store, runs its `tasks`, serves its
+    `handlers`, and calls `leave` before it ends.
+    """
 
     settings: Settings
     environment: Environment
@@ -70,7 +79,7 @@
         self.leases.owner_states[number] = OwnerState()
         self.routed.forget(number)
 
-    # --- asked for by the daemon and the job service
+    # --- asked for by the daemon and the job service (`PartitionAccess`)
     @property
     def log(self) -> Any:
         """The log on disk."""
--- a/tests/test_readable_code.py
+++ b/tests/test_readable_code.py
@@ -19,7 +19,12 @@
     "control": (
         "epochs", "state", "journal", "changes", "configuration", "member", "contact", "replica", "election", "writer",
         "in_force", "feed", "registry", "leadership", "orders", "health", "api", "daemon",
-    )
+    ),
+    "replication": (
+        "record_log", "acknowledgements", "stability", "messages", "election_decision", "partition", "partition_table",
+        "streaming", "owner", "leadership_check", "catch_up", "election", "acknowledger", "mirror", "handover",
+        "reconfiguration", "owner_duties", "store",
+    ),
 }  # fmt: skip
 # Withdrawn words that still stand in names, by module. The users of these names are being worked on.
 STANDING_NAMES: dict[str, set[str]] = {
