--- a/postpass/replication/catch_up.py
+++ b/postpass/replication/catch_up.py
@@ -7,11 +7,12 @@
 from result import Err, Ok
 
 from postpass.batch.job import JobView
+from postpass.replication.log_entries import base_entry, cut_entry
 from postpass.replication.messages import BasePiece, FetchAnswer, FetchRequest, PromiseAnswer
 from postpass.replication.partition import Partition, empty_log
 from postpass.replication.partition_table import PartitionTable
 from postpass.replication.record_log import Record, RecordLog, match
-from postpass.rpc.peer_links import IDL, Body, PeerResponse
+from postpass.rpc.peer_links import Body, PeerResponse
 from postpass.runtime.errors import MOVED, Fault
 
 PIECE = 256 << 10  # of records or of a base, in the answer to one question
@@ -90,20 +91,14 @@
         # Always the disk first: what it did not take must not be in memory, or the next record leaves a gap in the log.
         meet = match(partition.record_log.marks(), partition.record_log.last, staged.marks(), staged.last)
         if meet < 0:
-            entries = [
-                IDL.Entry(
-                    part=partition.id, op="base", seq=staged.base_seq, epoch=staged.base_epoch, body=staged.base.dump()
-                )
-            ]
+            entries = [base_entry(partition.id, staged.base_seq, staged.base_epoch, staged.base.dump())]
             entries += [r.entry(partition.id) for r in staged.recs]
             place = self.table.log.append(entries)
             partition.record_log, partition.persisted = staged, 0
             partition.unsynced.clear()
         else:
             more = staged.after(meet)
-            place = self.table.log.append(
-                [IDL.Entry(part=partition.id, op="cut", seq=meet)] + [r.entry(partition.id) for r in more]
-            )
+            place = self.table.log.append([cut_entry(partition.id, meet)] + [r.entry(partition.id) for r in more])
             partition.cut(meet)
             for record in more:
                 partition.record_log.append(record)
--- a/postpass/replication/election.py
+++ b/postpass/replication/election.py
@@ -11,12 +11,13 @@
 from postpass.batch.job import JobView
 from postpass.replication.catch_up import CatchUp
 from postpass.replication.election_decision import Candidacy, Step, next_step
+from postpass.replication.log_entries import promise_entry
 from postpass.replication.messages import LogPosition, PromiseAnswer, PromiseRequest
 from postpass.replication.owner import PartitionOwner
 from postpass.replication.partition import Partition, latest_view
 from postpass.replication.partition_table import PartitionTable
 from postpass.replication.record_log import RecordLog
-from postpass.rpc.peer_links import IDL, Body, PeerResponse
+from postpass.rpc.peer_links import Body, PeerResponse
 from postpass.runtime.environment import hear, now
 from postpass.runtime.errors import Stop
 
@@ -201,7 +202,7 @@
 
     def write_promise(self, partition: Partition, epoch: int) -> int:
         """Appends a promise to the log on disk; returns the place up to which it must be synced."""
-        return self.table.write(partition, [IDL.Entry(part=partition.id, op="promise", epoch=epoch)])
+        return self.table.write(partition, [promise_entry(partition.id, epoch)])
 
     async def on_promise(self, body: Body) -> PeerResponse:
         """A promise not to accept anything below an epoch; synced before it is told."""
--- a/postpass/replication/messages.py
+++ b/postpass/replication/messages.py
@@ -12,6 +12,12 @@
 from postpass.replication.record_log import Record
 from postpass.rpc.peer_links import Body
 
+# Kinds of messages in an owner's stream (`Packet.kind`).
+HEARTBEAT = "beat"  # the owner is there; carries what is covered
+START = "start"  # the stream begins after a record that both logs have
+SNAPSHOT = "snap"  # a base in place of the mirror's log
+RECORD = "rec"  # the next record
+
 Marks = list[tuple[int, int]]
 
 
--- a/postpass/replication/mirror.py
+++ b/postpass/replication/mirror.py
@@ -11,11 +11,12 @@
 from postpass.batch.job import JobView
 from postpass.replication.acknowledger import Acknowledger
 from postpass.replication.election import Election
-from postpass.replication.messages import Hello, HelloAnswer
+from postpass.replication.log_entries import base_entry, cut_entry
+from postpass.replication.messages import HEARTBEAT, RECORD, SNAPSHOT, START, Hello, HelloAnswer
 from postpass.replication.partition import Partition
 from postpass.replication.partition_table import PartitionTable
 from postpass.replication.record_log import Record, RecordLog
-from postpass.rpc.peer_links import IDL, Body, PeerResponse
+from postpass.rpc.peer_links import Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
 from postpass.runtime.errors import FULL, Fault, Stop
@@ -113,7 +114,7 @@
         Raises:
             Stop: The disk takes no more; nothing of the message is in memory.
         """
-        if packet.kind == "beat":
+        if packet.kind == HEARTBEAT:
             return  # a heartbeat goes out between the packets of other messages
         if packet.index == 0:
             partition.packets = []
@@ -126,24 +127,22 @@
         body = b"".join(partition.packets)
         partition.packets, partition.handshake_epoch = [], 0
         record_log = partition.record_log
-        if packet.kind == "start":
+        if packet.kind == START:
             fits = (
                 record_log.base_seq <= packet.seq <= record_log.last and record_log.epoch_at(packet.seq) == packet.born
             )
             if fits and packet.seq < record_log.last:
-                place = self.table.log.append([IDL.Entry(part=partition.id, op="cut", seq=packet.seq)])
+                place = self.table.log.append([cut_entry(partition.id, packet.seq)])
                 partition.cut(packet.seq)
                 partition.unsynced.append((place, packet.seq))
             partition.aligned = packet.epoch if fits else 0
-        elif packet.kind == "snap":
-            place = self.table.log.append(
-                [IDL.Entry(part=partition.id, op="base", seq=packet.seq, epoch=packet.born, body=body)]
-            )
+        elif packet.kind == SNAPSHOT:
+            place = self.table.log.append([base_entry(partition.id, packet.seq, packet.born, body)])
             partition.record_log = RecordLog(packet.seq, packet.born, JobView.load(body))
             partition.unsynced.clear()
             partition.unsynced.append((place, packet.seq))
             partition.persisted, partition.aligned, partition.covered = 0, packet.epoch, packet.seq
-        elif packet.kind == "rec" and partition.aligned == packet.epoch:
+        elif packet.kind == RECORD and partition.aligned == packet.epoch:
             if packet.seq != record_log.last + 1 or packet.prior != record_log.last_epoch:
                 partition.aligned = 0
                 return
--- a/postpass/replication/partition_table.py
+++ b/postpass/replication/partition_table.py
@@ -13,9 +13,10 @@
 from postpass.batch.job import JobView
 from postpass.configuration.settings import Settings
 from postpass.feed.configuration_view import ConfigurationView
+from postpass.replication.log_entries import BASE, CUT, PROMISE, RECORD, base_entry, promise_entry
 from postpass.replication.partition import Partition
 from postpass.replication.record_log import Record, RecordLog
-from postpass.rpc.peer_links import IDL, Body, PeerLinks, PeerResponse
+from postpass.rpc.peer_links import Body, PeerLinks, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.environment import Environment, now
 from postpass.runtime.errors import LACK, Fault
@@ -111,14 +112,14 @@
         )
         for entry in self.data_directory.entries:
             partition = self.partition(entry.part)
-            if entry.op == "promise":
+            if entry.op == PROMISE:
                 partition.promised = max(partition.promised, entry.epoch)
-            elif entry.op == "base":
+            elif entry.op == BASE:
                 partition.record_log = RecordLog(entry.seq, entry.epoch, JobView.load(entry.body))
                 partition.covered = entry.seq
-            elif entry.op == "cut":
+            elif entry.op == CUT:
                 partition.record_log.cut(entry.seq)
-            elif entry.op == "rec":
+            elif entry.op == RECORD:
                 partition.record_log.append(Record(entry.seq, entry.epoch, entry.kind, entry.body))
             partition.persisted = partition.record_log.last
 
@@ -126,12 +127,6 @@
         """Entries that describe all partitions: what a compacted log begins with."""
         for partition in self.partitions.values():
             record_log = partition.record_log
-            yield IDL.Entry(part=partition.id, op="promise", epoch=partition.promised)
-            yield IDL.Entry(
-                part=partition.id,
-                op="base",
-                seq=record_log.base_seq,
-                epoch=record_log.base_epoch,
-                body=record_log.base.dump(),
-            )
+            yield promise_entry(partition.id, partition.promised)
+            yield base_entry(partition.id, record_log.base_seq, record_log.base_epoch, record_log.base.dump())
             yield from (r.entry(partition.id) for r in record_log.recs)
--- a/postpass/replication/streaming.py
+++ b/postpass/replication/streaming.py
@@ -7,7 +7,7 @@
 
 from result import Err
 
-from postpass.replication.messages import Hello, HelloAnswer
+from postpass.replication.messages import HEARTBEAT, RECORD, SNAPSHOT, START, Hello, HelloAnswer
 from postpass.replication.partition import MirrorProgress, OutgoingMessage, Partition
 from postpass.replication.partition_table import PartitionTable
 from postpass.replication.record_log import match
@@ -80,7 +80,7 @@
             sent_at = heartbeats.get(partition.id, 0.0)
             if now() - sent_at >= bounds.beat * 0.9 or sent_at == 0:
                 heartbeats[partition.id] = now()
-                self.send(link, partition, "beat", partition.record_log.last, partition.epoch, 0, b"")
+                self.send(link, partition, HEARTBEAT, partition.record_log.last, partition.epoch, 0, b"")
             self.suspend_if_silent(partition, name)
             if mirror.silent:
                 link.close("the mirror is silent")
@@ -149,7 +149,7 @@
                 record = partition.record_log.get(mirror.next)
                 prior = partition.record_log.epoch_at(record.seq - 1)
                 mirror.outgoing = OutgoingMessage(
-                    "rec", record.seq, record.epoch, prior, record.body + b"\n" + record.kind.encode()
+                    RECORD, record.seq, record.epoch, prior, record.body + b"\n" + record.kind.encode()
                 )
                 mirror.next += 1
             size += self.send_packet(link, partition, mirror.outgoing)
@@ -180,7 +180,7 @@
         meet = match(partition.record_log.marks(), partition.record_log.last, answer.marks, answer.last)
         mirror.link, mirror.epoch, mirror.disk, mirror.outgoing = link, epoch, answer.disk, None
         if meet >= 0:
-            self.send(link, partition, "start", meet, partition.record_log.epoch_at(meet), 0, b"")
+            self.send(link, partition, START, meet, partition.record_log.epoch_at(meet), 0, b"")
             mirror.next = meet + 1
         else:
             self.begin_snapshot(partition, name, mirror)
@@ -202,5 +202,7 @@
         record_log = partition.record_log
         log_events.emit(123, self.table.settings.name, part=partition.id, mirror=name, base=record_log.base_seq)
         self.table.counts["refills"] += 1
-        mirror.outgoing = OutgoingMessage("snap", record_log.base_seq, record_log.base_epoch, 0, record_log.base.dump())
+        mirror.outgoing = OutgoingMessage(
+            SNAPSHOT, record_log.base_seq, record_log.base_epoch, 0, record_log.base.dump()
+        )
         mirror.next = record_log.base_seq + 1
