--- a/bench/measure.py
+++ b/bench/measure.py
@@ -250,8 +250,8 @@
             async def opened() -> None:
                 await original()
                 if daemon.scheduler is not None:
-                    daemon.scheduler.borrow = variant != "no borrowing"
-                    daemon.scheduler.reserve = variant != "no reserve"
+                    daemon.scheduler.class_capacity.borrows = variant != "no borrowing"
+                    daemon.scheduler.class_capacity.reserves = variant != "no reserve"
                     SCHEDS.append(daemon.scheduler)
 
             daemon.open = opened  # type: ignore[method-assign]
@@ -298,7 +298,7 @@
             if e["ev"] == "page" and e["whole"]:
                 whole.setdefault(e["id"], e["t"])
         spans = [whole[e["id"]] - e["began"] for e in lots if e["id"] in whole]
-        back = [span for s in SCHEDS for _, span in s.loans]
+        back = [span for s in SCHEDS for _, span in s.class_capacity.loans]
         return {
             "first_p50": rank(first, 0.5), "first_p95": rank(first, 0.95), "first_p99": rank(first, 0.99),
             "done": sum(e["end"] == "done" for e in calls) / max(1, len(calls)), "busy": sum(busy) / len(busy),
--- a/postpass/batch/item_request.py
+++ b/postpass/batch/item_request.py
@@ -1,52 +1,87 @@
-"""An item of a lot as a call at a worker: its answer's events, read off and joined to a text."""
+"""An item of a route as a request at a worker: its answer's events, read off and joined to a text."""
 
 from __future__ import annotations
 
 import base64
 from collections.abc import AsyncIterator, Callable
 from dataclasses import dataclass, field
-from typing import Any, Protocol
+from enum import StrEnum
+from typing import Protocol
 
+from postpass.batch.messages import Item
 from postpass.configuration.header_names import Dialect
 from postpass.gateway.response_check import AnswerNames, Proof, verdict
-from postpass.rpc.peer_links import Body
 from postpass.runtime.errors import BROKE, SHED, Fault, Stop
 
 LEAST_URGENT = b"9"
-LINE_MOST = 1 << 20
-REASON_MOST = 1 << 20  # bytes of the body of a failure
-FINAL = {500: "failed", 422: "never"}  # how an item ends by a worker's own failure
+MAX_LINE = 1 << 20  # bytes of one line of an answer
+MAX_FAILURE = 1 << 20  # bytes of the body of a failure
+REJECTED_HINT = "shed"  # the hint of a fault that says that the worker rejected the request, and did not run it
 # Headers that concern one connection, or that this side sets.
-OWN = {"host", "connection", "keep-alive", "te", "trailer", "transfer-encoding", "upgrade", "content-length"}
+OWN_HEADERS = frozenset(
+    {"host", "connection", "keep-alive", "te", "trailer", "transfer-encoding", "upgrade", "content-length"}
+)
+
+
+class RunEnd(StrEnum):
+    """How one run of an item at a worker came to its end, as the metrics name it."""
+
+    DONE = "done"
+    FAILED = "failed"  # the worker answered with a 500: another try may succeed
+    NEVER = "never"  # it answered with a 422: no try will succeed
+    NOT_RUN = "unsent"  # it surely did not run the item
+    CUT = "cut"  # the answer of an item of a route broke off
+    BROKEN = "broken"  # the answer of an item of a class broke off
+
+
+FINAL = {500: RunEnd.FAILED, 422: RunEnd.NEVER}  # how an item ends by a worker's own failure
 
 
 class Exchange(Protocol):
+    """A request on its connection, with the head of the answer."""
+
     status: int
     headers: list[tuple[bytes, bytes]]
 
-    def chunks(self) -> AsyncIterator[bytes]: ...
-    def close(self) -> None: ...
+    def chunks(self) -> AsyncIterator[bytes]:
+        """The body of the answer as it comes; raises Stop if it is cut."""
+        ...
+
+    def close(self) -> None:
+        """Ends the exchange, wherever it is."""
+        ...
 
 
 class Workers(Protocol):
-    """Sends requests to workers. An answer without the header `expect` is another request's, and is not returned."""
+    """Sends requests to workers."""
 
     async def request(
         self, addr: str, method: str, target: bytes, headers: list[tuple[bytes, bytes]], body: bytes,
         *, gate: Callable[[], str], limit: float, expect: tuple[bytes, bytes] | None,
-    ) -> Exchange: ...  # fmt: skip
+    ) -> Exchange:  # fmt: skip
+        """Sends a request and returns it with the head of its answer.
+
+        `gate` is asked right before the bytes go out, and tells why they may not. `limit` is in seconds. An answer
+        without the header `expect` is another request's, and is not returned. Raises Stop if there is no answer, with
+        `unsent` if it is sure that nothing went out.
+        """
+        ...
 
 
 @dataclass(eq=False)
 class Text:
-    """What is known of an item's text. Invariant: `pieces` are the data of events first .. `last`, each once and in
-    order; a run that does not go on at `last` + 1 adds nothing."""
+    """What is known of an item's text.
+
+    Invariant: `pieces` are the data of events first .. `last`, each once and in order; a run that does not go on at
+    `last` + 1 adds nothing.
+    """
 
     pieces: list[str] = field(default_factory=list)
     last: int = -1  # id of the last event; -1 before the first
 
     @property
     def text(self) -> str:
+        """The data of all events, a line each."""
         return "\n".join(self.pieces)
 
 
@@ -55,19 +90,20 @@
     """Reads the events of one run into a text."""
 
     text: Text
-    rest: bytes = b""
+    rest: bytes = b""  # of a line that hasn't ended
     number: int = -1
     data: list[str] = field(default_factory=list)
 
     def feed(self, chunk: bytes) -> None:
         """Raises Stop at bytes that are no events, and at an event that doesn't follow."""
         *lines, self.rest = (self.rest + chunk).split(b"\n")
-        if len(self.rest) > LINE_MOST:
+        if len(self.rest) > MAX_LINE:
             raise Stop(Fault("read event", "", "a line without an end"))
         for line in lines:
             self.line(line.removesuffix(b"\r"))
 
     def line(self, line: bytes) -> None:
+        """Takes one line; raises Stop as `feed` does."""
         name, _, value = line.partition(b":")
         value = value.removeprefix(b" ")
         if name == b"id":
@@ -85,6 +121,7 @@
             self.data, self.number = [], -1
 
     def event(self) -> None:
+        """Adds the event that has ended to the text; raises Stop if it doesn't follow the one before."""
         first = self.text.last < 0
         if self.number < 0 or (self.number > 1 if first else self.number != self.text.last + 1):
             raise Stop(Fault("read event", "", f"event {self.number} after {self.text.last}"))
@@ -92,21 +129,33 @@
         self.text.last = self.number
 
     @property
-    def whole(self) -> bool:
+    def complete(self) -> bool:
         """Nothing of an event is left over."""
         return not self.rest.strip() and not self.data
 
 
 def request_headers(
-    d: Dialect, call: Body, host: str, worker: str, wait_ms: int, last: int
+    dialect: Dialect, item: Item, host: str, worker: str, wait_ms: int, last_event: int
 ) -> list[tuple[bytes, bytes]]:
-    own = OWN | {d.request_id, d.deadline_ms, d.want_worker, d.urgency, d.last_event}
-    out = [("host", host), (d.request_id, call["id"]), (d.deadline_ms, str(wait_ms)), (d.want_worker, worker)]
-    out.append(("content-length", str(len(base64.b64decode(call["body"])))))
-    out += [(k, v) for k, v in call["headers"].items() if k.lower() not in own]
-    if last >= 0:
-        out.append((d.last_event, str(last)))
-    return [*((k.encode("latin-1"), v.encode("latin-1")) for k, v in out), (d.urgency.encode(), LEAST_URGENT)]
+    """The headers of an item's request: this side's own, and then the client's, but for those that this side sets.
+
+    `wait_ms` is the time that is left, in milliseconds; `last_event` the last event of a run before, -1 if there is none.
+    """
+    own_names = OWN_HEADERS | {
+        dialect.request_id, dialect.deadline_ms, dialect.want_worker, dialect.urgency, dialect.last_event,
+    }  # fmt: skip
+    headers = [
+        ("host", host),
+        (dialect.request_id, item["id"]),
+        (dialect.deadline_ms, str(wait_ms)),
+        (dialect.want_worker, worker),
+        ("content-length", str(len(base64.b64decode(item["body"])))),
+    ]
+    headers += [(name, value) for name, value in item["headers"].items() if name.lower() not in own_names]
+    if last_event >= 0:
+        headers.append((dialect.last_event, str(last_event)))
+    encoded = [(name.encode("latin-1"), value.encode("latin-1")) for name, value in headers]
+    return [*encoded, (dialect.urgency.encode(), LEAST_URGENT)]
 
 
 async def read_to_the_end(exchange: Exchange, worker: str) -> None:
@@ -114,38 +163,50 @@
     size = 0
     async for chunk in exchange.chunks():
         size += len(chunk)
-        if size > REASON_MOST:
-            raise Stop(Fault("run item", worker, f"a failure of more than {REASON_MOST} bytes", BROKE))
+        if size > MAX_FAILURE:
+            raise Stop(Fault("run item", worker, f"a failure of more than {MAX_FAILURE} bytes", BROKE))
 
 
 async def run_item(
-    workers: Workers, d: Dialect, server: dict[str, Any], worker: str, host: str, call: Body, text: Text,
+    workers: Workers, dialect: Dialect, url: str, worker: str, host: str, item: Item, text: Text,
     gate: Callable[[], str], limit: float,
-) -> str:  # fmt: skip
-    """Runs an item at a worker, on from what there is of its text: 'done', 'failed' (a 500), 'never' (a 422). Raises
-    Stop otherwise: `unsent`, or hint 'shed', if the worker did not run it; what came of the text stays in any case."""
-    heads = request_headers(d, call, host, worker, int(limit * 1000), text.last)
-    got = await workers.request(
-        server["url"].removeprefix("http://"), "POST", call["path"].encode("latin-1"), heads,
-        base64.b64decode(call["body"]), gate=gate, limit=limit,
-        expect=(d.request_id.encode(), call["id"].encode()),
+) -> RunEnd:  # fmt: skip
+    """Runs an item at a worker, on from what there is of its text, for `limit` seconds at the longest.
+
+    Returns how it ended: done, failed or never. Raises Stop otherwise: with `unsent`, or the hint that it was rejected,
+    if the worker did not run it; what came of the text stays in any case.
+    """
+    exchange = await workers.request(
+        url.removeprefix("http://"), "POST", item["path"].encode("latin-1"),
+        request_headers(dialect, item, host, worker, int(limit * 1000), text.last), base64.b64decode(item["body"]),
+        gate=gate, limit=limit, expect=(dialect.request_id.encode(), item["id"].encode()),
     )  # fmt: skip
     try:
-        judged = verdict(got.status, got.headers, AnswerNames.of(d))
-        if judged.proof in (Proof.NOT_RUN, Proof.OTHER_WORKER):
-            raise Stop(Fault("run item", worker, f"status {got.status}: not run", SHED, "shed"))
-        if judged.proof is Proof.NONE:
-            raise Stop(Fault("run item", worker, judged.why, BROKE))
-        if got.status in FINAL:
-            await read_to_the_end(got, worker)
-            return FINAL[got.status]
-        if got.status != 200:
-            raise Stop(Fault("run item", worker, f"status {got.status}", BROKE))
-        events = Events(text)
-        async for chunk in got.chunks():
-            events.feed(chunk)
-        if not events.whole or text.last < 0:
-            raise Stop(Fault("run item", worker, "the answer ended within an event", BROKE))
-        return "done"
+        check_head(exchange, dialect, worker)
+        if exchange.status in FINAL:
+            await read_to_the_end(exchange, worker)
+            return FINAL[exchange.status]
+        if exchange.status != 200:
+            raise Stop(Fault("run item", worker, f"status {exchange.status}", BROKE))
+        await read_text(exchange, text, worker)
+        return RunEnd.DONE
     finally:
-        got.close()
+        exchange.close()
+
+
+def check_head(exchange: Exchange, dialect: Dialect, worker: str) -> None:
+    """Raises Stop unless the head proves that it is the worker's own answer to a request that it ran."""
+    judged = verdict(exchange.status, exchange.headers, AnswerNames.of(dialect))
+    if judged.proof in (Proof.NOT_RUN, Proof.OTHER_WORKER):
+        raise Stop(Fault("run item", worker, f"status {exchange.status}: not run", SHED, REJECTED_HINT))
+    if judged.proof is Proof.NONE:
+        raise Stop(Fault("run item", worker, judged.why, BROKE))
+
+
+async def read_text(exchange: Exchange, text: Text, worker: str) -> None:
+    """Reads the events of an answer into a text; raises Stop if they are cut, or none came."""
+    events = Events(text)
+    async for chunk in exchange.chunks():
+        events.feed(chunk)
+    if not events.complete or text.last < 0:
+        raise Stop(Fault("run item", worker, "the answer ended within an event", BROKE))
--- a/postpass/batch/job_api.py
+++ b/postpass/batch/job_api.py
@@ -11,6 +11,7 @@
 
 from result import Err, Ok, Result
 
+from postpass.batch.messages import Item
 from postpass.configuration.configuration import Route, part_of
 from postpass.configuration.schema import flaws
 from postpass.gateway.live_requests import NAME, Gateway
@@ -24,15 +25,9 @@
 PATIENCE = 2.5  # seconds that a caller waits at the least for an answer about a lot
 
 
-class Item(TypedDict):
-    id: str
-    path: str
-    headers: dict[str, str]
-    body: str
-    tokens: int
-
-
 class Items(TypedDict):
+    """The body of a job, by its JSON keys."""
+
     items: list[Item]
 
 
--- /dev/null
+++ b/postpass/batch/placement.py
@@ -0,0 +1,128 @@
+"""Which worker gets which of the items that wait, and the start of their runs."""
+
+from __future__ import annotations
+
+import asyncio
+import hashlib
+import math
+from collections import Counter
+from dataclasses import dataclass
+
+from postpass.batch.capacity import RouteCapacity
+from postpass.batch.item_run import ItemRunner
+from postpass.batch.leased_items import LeasedItem, LeasedItems, nearest_due
+from postpass.configuration.configuration import Configuration, Route
+from postpass.configuration.header_names import Dialect
+from postpass.configuration.settings import Settings
+from postpass.feed.configuration_view import ConfigurationView
+from postpass.runtime.environment import now
+from postpass.worker_api.plugins import Ask, Seat, fond_of, place, prefix
+
+Slots = dict[str, int]  # by worker
+
+
+def weighted_pool(key: str, split: list[tuple[str, int]]) -> str:
+    """One of some pools by their weights, the same for the same key."""
+    total = sum(weight for _, weight in split)
+    point = int.from_bytes(hashlib.sha256(key.encode()).digest()[:8], "big") % max(1, total)
+    for pool, weight in split:
+        point -= weight
+        if point < 0:
+            return pool
+    return split[0][0]
+
+
+def prompt_prefix(headers: dict[str, str], dialect: Dialect) -> str:
+    """The first shared part of an item's prompt; empty if its headers don't tell one."""
+    parts = next((value for name, value in headers.items() if name.lower() == dialect.prompt), "")
+    return parts.split(",")[0].split(":")[0] if "," in parts else ""
+
+
+def fair_order(items: list[LeasedItem]) -> list[LeasedItem]:
+    """Nearest due first, to the second; among equals, the clients take turns."""
+    turn: Counter[str] = Counter()
+    ranked = []
+    for item in sorted(items, key=nearest_due):
+        turn[item.client] += 1
+        ranked.append((math.floor(item.due), turn[item.client], item.due, item.item, item))
+    return [row[-1] for row in sorted(ranked, key=lambda row: row[:4])]
+
+
+@dataclass(eq=False)
+class Placement:
+    """Places waiting items on workers that have a free slot; an item that finds none goes on waiting."""
+
+    settings: Settings
+    configuration_view: ConfigurationView
+    items: LeasedItems
+    capacity: RouteCapacity
+    runner: ItemRunner
+
+    def place_prompts(self, configuration: Configuration, slots: dict[str, Slots]) -> None:
+        """Starts items of classes; `slots` tells for each class how many items a worker may run, those running included."""
+        for item in fair_order([i for i in self.items.waiting() if i.request is None]):
+            class_slots = slots.get(item.item_class)
+            if class_slots is None or self.items.lease_expired(item.partition):
+                continue
+            worker = self.prompt_worker(configuration, item, class_slots)
+            if worker is None:
+                continue
+            item.worker, item.pieces = worker, 0
+            pool = configuration["classes"][item.item_class]["pool"]
+            item.task = asyncio.create_task(self.runner.run_prompt(configuration, pool, item))
+
+    def prompt_worker(self, configuration: Configuration, item: LeasedItem, slots: Slots) -> str | None:
+        """The worker that the class's plug-ins choose for an item; None if none has a free slot."""
+        terms = configuration["classes"][item.item_class]
+        servers = configuration["pools"][terms["pool"]]["servers"]
+        load = Counter(i.worker for i in self.items.running())
+        ask = Ask(item.item_class, item.prompt.shared, len(item.prompt.text), self.settings.zone)
+        affine = fond_of(prefix(self.settings.name, terms.get("prefix", ""), ask), sorted(slots))
+        candidates = tuple(
+            Seat(name, servers[name]["area"], free, servers[name]["slots"], load[name], name == affine)
+            for name in slots
+            if (free := slots[name] - load[name]) >= 1
+        )
+        return place(self.settings.name, terms.get("place", ""), ask, candidates) if candidates else None
+
+    def place_requests(self, configuration: Configuration) -> None:
+        """Starts items of routes, nearest due first."""
+        waiting = [i for i in self.items.waiting() if i.request is not None and i.not_before <= now()]
+        if not waiting or self.runner.workers is None:
+            return
+        free: dict[str, Slots] = {}
+        for item in sorted(waiting, key=nearest_due):
+            route = configuration.get("routes", {}).get(item.route)
+            if route is None or self.configuration_view.revision < item.since:
+                continue
+            if self.items.lease_expired(item.partition) or not self.choose_pool(configuration, route, item):
+                continue
+            slots = free.setdefault(item.pool, self.capacity.free(configuration, item.pool))
+            worker = self.request_worker(item, slots)
+            if worker is None:
+                continue
+            item.worker = worker
+            slots[worker] -= 1
+            self.capacity.limits[(item.pool, worker)].running += 1
+            item.task = asyncio.create_task(self.runner.run_request(configuration, route, item))
+
+    def choose_pool(self, configuration: Configuration, route: Route, item: LeasedItem) -> bool:
+        """Places an item in a pool of its route, where it stays as long as the route goes there; False if there is none."""
+        split = [
+            (part["pool"], part["weight"])
+            for part in route["split"]
+            if part["weight"] > 0 and part["pool"] in configuration["pools"]
+        ]
+        if not split or item.request is None:
+            return False
+        if item.pool not in dict(split):
+            item.pool = weighted_pool(item.request["id"], split)
+        return True
+
+    def request_worker(self, item: LeasedItem, slots: Slots) -> str | None:
+        """A worker with a free slot; the items of a job, whose prompts begin alike, go to few workers."""
+        names = [name for name, free in slots.items() if free > 0]
+        if not names or item.request is None:
+            return None
+        key = prompt_prefix(item.request["headers"], self.runner.dialect) or item.job
+        return max(names, key=lambda name: hashlib.sha256(f"{key}/{name}".encode()).digest())
--- a/postpass/daemon/data_plane.py
+++ b/postpass/daemon/data_plane.py
@@ -126,7 +126,7 @@
                     dialect=self.dialect,
                 )  # fmt: skip
                 if self.settings.announce:
-                    self.scheduler.workers = self.links = WorkerLinks()
+                    self.scheduler.runner.workers = self.links = WorkerLinks()
 
     def handlers(self) -> dict[str, Any]:
         mine: dict[str, Any] = {"floor": self.on_floor} if "edge" in self.settings.duties else {}
@@ -219,7 +219,7 @@
     async def watch_batch(self) -> None:
         """The scheduler polls on its own, at its own pace: loans must go back in time."""
         assert self.scheduler is not None
-        await self.batch.watch(self.scheduler.pace, ("model",))
+        await self.batch.watch(self.scheduler.poll_interval, ("model",))
 
     async def run(self) -> None:
         try:
@@ -248,6 +248,5 @@
                 for (p, n), s in sorted(self.worker_load.spots.items())
             }  # fmt: skip
         if self.scheduler is not None:
-            out["sched"] = {"active": self.scheduler.active, "term": self.scheduler.term, "held": len(self.scheduler.jobs),
-                            "running": sum(j.task is not None for j in self.scheduler.jobs.values())}  # fmt: skip
+            out["sched"] = self.scheduler.status()
         return out
--- a/sim/broken.py
+++ b/sim/broken.py
@@ -10,7 +10,7 @@
 import pytest
 from result import Err
 
-from postpass.batch import scheduler
+from postpass.batch import item_run
 from postpass.batch.job import JobView
 from postpass.batch.job_records import JobRecords
 from postpass.batch.leases import Leases
@@ -67,7 +67,7 @@
                 raise
 
     mp.setattr(live_requests, "complete", complete)
-    mp.setattr(scheduler, "complete", complete)
+    mp.setattr(item_run, "complete", complete)
 
 
 def refuses_what_it_took(mp: pytest.MonkeyPatch) -> None:
--- a/sim/points.py
+++ b/sim/points.py
@@ -22,7 +22,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from postpass.batch import scheduler
+from postpass.batch import item_run
 from postpass.gateway import live_requests
 from postpass.rpc import peer_links
 from postpass.runtime import log_events
@@ -152,7 +152,7 @@
     peer_links.Link.put, peer_links.Link.call, peer_links.PeerServer._respond = tapped_put, tapped_call, tapped_respond  # type: ignore[method-assign]
     peer_links.PeerServer.__init__ = tapped_init  # type: ignore[method-assign]
     log_events.emit = tapped_emit
-    for module in (live_requests, scheduler):
+    for module in (live_requests, item_run):
         setattr(module, "complete", tapped_complete)  # noqa: B010
 
 
--- a/tests/batch/test_item_request.py
+++ b/tests/batch/test_item_request.py
@@ -8,6 +8,7 @@
 import pytest
 
 from postpass.batch.item_request import Events, Text, request_headers, run_item
+from postpass.batch.messages import Item
 from postpass.configuration.header_names import Dialect
 from postpass.gateway.upstream_connection import WorkerLinks
 from postpass.runtime.errors import Stop
@@ -26,7 +27,7 @@
         run = b"x-weight-versions: 3\n" + event(0, "one") + event(1, "") + b"id: 2\r\ndata: tw\xc3\xb6\r\n\r\n"
         for i in range(0, len(run), size):
             events.feed(run[i : i + size])
-        assert (text.text, text.last, events.whole) == ("one\n\ntwö", 2, True)
+        assert (text.text, text.last, events.complete) == ("one\n\ntwö", 2, True)
 
     def test_a_run_goes_on_only_where_the_one_before_it_was_cut(self) -> None:
         text = Text()
@@ -43,17 +44,19 @@
             Events(Text()).feed(event(2, "b"))
         events = Events(Text())
         events.feed(event(0, "a") + b"id: 1\ndata: b\n")
-        assert not events.whole
+        assert not events.complete
 
 
 class Test_headers_of_an_item:
     def test_its_own_come_first_and_none_is_set_twice(self) -> None:
-        call = {
+        request: Item = {
             "id": "i1",
+            "path": "/x",
+            "tokens": 3,
             "body": "q83v",
             "headers": {"X-Model": "m", "X-Urgency": "0", "Host": "other", "X-Call-Id": "j"},
         }
-        heads = request_headers(Dialect(), call, "h.example", "w1", 5000, 12)
+        heads = request_headers(Dialect(), request, "h.example", "w1", 5000, 12)
         names = [k for k, _ in heads]
         assert len(names) == len(set(names)) and dict(heads) == {
             b"host": b"h.example", b"x-call-id": b"i1", b"x-deadline-ms": b"5000", b"x-want-worker": b"w1",
@@ -61,7 +64,7 @@
         }  # fmt: skip
 
 
-ITEM = {"id": "i1", "path": "/x", "headers": {}, "body": "q83v", "tokens": 3}
+ITEM: Item = {"id": "i1", "path": "/x", "headers": {}, "body": "q83v", "tokens": 3}
 SEALED = b"X-Call-Id: i1\r\nX-Seal: s\r\n"
 
 
@@ -83,8 +86,8 @@
         for _answer in answers:
             text = Text()
             try:
-                end = await run_item(
-                    links, Dialect(), {"url": "http://w:1"}, "w1", "h", ITEM, text, lambda: "", 1.0
+                end: str = await run_item(
+                    links, Dialect(), "http://w:1", "w1", "h", ITEM, text, lambda: "", 1.0
                 )  # fmt: skip
             except Stop as bad:
                 end = bad.fault.hint or "broken"
--- a/tests/batch/test_job_service.py
+++ b/tests/batch/test_job_service.py
@@ -86,7 +86,7 @@
             async def open_more() -> None:
                 await opened()
                 if daemon.scheduler is not None:
-                    daemon.scheduler.workers = workers
+                    daemon.scheduler.runner.workers = workers
 
             daemon.open = open_more  # type: ignore[method-assign]
 
@@ -177,7 +177,7 @@
             workers.full = True
             assert (await desks[0].accept("r", ROUTE, "l1", lot("a", "b")))[0] == 202
             await asyncio.sleep(1.0)
-            assert sum(len(s.jobs) for s in scheds(fleet)) == 2
+            assert sum(len(s.items) for s in scheds(fleet)) == 2
             assert (
                 await fleet.apply({**fleet.configuration, "routes": {}}, desks[0].edge.configuration_view.revision) == 2
             )
@@ -186,7 +186,7 @@
             assert fleet.loop.clock - began < 1.0
             workers.full = False
             await asyncio.sleep(1.0)
-            assert workers.runs == [] and sum(len(s.jobs) for s in scheds(fleet)) == 0
+            assert workers.runs == [] and sum(len(s.items) for s in scheds(fleet)) == 0
 
         with_lots(check)
 
@@ -215,7 +215,7 @@
             for name, ends in (("l1", ("a", "b")), ("l2", ("c", "d"))):
                 assert (await desks[1].accept("r", ROUTE, name, lot(*ends)))[0] == 202
             await asyncio.sleep(0.5)
-            held = next(n for n, s in named_scheds(fleet).items() if s.jobs)
+            held = next(n for n, s in named_scheds(fleet).items() if s.items)
             fleet.freeze(held)
             desk = desks[1]
             assert held != "e2"  # where this runs
@@ -225,14 +225,14 @@
             ended = fleet.loop.clock
             await asyncio.sleep(3.0)
             workers.full = False
-            term = max(s.term for s in scheds(fleet))
+            term = max(s.election.term for s in scheds(fleet))
             fleet.thaw(held)
             assert {r["state"] for r in await all_of(desk, "l2")} == {"done"}
             await asyncio.sleep(2.0)
             assert fleet.loop.clock - ended > 3.0
             # Nothing of the ended one; each item of the other once, and once more only where a scheduler took over since.
             runs = Counter(n for n, _ in workers.runs)
-            takeovers = max(s.term for s in scheds(fleet)) - term
+            takeovers = max(s.election.term for s in scheds(fleet)) - term
             assert set(runs) == {"i0c", "i1d"} and max(runs.values()) <= 1 + min(1, takeovers)
 
         with_lots(check, at="e2")
--- a/tests/gateway/test_answers_broken.py
+++ b/tests/gateway/test_answers_broken.py
@@ -11,7 +11,7 @@
 
 from postpass.batch import item_request
 from postpass.batch.item_request import Events
-from postpass.batch.scheduler import Scheduler
+from postpass.batch.item_run import ItemRunner
 from postpass.configuration.header_names import Dialect
 from postpass.gateway import attempts, relay, upstream_connection
 from postpass.gateway.http_server import front, refusal
@@ -183,13 +183,13 @@
 
 
 def forgets_positions(mp: pytest.MonkeyPatch) -> None:
-    plain = Scheduler.tell
+    plain = ItemRunner.report_result
 
-    async def tell(self: Scheduler, job: Any, body: Any) -> None:
-        job.item = 0
-        await plain(self, job, body)
+    async def report_result(self: ItemRunner, item: Any, result: Any) -> None:
+        item.item = 0
+        await plain(self, item, result)
 
-    mp.setattr(Scheduler, "tell", tell)
+    mp.setattr(ItemRunner, "report_result", report_result)
 
 
 def abandons_what_failed(mp: pytest.MonkeyPatch) -> None:
--- a/tests/sim/test_broken_variants.py
+++ b/tests/sim/test_broken_variants.py
@@ -11,7 +11,7 @@
 import pytest
 from result import Err, Ok
 
-from postpass.batch import item_request, scheduler
+from postpass.batch import item_request, item_run
 from postpass.batch.item_request import Text
 from postpass.batch.job import JobView
 from postpass.batch.job_api import JobApi
@@ -293,7 +293,7 @@
         got = await plain(*args)
         return "never" if got == "failed" else got
 
-    mp.setattr(scheduler, "run_item", run)
+    mp.setattr(item_run, "run_item", run)
 
 
 def results_move(mp: pytest.MonkeyPatch) -> None:
--- a/tests/support/item_answers.py
+++ b/tests/support/item_answers.py
@@ -17,8 +17,10 @@
 from prometheus_client import CollectorRegistry
 from result import Ok
 
-from postpass.batch.item_request import Text
-from postpass.batch.scheduler import ItemRun, Scheduler
+from postpass.batch.leased_items import LeasedItem
+from postpass.batch.messages import Item
+from postpass.batch.owner_client import OwnerClient
+from postpass.batch.scheduler import Scheduler
 from postpass.configuration.settings import Settings
 from postpass.feed.configuration_view import ConfigurationView
 from postpass.gateway.upstream_connection import WorkerLinks
@@ -58,24 +60,23 @@
     return "\n".join(line.removeprefix("data: ") for line in lines if line.startswith("data: "))
 
 
-def jobs_of(scene: ItemScene) -> list[ItemRun]:
+def leased_items_of(scene: ItemScene) -> list[LeasedItem]:
     out = []
     for number, size in enumerate(scene.lots):
         for position in range(size):
-            call = {"id": item_id(f"lot{number}", position), "path": "/s/x", "headers": {}, "tokens": 9,
+            request: Item = {"id": item_id(f"lot{number}", position), "path": "/s/x", "headers": {}, "tokens": 9,
                     "body": base64.b64encode(b"body").decode()}  # fmt: skip
-            out.append(
-                ItemRun(0, f"lot{number}", position, "route:lot", 0.0, Prompt((), ""), "", call=call, text=Text())
-            )
+            out.append(LeasedItem(0, f"lot{number}", position, "route:lot", 0.0, Prompt((), ""), "", request=request))
     return out
 
 
-class SchedulerWithOwner(Scheduler):
-    """The product's scheduler with an owner that takes whatever it is told."""
+@dataclass(eq=False)
+class AnyOwner(OwnerClient):
+    """An owner that takes whatever it is told."""
 
-    told: Told
+    told: Told = field(default_factory=lambda: Told(Record(), []))
 
-    async def ask(self, part: int, verb: str, body: Body, wait: float) -> Any:
+    async def ask(self, partition: int, verb: str, body: Body, wait: float) -> Any:
         assert verb == "done"
         self.told.results.setdefault((body["id"], body["item"]), []).append(body)
         return Ok({})
@@ -88,12 +89,10 @@
     configuration_view.heard = 1e9
     unused = cast(Any, None)
     world = Environment(chance=random.Random(seed))
-    item_scheduler = SchedulerWithOwner(
-        settings, world, configuration_view, unused, unused, unused, CollectorRegistry()
-    )
-    item_scheduler.told = told
-    item_scheduler.active, item_scheduler.leases, item_scheduler.dialect = True, {0: 1e9}, NAMES
-    item_scheduler.workers = cast(Any, WorkerLinks())
+    item_scheduler = Scheduler(settings, world, configuration_view, unused, unused, unused, CollectorRegistry(), NAMES)
+    item_scheduler.runner.owners = AnyOwner(settings, configuration_view, unused, told=told)
+    item_scheduler.election.active, item_scheduler.items.leases = True, {0: 1e9}
+    item_scheduler.runner.workers = cast(Any, WorkerLinks())
     return item_scheduler
 
 
@@ -109,11 +108,13 @@
 
         async def schedule() -> None:
             item_scheduler = scheduler(told, names, seed)
-            item_scheduler.jobs = {job.key: job for job in jobs_of(scene)}
+            item_scheduler.items.by_key = {item.key: item for item in leased_items_of(scene)}
             for _ in range(ROUNDS):
-                item_scheduler.place_calls(item_scheduler.configuration_view.manifest or configuration(tuple(names)))
+                item_scheduler.placement.place_requests(
+                    item_scheduler.configuration_view.manifest or configuration(tuple(names))
+                )
                 await asyncio.sleep(ROUND_S)
-                if not item_scheduler.jobs:
+                if not item_scheduler.items:
                     break
 
         await loop.create_task(schedule(), context=here.context())
