--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -389,17 +389,17 @@
 
             def results() -> list[int]:
                 views = [
-                    p.view.lots[lot.id]
+                    p.view.jobs[lot.id]
                     for _, s in fleet.stores()
                     for p in s.partitions.values()
-                    if p.owning and lot.id in p.view.lots
+                    if p.owning and lot.id in p.view.jobs
                 ]
                 return [len(x.order) for x in views]
 
             while loop.clock - at < 35.0 and not any(n == items for n in results()):
                 await asyncio.sleep(0.05)
             whole = loop.clock - at
-        owner = [n for n, s in fleet.stores() for p in s.partitions.values() if p.owning and lot.id in p.view.lots]
+        owner = [n for n, s in fleet.stores() for p in s.partitions.values() if p.owning and lot.id in p.view.jobs]
         mirrors = [
             n
             for n, s in fleet.stores()
@@ -528,11 +528,11 @@
     gc.collect()
     ended = tracemalloc.get_traced_memory()[0] - start
     tracemalloc.stop()
-    lot: Job = view.lots[raw["id"]]
+    lot: Job = view.jobs[raw["id"]]
     waits = JobView()
     waits.fold(Record(1, 1, "lot", record))
     part, asked = Partition(0, "s1", "d", view=waits), JobService(cast(Any, None))
-    open_lot = replace(lot, results={}, order=[], raw=b"x" * (100 * items))
+    open_lot = replace(lot, results={}, order=[], payload=b"x" * (100 * items))
     some = range(0, items, max(1, items // 20))
     each = timed(lambda: [open_lot.item_body(i) for i in some]) / len(some)
     return {"items": items, "record": len(record), "waiting": waiting, "ended": ended, "fold_ms": timed(lambda: JobView().fold(Record(1, 1, "lot", record))) * 1e3,
--- a/model/partition/rules.py
+++ b/model/partition/rules.py
@@ -118,7 +118,7 @@
         view = latest_view(part.record_log)
         named = {name(m): _disk(m, d) for m, d in voters}
         if not self.rules.votes_by_disk:
-            named = {n: view.crew.get(n, d) for n, d in named.items()}
+            named = {n: view.members.get(n, d) for n, d in named.items()}
         return self.rules.may_lead(part, view, named)
 
     def _coverage(
@@ -133,7 +133,7 @@
         self.rules.advance(part)
         change = None
         situation = self._situation(part, acks)
-        if part.ready and part.view.crew_seq <= part.covered:
+        if part.ready and part.view.members_seq <= part.covered:
             change = self.rules.next_change(situation, name(me))
         return Coverage(
             part.covered,
@@ -146,7 +146,7 @@
         ready = {name(a.member): _disk(a.member, a.disk) for a in acks if a.last >= part.covered}
         ready[part.me] = part.disk
         wanted = [name(m) for m in range(self.members)]
-        return Situation(part.view.crew, wanted, ready, list(ready), self.topology)
+        return Situation(part.view.members, wanted, ready, list(ready), self.topology)
 
     def _numbers(self, change: Change) -> tuple[int, ...]:
         return tuple([
--- a/postpass/batch/job.py
+++ b/postpass/batch/job.py
@@ -1,4 +1,8 @@
-"""Lots as they stand: a view folded from a partition's records."""
+"""Jobs as they stand: a view folded from a partition's records.
+
+The fields of `Job` and `JobView` are dumped by their names into snapshots, with the keys of release 0.2.0 where these
+differ (`VIEW_KEYS`, and the codec of `Job`). Checksums are over the bytes, so keys and their order stay as they are.
+"""
 
 from __future__ import annotations
 
@@ -6,218 +10,300 @@
 import hashlib
 import json
 from dataclasses import dataclass, field, replace
-from typing import Any
+from enum import StrEnum
+from typing import Any, NamedTuple
 
 from postpass.replication.record_log import Base, Record
 
 Body = dict[str, Any]
-Raw = bytes | memoryview
-END = b"\0"  # between a record's JSON, which never holds it, and the opaque bytes after it
+Payload = bytes | memoryview
+PAYLOAD_MARK = b"\0"  # between a record's JSON, which never holds it, and the opaque bytes after it
+DIGEST_DIGITS = 32  # hexadecimal digits of the SHA-256 that tells jobs apart
 
 
-def joined(body: Body, raw: Raw = b"") -> bytes:
+def joined(body: Body, payload: Payload = b"") -> bytes:
+    """A record's JSON, and the opaque bytes after it if there are any."""
     head = json.dumps(body, separators=(",", ":")).encode()
-    return b"".join((head, END, raw)) if raw else head
+    return b"".join((head, PAYLOAD_MARK, payload)) if payload else head
 
 
-def parted(data: bytes) -> tuple[Body, Raw]:
+def parted(data: bytes) -> tuple[Body, Payload]:
     """What `joined` joined; the opaque bytes are a view of `data`, not a copy."""
-    at = data.find(END)
-    if at < 0:
+    mark = data.find(PAYLOAD_MARK)
+    if mark < 0:
         return (json.loads(data) if data else {}), b""
-    return json.loads(data[:at]), memoryview(data)[at + 1 :]
+    return json.loads(data[:mark]), memoryview(data)[mark + 1 :]
 
 
-def packed(lot: Body) -> tuple[Body, bytes]:
-    """A lot of opaque items as it is kept: the items tell the sizes of their bodies, which stand in a row behind."""
-    bodies = [base64.b64decode(item["body"]) for item in lot["items"]]
-    raw = b"".join(bodies)
+def packed(job: Body) -> tuple[Body, bytes]:
+    """A job of opaque items as it is kept: the items tell the sizes of their bodies, which stand in a row behind."""
+    bodies = [base64.b64decode(item["body"]) for item in job["items"]]
+    payload = b"".join(bodies)
     items = [
-        {k: v for k, v in item.items() if k != "body"} | {"size": len(body)}
-        for item, body in zip(lot["items"], bodies, strict=True)
+        {key: value for key, value in item.items() if key != "body"} | {"size": len(body)}
+        for item, body in zip(job["items"], bodies, strict=True)
     ]
-    made = lot | {"items": items}
-    return made | {"sum": hashlib.sha256(digest(made).encode() + raw).hexdigest()[:32]}, raw
+    kept = job | {"items": items}
+    return kept | {"sum": hashlib.sha256(digest(kept).encode() + payload).hexdigest()[:DIGEST_DIGITS]}, payload
 
 
 def digest(body: Body) -> str:
-    """What makes a lot the same lot: its content, and its due time as the caller said it."""
+    """What makes a job the same job: its content, and its due time as the client said it."""
     if "sum" in body:
         return str(body["sum"])
-    core = {k: body.get(k) for k in ("items", "shared", "class", "said", "caller")}
+    core = {key: body.get(key) for key in ("items", "shared", "class", "said", "caller")}
     if "route" in body:
         core["route"] = body["route"]
-    return hashlib.sha256(json.dumps(core, sort_keys=True).encode()).hexdigest()[:32]
+    return hashlib.sha256(json.dumps(core, sort_keys=True).encode()).hexdigest()[:DIGEST_DIGITS]
 
 
 def kind_of(body: Body) -> str:
-    """What a lot's items run as: a class, or a route."""
+    """What a job's items run as: a class, or a route."""
     return f"route:{body['route']}" if "route" in body else str(body["class"])
 
 
+class JobState(StrEnum):
+    """Open, then ended; never back. A job with all its results stays open, since nothing of it is left to end."""
+
+    OPEN = "open"
+    ENDED = "ended"
+
+
+class JobResult(NamedTuple):
+    """The first result of an item. `seq` is that of its record; `status` is done, failed or abandoned."""
+
+    seq: int
+    status: str
+    output: str
+
+
 @dataclass(eq=False)
 class Job:
-    """Invariants: `state` moves from open to ended, never back; an item's first result stays; `results`
-    holds item numbers in the order of their records, which is the order callers page through. `raw` holds the bodies
-    of opaque items, shared with the record they came in, until the lot is whole or ended: from then on no one may ask."""
+    """A job of a partition. Owned by the view, which folds records into it.
+
+    Invariants: `state` moves from open to ended, never back; an item's first result stays; `results` holds item numbers
+    in the order of their records, which is the order clients page through. `payload` holds the bodies of opaque items,
+    shared with the record they came in, until the job is complete or ended: from then on no one may ask.
+    """
 
     id: str
     seq: int
     body: Body
     digest: str
-    state: str = "open"
+    state: JobState = JobState.OPEN
     state_seq: int = 0
-    results: dict[int, tuple[int, str, str]] = field(default_factory=dict)  # item -> (seq, status, output)
+    results: dict[int, JobResult] = field(default_factory=dict)  # by position of the item
     order: list[int] = field(default_factory=list)
-    raw: Raw = b""
+    payload: Payload = b""
 
     def copy(self) -> Job:
+        """Another job that can be folded on; what never changes is shared."""
         return replace(self, results=dict(self.results), order=list(self.order))
 
-    def item_body(self, spot: int) -> bytes | None:
-        """None once the bodies are gone."""
-        if self.whole or self.state == "ended":
+    def item_body(self, position: int) -> bytes | None:
+        """The body of an opaque item; None once the bodies are gone."""
+        if self.complete or self.state == JobState.ENDED:
             return None
-        start = sum(item["size"] for item in self.body["items"][:spot])
-        return bytes(self.raw[start : start + self.body["items"][spot]["size"]])
+        start = sum(item["size"] for item in self.body["items"][:position])
+        return bytes(self.payload[start : start + self.body["items"][position]["size"]])
 
     @property
     def size(self) -> int:
+        """The number of its items."""
         return len(self.body["items"])
 
     @property
-    def whole(self) -> bool:
+    def complete(self) -> bool:
+        """Has each item a result?"""
         return len(self.order) == self.size
 
+    def end(self, seq: int) -> None:
+        """The record of that number ended it."""
+        self.state, self.state_seq, self.payload = JobState.ENDED, seq, b""
+
+    def dumped(self) -> Body:
+        """The job by its keys on disk, without its payload; shares its parts."""
+        return {
+            "id": self.id,
+            "seq": self.seq,
+            "body": self.body,
+            "digest": self.digest,
+            "state": self.state,
+            "state_seq": self.state_seq,
+            "results": list(self.results.items()),
+            "order": self.order,
+            "raw": len(self.payload),
+        }
 
-# Lots are dumped by themselves. Where a base holds the mark that settled a change does not matter, since a base holds only
+    @classmethod
+    def loaded(cls, raw: Body, payload: bytes) -> Job:
+        """A job by its keys on disk; `raw` and `payload` are its own from now on."""
+        raw.pop("raw", None)
+        results = {int(item): JobResult(int(r[0]), str(r[1]), str(r[2])) for item, r in raw.pop("results")}
+        state = JobState(raw.pop("state", JobState.OPEN))
+        return cls(**raw, state=state, results=results, payload=payload)
+
+
+# Jobs are dumped by themselves. Where a base holds the mark that settled a change does not matter, since a base holds only
 # what is covered; releases before this field could not load it.
-NOT_DUMPED = frozenset({"lots", "settled_seq"})
+NOT_DUMPED = frozenset({"jobs", "settled_seq"})
+# Keys on disk that differ from the field's name: they are those of release 0.2.0.
+VIEW_KEYS = {
+    "rejected": "shed", "members": "crew", "members_seq": "crew_seq", "old_members": "old_crew",
+}  # fmt: skip
+VIEW_FIELDS = {key: name for name, key in VIEW_KEYS.items()}
+# The method of the view that folds a record, by the kind of the record on disk.
+FOLDS = {
+    "mark": "fold_mark", "lot": "fold_job", "shed": "fold_rejection", "result": "fold_result", "end": "fold_end",
+    "drop": "fold_drop", "claim": "fold_claim", "crew": "fold_members", "predicate": "fold_predicate",
+    "loss": "fold_loss",
+}  # fmt: skip
 
 
 @dataclass(eq=False)
 class JobView(Base):
-    """Folded record by record. Invariant: the same records give the same view, on every store."""
-
-    lots: dict[str, Job] = field(default_factory=dict)
-    shed: dict[str, int] = field(default_factory=dict)  # refused for good: id -> seq
-    claims: dict[str, Body] = field(default_factory=dict)  # calls that may not be repeated
-    crew: dict[str, str] = field(default_factory=dict)  # members that count: name -> disk
-    crew_seq: int = 0
-    old_crew: dict[str, str] = field(default_factory=dict)  # before the last change; `crew` once that is settled
+    """The jobs of a partition with the terms under which they are kept, folded record by record.
+
+    Invariant: the same records give the same view, on every store. Numbers that end in `_seq` are those of records.
+    """
+
+    jobs: dict[str, Job] = field(default_factory=dict)
+    rejected: dict[str, int] = field(default_factory=dict)  # refused for good: id -> seq
+    claims: dict[str, Body] = field(default_factory=dict)  # requests that may not be repeated
+    members: dict[str, str] = field(default_factory=dict)  # that count: name -> disk
+    members_seq: int = 0
+    old_members: dict[str, str] = field(default_factory=dict)  # before the last change; `members` once that is settled
     predicate: str = ""
     old_predicate: str = ""
     predicate_seq: int = 0
-    settled_seq: int = (
-        0  # the mark that settled the last change; 0 if there is none, or it is in a base that was loaded
-    )
-    losses: int = 0  # the partition's edition: how often more was lost than is tolerated
-    lost: dict[str, int] = field(default_factory=dict)  # lots known to be lost
+    # The mark that settled the last change; 0 if there is none, or it is in a base that was loaded.
+    settled_seq: int = 0
+    losses: int = 0  # the partition's revision: how often more was lost than is tolerated
+    lost: dict[str, int] = field(default_factory=dict)  # jobs known to be lost
 
     def unsettled(self) -> int:
         """The last change of members or predicate that this log does not prove to be covered; 0 if it proves all."""
-        crew = self.crew_seq if self.old_crew not in ({}, self.crew) else 0
-        return max(crew, self.predicate_seq if self.old_predicate != self.predicate else 0)
+        members = self.members_seq if self.old_members not in ({}, self.members) else 0
+        return max(members, self.predicate_seq if self.old_predicate != self.predicate else 0)
 
     def fold(self, rec: Record) -> None:
-        body, raw = parted(rec.body)
-        getattr(self, f"_{rec.kind}")(rec.seq, body)
-        if raw and rec.kind == "lot" and body["id"] in self.lots and self.lots[body["id"]].seq == rec.seq:
-            self.lots[body["id"]].raw = raw
-
-    def _mark(self, seq: int, body: Body) -> None:
-        # A mark may prove that everything up to `settled` was covered: then what held before a change holds no more.
+        """Takes the next record."""
+        body, payload = parted(rec.body)
+        getattr(self, FOLDS[rec.kind])(rec.seq, body)
+        if payload and rec.kind == "lot" and body["id"] in self.jobs and self.jobs[body["id"]].seq == rec.seq:
+            self.jobs[body["id"]].payload = payload
+
+    def fold_mark(self, seq: int, body: Body) -> None:
+        """A mark may prove that everything up to `settled` was covered: what held before a change holds no more."""
         upto = body.get("settled", 0)
         if 0 < self.unsettled() <= upto:
             self.settled_seq = seq
-        if self.crew_seq <= upto:
-            self.old_crew = self.crew
+        if self.members_seq <= upto:
+            self.old_members = self.members
         if self.predicate_seq <= upto:
             self.old_predicate = self.predicate
 
-    def _lot(self, seq: int, body: Body) -> None:
-        lot = body["id"]
-        if lot not in self.lots and lot not in self.shed:
-            self.lots[lot] = Job(lot, seq, body, digest(body))
-            self.lost.pop(lot, None)  # handed in anew
-
-    def _shed(self, seq: int, body: Body) -> None:
-        if body["id"] not in self.lots:
-            self.shed[body["id"]] = seq
-
-    def _result(self, seq: int, body: Body) -> None:
-        lot, item = self.lots.get(body["id"]), body["item"]
-        if lot is not None and lot.state == "open" and item not in lot.results:
-            lot.results[item] = (seq, body["status"], body["output"])
-            lot.order.append(item)
-            if lot.whole:
-                lot.raw = b""
-
-    def _end(self, seq: int, body: Body) -> None:
-        lot = self.lots.get(body["id"])
-        if lot is not None and lot.state == "open":
-            lot.state, lot.state_seq, lot.raw = "ended", seq, b""
-
-    def _drop(self, seq: int, body: Body) -> None:
-        for lot in body["lots"]:
-            self.lots.pop(lot, None)
-            self.shed.pop(lot, None)
-            self.lost.pop(lot, None)
+    def fold_job(self, seq: int, body: Body) -> None:
+        """A job was taken; the first of an id stays, and a rejection before it wins."""
+        job_id = body["id"]
+        if job_id not in self.jobs and job_id not in self.rejected:
+            self.jobs[job_id] = Job(job_id, seq, body, digest(body))
+            self.lost.pop(job_id, None)  # handed in anew
+
+    def fold_rejection(self, seq: int, body: Body) -> None:
+        """A job was refused for good, unless it is here."""
+        if body["id"] not in self.jobs:
+            self.rejected[body["id"]] = seq
+
+    def fold_result(self, seq: int, body: Body) -> None:
+        """An item has a result; the first one stays."""
+        job, item = self.jobs.get(body["id"]), body["item"]
+        if job is not None and job.state == JobState.OPEN and item not in job.results:
+            job.results[item] = JobResult(seq, body["status"], body["output"])
+            job.order.append(item)
+            if job.complete:
+                job.payload = b""
+
+    def fold_end(self, seq: int, body: Body) -> None:
+        """The client ended a job, or it was long overdue."""
+        job = self.jobs.get(body["id"])
+        if job is not None and job.state == JobState.OPEN:
+            job.end(seq)
+
+    def fold_drop(self, seq: int, body: Body) -> None:
+        """The retention of some jobs, rejections and claims has passed."""
+        for job_id in body["lots"]:
+            self.jobs.pop(job_id, None)
+            self.rejected.pop(job_id, None)
+            self.lost.pop(job_id, None)
         for key in body.get("claims", []):
             self.claims.pop(key, None)
 
-    def _claim(self, seq: int, body: Body) -> None:
+    def fold_claim(self, seq: int, body: Body) -> None:
+        """An edge claims to run a request; the first one wins."""
         self.claims.setdefault(body["key"], body | {"seq": seq})
 
-    def _crew(self, seq: int, body: Body) -> None:
-        self.old_crew, self.crew, self.crew_seq = self.crew or body["crew"], body["crew"], seq
+    def fold_members(self, seq: int, body: Body) -> None:
+        """Other members count from here on."""
+        self.old_members, self.members, self.members_seq = self.members or body["crew"], body["crew"], seq
 
-    def _predicate(self, seq: int, body: Body) -> None:
+    def fold_predicate(self, seq: int, body: Body) -> None:
+        """Another predicate tells from here on what is covered."""
         self.old_predicate, self.predicate, self.predicate_seq = self.predicate, body["text"], seq
 
-    def _loss(self, seq: int, body: Body) -> None:
+    def fold_loss(self, seq: int, body: Body) -> None:
+        """More was lost than is tolerated: goes on with the members that are left."""
         self.losses = max(self.losses + 1, body["edition"])
-        self.crew = self.old_crew = body["crew"]
-        self.crew_seq = seq
-        self.lost |= {n: seq for n in body["lots"] if n not in self.lots}
+        self.members = self.old_members = body["crew"]
+        self.members_seq = seq
+        self.lost |= {name: seq for name in body["lots"] if name not in self.jobs}
 
     def copy(self) -> JobView:
         """Another view that can be folded on; what never changes is shared."""
         out = JobView()
         for key, value in vars(self).items():
             setattr(out, key, dict(value) if isinstance(value, dict) else value)
-        out.lots = {n: lot.copy() for n, lot in self.lots.items()}
+        out.jobs = {job_id: job.copy() for job_id, job in self.jobs.items()}
         return out
 
     def dump(self) -> bytes:
-        flat = {k: v for k, v in vars(self).items() if k not in NOT_DUMPED}
-        lots = [vars(lot) | {"results": list(lot.results.items()), "raw": len(lot.raw)} for lot in self.lots.values()]
-        return joined(flat | {"lots": lots}, b"".join(lot.raw for lot in self.lots.values()))
+        """The view as it is kept in snapshots: JSON, and behind it the payloads of all jobs."""
+        flat = {VIEW_KEYS.get(name, name): value for name, value in vars(self).items() if name not in NOT_DUMPED}
+        jobs = [job.dumped() for job in self.jobs.values()]
+        return joined(flat | {"lots": jobs}, b"".join(job.payload for job in self.jobs.values()))
 
     @classmethod
     def load(cls, data: bytes) -> JobView:
+        """The view that `dump` gave; an empty one for no bytes."""
         if not data:
             return cls()
-        body, raw = parted(data)
-        lots = body.pop("lots")
-        view, at = cls(**body), 0
-        for lot in lots:
-            results = {int(i): (int(r[0]), str(r[1]), str(r[2])) for i, r in lot.pop("results")}
-            size = lot.pop("raw", 0)
-            # Bytes of its own: a lot that goes frees them, though others of this dump stay.
-            view.lots[lot["id"]] = Job(**lot, results=results, raw=bytes(raw[at : at + size]))
-            at += size
+        body, payloads = parted(data)
+        jobs = body.pop("lots")
+        view, start = cls(**{VIEW_FIELDS.get(key, key): value for key, value in body.items()}), 0
+        for raw in jobs:
+            end = start + raw.get("raw", 0)
+            # Bytes of its own: a job that goes frees them, though others of this dump stay.
+            view.jobs[raw["id"]] = Job.loaded(raw, bytes(payloads[start:end]))
+            start = end
         return view
 
 
-def page(lot: Job, covered: int, start: int, most: int) -> tuple[list[Body], int, bool]:
-    """Covered results from place `start` on, in record order; the next place; and whether that was all.
+class ResultsPage(NamedTuple):
+    """A page of results by their JSON keys, the next place to read from, and whether that was all."""
+
+    rows: list[Body]
+    next_start: int
+    done: bool
+
+
+def page(job: Job, covered: int, start: int, most: int) -> ResultsPage:
+    """Covered results from place `start` on, in record order, `most` of them at the most.
 
     Records are covered in order, so the covered results are a prefix of `order`, and a page once read
     reads the same for ever.
     """
-    seen = [i for i in lot.order[start : start + most] if lot.results[i][0] <= covered]
-    rows = [{"item": i, "status": lot.results[i][1], "output": lot.results[i][2]} for i in seen]
-    spot = start + len(seen)
-    done = spot == len(lot.order) and (lot.whole or (lot.state == "ended" and lot.state_seq <= covered))
-    return rows, spot, done
+    shown = [item for item in job.order[start : start + most] if job.results[item].seq <= covered]
+    rows = [{"item": item, "status": job.results[item].status, "output": job.results[item].output} for item in shown]
+    next_start = start + len(shown)
+    ended = job.state == JobState.ENDED and job.state_seq <= covered
+    return ResultsPage(rows, next_start, next_start == len(job.order) and (job.complete or ended))
--- a/postpass/batch/job_records.py
+++ b/postpass/batch/job_records.py
@@ -41,8 +41,8 @@
             return got
         partition = got.unwrap()
         limit = min(float(body.get("wait", 5.0)), self.table.settings.bounds.recover)
-        have = partition.view.lots.get(job["id"])
-        if have is None and job["id"] not in partition.view.shed:
+        have = partition.view.jobs.get(job["id"])
+        if have is None and job["id"] not in partition.view.rejected:
             flaw = self.rejection(partition)
             if flaw is None:
                 try:
@@ -53,9 +53,9 @@
                     flaw = bad.fault
             if flaw is not None:
                 return await self.reject(partition, body, flaw, limit)
-            have = partition.view.lots[job["id"]]
+            have = partition.view.jobs[job["id"]]
         if have is None:
-            seq = partition.view.shed[job["id"]]
+            seq = partition.view.rejected[job["id"]]
             if await partition.wait(seq, "", limit):
                 return Err(
                     Fault("submit", self.table.settings.name, "this lot was refused; send it under another id", SHED)
@@ -69,7 +69,7 @@
 
     def rejection(self, partition: Partition) -> Fault | None:
         """Why no further job is taken now: the limit of open jobs, too much uncovered, or full mirrors; None if one is."""
-        opened = sum(1 for job in partition.view.lots.values() if job.state == "open" and not job.whole)
+        opened = sum(1 for job in partition.view.jobs.values() if job.state == "open" and not job.complete)
         if opened >= self.table.configuration_view.limit("open_lots"):
             return Fault("submit", self.table.settings.name, f"{opened} lots are open in this partition", SHED)
         ahead = sum(
@@ -108,8 +108,8 @@
         partition = got.unwrap()
         if not await self.leadership.confirm(partition):
             return Err(Fault(step, self.table.settings.name, "could not be confirmed", SLOW))
-        job = partition.view.lots.get(body["id"])
-        if body["id"] in partition.view.shed and partition.view.shed[body["id"]] <= partition.covered:
+        job = partition.view.jobs.get(body["id"])
+        if body["id"] in partition.view.rejected and partition.view.rejected[body["id"]] <= partition.covered:
             return Err(Fault(step, self.table.settings.name, "this lot was refused", SHED))
         if body["id"] in partition.view.lost:
             return Err(Fault(step, self.table.settings.name, "this lot was lost", LACK))
@@ -150,14 +150,14 @@
         if isinstance(got, Err):
             return got
         partition, job = got.unwrap()
-        if job.state == "open" and not job.whole:
+        if job.state == "open" and not job.complete:
             try:
                 self.owner.append(partition, "end", {"id": job.id})
             except Stop as bad:
                 return Err(bad.fault)
         if not await partition.wait(max(job.state_seq, job.seq), "", float(body.get("wait", 5.0))):
             return Err(Fault("end", self.table.settings.name, "not known yet", SLOW))
-        return Ok({"id": job.id, "state": "done" if job.whole and job.state == "open" else "ended"})
+        return Ok({"id": job.id, "state": "done" if job.complete and job.state == "open" else "ended"})
 
     async def on_claim(self, body: Body) -> PeerResponse:
         """One gateway may run a request that may not be repeated: the first claim wins, once it is covered."""
--- a/postpass/batch/job_service.py
+++ b/postpass/batch/job_service.py
@@ -64,7 +64,7 @@
             return got
         part, (lot, raw) = got.unwrap(), packed(body["lot"])
         limit = min(float(body.get("wait", 5.0)), self.store.settings.bounds.recover)
-        if lot["id"] not in part.view.lots:
+        if lot["id"] not in part.view.jobs:
             key = (part.id, lot["id"])
             task = self.taking.get(key)
             if task is None:
@@ -76,7 +76,7 @@
             answer = task.result()
             if isinstance(answer, Err):
                 return answer
-        have = part.view.lots.get(lot["id"])
+        have = part.view.jobs.get(lot["id"])
         if have is None:
             return Err(Fault("accept", self.store.settings.name, "not known yet", SLOW))
         if have.digest != digest(lot):
@@ -131,8 +131,8 @@
         """Tokens that wait here on a route: of kept lots, and asked for."""
         held = sum(
             int(item["tokens"])
-            for lot in part.view.lots.values()
-            if lot.state == "open" and not lot.whole and lot.body.get("route") == name
+            for lot in part.view.jobs.values()
+            if lot.state == "open" and not lot.complete and lot.body.get("route") == name
             for i, item in enumerate(lot.body["items"])
             if i not in lot.results
         )
@@ -309,7 +309,7 @@
         age = now() - self.seen.setdefault((part.id, part.epoch, lot.id), now())
         configuration = store.configuration_view.manifest
         keep = store.settings.bounds.keep or (configuration.get("retention", 3600.0) if configuration else 3600.0)
-        if lot.whole or lot.state == "ended":
+        if lot.complete or lot.state == "ended":
             return age > keep * 1.1
         gone = store.configuration_view.revision >= lot.body.get("since", 0) and self.route(lot.body["route"]) is None
         if (gone or age > lot.body["expire"]) and lot.seq <= part.covered:
--- a/postpass/batch/leases.py
+++ b/postpass/batch/leases.py
@@ -124,18 +124,18 @@
         for key in [
             k
             for k, lease in state.leases.items()
-            if k[0] not in partition.view.lots
+            if k[0] not in partition.view.jobs
             or (k not in held and (lease.until < moment or lease.scheduler != scheduler))
         ]:
             del state.leases[key]
 
     def ended_jobs(self, partition: Partition, held: set[ItemKey]) -> list[str]:
         """Jobs among those held by the scheduler of which nothing is to be run any more."""
-        jobs = partition.view.lots
+        jobs = partition.view.jobs
         return [
             name
             for name in sorted({name for name, _ in held})
-            if name not in jobs or jobs[name].state != "open" or jobs[name].whole
+            if name not in jobs or jobs[name].state != "open" or jobs[name].complete
         ]
 
     def lease_items(
@@ -149,12 +149,12 @@
         jobs = sorted(
             (
                 job
-                for job in partition.view.lots.values()
-                if job.state == "open" and not job.whole and job.seq <= partition.covered
+                for job in partition.view.jobs.values()
+                if job.state == "open" and not job.complete and job.seq <= partition.covered
             ),
             key=lambda job: (job.body["due"], job.seq),
         )
-        leased = Counter(name for name, item in state.leases if item not in partition.view.lots[name].results)
+        leased = Counter(name for name, item in state.leases if item not in partition.view.jobs[name].results)
         items: list[Body] = []
         ahead = dict.fromkeys(need, 0)
         for job in jobs:
@@ -175,7 +175,7 @@
             return got
         partition, key = got.unwrap(), (body["id"], body["item"])
         state = self.owner_states[partition.id]
-        job = partition.view.lots.get(body["id"])
+        job = partition.view.jobs.get(body["id"])
         state.leases.pop(key, None)
         if job is None or job.state != "open" or body["item"] in job.results:
             return Ok({"taken": False})
--- a/postpass/batch/partition_access.py
+++ b/postpass/batch/partition_access.py
@@ -8,7 +8,7 @@
 from result import Result
 
 if TYPE_CHECKING:
-    from postpass.batch.job import Job, Raw
+    from postpass.batch.job import Job, Payload
     from postpass.batch.leases import OwnerState
     from postpass.configuration.settings import Settings
     from postpass.feed.configuration_view import ConfigurationView
@@ -48,7 +48,7 @@
     async def confirm(self, partition: Partition) -> bool:
         """Is this store still the owner? A round trip to the members."""
 
-    def append(self, partition: Partition, kind: str, body: Body, vital: bool = True, raw: Raw = b"") -> Record:
+    def append(self, partition: Partition, kind: str, body: Body, vital: bool = True, raw: Payload = b"") -> Record:
         """Sequences one record; raises Stop, with nothing sequenced, if the disk won't take it."""
 
     def rejection(self, partition: Partition) -> Fault | None:
--- a/postpass/batch/retention.py
+++ b/postpass/batch/retention.py
@@ -31,18 +31,18 @@
         assert configuration is not None
         keep = configuration.get("retention", 3600.0)
         gone = []
-        for job in view.lots.values():
+        for job in view.jobs.values():
             if "route" in job.body:
                 if self.routed.over(partition, job):
                     gone.append(job.id)
-            elif job.whole or job.state == "ended":
+            elif job.complete or job.state == "ended":
                 if now() - state.done_at.setdefault(job.id, now()) > keep:
                     gone.append(job.id)
             elif self.table.environment.wall() > job.body["due"] + keep:
                 self.owner.append(partition, "end", {"id": job.id})
                 return
         # Refusals and claims stay as long as finished jobs do, counted from when this owner first saw them.
-        shed = [n for n in view.shed if now() - state.done_at.setdefault(f"shed {n}", now()) > keep]
+        shed = [n for n in view.rejected if now() - state.done_at.setdefault(f"shed {n}", now()) > keep]
         keys = [k for k in view.claims if now() - state.done_at.setdefault(f"claim {k}", now()) > keep]
         lost = [n for n in view.lost if now() - state.done_at.setdefault(f"lost {n}", now()) > keep]
         if gone or shed or keys or lost:
--- a/postpass/daemon/data_plane.py
+++ b/postpass/daemon/data_plane.py
@@ -70,7 +70,7 @@
         gauge("mirror_lag_records", "How far the furthest mirror is behind",
               lambda: max((p.record_log.last - p.acknowledgements.get(n, f.disk, "persisted") for p in owned() for n, f in p.mirrors.items()), default=0))  # fmt: skip
         gauge("lots_open", "Lots that are not finished", lambda: sum(
-            int(x.state == "open" and not x.whole) for p in owned() for x in p.view.lots.values()))  # fmt: skip
+            int(x.state == "open" and not x.complete) for p in owned() for x in p.view.jobs.values()))  # fmt: skip
         gauge("losses", "How often more was lost than is tolerated", lambda: sum(p.view.losses for p in owned()))
         gauge(
             "tape_bytes",
--- a/postpass/replication/election.py
+++ b/postpass/replication/election.py
@@ -59,7 +59,7 @@
         Each member waits longer than those before it in the order, so that as a rule only the first live one runs.
         """
         order = self.table.configuration_view.order(partition.id)
-        members = partition.record_log.base.crew if isinstance(partition.record_log.base, JobView) else {}
+        members = partition.record_log.base.members if isinstance(partition.record_log.base, JobView) else {}
         ranks = order + [n for n in sorted(members) if n not in order]
         ranks = [n for n in ranks if n != partition.refused_owner]
         if self.table.settings.name not in ranks or partition.in_election or self.table.leaving:
@@ -167,7 +167,7 @@
         """Becomes owner if the decision says so; False if the candidate must back off."""
         view = latest_view(promises.log)
         voters = promises.voters | self.table.own_vote
-        required = set(self.table.other_members(partition, view)) | set(view.crew)
+        required = set(self.table.other_members(partition, view)) | set(view.members)
         candidacy = Candidacy(
             epoch=epoch,
             promised=partition.promised,
@@ -187,7 +187,7 @@
             if step is Step.BACK_OFF:
                 partition.promised = max(partition.promised, known)
         if step is Step.ASK_KEPT_JOBS and self.ask_kept_jobs is not None:
-            lost = tuple([n for n in await self.ask_kept_jobs(partition.id) if n not in view.lots])
+            lost = tuple([n for n in await self.ask_kept_jobs(partition.id) if n not in view.jobs])
             candidacy = replace(candidacy, promised=partition.promised, owning=partition.owning, lost_jobs=lost)
             step = next_step(candidacy)
         if step is Step.BACK_OFF:
--- a/postpass/replication/handover.py
+++ b/postpass/replication/handover.py
@@ -36,7 +36,7 @@
             mirror is None
             or mirror.silent
             or moment - mirror.heard >= bounds.beat * 4
-            or partition.view.crew.get(name) != mirror.disk
+            or partition.view.members.get(name) != mirror.disk
         ):
             return False
         return partition.acknowledgements.get(name, mirror.disk, "persisted") >= partition.covered
--- a/postpass/replication/owner.py
+++ b/postpass/replication/owner.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from postpass.batch.job import Raw
+from postpass.batch.job import Payload
 from postpass.replication.election_decision import Step
 from postpass.replication.partition import Partition
 from postpass.replication.partition_table import PartitionTable
@@ -86,7 +86,7 @@
             except Stop:
                 return
 
-    def append(self, partition: Partition, kind: str, body: Body, vital: bool = True, raw: Raw = b"") -> Record:
+    def append(self, partition: Partition, kind: str, body: Body, vital: bool = True, raw: Payload = b"") -> Record:
         """Sequences one record and streams it at once. Raises Stop, with nothing sequenced, if the disk
         won't take it."""
         if not vital:
--- a/postpass/replication/partition.py
+++ b/postpass/replication/partition.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from postpass.batch.job import JobView, Raw, joined
+from postpass.batch.job import JobView, Payload, joined
 from postpass.replication.acknowledgements import Acknowledgements
 from postpass.replication.record_log import Record, RecordLog
 from postpass.replication.stability import (
@@ -164,8 +164,8 @@
     @property
     def members(self) -> Members:
         """Everyone whose copy counts under a rule that holds: while a change is not covered, also who was there before."""
-        old = self.view.old_crew if self.view.crew_seq > self.covered else {}
-        return old | self.view.crew
+        old = self.view.old_members if self.view.members_seq > self.covered else {}
+        return old | self.view.members
 
     def scope(self, members: Iterable[str]) -> PredicateScope:
         """What a predicate over these members may name."""
@@ -181,9 +181,9 @@
     def rules(self, view: JobView, text: str = "") -> list[tuple[Members, str]]:
         """Members and predicate that count; while a change is not known to be covered, the old ones as well. It is known from
         what an owner said of `covered` in this life, or from the log itself, by a mark that settles it."""
-        now = [(view.crew, text or view.predicate)]
-        if view.crew_seq > self.covered and view.old_crew not in ({}, view.crew):
-            now.append((view.old_crew, text or view.predicate))
+        now = [(view.members, text or view.predicate)]
+        if view.members_seq > self.covered and view.old_members not in ({}, view.members):
+            now.append((view.old_members, text or view.predicate))
         if view.predicate_seq > self.covered and view.old_predicate != view.predicate and not text:
             now += [(c, view.old_predicate) for c, _ in list(now)]
         return now
@@ -194,7 +194,7 @@
 
     def advance(self) -> bool:
         """Recomputes the frontier; run on every acknowledgement."""
-        if not self.view.crew:
+        if not self.view.members:
             return False
         seq = min(self.reach(), self.record_log.last)
         moved = False
@@ -233,7 +233,7 @@
 
     def enough(self, view: JobView, voters: Members, test: Callable[..., bool]) -> bool:
         """Do these voters (name -> disk) satisfy `test` under every rule that may count?"""
-        return bool(view.crew) and all(
+        return bool(view.members) and all(
             test(self.predicate_over(t, c), tuple(c), [n for n, d in voters.items() if c.get(n) == d])
             for c, t in self.rules(view)
         )
@@ -275,7 +275,7 @@
                 future.set_result(False)
         self.waiters = []
 
-    def make(self, kind: str, body: dict[str, Any], raw: Raw = b"") -> Record:
+    def make(self, kind: str, body: dict[str, Any], raw: Payload = b"") -> Record:
         """The next record of the one order of this partition."""
         assert self.owning
         record = Record(self.record_log.last + 1, self.epoch, kind, joined(body, raw))
@@ -294,7 +294,7 @@
         After a loss of power there is nothing but logs: one that holds a change of members and not the mark that settles
         it also asks for the members before the change, of whom too few may be left.
         """
-        proof = max(self.view.crew_seq, self.view.settled_seq)
+        proof = max(self.view.members_seq, self.view.settled_seq)
         return self.ready and self.view.unsettled() == 0 and proof <= self.covered
 
     def sync_to(self, place: int) -> bool:
--- a/postpass/replication/partition_table.py
+++ b/postpass/replication/partition_table.py
@@ -82,8 +82,8 @@
         every = dict.fromkeys(
             [
                 *self.configuration_view.order(partition.id),
-                *view.crew,
-                *(view.old_crew if view.crew_seq > partition.covered else {}),
+                *view.members,
+                *(view.old_members if view.members_seq > partition.covered else {}),
             ]
         )
         return [n for n in every if n != self.settings.name]
--- a/postpass/replication/reconfiguration.py
+++ b/postpass/replication/reconfiguration.py
@@ -23,7 +23,7 @@
         """Brings predicate and members to what the configuration wants: one change at a time, each a record."""
         configuration, view = self.table.configuration_view.manifest, partition.view
         assert configuration is not None
-        if view.crew_seq > partition.covered or view.predicate_seq > partition.covered:
+        if view.members_seq > partition.covered or view.predicate_seq > partition.covered:
             return
         self.owner.settle_changes(partition)
         if configuration.get("predicate", "") != view.predicate:
@@ -51,7 +51,7 @@
             ready[self.table.settings.name] = self.table.disk_id
         answering = [*heard, self.table.settings.name]
         return Situation(
-            partition.view.crew,
+            partition.view.members,
             self.table.configuration_view.order(partition.id),
             ready,
             answering,
--- a/postpass/replication/store.py
+++ b/postpass/replication/store.py
@@ -18,7 +18,7 @@
 
 from result import Ok, Result
 
-from postpass.batch.job import Job, Raw
+from postpass.batch.job import Job, Payload
 from postpass.batch.job_records import JobRecords
 from postpass.batch.job_service import JobService
 from postpass.batch.leases import Leases, OwnerState
@@ -130,7 +130,7 @@
         """Is this store still the owner? A round trip to the members."""
         return await self.leadership.confirm(partition)
 
-    def append(self, partition: Partition, kind: str, body: Body, vital: bool = True, raw: Raw = b"") -> Record:
+    def append(self, partition: Partition, kind: str, body: Body, vital: bool = True, raw: Payload = b"") -> Record:
         """Sequences one record; raises Stop, with nothing sequenced, if the disk won't take it."""
         return self.owner.append(partition, kind, body, vital, raw)
 
@@ -218,7 +218,7 @@
                     n: {"persisted": p.acknowledgements.get(n, f.disk, "persisted"), "silent": f.silent, "full": f.full, "disk": f.disk}
                     for n, f in sorted(p.mirrors.items())
                 },
-                "lots": len(p.view.lots), "open": sum(x.state == "open" and not x.whole for x in p.view.lots.values()),
+                "lots": len(p.view.jobs), "open": sum(x.state == "open" and not x.complete for x in p.view.jobs.values()),
             }
             for p in sorted(self.table.partitions.values(), key=lambda partition: partition.id)
         ]  # fmt: skip
--- a/sim/broken.py
+++ b/sim/broken.py
@@ -11,7 +11,7 @@
 from result import Err
 
 from postpass.batch import item_run
-from postpass.batch.job import JobView
+from postpass.batch.job import JobResult, JobView
 from postpass.batch.job_records import JobRecords
 from postpass.batch.leases import Leases
 from postpass.control.daemon import ControlPlane
@@ -34,12 +34,12 @@
 
 def last_result_wins(mp: pytest.MonkeyPatch) -> None:
     def result(self: JobView, seq: int, body: dict[str, Any]) -> None:
-        lot = self.lots.get(body["id"])
+        lot = self.jobs.get(body["id"])
         if lot is not None:
-            lot.results[body["item"]] = (seq, body["status"], body["output"])
+            lot.results[body["item"]] = JobResult(seq, body["status"], body["output"])
             lot.order.append(body["item"])
 
-    mp.setattr(JobView, "_result", result)
+    mp.setattr(JobView, "fold_result", result)
     plain = Leases.on_done
 
     async def done(self: Leases, body: dict[str, Any]) -> Any:
@@ -81,7 +81,7 @@
 
 
 def ending_is_forgotten(mp: pytest.MonkeyPatch) -> None:
-    mp.setattr(JobView, "_end", lambda self, seq, body: None)
+    mp.setattr(JobView, "fold_end", lambda self, seq, body: None)
 
 
 def once_is_ignored(mp: pytest.MonkeyPatch) -> None:
--- a/sim/runner.py
+++ b/sim/runner.py
@@ -434,13 +434,13 @@
         out[kind] = max((b - a for a, b in zip(spots, spots[1:], strict=False)), default=0.0)
     out |= lateness(seen)
     wanted = {
-        p.id: set(s.configuration_view.order(p.id)) == set(p.view.crew)
-        and len(p.view.crew) == fleet.configuration["copies"]
+        p.id: set(s.configuration_view.order(p.id)) == set(p.view.members)
+        and len(p.view.members) == fleet.configuration["copies"]
         for _, s in fleet.stores()
         for p in s.partitions.values()
         if p.owning
     }
-    out["lots_held"] = sum(len(p.view.lots) for _, s in fleet.stores() for p in s.partitions.values() if p.owning)
+    out["lots_held"] = sum(len(p.view.jobs) for _, s in fleet.stores() for p in s.partitions.values() if p.owning)
     out["log_bytes"] = max(
         (sum(map(len, b.disk.files.values())) for n, b in fleet.boxes.items() if b.disk and n[0] == "s"), default=0
     )
--- a/tests/batch/test_job.py
+++ b/tests/batch/test_job.py
@@ -6,7 +6,7 @@
 import json
 from typing import Any
 
-from postpass.batch.job import END, JobView, digest, joined, packed, page
+from postpass.batch.job import PAYLOAD_MARK, JobView, digest, joined, packed, page
 from postpass.replication.record_log import Record
 
 
@@ -33,12 +33,12 @@
 
 def test_first_result_wins_and_refusals_win_over_their_lot() -> None:
     view = _view()
-    assert page(view.lots["x"], 9, 0, 10)[0][0] == {"item": 1, "status": "done", "output": "B"}
-    assert "y" not in view.lots and view.lots["w"].order == []
+    assert page(view.jobs["x"], 9, 0, 10)[0][0] == {"item": 1, "status": "done", "output": "B"}
+    assert "y" not in view.jobs and view.jobs["w"].order == []
 
 
 def test_pages_show_only_covered_results_and_never_change() -> None:
-    lot = _view().lots["x"]
+    lot = _view().jobs["x"]
     assert page(lot, 1, 0, 10) == ([], 0, False)
     first = page(lot, 3, 0, 10)
     assert first[1:] == (1, False)
@@ -50,8 +50,8 @@
 def test_a_view_comes_back_from_its_dump() -> None:
     view = _view()
     again = JobView.load(view.dump())
-    assert again.dump() == view.dump() and again.lots["x"].results == view.lots["x"].results
-    assert JobView.load(b"").lots == {}
+    assert again.dump() == view.dump() and again.jobs["x"].results == view.jobs["x"].results
+    assert JobView.load(b"").jobs == {}
 
 
 def test_bodies_of_opaque_items_are_kept_as_bytes_shared_and_let_go_once_nobody_may_ask() -> None:
@@ -63,11 +63,51 @@
     view = JobView()
     view.fold(Record(1, 1, "lot", joined(lot, raw)))
     other, third = view.copy(), JobView.load(view.dump())
-    assert other.lots["x"].raw is view.lots["x"].raw
+    assert other.jobs["x"].payload is view.jobs["x"].payload
     for have in (view, other, third):
-        assert [have.lots["x"].item_body(i) for i in range(3)] == bodies
+        assert [have.jobs["x"].item_body(i) for i in range(3)] == bodies
     for n in range(3):
         view.fold(_rec(2 + n, "result", id="x", item=n, status="done", output=""))
     third.fold(_rec(2, "end", id="x"))
-    assert view.lots["x"].raw == b"" == third.lots["x"].raw and view.lots["x"].item_body(0) is None
-    assert END not in view.dump() and END in other.dump() and other.lots["x"].item_body(0) == bodies[0]
+    assert view.jobs["x"].payload == b"" == third.jobs["x"].payload and view.jobs["x"].item_body(0) is None
+    assert (
+        PAYLOAD_MARK not in view.dump() and PAYLOAD_MARK in other.dump() and other.jobs["x"].item_body(0) == bodies[0]
+    )
+
+
+DUMP_OF_0_2_0 = (
+    b'{"shed":{"y":6},"claims":{"k":{"key":"k","nonce":"n","edge":"e","seq":7}},"crew":{"s1":"d1"},"crew_seq":12,'
+    b'"old_crew":{"s1":"d1"},"predicate":"MIN($ALL)","old_predicate":"MIN($ALL)","predicate_seq":2,"losses":1,'
+    b'"lost":{"gone":12},"lots":[{"id":"x","seq":3,"body":{"id":"x","items":["a","b"],"class":"lot","due":9,'
+    b'"caller":"me"},"digest":"ffdec3b97ad0a0b1b575cd4fc5ba3020","state":"open","state_seq":0,'
+    b'"results":[[1,[5,"done","B"]]],"order":[1],"raw":0},{"id":"r1","seq":4,"body":{"id":"r1","route":"r",'
+    b'"items":[{"id":"i0","tokens":3,"size":2}],"due":1.5,"sum":"afcb8c3be9ad372212cc3addd64f5c9f"},'
+    b'"digest":"afcb8c3be9ad372212cc3addd64f5c9f","state":"open","state_seq":0,"results":[],"order":[],"raw":2},'
+    b'{"id":"z","seq":9,"body":{"id":"z","items":["q"],"class":"lot"},"digest":"982ccd41041f1dedd36a5da1435d8b4f",'
+    b'"state":"ended","state_seq":10,"results":[],"order":[],"raw":0}]}\x00ab'
+)
+
+
+def test_a_dump_has_the_keys_of_release_0_2_0_in_their_order() -> None:
+    # The bytes are those that the code before the fields were renamed made of the same records.
+    opaque = {"id": "i0", "tokens": 3, "body": base64.b64encode(b"ab").decode()}
+    body, payload = packed({"id": "r1", "route": "r", "items": [opaque], "due": 1.5})
+    view = JobView()
+    for rec in (
+        _rec(1, "crew", crew={"s1": "d1"}),
+        _rec(2, "predicate", text="MIN($ALL)"),
+        _rec(3, "lot", id="x", items=["a", "b"], **{"class": "lot", "due": 9, "caller": "me"}),
+        Record(4, 1, "lot", joined(body, payload)),
+        _rec(5, "result", id="x", item=1, status="done", output="B"),
+        _rec(6, "shed", id="y"),
+        _rec(7, "claim", key="k", nonce="n", edge="e"),
+        _rec(8, "crew", crew={"s1": "d1", "s2": "d2"}),
+        _rec(9, "lot", id="z", items=["q"], **{"class": "lot"}),
+        _rec(10, "end", id="z"),
+        _rec(11, "mark", settled=8),
+        _rec(12, "loss", edition=1, crew={"s1": "d1"}, lots=["gone"]),
+        _rec(13, "drop", lots=["nope"]),
+    ):
+        view.fold(rec)
+    assert view.dump() == DUMP_OF_0_2_0
+    assert JobView.load(DUMP_OF_0_2_0).dump() == DUMP_OF_0_2_0
--- a/tests/model/test_partition.py
+++ b/tests/model/test_partition.py
@@ -30,7 +30,7 @@
 
 
 def half_may_lead(part: Partition, view: JobView, voters: Disks) -> bool:
-    return bool(view.crew) and 2 * sum(view.crew.get(n) == d for n, d in voters.items()) >= len(view.crew)
+    return bool(view.members) and 2 * sum(view.members.get(n) == d for n, d in voters.items()) >= len(view.members)
 
 
 def leads_under_the_new_members_alone(part: Partition, view: JobView, voters: Disks) -> bool:
@@ -68,7 +68,7 @@
 
 def complete_without_the_mark(part: Partition, situation: Situation) -> bool:
     """The rule up to release 0.2.0: all members have synced the change of members, but not the mark that settles it."""
-    change, current = part.view.crew_seq, part.view.crew
+    change, current = part.view.members_seq, part.view.members
     synced = all(part.acknowledgements.get(n, d, "persisted") >= change for n, d in current.items() if n != part.me)
     return part.ready and change <= part.covered and synced and situation.live == set(current)
 
--- a/tests/replication/test_partition.py
+++ b/tests/replication/test_partition.py
@@ -161,7 +161,7 @@
     assert JobView.load(view.dump()).unsettled() == 5
     part.make("mark", {"settled": 5})
     fresh, view = _restarted(part)
-    assert fresh.rules(view) == [(view.crew, "MIN($ALLWNODES)")] and JobView.load(view.dump()).unsettled() == 0
+    assert fresh.rules(view) == [(view.members, "MIN($ALLWNODES)")] and JobView.load(view.dump()).unsettled() == 0
 
 
 def test_buffers_are_freed_once_delivered_everywhere_and_past_the_budget_for_all() -> None:
--- a/tests/sim/test_broken_variants.py
+++ b/tests/sim/test_broken_variants.py
@@ -313,7 +313,7 @@
 
 
 def ending_is_forgotten(mp: pytest.MonkeyPatch) -> None:
-    mp.setattr(JobView, "_end", lambda self, seq, body: None)
+    mp.setattr(JobView, "fold_end", lambda self, seq, body: None)
 
 
 def refuses_what_it_took(mp: pytest.MonkeyPatch) -> None:
--- a/tests/support/membership_drill.py
+++ b/tests/support/membership_drill.py
@@ -188,7 +188,7 @@
             owner = owners(self.fleet).get(0)
             if owner is None:
                 return ""
-            mirrors = [n for n in sorted(owner[1].view.crew) if n != owner[0] and n in self.fleet.up()]
+            mirrors = [n for n in sorted(owner[1].view.members) if n != owner[0] and n in self.fleet.up()]
             return owner[0] if role == "owner" else next((n for n in mirrors if n != self.joined), "")
         return {"joined": self.joined, "left": self.left, "last owner": self.last_owner}.get(role, role)
 
@@ -351,7 +351,7 @@
         topology = Topology(zones, Tolerance(self.drill.lost, 1))
         moments = (when_asked, self.disks_there())
         for number, (_, part) in owners(self.fleet).items():
-            crew = part.view.crew
+            crew = part.view.members
             lives = [{n for n, disk in crew.items() if n != name and there.get(n) == disk} for there in moments]
             if not any(bears_loss(crew, live, topology) for live in lives):
                 self.flaw(f"{name} was done though only {sorted(lives[-1])} of {sorted(crew)} hold {number}")
@@ -409,7 +409,7 @@
         for number in range(PARTS):
             name, part = mine.get(number, ("", None))
             store = store_of(self.fleet, name) if name else None
-            if part is None or store is None or part.view.crew != there or not store.complete(part):
+            if part is None or store is None or part.view.members != there or not store.complete(part):
                 out.append(number)
         return out
 
@@ -461,7 +461,7 @@
             if lead.held.state.losses:
                 self.flaw(f"control tells {lead.held.state.losses} losses")
         mine = owners(f)
-        lost = [lot for lot, n in self.kept.items() if n in mine and lot not in mine[n][1].view.lots]
+        lost = [lot for lot, n in self.kept.items() if n in mine and lot not in mine[n][1].view.jobs]
         if lost:
             self.flaw(f"{len(lost)} of {len(self.kept)} lots are gone: {lost[:5]}")
         told = {n: p.view.losses for n, (_, p) in mine.items() if p.view.losses}
--- a/tests/support/release_keys.py
+++ b/tests/support/release_keys.py
@@ -39,7 +39,7 @@
 def data_keys() -> Names:
     """The keys of what stands in the directories of control and stores, in their order."""
     state = as_json(ReplicatedState().raw())
-    view, _ = parted(JobView(lots={"x": Job("x", 1, {"items": []}, "")}).dump())
+    view, _ = parted(JobView(jobs={"x": Job("x", 1, {"items": []}, "")}).dump())
     return {
         "witness": list(json.loads(Witness().dump())),
         "replicated state": list(state),
