--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -537,7 +537,7 @@
     each = timed(lambda: [open_lot.item_body(i) for i in some]) / len(some)
     return {"items": items, "record": len(record), "waiting": waiting, "ended": ended, "fold_ms": timed(lambda: JobView().fold(Record(1, 1, "lot", record))) * 1e3,
             "dump_ms": timed(view.dump) * 1e3, "digest_ms": timed(lambda: digest(lot.body | {"sum": "x"})) * 1e3, "packed_ms": timed(lambda: packed(raw)) * 1e3,
-            "item_body_us": each * 1e6, "count_ms": timed(lambda: asked.count(part, "r-batch")) * 1e3}  # fmt: skip
+            "item_body_us": each * 1e6, "count_ms": timed(lambda: asked.quota.count(part, "r-batch")) * 1e3}  # fmt: skip
 
 
 def manifest_row(workers: int, routes: int = 9) -> Row:
--- a/postpass/batch/messages.py
+++ b/postpass/batch/messages.py
@@ -142,3 +142,95 @@
         if self.checksum:
             body["sum"] = self.checksum
         return body
+
+
+@dataclass(frozen=True)
+class ReserveRequest:
+    """An owner tells the holder of a route's budget what waits there, and asks for more (verb `reserve`).
+
+    `owner` is the partition that asks, under its `epoch`; `number` grows with each count that it tells. `tokens` wait
+    there already; with `wanted` 0 the owner only tells its count.
+    """
+
+    route: str
+    owner: int
+    epoch: int
+    number: int
+    tokens: int
+    wanted: int
+
+    def as_json(self, holder: int) -> Body:
+        """The body of the request to the owner of partition `holder`."""
+        return {
+            "part": holder,
+            "route": self.route,
+            "from": self.owner,
+            "epoch": self.epoch,
+            "number": self.number,
+            "count": self.tokens,
+            "want": self.wanted,
+        }
+
+    @classmethod
+    def from_json(cls, body: Body) -> ReserveRequest:
+        """Reads the body of a request."""
+        return cls(body["route"], body["from"], body["epoch"], body["number"], body["count"], body["want"])
+
+
+@dataclass(frozen=True)
+class WaitingResponse:
+    """What waits on a route at one owner, as its answer to a budget's holder tells it (verb `waiting`)."""
+
+    epoch: int
+    number: int
+    tokens: int
+
+    def as_json(self) -> Body:
+        """The body of the answer."""
+        return {"epoch": self.epoch, "number": self.number, "count": self.tokens}
+
+    @classmethod
+    def from_json(cls, body: Body) -> WaitingResponse:
+        """Reads the body of an answer."""
+        return cls(body["epoch"], body["number"], body["count"])
+
+
+class ResultRow(TypedDict):
+    """The end of an item as clients of a route read it, by its JSON keys."""
+
+    id: str
+    state: str
+    text: str
+
+
+@dataclass(frozen=True)
+class ResultsRequest:
+    """Asks the owner for the results of a job from a position on (verb `results`).
+
+    `hold_s` is the time in seconds that the owner may hold the request until there is a result.
+    """
+
+    start: int
+    hold_s: float
+
+    def as_json(self) -> Body:
+        """The body of the request, without the job."""
+        return {"start": self.start, "hold": self.hold_s}
+
+    @classmethod
+    def from_json(cls, body: Body) -> ResultsRequest:
+        """Reads the body of a request."""
+        return cls(body["start"], float(body.get("hold", 0.0)))
+
+
+@dataclass(frozen=True)
+class ResultsResponse:
+    """Covered results from a position on; `total` is the number of the job's items, `next_start` where to go on."""
+
+    total: int
+    results: list[ResultRow]
+    next_start: int
+
+    def as_json(self) -> Body:
+        """The body of the answer."""
+        return {"total": self.total, "results": self.results, "next": self.next_start}
--- a/postpass/batch/quota.py
+++ b/postpass/batch/quota.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True)
-class Told:
+class ReportedCount:
     """What the owner of a partition said last. Invariant: a later word of it has a higher (epoch, number)."""
 
     epoch: int
@@ -16,29 +16,35 @@
 
 @dataclass(eq=False)
 class Budget:
-    """Invariants: nothing is granted before every partition's owner was heard under the holder's own epoch; what
-    is granted counts until the partition's owner tells a later count, which holds it for as long as it may be used."""
+    """The waiting tokens of one route. Owned by the holder of its budget, for one epoch.
 
-    told: dict[int, Told] = field(default_factory=dict)
+    Invariants: nothing is granted before every partition's owner was heard under the holder's own epoch; what is granted
+    counts until the partition's owner tells a later count, which holds it for as long as it may be used.
+    """
 
-    def hear(self, part: int, epoch: int, number: int, tokens: int) -> bool:
+    reported: dict[int, ReportedCount] = field(default_factory=dict)  # by partition
+
+    def report(self, partition: int, epoch: int, number: int, tokens: int) -> bool:
         """Takes an owner's count; False if a later word of that partition was heard before."""
-        last = self.told.get(part)
+        last = self.reported.get(partition)
         if last is not None and (epoch, number) <= (last.epoch, last.number):
             return False
-        self.told[part] = Told(epoch, number, tokens)
+        self.reported[partition] = ReportedCount(epoch, number, tokens)
         return True
 
-    def lacks(self, parts: int) -> list[int]:
-        return [p for p in range(parts) if p not in self.told]
+    def unreported(self, partitions: int) -> list[int]:
+        """Those of so many partitions whose owners have told no count yet."""
+        return [partition for partition in range(partitions) if partition not in self.reported]
 
     @property
     def tokens(self) -> int:
-        return sum(t.tokens for t in self.told.values())
+        """All tokens that wait, and those that were granted since."""
+        return sum(count.tokens for count in self.reported.values())
 
-    def take(self, part: int, want: int, most: int) -> bool:
+    def take(self, partition: int, want: int, most: int) -> bool:
+        """Grants a partition, which has reported, `want` further tokens; False if more than `most` would wait then."""
         if self.tokens + want > most:
             return False
-        last = self.told[part]
-        self.told[part] = Told(last.epoch, last.number, last.tokens + want)
+        last = self.reported[partition]
+        self.reported[partition] = ReportedCount(last.epoch, last.number, last.tokens + want)
         return True
--- a/tests/batch/test_quota.py
+++ b/tests/batch/test_quota.py
@@ -6,17 +6,17 @@
 class Test_Budget:
     def test_nothing_is_whole_before_every_partition_told_its_count(self) -> None:
         budget = Budget()
-        assert budget.hear(0, 3, 1, 10) and budget.lacks(3) == [1, 2]
+        assert budget.report(0, 3, 1, 10) and budget.unreported(3) == [1, 2]
 
     def test_a_grant_counts_until_its_owner_tells_a_later_count(self) -> None:
         budget = Budget()
-        assert budget.hear(0, 3, 1, 10) and budget.hear(1, 5, 1, 20)
+        assert budget.report(0, 3, 1, 10) and budget.report(1, 5, 1, 20)
         assert budget.take(0, 60, 100) and not budget.take(1, 11, 100) and budget.take(1, 10, 100)
         assert budget.tokens == 100
-        assert budget.hear(0, 3, 2, 5) and budget.tokens == 35
+        assert budget.report(0, 3, 2, 5) and budget.tokens == 35
 
     def test_words_that_come_late_are_left_out(self) -> None:
         budget = Budget()
-        assert budget.hear(0, 3, 5, 10)
-        assert not budget.hear(0, 3, 4, 99) and not budget.hear(0, 2, 9, 99) and not budget.hear(0, 3, 5, 99)
-        assert budget.hear(0, 4, 1, 7) and budget.tokens == 7
+        assert budget.report(0, 3, 5, 10)
+        assert not budget.report(0, 3, 4, 99) and not budget.report(0, 2, 9, 99) and not budget.report(0, 3, 5, 99)
+        assert budget.report(0, 4, 1, 7) and budget.tokens == 7
