--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -352,7 +352,7 @@
     the platform's limit on the items of a lot."""
     pylog.disable(pylog.CRITICAL)
     if lifted:
-        job_api.lot_flaw.__defaults__ = (10**9,)
+        job_api.job_flaw.__defaults__ = (10**9,)
 
     async def main(loop: SimLoop) -> Row:
         sizes = Sizes(edges=2, stores=8, cores=3, zones=4, models=8, plains=2, slots=32)
--- a/postpass/batch/job.py
+++ b/postpass/batch/job.py
@@ -136,12 +136,12 @@
         }
 
     @classmethod
-    def loaded(cls, raw: Body, payload: bytes) -> Job:
-        """A job by its keys on disk; `raw` and `payload` are its own from now on."""
-        raw.pop("raw", None)
-        results = {int(item): JobResult(int(r[0]), str(r[1]), str(r[2])) for item, r in raw.pop("results")}
-        state = JobState(raw.pop("state", JobState.OPEN))
-        return cls(**raw, state=state, results=results, payload=payload)
+    def loaded(cls, dumped: Body, payload: bytes) -> Job:
+        """A job by its keys on disk; `dumped` and `payload` are its own from now on."""
+        dumped.pop("raw", None)
+        results = {int(item): JobResult(int(r[0]), str(r[1]), str(r[2])) for item, r in dumped.pop("results")}
+        state = JobState(dumped.pop("state", JobState.OPEN))
+        return cls(**dumped, state=state, results=results, payload=payload)
 
 
 # Jobs are dumped by themselves. Where a base holds the mark that settled a change does not matter, since a base holds only
@@ -187,7 +187,7 @@
         return max(members, self.predicate_seq if self.old_predicate != self.predicate else 0)
 
     def fold(self, rec: Record) -> None:
-        """Takes the next record."""
+        """Takes the next record; its kind is one of `FOLDS`."""
         body, payload = parted(rec.body)
         getattr(self, FOLDS[rec.kind])(rec.seq, body)
         if payload and rec.kind == "lot" and body["id"] in self.jobs and self.jobs[body["id"]].seq == rec.seq:
@@ -280,10 +280,10 @@
         body, payloads = parted(data)
         jobs = body.pop("lots")
         view, start = cls(**{VIEW_FIELDS.get(key, key): value for key, value in body.items()}), 0
-        for raw in jobs:
-            end = start + raw.get("raw", 0)
+        for dumped in jobs:
+            end = start + dumped.get("raw", 0)
             # Bytes of its own: a job that goes frees them, though others of this dump stay.
-            view.jobs[raw["id"]] = Job.loaded(raw, bytes(payloads[start:end]))
+            view.jobs[dumped["id"]] = Job.loaded(dumped, bytes(payloads[start:end]))
             start = end
         return view
 
--- a/postpass/batch/job_api.py
+++ b/postpass/batch/job_api.py
@@ -1,4 +1,4 @@
-"""The edge's side of lots that come by a route."""
+"""The edge's side of jobs that come by a route: checking what clients send, and asking the owners of partitions."""
 
 from __future__ import annotations
 
@@ -7,22 +7,23 @@
 import json
 import re
 from dataclasses import dataclass
-from typing import Any, TypedDict
+from typing import Any, NamedTuple, TypedDict
 
-from result import Err, Ok, Result
+from result import Err, Result
 
-from postpass.batch.messages import Item
+from postpass.batch.messages import Item, ResultsRequest
 from postpass.configuration.configuration import Route, part_of
 from postpass.configuration.schema import flaws
 from postpass.gateway.live_requests import NAME, Gateway
 from postpass.rpc.peer_links import Body
 from postpass.runtime.environment import now
-from postpass.runtime.errors import CLASH, CROWD, FULL, LACK, SHED
+from postpass.runtime.errors import CLASH, CROWD, FULL, LACK, SHED, Fault
 
-ITEMS = 200
+MAX_ITEMS = 200
 HEADER_NAME = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
 HEADER_VALUE = re.compile(r"[\t\x20-\x7e\x80-\xff]*")
-PATIENCE = 2.5  # seconds that a caller waits at the least for an answer about a lot
+MIN_PATIENCE_S = 2.5  # seconds that a client waits at the least for an answer about a job
+SHOWN_OF_A_NAME = 40  # characters of a header's name that a flaw shows
 
 
 class Items(TypedDict):
@@ -31,95 +32,134 @@
     items: list[Item]
 
 
-def lot_flaw(raw: Any, most: int = ITEMS) -> str:
-    """The first flaw of a lot's body, with its path; empty if there is none."""
-    found = flaws(Items, raw)
+class JobAnswer(NamedTuple):
+    """The HTTP status and the body of an answer to a client."""
+
+    status: int
+    body: Body
+
+
+def job_flaw(body: Any, most: int = MAX_ITEMS) -> str:
+    """The first flaw of a job's body, with its path; empty if there is none. A job has `most` items at the most."""
+    found = flaws(Items, body)
     if found:
         return found[0]
-    items = raw["items"]
+    items = body["items"]
     if not 1 <= len(items) <= most:
         return f"items: want 1 to {most}, got {len(items)}"
     seen: set[str] = set()
     for i, item in enumerate(items):
-        if not NAME.fullmatch(item["id"]) or item["id"] in seen:
-            return f"items[{i}].id: want an id of its own of 1 to 80 of A-Z a-z 0-9 . _ -"
+        flaw = item_flaw(item, seen)
+        if flaw:
+            return f"items[{i}].{flaw}"
         seen.add(item["id"])
-        path = item["path"]
-        if not path.startswith("/") or not path.isascii() or not path.isprintable() or " " in path:
-            return f"items[{i}].path: want a path of ASCII that begins with /"
-        bad = [k for k, v in item["headers"].items() if not HEADER_NAME.fullmatch(k) or not HEADER_VALUE.fullmatch(v)]
-        if bad:
-            return f"items[{i}].headers.{bad[0][:40]!r}: want a name and a value of one line"
-        if item["tokens"] < 0:
-            return f"items[{i}].tokens: want 0 or more, got {item['tokens']}"
-        try:
-            base64.b64decode(item["body"], validate=True)
-        except (binascii.Error, ValueError):
-            return f"items[{i}].body: want base64"
+    return ""
+
+
+def item_flaw(item: Item, other_ids: set[str]) -> str:
+    """The first flaw of an item, with its path there; empty if there is none."""
+    if not NAME.fullmatch(item["id"]) or item["id"] in other_ids:
+        return "id: want an id of its own of 1 to 80 of A-Z a-z 0-9 . _ -"
+    path = item["path"]
+    if not path.startswith("/") or not path.isascii() or not path.isprintable() or " " in path:
+        return "path: want a path of ASCII that begins with /"
+    for name, value in item["headers"].items():
+        if not HEADER_NAME.fullmatch(name) or not HEADER_VALUE.fullmatch(value):
+            return f"headers.{name[:SHOWN_OF_A_NAME]!r}: want a name and a value of one line"
+    if item["tokens"] < 0:
+        return f"tokens: want 0 or more, got {item['tokens']}"
+    try:
+        base64.b64decode(item["body"], validate=True)
+    except (binascii.Error, ValueError):
+        return "body: want base64"
     return ""
 
 
 @dataclass(eq=False)
 class JobApi:
-    """Invariant: an answer that promises that nothing runs is given only if no try of this call at an owner was left
-    without an answer."""
+    """Answers the clients of an edge about jobs.
+
+    Invariant: an answer that promises that nothing runs is given only if no try of this request at an owner was left
+    without an answer.
+    """
 
     edge: Gateway
 
     def patience(self) -> float:
-        return min(PATIENCE, self.edge.settings.bounds.recover / 4)
+        """Seconds that an owner is waited for."""
+        return min(MIN_PATIENCE_S, self.edge.settings.bounds.recover / 4)
+
+    async def accept(self, name: str, route: Route, job_id: str, data: bytes) -> JobAnswer:
+        """Hands a job in to its owner, under the route of that name; `data` is what the client sent.
 
-    async def accept(self, name: str, route: Route, lot_id: str, data: bytes) -> tuple[int, Body]:
-        """Status and body for the caller: 202, 400, 409, 413, 429, 503, or 504, which promises nothing."""
+        Statuses: 202, 400, 409, 413, 429, 503, or 504, which promises nothing.
+        """
         edge = self.edge
         if edge.unready() is not None or edge.leaving:
-            return 503, {"error": "this edge takes none now"}
-        if not NAME.fullmatch(lot_id):
-            return 400, {"error": "id: want 1 to 80 of A-Z a-z 0-9 . _ -"}
+            return JobAnswer(503, {"error": "this edge takes none now"})
+        if not NAME.fullmatch(job_id):
+            return JobAnswer(400, {"error": "id: want 1 to 80 of A-Z a-z 0-9 . _ -"})
         try:
-            raw = json.loads(data)
+            body = json.loads(data)
         except (ValueError, RecursionError) as bad:
-            return 400, {"error": f"(top): not JSON: {bad}"}
-        flaw = lot_flaw(raw)
+            return JobAnswer(400, {"error": f"(top): not JSON: {bad}"})
+        flaw = job_flaw(body)
         if flaw:
-            return 400, {"error": flaw}
-        items = [{k: item[k] for k in Item.__annotations__} for item in raw["items"]]
-        came = edge.environment.wall()
-        lot: Body = {"id": lot_id, "route": name, "items": items, "due": round(came + route["due"], 3),
-                     "expire": route["expire"], "tries": route["tries"], "since": edge.configuration_view.revision}  # fmt: skip
-        got = await edge.to_owner(
-            part_of(lot_id, edge.configuration["parts"]), "accept", {"lot": lot}, now() + self.patience()
-        )
-        if isinstance(got, Ok):
-            edge.lots.labels("kept").inc()
-            edge.kept.append((lot_id, now()))
-            return 202, {"id": lot_id}
-        no = got.unwrap_err()
-        if no.code == CLASH:
-            return 409, {"error": no.why}
-        if (no.code in (CROWD, SHED, FULL) and not no.unsure) or no.unsent:
-            edge.lots.labels("shed").inc()
-            return (429 if no.code == CROWD else 503), {"error": no.why}
-        edge.lots.labels("unknown").inc()
-        return 504, {"error": no.why}
-
-    async def ask(self, lot: str, verb: str, body: Body, wait: float) -> Result[Body, int]:
-        """The owner's answer, or 404 if there surely is none, or 503."""
+            return JobAnswer(400, {"error": flaw})
+        job = self.job_body(name, route, job_id, body["items"])
+        partition = part_of(job_id, edge.configuration["parts"])
+        answer = await edge.to_owner(partition, "accept", {"lot": job}, now() + self.patience())
+        if isinstance(answer, Err):
+            return self.not_accepted(answer.unwrap_err())
+        edge.lots.labels("kept").inc()
+        edge.kept.append((job_id, now()))
+        return JobAnswer(202, {"id": job_id})
+
+    def job_body(self, name: str, route: Route, job_id: str, items: list[Item]) -> Body:
+        """A job by its keys on disk, but for the bodies of items, which an owner keeps beside it."""
+        came = self.edge.environment.wall()
+        return {
+            "id": job_id,
+            "route": name,
+            "items": [{key: item[key] for key in Item.__annotations__} for item in items],  # type: ignore[literal-required]
+            "due": round(came + route["due"], 3),
+            "expire": route["expire"],
+            "tries": route["tries"],
+            "since": self.edge.configuration_view.revision,
+        }
+
+    def not_accepted(self, fault: Fault) -> JobAnswer:
+        """The answer for a job that an owner did not accept, as far as is known."""
+        counter = self.edge.lots
+        if fault.code == CLASH:
+            return JobAnswer(409, {"error": fault.why})
+        if (fault.code in (CROWD, SHED, FULL) and not fault.unsure) or fault.unsent:
+            counter.labels("shed").inc()
+            return JobAnswer(429 if fault.code == CROWD else 503, {"error": fault.why})
+        counter.labels("unknown").inc()
+        return JobAnswer(504, {"error": fault.why})
+
+    async def ask(self, job_id: str, verb: str, body: Body, wait: float) -> Result[Body, int]:
+        """The owner's answer within `wait` seconds; else the status 404 if there surely is no such job, or 503."""
         edge = self.edge
         if edge.unready() is not None:
             return Err(503)
-        if not NAME.fullmatch(lot):
+        if not NAME.fullmatch(job_id):
             return Err(404)
-        got = await edge.to_owner(part_of(lot, edge.configuration["parts"]), verb, body | {"id": lot}, now() + wait)
-        return got.map_err(lambda bad: 404 if bad.code == LACK else 503)
+        partition = part_of(job_id, edge.configuration["parts"])
+        answer = await edge.to_owner(partition, verb, body | {"id": job_id}, now() + wait)
+        return answer.map_err(lambda fault: 404 if fault.code == LACK else 503)
 
-    async def results(self, lot: str, start: int, hold: float) -> Result[Body, int]:
+    async def results(self, job_id: str, start: int, hold: float) -> Result[Body, int]:
+        """A page of results from a position on, held for `hold` seconds at the longest until there is one."""
         hold = min(hold, self.edge.settings.bounds.detect)  # well within what one question to an owner may take
-        return await self.ask(lot, "results", {"start": start, "hold": hold}, hold + self.patience() / 2)
+        return await self.ask(job_id, "results", ResultsRequest(start, hold).as_json(), hold + self.patience() / 2)
 
-    async def item(self, lot: str, item: str) -> Result[bytes, int]:
-        got = await self.ask(lot, "item", {"item": item}, self.patience())
-        return got.map(lambda body: base64.b64decode(body["body"]))
+    async def item(self, job_id: str, item: str) -> Result[bytes, int]:
+        """The body of an item that has no result yet."""
+        answer = await self.ask(job_id, "item", {"item": item}, self.patience())
+        return answer.map(lambda body: base64.b64decode(body["body"]))
 
-    async def finish(self, lot: str) -> Result[Body, int]:
-        return await self.ask(lot, "finish", {}, self.patience())
+    async def finish(self, job_id: str) -> Result[Body, int]:
+        """Ends a job: what has no result then is not run any more."""
+        return await self.ask(job_id, "finish", {}, self.patience())
--- a/postpass/batch/messages.py
+++ b/postpass/batch/messages.py
@@ -14,6 +14,7 @@
 from postpass.rpc.peer_links import Body
 from postpass.worker_api.openai import Prompt
 
+NO_PROMPT = Prompt((), "")
 CHECKSUM_DIGITS = 16  # hexadecimal digits of an output's SHA-256 that go with it
 
 
@@ -55,14 +56,14 @@
 class TakeRequest:
     """A scheduler asks an owner for items, and renews the leases of those it holds (verb `take`).
 
-    `wanted` is the number of further items by class; `held` the items that the scheduler has from this owner. An owner
+    `wanted` is the number of further items by class; `leased` the items that the scheduler has from this owner. An owner
     serves the highest (`term`, `scheduler`) that it has heard of.
     """
 
     scheduler: str
     term: int
     wanted: dict[str, int]
-    held: list[ItemKey]
+    leased: list[ItemKey]
 
     def as_json(self) -> Body:
         """The body of the request, without the partition."""
@@ -70,9 +71,14 @@
             "sched": self.scheduler,
             "term": self.term,
             "room": self.wanted,
-            "held": [[key.job, key.item] for key in self.held],
+            "held": [[key.job, key.item] for key in self.leased],
         }
 
+    @classmethod
+    def from_json(cls, body: Body) -> TakeRequest:
+        """Reads the body of a request."""
+        return cls(body["sched"], body["term"], body["room"], [ItemKey(job, item) for job, item in body["held"]])
+
 
 @dataclass(frozen=True)
 class ItemGrant:
@@ -87,11 +93,24 @@
     item_class: str
     due: float
     client: str
-    prompt: Prompt
+    prompt: Prompt = NO_PROMPT
     request: Item | None = None
     tries: int = 0
     since: int = 0
 
+    def as_json(self) -> Body:
+        """One row of the answer."""
+        row: Body = {
+            "lot": self.job,
+            "item": self.item,
+            "class": self.item_class,
+            "due": self.due,
+            "caller": self.client,
+        }
+        if self.request is not None:
+            return row | {"call": self.request, "tries": self.tries, "since": self.since}
+        return row | {"text": self.prompt.own, "shared": list(self.prompt.shared)}
+
     @classmethod
     def from_json(cls, row: Body) -> ItemGrant:
         """Reads one row of the answer."""
@@ -110,15 +129,24 @@
 
 @dataclass(frozen=True)
 class TakeResponse:
-    """An owner's answer to `take`: the items it leases, and the jobs whose held items are to be stopped."""
+    """An owner's answer to `take`.
+
+    `items` are leased to the scheduler; the held items of `stopped_jobs` are to be stopped; `waiting` counts by class the
+    items that nobody held before this answer, for schedulers of earlier releases.
+    """
+
+    items: list[ItemGrant]
+    stopped_jobs: list[str]
+    waiting: dict[str, int] = field(default_factory=dict)
 
-    items: list[ItemGrant] = field(default_factory=list)
-    stopped_jobs: list[str] = field(default_factory=list)
+    def as_json(self) -> Body:
+        """The body of the answer."""
+        return {"items": [item.as_json() for item in self.items], "stop": self.stopped_jobs, "ahead": self.waiting}
 
     @classmethod
     def from_json(cls, body: Body) -> TakeResponse:
-        """Reads the answer; passes over the counts of waiting items, which no scheduler of this release uses."""
-        return cls([ItemGrant.from_json(row) for row in body["items"]], body["stop"])
+        """Reads the body of an answer."""
+        return cls([ItemGrant.from_json(row) for row in body["items"]], body["stop"], body["ahead"])
 
 
 @dataclass(frozen=True)
@@ -143,6 +171,17 @@
             body["sum"] = self.checksum
         return body
 
+    @classmethod
+    def from_json(cls, body: Body) -> ItemResult:
+        """Reads the body of a request, but for the item's name."""
+        tries = int(body["tries"]) if "tries" in body else None
+        return cls(ItemStatus(body["status"]), body["output"], tries, body.get("sum", ""))
+
+    @property
+    def intact(self) -> bool:
+        """Does the checksum fit the output?"""
+        return output_checksum(self.output) == self.checksum
+
 
 @dataclass(frozen=True)
 class ReserveRequest:
--- a/tests/batch/test_job_api.py
+++ b/tests/batch/test_job_api.py
@@ -4,16 +4,16 @@
 
 import pytest
 
-from postpass.batch.job_api import lot_flaw
+from postpass.batch.job_api import job_flaw
 
 
 def item(**other: Any) -> dict[str, Any]:
     return {"id": "i1", "path": "/a/1", "headers": {"x-model": "m"}, "body": "q83v", "tokens": 9} | other
 
 
-class Test_lot_flaw:
+class Test_job_flaw:
     def test_a_proper_lot_has_none(self) -> None:
-        assert lot_flaw({"items": [item(), item(id="i2")]}) == ""
+        assert job_flaw({"items": [item(), item(id="i2")]}) == ""
 
     @pytest.mark.parametrize(
         ("raw", "path"),
@@ -31,4 +31,4 @@
         ],
     )  # fmt: skip
     def test_a_flaw_is_told_with_its_path(self, raw: Any, path: str) -> None:
-        assert lot_flaw(raw).split(":")[0] == path
+        assert job_flaw(raw).split(":")[0] == path
