--- a/postpass/batch/leases.py
+++ b/postpass/batch/leases.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 import base64
-import hashlib
 from collections import Counter, defaultdict
 from dataclasses import dataclass, field
 from itertools import islice
 
 from result import Err, Ok
 
-from postpass.batch.job import Job, kind_of
+from postpass.batch.job import Job, JobState, JobView, kind_of
+from postpass.batch.messages import ItemGrant, ItemKey, ItemResult, ItemStatus, TakeRequest, TakeResponse
 from postpass.replication.leadership_check import LeadershipCheck
 from postpass.replication.owner import PartitionOwner
 from postpass.replication.partition import Partition
@@ -18,8 +18,10 @@
 from postpass.rpc.peer_links import Body, PeerResponse
 from postpass.runtime.environment import now
 from postpass.runtime.errors import BAD, CLASH, SLOW, Fault, Stop
+from postpass.worker_api.openai import Prompt
 
-ItemKey = tuple[str, int]  # a job and the number of one of its items
+DEFAULT_TRIES = 5  # failures that an item of a class may have
+LEASES_KEPT = 2  # an owner counts an item as leased for so many times the bound that a scheduler goes by
 
 
 @dataclass(eq=False)
@@ -46,7 +48,7 @@
         tries: How often an item has failed under this ownership.
         term: Highest term of a scheduler that has asked.
         scheduler: Name of the scheduler of that term.
-        done_at: When this owner first saw a job ended, or a refusal, claim or loss, in monotonic seconds; for retention.
+        done_at: When this owner first saw a job ended, or a rejection, claim or loss, in monotonic seconds; for retention.
     """
 
     leases: dict[ItemKey, Lease] = field(default_factory=dict)
@@ -55,24 +57,49 @@
     scheduler: str = ""
     done_at: dict[str, float] = field(default_factory=dict)
 
-
-def item_row(job: Job, number: int, kind: str) -> Body:
-    """An item as a scheduler gets it."""
-    row = {
-        "lot": job.id,
-        "item": number,
-        "class": kind,
-        "due": job.body["due"],
-        "caller": job.body.get("caller", ""),
-    }
-    item = job.body["items"][number]
-    if "route" in job.body:
-        encoded = base64.b64encode(job.item_body(number) or b"").decode()
-        row |= {"call": item | {"body": encoded}, "tries": job.body["tries"]}
-        row["since"] = job.body.get("since", 0)
-    else:
-        row |= {"text": item, "shared": job.body.get("shared", [])}
-    return row
+    def renew(self, request: TakeRequest, until: float) -> None:
+        """Leases what a scheduler says that it holds."""
+        for key in request.leased:
+            self.leases[key] = Lease(request.scheduler, until)
+
+    def release_expired(self, view: JobView, request: TakeRequest, moment: float) -> None:
+        """Forgets leases of jobs that are gone, and those not renewed that expired or were another scheduler's."""
+        renewed = set(request.leased)
+        for key, lease in list(self.leases.items()):
+            lost = lease.until < moment or lease.scheduler != request.scheduler
+            if key.job not in view.jobs or (key not in renewed and lost):
+                del self.leases[key]
+
+    def outcome(self, job: Job, key: ItemKey, result: ItemResult) -> ItemResult | None:
+        """What is recorded of an item's result; None if the item is tried again."""
+        of_route = "route" in job.body
+        # A worker said of an abandoned item of a route that it can never be done.
+        if result.status == ItemStatus.DONE or (result.status == ItemStatus.ABANDONED and of_route):
+            return result
+        self.tries[key] += 1
+        if self.tries[key] < (DEFAULT_TRIES if result.tries is None else result.tries):
+            return None
+        return ItemResult(ItemStatus.ABANDONED, "") if of_route else ItemResult(ItemStatus.FAILED, result.output)
+
+
+def item_grant(job: Job, position: int) -> ItemGrant:
+    """An item as a scheduler needs it."""
+    body, item_class = job.body, kind_of(job.body)
+    client = body.get("caller", "")
+    if "route" not in body:
+        prompt = Prompt(tuple(body.get("shared", [])), body["items"][position])
+        return ItemGrant(job.id, position, item_class, body["due"], client, prompt)
+    encoded = base64.b64encode(job.item_body(position) or b"").decode()
+    return ItemGrant(
+        job.id, position, item_class, body["due"], client,
+        request=body["items"][position] | {"body": encoded}, tries=body["tries"], since=body.get("since", 0),
+    )  # fmt: skip
+
+
+def ended_jobs(view: JobView, leased: list[ItemKey]) -> list[str]:
+    """The jobs of some leased items whose items need not run any more."""
+    jobs = {name: view.jobs.get(name) for name in sorted({key.job for key in leased})}
+    return [name for name, job in jobs.items() if job is None or job.state != JobState.OPEN or job.complete]
 
 
 @dataclass(eq=False)
@@ -85,116 +112,73 @@
     owner_states: defaultdict[int, OwnerState] = field(default_factory=lambda: defaultdict(OwnerState))
 
     async def on_take(self, body: Body) -> PeerResponse:
-        """Hands out items of covered, open jobs, nearest due time first, to the one scheduler of the
-        highest term; a lower one is refused."""
+        """Hands out items of covered, open jobs, nearest due time first, to the one scheduler of the highest term.
+
+        A lower one is refused: CLASH, with the highest term as hint.
+        """
         got = self.leadership.owned_partition(body["part"], "take")
         if isinstance(got, Err):
             return got
-        partition = got.unwrap()
+        partition, request = got.unwrap(), TakeRequest.from_json(body)
         state, moment = self.owner_states[partition.id], now()
-        if (body["term"], body["sched"]) < (state.term, state.scheduler):
-            return Err(
-                Fault(
-                    "take",
-                    self.table.settings.name,
-                    f"scheduler {state.scheduler} has term {state.term}",
-                    CLASH,
-                    str(state.term),
-                )
-            )
-        if (body["term"], body["sched"]) != (state.term, state.scheduler):
-            state.term, state.scheduler = body["term"], body["sched"]
+        if (request.term, request.scheduler) < (state.term, state.scheduler):
+            why = f"scheduler {state.scheduler} has term {state.term}"
+            return Err(Fault("take", self.table.settings.name, why, CLASH, str(state.term)))
+        state.term, state.scheduler = request.term, request.scheduler
+        until = moment + self.table.settings.bounds.lease * LEASES_KEPT
         # Before anything is waited for: an item whose end is told right after this question is leased no longer.
-        held = {(job, item) for job, item in body["held"]}
-        until = moment + self.table.settings.bounds.lease * 2
-        for key in held:
-            state.leases[key] = Lease(body["sched"], until)
+        state.renew(request, until)
         # The answer starts a lease at the scheduler: only an owner that is one now may give it.
         if not await self.leadership.confirm(partition):
             return Err(Fault("take", self.table.settings.name, "could not be confirmed", SLOW))
-        self.drop_leases(partition, state, held, body["sched"], moment)
-        items, ahead = self.lease_items(partition, state, dict(body["room"]), body["sched"], until)
-        return Ok({"items": items, "stop": self.ended_jobs(partition, held), "ahead": ahead})
-
-    def drop_leases(
-        self, partition: Partition, state: OwnerState, held: set[ItemKey], scheduler: str, moment: float
-    ) -> None:
-        """Drops leases of jobs that are gone, and those that the scheduler does not name and that ran out or were
-        another's."""
-        for key in [
-            k
-            for k, lease in state.leases.items()
-            if k[0] not in partition.view.jobs
-            or (k not in held and (lease.until < moment or lease.scheduler != scheduler))
-        ]:
-            del state.leases[key]
-
-    def ended_jobs(self, partition: Partition, held: set[ItemKey]) -> list[str]:
-        """Jobs among those held by the scheduler of which nothing is to be run any more."""
-        jobs = partition.view.jobs
-        return [
-            name
-            for name in sorted({name for name, _ in held})
-            if name not in jobs or jobs[name].state != "open" or jobs[name].complete
+        state.release_expired(partition.view, request, moment)
+        return Ok(self.grant(partition, state, request, until).as_json())
+
+    def grant(self, partition: Partition, state: OwnerState, request: TakeRequest, until: float) -> TakeResponse:
+        """Leases as many items of each class as are wanted, until that loop time."""
+        view = partition.view
+        jobs = [
+            job
+            for job in view.jobs.values()
+            if job.state == JobState.OPEN and not job.complete and job.seq <= partition.covered
         ]
-
-    def lease_items(
-        self, partition: Partition, state: OwnerState, need: dict[str, int], scheduler: str, until: float
-    ) -> tuple[list[Body], dict[str, int]]:
-        """Leases waiting items, as many of each class as the scheduler has room for.
-
-        Returns:
-            The items, and the number of items that wait, by class.
-        """
-        jobs = sorted(
-            (
-                job
-                for job in partition.view.jobs.values()
-                if job.state == "open" and not job.complete and job.seq <= partition.covered
-            ),
-            key=lambda job: (job.body["due"], job.seq),
-        )
-        leased = Counter(name for name, item in state.leases if item not in partition.view.jobs[name].results)
-        items: list[Body] = []
-        ahead = dict.fromkeys(need, 0)
-        for job in jobs:
-            kind = kind_of(job.body)
+        wanted, waiting = dict(request.wanted), dict.fromkeys(request.wanted, 0)
+        leased = Counter(key.job for key in state.leases if key.item not in view.jobs[key.job].results)
+        grants = []
+        for job in sorted(jobs, key=lambda job: (job.body["due"], job.seq)):
+            item_class = kind_of(job.body)
             # Counted, not listed: what a poll costs must not grow with all items that wait.
-            ahead[kind] = ahead.get(kind, 0) + job.size - len(job.results) - leased[job.id]
+            waiting[item_class] = waiting.get(item_class, 0) + job.size - len(job.results) - leased[job.id]
             free = (i for i in range(job.size) if i not in job.results and (job.id, i) not in state.leases)
-            for i in list(islice(free, max(need.get(kind, 0), 0))):
-                state.leases[(job.id, i)] = Lease(scheduler, until)
-                items.append(item_row(job, i, kind))
-                need[kind] -= 1
-        return items, ahead
+            for position in list(islice(free, max(wanted.get(item_class, 0), 0))):
+                state.leases[ItemKey(job.id, position)] = Lease(request.scheduler, until)
+                grants.append(item_grant(job, position))
+                wanted[item_class] -= 1
+        return TakeResponse(grants, ended_jobs(view, request.leased), waiting)
 
     async def on_done(self, body: Body) -> PeerResponse:
-        """Records an item's result; only a whole output comes here as done. The first one wins."""
+        """Records an item's result; only a whole output comes here as done. The first one wins.
+
+        Answers whether it was taken; BAD if the output doesn't fit its checksum.
+        """
         got = self.leadership.owned_partition(body["part"], "done")
         if isinstance(got, Err):
             return got
-        partition, key = got.unwrap(), (body["id"], body["item"])
+        partition, key = got.unwrap(), ItemKey(body["id"], body["item"])
         state = self.owner_states[partition.id]
-        job = partition.view.jobs.get(body["id"])
+        job = partition.view.jobs.get(key.job)
         state.leases.pop(key, None)
-        if job is None or job.state != "open" or body["item"] in job.results:
+        if job is None or job.state != JobState.OPEN or key.item in job.results:
             return Ok({"taken": False})
-        status, output = body["status"], body["output"]
-        if status == "done" and hashlib.sha256(output.encode()).hexdigest()[:16] != body["sum"]:
+        result = ItemResult.from_json(body)
+        if result.status == ItemStatus.DONE and not result.intact:
             return Err(Fault("done", self.table.settings.name, "the output doesn't match its sum", BAD))
-        if status == "abandoned" and "route" in job.body:
-            pass  # a worker said that it can never be done
-        elif status != "done":
-            state.tries[key] += 1
-            if state.tries[key] < int(body.get("tries", 5)):
-                return Ok({"taken": False})
-            status = "abandoned" if "route" in job.body else "failed"
-            output = "" if "route" in job.body else output
+        recorded = state.outcome(job, key, result)
+        if recorded is None:
+            return Ok({"taken": False})
         try:
-            self.owner.append(
-                partition, "result", {"id": body["id"], "item": body["item"], "status": status, "output": output}
-            )
-        except Stop as bad:
-            return Err(bad.fault)
+            self.owner.append(partition, "result", ItemResult(recorded.status, recorded.output).as_json(key))
+        except Stop as stop:
+            return Err(stop.fault)
         state.tries.pop(key, None)
         return Ok({"taken": True})
--- a/postpass/batch/messages.py
+++ b/postpass/batch/messages.py
@@ -9,7 +9,7 @@
 import hashlib
 from dataclasses import dataclass, field
 from enum import StrEnum
-from typing import TypedDict
+from typing import NamedTuple, TypedDict
 
 from postpass.rpc.peer_links import Body
 from postpass.worker_api.openai import Prompt
@@ -44,8 +44,7 @@
     return hashlib.sha256(output.encode()).hexdigest()[:CHECKSUM_DIGITS]
 
 
-@dataclass(frozen=True, slots=True)
-class ItemKey:
+class ItemKey(NamedTuple):
     """Names an item: its job, and its position there."""
 
     job: str
@@ -71,7 +70,7 @@
             "sched": self.scheduler,
             "term": self.term,
             "room": self.wanted,
-            "held": [[key.job, key.item] for key in self.leased],
+            "held": [list(key) for key in self.leased],
         }
 
     @classmethod
--- /dev/null
+++ b/tests/batch/test_leased_items.py
@@ -0,0 +1,54 @@
+"""What a scheduler holds, and what an owner makes of its results."""
+
+from __future__ import annotations
+
+from postpass.batch.job import Job, JobView
+from postpass.batch.leased_items import LeasedItem, LeasedItems
+from postpass.batch.leases import Lease, OwnerState
+from postpass.batch.messages import ItemKey, ItemResult, ItemStatus, TakeRequest
+from postpass.worker_api.openai import Prompt
+
+OF_CLASS = Job("x", 1, {"class": "lot", "items": ["a", "b"]}, "")
+OF_ROUTE = Job("y", 2, {"route": "r", "items": [{}, {}]}, "")
+KEY = ItemKey("x", 0)
+
+
+def test_an_item_is_held_once_until_it_is_dropped() -> None:
+    items = LeasedItems()
+    first, again = (LeasedItem(0, "x", 0, "lot", 1.0, Prompt((), ""), "") for _ in range(2))
+    items.add(first)
+    items.add(again)
+    assert len(items) == 1 and items.holds(first) and not items.holds(again)
+    first.reporting = True
+    assert items.unreported(0) == [] and items.waiting() == [first]
+    items.leases[0] = 1e18
+    items.drop_all()
+    assert len(items) == 0 and items.leases == {} and not items.holds(first)
+
+
+def test_an_item_of_a_class_fails_after_its_tries_with_the_reason() -> None:
+    state = OwnerState()
+    results = [state.outcome(OF_CLASS, KEY, ItemResult(ItemStatus.FAILED, "why")) for _ in range(5)]
+    assert results == [None] * 4 + [ItemResult(ItemStatus.FAILED, "why")]
+
+
+def test_an_item_of_a_route_is_abandoned_after_its_own_tries_or_when_a_worker_says_never() -> None:
+    state = OwnerState()
+    failed, never = ItemResult(ItemStatus.FAILED, "why", 2), ItemResult(ItemStatus.ABANDONED, "", 2)
+    assert state.outcome(OF_ROUTE, KEY, failed) is None
+    abandoned = state.outcome(OF_ROUTE, KEY, failed)
+    assert abandoned == ItemResult(ItemStatus.ABANDONED, "") and state.outcome(OF_ROUTE, KEY, never) == never
+
+
+def test_leases_stay_while_they_are_renewed_or_last_and_their_scheduler_is_the_same() -> None:
+    view = JobView(jobs={"x": OF_CLASS})
+    state = OwnerState(
+        {
+            ItemKey("x", 0): Lease("e1", 1.0), ItemKey("x", 1): Lease("e1", 9.0), ItemKey("x", 2): Lease("e2", 9.0),
+            ItemKey("gone", 0): Lease("e1", 9.0), ItemKey("x", 3): Lease("e1", 1.0),
+        }
+    )  # fmt: skip
+    request = TakeRequest("e1", 1, {}, [ItemKey("x", 0)])
+    state.renew(request, 7.0)
+    state.release_expired(view, request, 5.0)
+    assert {key: lease.until for key, lease in state.leases.items()} == {("x", 0): 7.0, ("x", 1): 9.0}
