--- a/postpass/batch/capacity.py
+++ b/postpass/batch/capacity.py
@@ -27,7 +27,7 @@
 
 
 def batch_slots(slots: int, own: int, live: int, reserve: int, warm: bool) -> int:
-    """Slots for items at one worker: the class's own share, or what live requests and the reserve leave, if that is more.
+    """Slots for items at one worker: the class's own share, or what live requests and the reserve leave if that is more.
 
     A worker that still warms up gets none.
     """
@@ -38,8 +38,8 @@
 class ClassCapacity:
     """Slots for the items of classes: lent by live requests, and handed back to them.
 
-    `borrows` and `reserves` are switched off by the simulator, to measure against a plain baseline. `loans` are pairs of
-    the loop time when live requests came back, and the seconds until their slots were free.
+    `borrows` and `reserves` are switched off by the simulator, to measure against a plain baseline. `loans` are pairs
+    of the loop time when live requests came back, and the seconds until their slots were free.
     """
 
     settings: Settings
--- a/postpass/batch/dispatch.py
+++ b/postpass/batch/dispatch.py
@@ -138,7 +138,7 @@
     async def lease(self, partition: int, wanted: dict[str, int]) -> None:
         """Renews the lease of a partition and takes items; the lease runs from when it was asked for.
 
-        An owner that has heard of a scheduler with a higher term refuses; the next question goes out under a higher one.
+        An owner that has heard of a scheduler with a higher term refuses; the next question has a higher one.
         """
         bounds = self.settings.bounds
         asked = now()
--- a/postpass/batch/item_request.py
+++ b/postpass/batch/item_request.py
@@ -139,7 +139,8 @@
 ) -> list[tuple[bytes, bytes]]:
     """The headers of an item's request: this side's own, and then the client's, but for those that this side sets.
 
-    `wait_ms` is the time that is left, in milliseconds; `last_event` the last event of a run before, -1 if there is none.
+    `wait_ms` is the time that is left, in milliseconds; `last_event` the last event of a run before, -1 if there is
+    none.
     """
     own_names = OWN_HEADERS | {
         dialect.request_id, dialect.deadline_ms, dialect.want_worker, dialect.urgency, dialect.last_event,
--- a/postpass/batch/item_run.py
+++ b/postpass/batch/item_run.py
@@ -56,7 +56,7 @@
 
     # --- items of routes
     def route_gate(self, item: LeasedItem, pool: str, worker: str) -> str:
-        """Why an item of a route may not go out; empty if it may. Asked right before the bytes do, also after a freeze."""
+        """Why an item of a route may not go out; empty if it may. Asked right before its bytes do, also after a freeze."""
         configuration = self.configuration_view.manifest
         flaw = self.lease_gate(item)
         if flaw:
--- a/postpass/batch/job.py
+++ b/postpass/batch/job.py
@@ -144,8 +144,8 @@
         return cls(**dumped, state=state, results=results, payload=payload)
 
 
-# Jobs are dumped by themselves. Where a base holds the mark that settled a change does not matter, since a base holds only
-# what is covered; releases before this field could not load it.
+# Jobs are dumped by themselves. Where a base holds the mark that settled a change does not matter, since a base holds
+# only what is covered; releases before this field could not load it.
 NOT_DUMPED = frozenset({"jobs", "settled_seq"})
 # Keys on disk that differ from the field's name: they are those of release 0.2.0.
 VIEW_KEYS = {
@@ -186,11 +186,11 @@
         members = self.members_seq if self.old_members not in ({}, self.members) else 0
         return max(members, self.predicate_seq if self.old_predicate != self.predicate else 0)
 
-    def fold(self, rec: Record) -> None:
+    def fold(self, record: Record) -> None:
         """Takes the next record; its kind is one of `FOLDS`."""
-        body, payload = parted(rec.body)
-        getattr(self, FOLDS[rec.kind])(rec.seq, body)
-        if payload and rec.kind == "lot" and body["id"] in self.jobs and self.jobs[body["id"]].seq == rec.seq:
+        body, payload = parted(record.body)
+        getattr(self, FOLDS[record.kind])(record.seq, body)
+        if payload and record.kind == "lot" and body["id"] in self.jobs and self.jobs[body["id"]].seq == record.seq:
             self.jobs[body["id"]].payload = payload
 
     def fold_mark(self, seq: int, body: Body) -> None:
--- a/postpass/batch/job_api.py
+++ b/postpass/batch/job_api.py
@@ -56,6 +56,17 @@
     return ""
 
 
+def known_keys(item: Item) -> Item:
+    """An item without keys that this release doesn't know."""
+    return {
+        "id": item["id"],
+        "path": item["path"],
+        "headers": item["headers"],
+        "body": item["body"],
+        "tokens": item["tokens"],
+    }
+
+
 def item_flaw(item: Item, other_ids: set[str]) -> str:
     """The first flaw of an item, with its path there; empty if there is none."""
     if not NAME.fullmatch(item["id"]) or item["id"] in other_ids:
@@ -121,7 +132,7 @@
         return {
             "id": job_id,
             "route": name,
-            "items": [{key: item[key] for key in Item.__annotations__} for item in items],  # type: ignore[literal-required]
+            "items": [known_keys(item) for item in items],
             "due": round(came + route["due"], 3),
             "expire": route["expire"],
             "tries": route["tries"],
--- a/postpass/batch/job_service.py
+++ b/postpass/batch/job_service.py
@@ -45,14 +45,14 @@
     def handlers(self) -> dict[str, Any]:
         """The verbs of peers that are answered here."""
         return {
-            "accept": self.accept, "results": self.results, "item": self.item, "reserve": self.quota.reserve,
-            "waiting": self.quota.waiting,
+            "accept": self.on_accept, "results": self.on_results, "item": self.on_item,
+            "reserve": self.quota.on_reserve, "waiting": self.quota.on_waiting,
         }  # fmt: skip
 
-    def forget(self, part: int) -> None:
+    def forget(self, partition: int) -> None:
         """A new ownership begins: nothing of the one before counts."""
-        self.quota.forget(part)
-        for key in [key for key in self.first_seen if key[0] == part]:
+        self.quota.forget(partition)
+        for key in [key for key in self.first_seen if key[0] == partition]:
             del self.first_seen[key]
 
     def report(self) -> None:
@@ -64,7 +64,7 @@
         return Err(Fault(step, self.store.settings.name, why, code))
 
     # --- accepting
-    async def accept(self, body: Body) -> PeerResponse:
+    async def on_accept(self, body: Body) -> PeerResponse:
         """Verb `accept`: takes a job, and answers that it is kept only once it is covered.
 
         Refused (CROWD, FULL) only if nothing was sequenced and nothing that was sent here before may still be; CLASH if
@@ -73,70 +73,70 @@
         got = self.store.owned_partition(body["part"], "accept")
         if isinstance(got, Err):
             return got
-        part, (job, payload) = got.unwrap(), packed(body["lot"])
+        partition, (job, payload) = got.unwrap(), packed(body["lot"])
         limit = min(float(body.get("wait", DEFAULT_ACCEPT_S)), self.store.settings.bounds.recover)
-        if job["id"] not in part.view.jobs:
-            refused = await self.take_once(part, job, payload, limit)
+        if job["id"] not in partition.view.jobs:
+            refused = await self.take_once(partition, job, payload, limit)
             if refused is not None:
                 return Err(refused)
-        kept = part.view.jobs.get(job["id"])
+        kept = partition.view.jobs.get(job["id"])
         if kept is None:
             return self.failed("accept", "not known yet", SLOW)
         if kept.digest != digest(job):
             return self.failed("accept", "a lot with this id and other content is here", CLASH)
-        if await part.wait(kept.seq, "", limit):
-            self.wake(part)
+        if await partition.wait(kept.seq, "", limit):
+            self.wake(partition)
             return Ok({"id": job["id"], "state": "kept"})
         return self.failed("accept", "not covered yet", SLOW)
 
-    async def take_once(self, part: Partition, job: Body, payload: bytes, limit: float) -> Fault | None:
+    async def take_once(self, partition: Partition, job: Body, payload: bytes, limit: float) -> Fault | None:
         """Takes a job, or waits for the task that does so already, for `limit` seconds at the longest."""
-        key = (part.id, job["id"])
+        key = (partition.id, job["id"])
         task = self.taking.get(key)
         if task is None:
-            task = self.taking[key] = asyncio.create_task(self.take(part, part.epoch, job, payload, limit))
+            task = self.taking[key] = asyncio.create_task(self.take(partition, partition.epoch, job, payload, limit))
             task.add_done_callback(lambda _: self.taking.pop(key, None))
         done, _ = await asyncio.wait([task], timeout=limit)
         return task.result() if done else Fault("accept", self.store.settings.name, "not known yet", SLOW)
 
-    async def take(self, part: Partition, epoch: int, job: Body, payload: bytes, limit: float) -> Fault | None:
+    async def take(self, partition: Partition, epoch: int, job: Body, payload: bytes, limit: float) -> Fault | None:
         """Sequences a job once its tokens are granted, if this store still owns the partition then; None if it did."""
-        flaw = self.store.rejection(part)
+        flaw = self.store.rejection(partition)
         if flaw is not None:
             return flaw
         tokens, route = sum(item["tokens"] for item in job["items"]), job["route"]
-        pending = self.quota.pending_of(part.id)
+        pending = self.quota.pending_of(partition.id)
         pending[route] += tokens
         try:
-            refused = await self.quota.acquire(part, route, pending, tokens, limit)
+            refused = await self.quota.acquire(partition, route, pending, tokens, limit)
             if refused is not None:
                 return refused
-            if part.epoch != epoch:
+            if partition.epoch != epoch:
                 return Fault("accept", self.store.settings.name, "not the owner any more", MOVED)
-            return self.sequence(part, job, payload)
+            return self.sequence(partition, job, payload)
         finally:
             pending[route] -= tokens
 
-    def sequence(self, part: Partition, job: Body, payload: bytes) -> Fault | None:
+    def sequence(self, partition: Partition, job: Body, payload: bytes) -> Fault | None:
         """Puts a job into the partition's records; FULL if the disk won't take it."""
         # Where its items may go is up to this revision of the configuration or a later one, never to one before.
         since = max(int(job.get("since", 0)), self.store.configuration_view.revision)
         try:
-            self.store.append(part, "lot", job | {"since": since}, vital=False, raw=payload)
+            self.store.append(partition, "lot", job | {"since": since}, vital=False, raw=payload)
         except Stop as stop:
             fault = stop.fault
             return fault if fault.code == FULL else Fault("accept", self.store.settings.name, fault.why, SLOW)
         return None
 
-    def wake(self, part: Partition) -> None:
+    def wake(self, partition: Partition) -> None:
         """Tells the scheduler that there is something to take."""
         store = self.store
-        name = store.owner_states[part.id].scheduler
+        name = store.owner_states[partition.id].scheduler
         address = store.configuration_view.addr(name) if name else ""
         if address:
             spawn(
                 store.background_tasks,
-                store.peer_links.call(address, "wake", {"part": part.id}, store.settings.bounds.beat),
+                store.peer_links.call(address, "wake", {"part": partition.id}, store.settings.bounds.beat),
             )
 
     # --- reading
@@ -147,7 +147,7 @@
             return self.failed(step, "no such lot", LACK)
         return got
 
-    async def results(self, body: Body) -> PeerResponse:
+    async def on_results(self, body: Body) -> PeerResponse:
         """Verb `results`: covered results from a position on, held until there is one."""
         request = ResultsRequest.from_json(body)
         until = now() + request.hold_s
@@ -155,35 +155,35 @@
             got = await self.read(body, "results")
             if isinstance(got, Err):
                 return got
-            part, job = got.unwrap()
-            rows, start = self.covered_rows(part, job, request.start), request.start
+            partition, job = got.unwrap()
+            rows, start = self.covered_rows(partition, job, request.start), request.start
             if rows or now() >= until or job.state != JobState.OPEN or start >= job.size:
                 return Ok(ResultsResponse(job.size, rows, start + len(rows)).as_json())
             # Until the next one is covered; then it is read anew, and confirmed anew.
-            seq = job.results[job.order[start]].seq if len(job.order) > start else part.record_log.last + 1
-            await part.wait(seq, "", max(0.0, until - now()))
+            seq = job.results[job.order[start]].seq if len(job.order) > start else partition.record_log.last + 1
+            await partition.wait(seq, "", max(0.0, until - now()))
 
-    def covered_rows(self, part: Partition, job: Job, start: int) -> list[ResultRow]:
+    def covered_rows(self, partition: Partition, job: Job, start: int) -> list[ResultRow]:
         """Covered results from a position on, as many as a page takes."""
         rows: list[ResultRow] = []
         size = 0
         for position in job.order[start : start + PAGE_ITEMS]:
             result = job.results[position]
             size += len(result.output) + ROW_BYTES
-            if result.seq > part.covered or (rows and size > PAGE_BYTES):
+            if result.seq > partition.covered or (rows and size > PAGE_BYTES):
                 break
             rows.append({"id": job.body["items"][position]["id"], "state": result.status, "text": result.output})
         return rows
 
-    async def item(self, body: Body) -> PeerResponse:
+    async def on_item(self, body: Body) -> PeerResponse:
         """Verb `item`: the body of an item that isn't listed yet, in base64; LACK if there is none that waits."""
         got = await self.read(body, "item")
         if isinstance(got, Err):
             return got
-        part, job = got.unwrap()
+        partition, job = got.unwrap()
         ids = [item["id"] for item in job.body["items"]]
         position = ids.index(body["item"]) if body["item"] in ids else -1
-        listed = position in job.results and job.results[position].seq <= part.covered
+        listed = position in job.results and job.results[position].seq <= partition.covered
         if position < 0 or listed or job.state == JobState.ENDED:
             return self.failed("item", "no such item that waits", LACK)
         found = job.item_body(position)
@@ -193,20 +193,20 @@
         return Ok({"body": base64.b64encode(found).decode()})
 
     # --- time
-    def over(self, part: Partition, job: Job) -> bool:
+    def may_leave(self, partition: Partition, job: Job) -> bool:
         """May the job leave? Gives up what has expired, or whose route a configuration since its 202 has no more.
 
         Times count from when this owner saw the job first: later than it was sent, never earlier, whatever the wall
         clocks do.
         """
         store = self.store
-        age = now() - self.first_seen.setdefault((part.id, part.epoch, job.id), now())
+        age = now() - self.first_seen.setdefault((partition.id, partition.epoch, job.id), now())
         if job.complete or job.state == JobState.ENDED:
             return age > self.retention() * RETENTION_SLACK
         known = store.configuration_view.revision >= job.body.get("since", 0)
         gone = known and self.quota.route(job.body["route"]) is None
-        if (gone or age > job.body["expire"]) and job.seq <= part.covered:
-            self.abandon(part, job)
+        if (gone or age > job.body["expire"]) and job.seq <= partition.covered:
+            self.abandon(partition, job)
         return False
 
     def retention(self) -> float:
@@ -215,9 +215,9 @@
         keep = self.store.settings.bounds.keep
         return keep or (configuration.get("retention", DEFAULT_RETENTION_S) if configuration else DEFAULT_RETENTION_S)
 
-    def abandon(self, part: Partition, job: Job) -> None:
+    def abandon(self, partition: Partition, job: Job) -> None:
         """Gives up all items that have no result."""
         for position in range(job.size):
             if position not in job.results:
                 status = str(ItemStatus.ABANDONED)
-                self.store.append(part, "result", {"id": job.id, "item": position, "status": status, "output": ""})
+                self.store.append(partition, "result", {"id": job.id, "item": position, "status": status, "output": ""})
--- a/postpass/batch/quota_service.py
+++ b/postpass/batch/quota_service.py
@@ -65,23 +65,23 @@
         return route.get("quota", 0) if route else 0
 
     # --- as the owner of a partition
-    def count(self, part: Partition, name: str) -> int:
+    def count(self, partition: Partition, name: str) -> int:
         """Tokens that wait here on a route: of kept jobs, and asked for."""
         kept = sum(
             int(item["tokens"])
-            for job in part.view.jobs.values()
+            for job in partition.view.jobs.values()
             if job.state == JobState.OPEN and not job.complete and job.body.get("route") == name
             for position, item in enumerate(job.body["items"])
             if position not in job.results
         )
-        return kept + self.pending.get(part.id, Counter())[name]
+        return kept + self.pending.get(partition.id, Counter())[name]
 
     def pending_of(self, partition: int) -> Counter[str]:
         """The tokens that jobs of a partition ask for, by route; whoever takes a job counts it in and out."""
         return self.pending.setdefault(partition, Counter())
 
     async def acquire(
-        self, part: Partition, name: str, pending: Counter[str], tokens: int, limit: float
+        self, partition: Partition, name: str, pending: Counter[str], tokens: int, limit: float
     ) -> Fault | None:
         """Asks for the tokens of a job, which stand in `pending` already; None once they are granted.
 
@@ -90,25 +90,25 @@
         """
         if not self.quota(name):
             return None
-        async with self.turns.setdefault((part.id, name), asyncio.Lock()):
+        async with self.turns.setdefault((partition.id, name), asyncio.Lock()):
             # What this job asks for is not in the count yet, but is asked for.
             pending[name] -= tokens
-            count = self.count(part, name)
+            count = self.count(partition, name)
             pending[name] += tokens
-            return await self.ask_holder(part, name, count, tokens, limit)
+            return await self.ask_holder(partition, name, count, tokens, limit)
 
-    async def ask_holder(self, part: Partition, name: str, count: int, wanted: int, limit: float) -> Fault | None:
+    async def ask_holder(self, partition: Partition, name: str, count: int, wanted: int, limit: float) -> Fault | None:
         """Tells the holder of a budget what waits here, and asks for more; None if that is granted."""
         holder = part_of(f"route:{name}", self.configuration()["parts"])
-        self.numbers[part.id] += 1
-        request = ReserveRequest(name, part.id, part.epoch, self.numbers[part.id], count, wanted)
+        self.numbers[partition.id] += 1
+        request = ReserveRequest(name, partition.id, partition.epoch, self.numbers[partition.id], count, wanted)
         answer = await self.client.ask(holder, "reserve", request.as_json(holder), limit)
         if isinstance(answer, Err):
             fault = answer.unwrap_err()
             # Whatever went wrong there, nothing was sequenced here: the answer may be a refusal, and is no certainty
             # of the quota.
             return fault if fault.code == CROWD else Fault("reserve", f"partition {holder}", fault.why, FULL)
-        self.last_told[(part.id, name)] = (part.epoch, count + wanted)
+        self.last_told[(partition.id, name)] = (partition.epoch, count + wanted)
         return None
 
     def report(self) -> None:
@@ -118,49 +118,53 @@
         names = [name for name, route in routes.items() if route["kind"] == "lot" and route["quota"]]
         if not names:
             return
-        for part in [part for part in self.store.partitions.values() if part.owning and part.ready]:
+        for partition in [
+            partition for partition in self.store.partitions.values() if partition.owning and partition.ready
+        ]:
             for name in names:
-                spawn(self.store.background_tasks, self.report_count(part, name))
+                spawn(self.store.background_tasks, self.report_count(partition, name))
 
-    async def report_count(self, part: Partition, name: str) -> None:
+    async def report_count(self, partition: Partition, name: str) -> None:
         """Tells a holder the count of a route, unless it knows it or is being asked for more right now."""
-        count = self.count(part, name)
-        turn = self.turns.setdefault((part.id, name), asyncio.Lock())
-        if self.last_told.get((part.id, name), (0, 0)) == (part.epoch, count) or turn.locked():
+        count = self.count(partition, name)
+        turn = self.turns.setdefault((partition.id, name), asyncio.Lock())
+        if self.last_told.get((partition.id, name), (0, 0)) == (partition.epoch, count) or turn.locked():
             return
         async with turn:
-            fault = await self.ask_holder(part, name, self.count(part, name), 0, self.store.settings.bounds.beat)
+            fault = await self.ask_holder(
+                partition, name, self.count(partition, name), 0, self.store.settings.bounds.beat
+            )
         if fault is None:
-            self.last_told[(part.id, name)] = (part.epoch, count)
+            self.last_told[(partition.id, name)] = (partition.epoch, count)
 
-    async def waiting(self, body: Body) -> PeerResponse:
+    async def on_waiting(self, body: Body) -> PeerResponse:
         """Verb `waiting`: a holder asks what waits on a route here."""
         got = self.store.owned_partition(body["part"], "waiting")
         if isinstance(got, Err):
             return got
-        part = got.unwrap()
-        if not await self.store.confirm(part):
+        partition = got.unwrap()
+        if not await self.store.confirm(partition):
             return self.failed("waiting", "could not be confirmed", SLOW)
-        self.numbers[part.id] += 1
-        count = self.count(part, body["route"])
-        return Ok(WaitingResponse(part.epoch, self.numbers[part.id], count).as_json())
+        self.numbers[partition.id] += 1
+        count = self.count(partition, body["route"])
+        return Ok(WaitingResponse(partition.epoch, self.numbers[partition.id], count).as_json())
 
     # --- as the holder of a budget
-    async def reserve(self, body: Body) -> PeerResponse:
+    async def on_reserve(self, body: Body) -> PeerResponse:
         """Verb `reserve`: hears an owner's count, and grants what it wants if it fits."""
         got = self.store.owned_partition(body["part"], "reserve")
         if isinstance(got, Err):
             return got
-        part, request = got.unwrap(), ReserveRequest.from_json(body)
-        epoch = part.epoch
-        budget = self.budgets.setdefault((part.id, epoch, request.route), Budget())
+        partition, request = got.unwrap(), ReserveRequest.from_json(body)
+        epoch = partition.epoch
+        budget = self.budgets.setdefault((partition.id, epoch, request.route), Budget())
         if not request.wanted:
             budget.report(request.owner, request.epoch, request.number, request.tokens)
             return Ok({})
         if not await self.learn_all(budget, request):
             return self.failed("reserve", "not all partitions have told their counts", SLOW)
         # Under the epoch: a holder that comes later asks every owner, which counts what it asked for here.
-        if not await self.store.confirm(part) or part.epoch != epoch:
+        if not await self.store.confirm(partition) or partition.epoch != epoch:
             return self.failed("reserve", "could not be confirmed", SLOW)
         if not budget.report(request.owner, request.epoch, request.number, request.tokens):
             return self.failed("reserve", "a later word came before this one", FULL)
--- a/tests/sim/test_broken_variants.py
+++ b/tests/sim/test_broken_variants.py
@@ -142,14 +142,14 @@
 
 
 def forgets_lots(mp: pytest.MonkeyPatch) -> None:
-    plain = JobService.results
+    plain = JobService.on_results
 
     async def results(self: JobService, body: Any) -> Any:
         got = await plain(self, body)
         late = isinstance(got, Ok) and got.unwrap()["next"] >= got.unwrap()["total"]
         return Err(Fault("results", self.store.settings.name, "no such lot", LACK)) if late else got
 
-    mp.setattr(JobService, "results", results)
+    mp.setattr(JobService, "on_results", results)
 
 
 def forgets_evacuations(mp: pytest.MonkeyPatch) -> None:
@@ -297,7 +297,7 @@
 
 
 def results_move(mp: pytest.MonkeyPatch) -> None:
-    plain = JobService.results
+    plain = JobService.on_results
 
     async def results(self: JobService, body: Any) -> Any:
         got = await plain(self, body)
@@ -305,7 +305,7 @@
             got.unwrap()["results"].reverse()
         return got
 
-    mp.setattr(JobService, "results", results)
+    mp.setattr(JobService, "on_results", results)
 
 
 def no_quota(mp: pytest.MonkeyPatch) -> None:
--- a/tests/test_readable_code.py
+++ b/tests/test_readable_code.py
@@ -25,6 +25,11 @@
         "streaming", "owner", "leadership_check", "catch_up", "election", "acknowledger", "mirror", "handover",
         "reconfiguration", "owner_duties", "store",
     ),
+    "batch": (
+        "messages", "background", "quota", "job", "leases", "partition_access", "partition_client", "quota_service",
+        "job_records", "job_service", "retention", "job_api", "item_request", "leased_items", "scheduler_election",
+        "owner_client", "capacity", "item_run", "placement", "dispatch", "scheduler",
+    ),
 }  # fmt: skip
 # Withdrawn words that still stand in names, by module. The users of these names are being worked on.
 STANDING_NAMES: dict[str, set[str]] = {
@@ -41,7 +46,6 @@
     "control/replica.py": {"held: say replicated state"},
     "control/state.py": {"Held: say replicated state", "pair: say replica set", "whole: say state epoch"},
     "gateway/relay.py": {"edition: say version"},
-    "batch/item_request.py": {"call: say request"},
 }  # fmt: skip
 # How many one-letter names still stand in a module.
 STANDING_LETTERS = {
