--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -352,7 +352,7 @@
     the platform's limit on the items of a lot."""
     pylog.disable(pylog.CRITICAL)
     if lifted:
-        job_api.lot_flaw.__defaults__ = (10**9,)
+        job_api.job_flaw.__defaults__ = (10**9,)
 
     async def main(loop: SimLoop) -> Row:
         sizes = Sizes(edges=2, stores=8, cores=3, zones=4, models=8, plains=2, slots=32)
@@ -389,17 +389,17 @@
 
             def results() -> list[int]:
                 views = [
-                    p.view.lots[lot.id]
+                    p.view.jobs[lot.id]
                     for _, s in fleet.stores()
                     for p in s.partitions.values()
-                    if p.owning and lot.id in p.view.lots
+                    if p.owning and lot.id in p.view.jobs
                 ]
                 return [len(x.order) for x in views]
 
             while loop.clock - at < 35.0 and not any(n == items for n in results()):
                 await asyncio.sleep(0.05)
             whole = loop.clock - at
-        owner = [n for n, s in fleet.stores() for p in s.partitions.values() if p.owning and lot.id in p.view.lots]
+        owner = [n for n, s in fleet.stores() for p in s.partitions.values() if p.owning and lot.id in p.view.jobs]
         mirrors = [
             n
             for n, s in fleet.stores()
@@ -528,16 +528,16 @@
     gc.collect()
     ended = tracemalloc.get_traced_memory()[0] - start
     tracemalloc.stop()
-    lot: Job = view.lots[raw["id"]]
+    lot: Job = view.jobs[raw["id"]]
     waits = JobView()
     waits.fold(Record(1, 1, "lot", record))
     part, asked = Partition(0, "s1", "d", view=waits), JobService(cast(Any, None))
-    open_lot = replace(lot, results={}, order=[], raw=b"x" * (100 * items))
+    open_lot = replace(lot, results={}, order=[], payload=b"x" * (100 * items))
     some = range(0, items, max(1, items // 20))
     each = timed(lambda: [open_lot.item_body(i) for i in some]) / len(some)
     return {"items": items, "record": len(record), "waiting": waiting, "ended": ended, "fold_ms": timed(lambda: JobView().fold(Record(1, 1, "lot", record))) * 1e3,
             "dump_ms": timed(view.dump) * 1e3, "digest_ms": timed(lambda: digest(lot.body | {"sum": "x"})) * 1e3, "packed_ms": timed(lambda: packed(raw)) * 1e3,
-            "item_body_us": each * 1e6, "count_ms": timed(lambda: asked.count(part, "r-batch")) * 1e3}  # fmt: skip
+            "item_body_us": each * 1e6, "count_ms": timed(lambda: asked.quota.count(part, "r-batch")) * 1e3}  # fmt: skip
 
 
 def manifest_row(workers: int, routes: int = 9) -> Row:
--- a/tests/sim/test_broken_variants.py
+++ b/tests/sim/test_broken_variants.py
@@ -11,7 +11,7 @@
 import pytest
 from result import Err, Ok
 
-from postpass.batch import item_request, scheduler
+from postpass.batch import item_request, item_run
 from postpass.batch.item_request import Text
 from postpass.batch.job import JobView
 from postpass.batch.job_api import JobApi
@@ -142,14 +142,14 @@
 
 
 def forgets_lots(mp: pytest.MonkeyPatch) -> None:
-    plain = JobService.results
+    plain = JobService.on_results
 
     async def results(self: JobService, body: Any) -> Any:
         got = await plain(self, body)
         late = isinstance(got, Ok) and got.unwrap()["next"] >= got.unwrap()["total"]
         return Err(Fault("results", self.store.settings.name, "no such lot", LACK)) if late else got
 
-    mp.setattr(JobService, "results", results)
+    mp.setattr(JobService, "on_results", results)
 
 
 def forgets_evacuations(mp: pytest.MonkeyPatch) -> None:
@@ -293,11 +293,11 @@
         got = await plain(*args)
         return "never" if got == "failed" else got
 
-    mp.setattr(scheduler, "run_item", run)
+    mp.setattr(item_run, "run_item", run)
 
 
 def results_move(mp: pytest.MonkeyPatch) -> None:
-    plain = JobService.results
+    plain = JobService.on_results
 
     async def results(self: JobService, body: Any) -> Any:
         got = await plain(self, body)
@@ -305,7 +305,7 @@
             got.unwrap()["results"].reverse()
         return got
 
-    mp.setattr(JobService, "results", results)
+    mp.setattr(JobService, "on_results", results)
 
 
 def no_quota(mp: pytest.MonkeyPatch) -> None:
@@ -313,7 +313,7 @@
 
 
 def ending_is_forgotten(mp: pytest.MonkeyPatch) -> None:
-    mp.setattr(JobView, "_end", lambda self, seq, body: None)
+    mp.setattr(JobView, "fold_end", lambda self, seq, body: None)
 
 
 def refuses_what_it_took(mp: pytest.MonkeyPatch) -> None:
