--- a/postpass/gateway/worker_load.py
+++ b/postpass/gateway/worker_load.py
@@ -23,6 +23,8 @@
 CACHE = 0.95  # a worker whose KV cache is fuller than this gets nothing new
 DEAF = "this daemon hears no other, so it may be out of date"
 FEW = 16  # up to so many edges each reads the servers itself; beyond, two of each area do it for all
+WIRE_KEYS = {"revision": "edition"}  # keys between daemons, by the name of the field
+FIELDS = {key: name for name, key in WIRE_KEYS.items()}
 OVER = 1.5  # how far all edges together may overrun a warm worker's slots
 
 
@@ -47,6 +49,16 @@
     return total // many + (1 if rank % many < total % many else 0) if many else total
 
 
+def report_as_json(report: Report) -> dict[str, Any]:
+    """A worker's report as daemons send it to each other; `revision` goes by its key on the wire."""
+    return {WIRE_KEYS.get(name, name): value for name, value in vars(report).items()}
+
+
+def report_from_json(raw: dict[str, Any]) -> Report:
+    """Reads what `report_as_json` wrote."""
+    return Report(**{FIELDS.get(key, key): value for key, value in raw.items()})
+
+
 @dataclass(eq=False)
 class WorkerLoad:
     who: str
@@ -78,7 +90,7 @@
 
     def shown(self) -> list[dict[str, Any]]:
         return [
-            {"pool": p, "name": n, "why": s.why, "old": round(now() - s.at, 3), "seen": vars(s.seen) if s.seen else None, "peak": s.peak}
+            {"pool": p, "name": n, "why": s.why, "old": round(now() - s.at, 3), "seen": report_as_json(s.seen) if s.seen else None, "peak": s.peak}
             for (p, n), s in self.spots.items()
         ]  # fmt: skip
 
@@ -96,7 +108,7 @@
                 at = asked - row["old"]
                 if at > spot.at:
                     spot.at, spot.why, spot.peak = at, row["why"], row["peak"]
-                    spot.seen = Report(**row["seen"]) if row["seen"] else None
+                    spot.seen = report_from_json(row["seen"]) if row["seen"] else None
                     spot.mine_seen = spot.mine.total()
             self.signal()
             return True
--- a/tests/gateway/test_worker_load.py
+++ b/tests/gateway/test_worker_load.py
@@ -7,7 +7,7 @@
 import aiohttp
 
 from postpass.feed.configuration_view import ConfigurationView
-from postpass.gateway.worker_load import Spot, WorkerLoad, share_of
+from postpass.gateway.worker_load import Spot, WorkerLoad, report_as_json, report_from_json, share_of
 from postpass.runtime.environment import Environment, now
 from postpass.worker_api.openai import Report
 
@@ -18,6 +18,15 @@
             assert sum(share_of(total, r + 5, many) for r in range(many)) == total
 
 
+def test_a_report_goes_between_daemons_by_the_keys_that_older_releases_read() -> None:
+    report = Report(1, 2, 0.5, 1000.0, "m", "1")
+    raw = report_as_json(report)
+    assert list(raw.items()) == [
+        ("running", 1), ("waiting", 2), ("cache", 0.5), ("start", 1000.0), ("weights", "m"), ("edition", "1"),
+    ]  # fmt: skip
+    assert report_from_json(raw) == report
+
+
 def test_a_fresh_worker_has_little_room_and_a_barred_one_none() -> None:
     from postpass.configuration.configuration import small
 
