--- a/plugins/example/postpass_example/near.py
+++ b/plugins/example/postpass_example/near.py
@@ -1,10 +1,11 @@
-"""Places a class in the caller's own area as long as a server there has room; else where load is least."""
+"""Places a class in the client's own zone as long as a worker there has capacity; else where load is least."""
 
 from __future__ import annotations
 
-from postpass.worker_api.plugins import Ask, Seat
+from postpass.worker_api.plugins import Candidate, PlacementRequest
 
 
-def near(ask: Ask, seats: tuple[Seat, ...]) -> str:
-    here = [s for s in seats if s.zone == ask.zone]
-    return min(here or seats, key=lambda s: (s.load / s.slots, s.name)).name
+def near(request: PlacementRequest, candidates: tuple[Candidate, ...]) -> str:
+    """The least loaded worker of the request's own zone, or of all if none there may take it."""
+    here = [c for c in candidates if c.zone == request.zone]
+    return min(here or candidates, key=lambda c: (c.load / c.slots, c.name)).name
--- a/postpass/batch/job_api.py
+++ b/postpass/batch/job_api.py
@@ -13,7 +13,8 @@
 
 from postpass.configuration.configuration import Route, part_of
 from postpass.configuration.schema import flaws
-from postpass.gateway.live_requests import NAME, Gateway
+from postpass.gateway.gateway import Gateway
+from postpass.gateway.request_bodies import IDENTIFIER
 from postpass.rpc.peer_links import Body
 from postpass.runtime.environment import now
 from postpass.runtime.errors import CLASH, CROWD, FULL, LACK, SHED
@@ -46,7 +47,7 @@
         return f"items: want 1 to {most}, got {len(items)}"
     seen: set[str] = set()
     for i, item in enumerate(items):
-        if not NAME.fullmatch(item["id"]) or item["id"] in seen:
+        if not IDENTIFIER.fullmatch(item["id"]) or item["id"] in seen:
             return f"items[{i}].id: want an id of its own of 1 to 80 of A-Z a-z 0-9 . _ -"
         seen.add(item["id"])
         path = item["path"]
@@ -79,7 +80,7 @@
         edge = self.edge
         if edge.unready() is not None or edge.leaving:
             return 503, {"error": "this edge takes none now"}
-        if not NAME.fullmatch(lot_id):
+        if not IDENTIFIER.fullmatch(lot_id):
             return 400, {"error": "id: want 1 to 80 of A-Z a-z 0-9 . _ -"}
         try:
             raw = json.loads(data)
@@ -92,20 +93,20 @@
         came = edge.environment.wall()
         lot: Body = {"id": lot_id, "route": name, "items": items, "due": round(came + route["due"], 3),
                      "expire": route["expire"], "tries": route["tries"], "since": edge.configuration_view.revision}  # fmt: skip
-        got = await edge.to_owner(
+        got = await edge.owners.ask(
             part_of(lot_id, edge.configuration["parts"]), "accept", {"lot": lot}, now() + self.patience()
         )
         if isinstance(got, Ok):
-            edge.lots.labels("kept").inc()
-            edge.kept.append((lot_id, now()))
+            edge.jobs_total.labels("kept").inc()
+            edge.remember_job(lot_id)
             return 202, {"id": lot_id}
         no = got.unwrap_err()
         if no.code == CLASH:
             return 409, {"error": no.why}
         if (no.code in (CROWD, SHED, FULL) and not no.unsure) or no.unsent:
-            edge.lots.labels("shed").inc()
+            edge.jobs_total.labels("shed").inc()
             return (429 if no.code == CROWD else 503), {"error": no.why}
-        edge.lots.labels("unknown").inc()
+        edge.jobs_total.labels("unknown").inc()
         return 504, {"error": no.why}
 
     async def ask(self, lot: str, verb: str, body: Body, wait: float) -> Result[Body, int]:
@@ -113,9 +114,9 @@
         edge = self.edge
         if edge.unready() is not None:
             return Err(503)
-        if not NAME.fullmatch(lot):
+        if not IDENTIFIER.fullmatch(lot):
             return Err(404)
-        got = await edge.to_owner(part_of(lot, edge.configuration["parts"]), verb, body | {"id": lot}, now() + wait)
+        got = await edge.owners.ask(part_of(lot, edge.configuration["parts"]), verb, body | {"id": lot}, now() + wait)
         return got.map_err(lambda bad: 404 if bad.code == LACK else 503)
 
     async def results(self, lot: str, start: int, hold: float) -> Result[Body, int]:
--- a/postpass/batch/scheduler.py
+++ b/postpass/batch/scheduler.py
@@ -28,7 +28,7 @@
 from postpass.runtime.environment import Environment, now
 from postpass.runtime.errors import CLASH, MOVED, Fault, Stop
 from postpass.worker_api.openai import Prompt, complete
-from postpass.worker_api.plugins import Ask, Seat, fond_of, place, prefix
+from postpass.worker_api.plugins import Candidate, PlacementRequest, affinity_key, affinity_worker, place
 
 
 @dataclass(eq=False)
@@ -376,10 +376,12 @@
             c = configuration["classes"][job.kind]
             pool = configuration["pools"][c["pool"]]
             load = Tally(j.server for j in self.jobs.values() if j.task is not None)
-            ask = Ask(job.kind, job.prompt.shared, len(job.prompt.text), self.settings.zone)
-            fond = fond_of(prefix(self.settings.name, c.get("prefix", ""), ask), sorted(room))
+            ask = PlacementRequest(job.kind, job.prompt.shared, len(job.prompt.text), self.settings.zone)
+            fond = affinity_worker(affinity_key(self.settings.name, c.get("prefix", ""), ask), sorted(room))
             seats = tuple(
-                Seat(n, pool["servers"][n]["area"], room[n] - load[n], pool["servers"][n]["slots"], load[n], n == fond)
+                Candidate(
+                    n, pool["servers"][n]["area"], room[n] - load[n], pool["servers"][n]["slots"], load[n], n == fond
+                )
                 for n in room
                 if room[n] - load[n] >= 1
             )
--- a/postpass/daemon/data_plane.py
+++ b/postpass/daemon/data_plane.py
@@ -16,8 +16,8 @@
 from postpass.configuration.header_names import Dialect
 from postpass.configuration.settings import Settings
 from postpass.daemon.process import Daemon, Task
+from postpass.gateway.gateway import Gateway
 from postpass.gateway.http_server import HeadLimits, front, serve_ready
-from postpass.gateway.live_requests import Gateway
 from postpass.gateway.relay import Relay
 from postpass.gateway.upstream_connection import WorkerLinks
 from postpass.gateway.worker_load import WorkerLoad
@@ -110,7 +110,7 @@
                     self.relay = Relay(
                         self.settings, self.environment, self.configuration_view, self.dialect, self.registry
                     )
-                    self.edge.rest = self.relay.missing
+                    self.edge.fallback = self.relay.missing
             if "sched" in self.settings.duties:
                 # Its own floor: what the edge of the same machine places is live traffic to the scheduler.
                 self.batch = WorkerLoad(
@@ -141,7 +141,7 @@
         """New calls go to other edges at once; the schedule, then the partitions, go to whoever comes next. Kept
         connections get a moment in which their next call is told to go elsewhere, rather than being cut."""
         if self.edge is not None:
-            self.edge.leaving = True
+            self.edge.leave()
         if self.relay is not None:
             self.relay.leaving = True
         if self.scheduler is not None:
@@ -155,7 +155,11 @@
             await self.scheduler.drain()
 
     def kept_lots(self, part: int) -> list[str]:
-        return self.edge.known(part) if self.edge is not None and self.configuration_view.manifest is not None else []
+        return (
+            self.edge.remembered_jobs(part)
+            if self.edge is not None and self.configuration_view.manifest is not None
+            else []
+        )
 
     def ready(self) -> str:
         if self.leaving:
@@ -200,7 +204,7 @@
         return front(limits, self.settings.bounds.recover / 2)
 
     def ways(self) -> list[Any]:
-        return self.edge.ways() if self.edge is not None else []
+        return self.edge.routes() if self.edge is not None else []
 
     def tasks(self) -> list[Task]:
         out: list[Task] = [self.freshen()]
@@ -238,7 +242,7 @@
         if self.store is not None:
             out["store"] = (await self.store.status({})).unwrap()
         if self.edge is not None:
-            stale = self.edge.stale
+            stale = self.edge.admission.report_max_age
             out["servers"] = {
                 f"{p}/{n}": {
                     "barred": self.worker_load.barred(p, n, stale), "mine": s.mine.total(), "weights": s.seen.weights if s.seen else "",
--- /dev/null
+++ b/postpass/gateway/owner_client.py
@@ -0,0 +1,98 @@
+"""Questions of an edge to the owners of partitions, wherever they are at the moment."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass, field, replace
+
+from result import Err, Ok, Result
+
+from postpass.configuration.configuration import part_of
+from postpass.configuration.settings import Settings
+from postpass.feed.configuration_view import ConfigurationView
+from postpass.rpc.peer_links import Body, PeerLinks
+from postpass.runtime import log_events
+from postpass.runtime.environment import Environment, now
+from postpass.runtime.errors import BROKE, MOVED, SLOW, Fault
+
+LEAST_WAIT = 0.05  # seconds that an answer is waited for at the least
+OWNER_PART = 0.9  # of the wait for an answer that the owner itself may use
+
+
+@dataclass(eq=False)
+class OwnerClient:
+    """Finds a partition's owner by its members, and remembers it."""
+
+    settings: Settings
+    environment: Environment
+    configuration_view: ConfigurationView
+    peer_links: PeerLinks
+    known_owners: dict[int, str] = field(default_factory=dict)  # by partition; may be out of date
+
+    async def ask(self, partition: int, verb: str, body: Body, until: float) -> Result[Body, Fault]:
+        """Asks a partition's owner until `until` (seconds of the loop's clock); what is asked may be asked again.
+
+        The fault says by `unsure` whether an earlier try was left without an answer, and is `unsent` only if none was.
+        """
+        body = body | {"part": partition}
+        unsure = False
+        tried: list[str] = []
+        last = Fault(verb, self.settings.name, "no owner known", SLOW)
+        bounds = self.settings.bounds
+        while now() < until:
+            name = self._next_member(partition, tried)
+            if not name:
+                tried = []
+                await asyncio.sleep(bounds.beat / 2 * (0.75 + 0.5 * self.environment.chance.random()))
+                continue
+            tried.append(name)
+            addr = self.configuration_view.addr(name)
+            if not addr:
+                continue
+            wait = min(max(LEAST_WAIT, until - now()), bounds.detect * 2)
+            again = {"again": True} if unsure else {}
+            answer = await self.peer_links.call(addr, verb, body | {"wait": wait * OWNER_PART} | again, wait)
+            if isinstance(answer, Ok):
+                self.known_owners[partition] = name
+                return answer
+            last = answer.unwrap_err()
+            if last.code == MOVED:
+                await self._follow(partition, name, last.hint, tried)
+            elif last.code in (BROKE, SLOW):
+                self.known_owners.pop(partition, None)
+                unsure = unsure or not last.unsent
+                if not last.unsent:
+                    tried = [name] if last.code == BROKE else []
+                    await asyncio.sleep(bounds.beat / 8)
+            else:
+                return Err(replace(last, unsure=unsure))
+        return Err(Fault(verb, last.peer, last.why, SLOW, unsent=not unsure, unsure=unsure))
+
+    def _next_member(self, partition: int, tried: list[str]) -> str:
+        """The known owner, or else the next member in the agreed order; empty if all were tried."""
+        order = self.configuration_view.order(partition)
+        names = dict.fromkeys([self.known_owners.get(partition, ""), *order])
+        return next((n for n in names if n and n not in tried), "")
+
+    async def _follow(self, partition: int, name: str, owner: str, tried: list[str]) -> None:
+        """The member `name` says that it isn't the owner, but `owner` is; empty if it knows none."""
+        self.known_owners.pop(partition, None)
+        if owner and owner not in tried and owner != name:
+            self.known_owners[partition] = owner
+        elif owner == name:
+            # It is about to become the owner.
+            await asyncio.sleep(self.settings.bounds.beat / 8)
+            tried.remove(name)
+
+    async def claim(self, key: str, until: float) -> Result[bool, Fault]:
+        """Takes a live request's key for this edge; False if it was taken before."""
+        nonce = f"{self.settings.name}-{self.environment.chance.getrandbits(64):016x}"
+        configuration = self.configuration_view.manifest
+        assert configuration is not None
+        partition = part_of(key, configuration["parts"])
+        answer = await self.ask(partition, "claim", {"key": key, "nonce": nonce, "edge": self.settings.name}, until)
+        if isinstance(answer, Err):
+            return answer
+        won = answer.unwrap()["won"]
+        log_events.emit(161, self.settings.name, key=key, won=won)
+        return Ok(bool(won))
--- a/postpass/gateway/relay.py
+++ b/postpass/gateway/relay.py
@@ -14,7 +14,7 @@
 from postpass.configuration.header_names import Dialect
 from postpass.configuration.settings import Settings
 from postpass.feed.configuration_view import ConfigurationView
-from postpass.gateway.attempts import AttemptLog, next_attempt
+from postpass.gateway.attempts import Action, AttemptLog, AttemptState, Decision, next_relayed_attempt
 from postpass.gateway.load_balancing import (
     NOBODY,
     Bucket,
@@ -446,7 +446,7 @@
         """Pool and worker for the next attempt."""
         configuration = self.configuration_view.manifest
         assert configuration is not None
-        tried = {a.server for a in request.ledger.attempts}
+        tried = {a.worker for a in request.ledger.attempts}
         for pool in pool_order(request.route["split"], request.request_id or b""):
             if pool in configuration["pools"]:
                 seats = self.seats(configuration, configuration["pools"][pool], tried)
@@ -490,31 +490,31 @@
         route = request.route
         hold = request.began + route["target"] / 4
         while True:
-            move = next_attempt(
+            move = next_relayed_attempt(
                 request.ledger, repeatable=request.repeatable, resumable=request.can_go_on, begun=request.begun, now=now(),
-                hold=hold, until=request.until, tries=max(1, route["tries"]),
+                ask_until=hold, until=request.until, max_runs=max(1, route["tries"]),
             )  # fmt: skip
-            if move.kind != "send":
+            if move.action is not Action.SEND:
                 break
             placed = self.place(request)
             if placed is None:
-                move = type(move)("shed" if request.ledger.never_ran else "error", "no worker is left")
+                move = Decision(Action.REJECT if request.ledger.never_ran else Action.ERROR, "no worker is left")
                 break
             await self.attempt(request, *placed)
-        self.requests.labels(request.name, move.kind).inc()
-        if move.kind == "done":
+        self.requests.labels(request.name, str(move.action)).inc()
+        if move.action is Action.DONE:
             if request.late:
                 log_events.emit(
-                    172, self.settings.name, route=request.name, worker=request.ledger.last.server if request.ledger.last else "",
+                    172, self.settings.name, route=request.name, worker=request.ledger.last.worker if request.ledger.last else "",
                     first=f"{request.first:.3f}", pause=f"{request.pause:.3f}", tokens=request.tokens.decode(),
                     shared=request.prefix.tokens, tries=len(request.ledger.attempts),
                 )  # fmt: skip
             return
-        if move.kind == "shed":
+        if move.action is Action.REJECT:
             await self.refuse(request.send, max(0.05, route["target"] / 4), move.why)
             return
         last = request.ledger.last
-        log_events.emit(170, self.settings.name, route=request.name, worker=last.server if last else "", why=move.why)
+        log_events.emit(170, self.settings.name, route=request.name, worker=last.worker if last else "", why=move.why)
         if not request.begun:
             await self.answer(request.send, 504 if now() >= request.until else 502)
         # Otherwise nothing more is said, and the server closes the connection in the middle of the answer.
@@ -546,7 +546,7 @@
             judged = verdict(exchange.status, exchange.headers, self.names.answers)
             if judged.proof in (Proof.NOT_RUN, Proof.OTHER_WORKER):
                 await self.read_refusal(exchange)
-                request.ledger = request.ledger.mark("shed", f"{exchange.status}")
+                request.ledger = request.ledger.mark(AttemptState.REJECTED, f"{exchange.status}")
                 if judged.proof is Proof.OTHER_WORKER:
                     self.avoid(name, sight, "another worker answers there")
                 else:
@@ -558,11 +558,11 @@
             await self.deliver(request, exchange)
         except Stop as bad:
             if bad.fault.unsent:
-                request.ledger = request.ledger.mark("unsent", bad.fault.why)
+                request.ledger = request.ledger.mark(AttemptState.UNSENT, bad.fault.why)
                 if bad.fault.step == "connect" and bad.fault.code != CROWD:
                     self.avoid(name, sight, bad.fault.why, silent=bad.fault.code == SLOW)
             else:
-                request.ledger = request.ledger.mark("broken", str(bad.fault))
+                request.ledger = request.ledger.mark(AttemptState.BROKEN, str(bad.fault))
                 if bad.fault.step != "repeat" and now() < request.until:
                     self.avoid(name, sight, bad.fault.why, silent=bad.fault.code == SLOW)
         finally:
@@ -602,7 +602,7 @@
     async def deliver(self, request: Request, exchange: Exchange) -> None:
         """Passes the answer on; raises Stop if it is cut, or if it is better asked for elsewhere."""
         status = exchange.status
-        ran = sum(a.state not in ("unsent", "shed") for a in request.ledger.attempts)
+        ran = sum(a.state not in (AttemptState.UNSENT, AttemptState.REJECTED) for a in request.ledger.attempts)
         if request.repeatable and status in (500, 502, 504) and ran < request.route["tries"] and now() < request.until:
             raise Stop(Fault("repeat", exchange.addr, f"it answered {status}"))
         if request.begun and status != 200:
@@ -634,7 +634,7 @@
             if not request.begun and (data or end or stream is None):
                 await self.begin(request, exchange, stream is not None)
             if end:
-                request.ledger = request.ledger.mark("done")
+                request.ledger = request.ledger.mark(AttemptState.DONE)
                 request.note(now())
                 await request.send({"type": "http.response.body", "body": data})
                 return
--- a/sim/broken.py
+++ b/sim/broken.py
@@ -16,7 +16,7 @@
 from postpass.daemon.process import Daemon
 from postpass.feed.configuration_view import ConfigurationView
 from postpass.gateway import attempts, live_requests
-from postpass.gateway.attempts import Move
+from postpass.gateway.attempts import Action, Decision
 from postpass.gateway.worker_load import WorkerLoad
 from postpass.replication.partition import Partition
 from postpass.replication.store import Store
@@ -84,19 +84,19 @@
 
 
 def once_is_ignored(mp: pytest.MonkeyPatch) -> None:
-    plain = attempts.next_move
-    mp.setattr(live_requests, "next_move", lambda log, once, *rest: plain(log, False, *rest))
+    plain = attempts.next_live_attempt
+    mp.setattr(live_requests, "next_live_attempt", lambda log, once, *rest: plain(log, False, *rest))
 
 
 def goes_on_elsewhere(mp: pytest.MonkeyPatch) -> None:
     """Sends a call again after pieces of it have gone out, and splices the streams."""
-    plain = attempts.next_move
+    plain = attempts.next_live_attempt
 
-    def move(log: Any, *rest: Any) -> Move:
+    def move(log: Any, *rest: Any) -> Decision:
         got = plain(log, *rest)
-        return Move("send") if got.kind == "error" and len(log.attempts) < 3 else got
+        return Decision(Action.SEND) if got.action is Action.ERROR and len(log.attempts) < 3 else got
 
-    mp.setattr(live_requests, "next_move", move)
+    mp.setattr(live_requests, "next_live_attempt", move)
 
 
 def mixes_up_prompts(mp: pytest.MonkeyPatch) -> None:
--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission_queue.py
@@ -1,10 +1,10 @@
-"""Tests of postpass.gateway.admission."""
+"""Tests of postpass.gateway.admission_queue."""
 
 from __future__ import annotations
 
 import asyncio
 
-from postpass.gateway.admission import AdmissionQueue, Waiter
+from postpass.gateway.admission_queue import AdmissionQueue, Waiter
 
 
 def test_one_callers_crowd_does_not_hold_back_another() -> None:
@@ -13,8 +13,8 @@
         for name in ["x"] * 5 + ["y", "z", "y"]:
             log.put(Waiter(name, "", "", (), 1, loop.create_future()))
         gone = log.lines["x"][1]
-        log.leave(gone)
-        log.lines["z"][0].seat.cancel()
+        log.discard(gone)
+        log.lines["z"][0].worker.cancel()
         out = []
         while log.peek():
             out.append(log.pop().client)
--- a/tests/gateway/test_answers_broken.py
+++ b/tests/gateway/test_answers_broken.py
@@ -36,8 +36,10 @@
 
 
 def repeats_anything(mp: pytest.MonkeyPatch) -> None:
-    plain = attempts.next_attempt
-    mp.setattr(relay, "next_attempt", lambda log, **more: plain(log, **more | {"repeatable": True, "tries": 3}))
+    plain = attempts.next_relayed_attempt
+    mp.setattr(
+        relay, "next_relayed_attempt", lambda log, **more: plain(log, **more | {"repeatable": True, "max_runs": 3})
+    )
 
 
 def takes_a_cut_for_an_end(mp: pytest.MonkeyPatch) -> None:
--- a/tests/gateway/test_attempts.py
+++ b/tests/gateway/test_attempts.py
@@ -4,19 +4,19 @@
 
 from typing import Any
 
-from postpass.gateway.attempts import MOST, AttemptLog, next_attempt, next_move
+from postpass.gateway.attempts import MAX_ASKED, AttemptLog, AttemptState, next_live_attempt, next_relayed_attempt
 
 
 def _ledger(*states: tuple[Any, str]) -> AttemptLog:
     out = AttemptLog()
     for state, why in states:
-        out = out.plan("w").mark(state, why)
+        out = out.plan("w").mark(AttemptState(state), why)
     return out
 
 
 def test_a_once_call_goes_out_again_only_if_no_byte_left() -> None:
     def move(ledger: AttemptLog, once: bool, t: float = 0.0, budget: bool = True) -> str:
-        return next_move(ledger, once, t, 10.0, 3, budget).kind
+        return next_live_attempt(ledger, once, t, 10.0, 3, budget).action
 
     assert move(AttemptLog(), True) == "send" and move(AttemptLog(), True, 11) == "shed"
     assert move(_ledger(("unsent", "refused")), True) == "send"
@@ -32,9 +32,9 @@
 
 
 def _next(ledger: AttemptLog, repeatable: bool, begun: bool = False, resumable: bool = False, t: float = 0.0) -> str:
-    return next_attempt(
-        ledger, repeatable=repeatable, resumable=resumable, begun=begun, now=t, hold=1.0, until=10.0, tries=2
-    ).kind
+    return next_relayed_attempt(
+        ledger, repeatable=repeatable, resumable=resumable, begun=begun, now=t, ask_until=1.0, until=10.0, max_runs=2
+    ).action
 
 
 def test_a_relayed_request_goes_on_by_what_is_proved() -> None:
@@ -43,7 +43,7 @@
         assert _next(_ledger(("unsent", ""), ("shed", "")), repeatable) == "send"
         assert _next(_ledger(("unsent", "")), repeatable, t=2) == "send"
         assert _next(_ledger(("unsent", ""), ("shed", "")), repeatable, t=2) == "shed"
-        assert _next(_ledger(*[("shed", "")] * MOST), repeatable) == "shed"
+        assert _next(_ledger(*[("shed", "")] * MAX_ASKED), repeatable) == "shed"
         assert _next(_ledger(("done", "")), repeatable) == "done"
     assert _next(_ledger(("broken", "")), False) == "error"
     assert _next(_ledger(("shed", ""), ("broken", "")), False) == "error"
--- a/tests/sim/test_broken_variants.py
+++ b/tests/sim/test_broken_variants.py
@@ -78,8 +78,12 @@
 
 
 def tries_anything_again(mp: pytest.MonkeyPatch) -> None:
-    plain = attempts.next_attempt
-    mp.setattr(relay, "next_attempt", lambda ledger, **more: plain(ledger, **more | {"repeatable": True, "tries": 3}))
+    plain = attempts.next_relayed_attempt
+    mp.setattr(
+        relay,
+        "next_relayed_attempt",
+        lambda ledger, **more: plain(ledger, **more | {"repeatable": True, "max_runs": 3}),
+    )
 
 
 def promises_too_much(mp: pytest.MonkeyPatch) -> None:
--- a/tests/sim/test_interface.py
+++ b/tests/sim/test_interface.py
@@ -10,7 +10,7 @@
 
 from bench.plan import changed
 from bench.words import plain, words
-from postpass.gateway.live_requests import Gateway
+from postpass.gateway.gateway import Gateway
 from sim.fleet import SimFleet
 from sim.interface import BAD_CALLS, BAD_LOTS, LOT, Say, lasts, taken, with_fleet
 from sim.loop import Host
@@ -101,7 +101,7 @@
             assert not any(not r.gone for r in busy[0].runs)
         edge = world.boxes["e1"].daemon.edge  # type: ignore[union-attr]
         assert isinstance(edge, Gateway)
-        assert edge.open.total() == 0 and edge.worker_load.spots[("gpu", busy[0].name)].mine.total() == 0
+        assert edge.admission.in_flight.total() == 0 and edge.worker_load.spots[("gpu", busy[0].name)].mine.total() == 0
 
     with_fleet(check)
 
--- a/tests/worker_api/test_plugins.py
+++ b/tests/worker_api/test_plugins.py
@@ -5,35 +5,55 @@
 from typing import Any
 
 from postpass.runtime import log_events
-from postpass.worker_api.plugins import SEATS, Ask, Seat, first, fond_of, least, place, prefix
+from postpass.worker_api.plugins import (
+    Ask,
+    Candidate,
+    PlacementRequest,
+    Seat,
+    affinity_key,
+    affinity_worker,
+    first_part_key,
+    least_loaded,
+    place,
+)
+
+CANDIDATES = (Candidate("a", "x", 2, 4, 2), Candidate("b", "y", 3, 4, 1), Candidate("c", "x", 3, 4, 1))
 
 
 def test_least_loaded_near_and_fond() -> None:
-    ask = Ask("ask", ("s",), 1, "x")
-    assert least(ask, SEATS) == "c"
-    assert least(ask, (Seat("a", "x", 2, 4, 2, fond=True), *SEATS[1:])) == "a"
-    assert least(ask, (Seat("a", "x", 1, 4, 3, fond=True), *SEATS[1:])) == "c"
+    ask = PlacementRequest("ask", ("s",), 1, "x")
+    assert least_loaded(ask, CANDIDATES) == "c"
+    assert least_loaded(ask, (Candidate("a", "x", 2, 4, 2, preferred=True), *CANDIDATES[1:])) == "a"
+    assert least_loaded(ask, (Candidate("a", "x", 1, 4, 3, preferred=True), *CANDIDATES[1:])) == "c"
 
 
 def test_a_plug_in_that_raises_or_answers_nonsense_harms_no_call(monkeypatch: Any) -> None:
     import sys
 
-    ask = Ask("ask", ("s",), 1, "x")
+    ask = PlacementRequest("ask", ("s",), 1, "x")
     before = log_events.COUNTS[154]
     plugins = sys.modules[place.__module__]
     monkeypatch.setattr(
         plugins, "find", lambda kind, name: {"nonsense": lambda *_: "nowhere", "raises": lambda *_: 1 / 0}[name]
     )
-    assert place("e1", "nonsense", ask, SEATS) == place("e1", "raises", ask, SEATS) == "c"
-    assert prefix("e1", "raises", ask) == first(ask)
+    assert place("e1", "nonsense", ask, CANDIDATES) == place("e1", "raises", ask, CANDIDATES) == "c"
+    assert affinity_key("e1", "raises", ask) == first_part_key(ask)
     assert log_events.COUNTS[154] == before + 3
     monkeypatch.setattr(plugins, "find", lambda kind, name: lambda _ask, seats: seats[0].name)
-    assert place("e1", "mine", ask, SEATS) == "a"
+    assert place("e1", "mine", ask, CANDIDATES) == "a"
+
+
+def test_older_names_of_the_public_types_stay() -> None:
+    assert Ask is PlacementRequest and Seat is Candidate
+    request, candidate = Ask("ask", (), 1, "x"), Seat("a", "y", 1, 4, 3, True)
+    assert (request.area, candidate.area, candidate.fond) == ("x", "y", True)
 
 
 def test_prefix_keys_move_little() -> None:
     names = [f"w{i}" for i in range(9)]
     keys = [f"k{i}" for i in range(300)]
-    moved = sum(fond_of(k, names) != fond_of(k, names[:-1]) for k in keys)
+    moved = sum(affinity_worker(k, names) != affinity_worker(k, names[:-1]) for k in keys)
     assert 0 < moved < 70
-    assert all(fond_of(k, names) == "w8" for k in keys if fond_of(k, names) != fond_of(k, names[:-1]))
+    assert all(
+        affinity_worker(k, names) == "w8" for k in keys if affinity_worker(k, names) != affinity_worker(k, names[:-1])
+    )
