--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -37,7 +37,7 @@
 from postpass.control.daemon import ControlPlane
 from postpass.control.epochs import ReplicaSet
 from postpass.control.state import ReplicatedState
-from postpass.gateway.load_balancing import Prefix, Seat, choose, readers
+from postpass.gateway.load_balancing import Prefix, WorkerCandidate, choose_worker, long_prompt_workers
 from postpass.membership.registry import PARTS, State
 from postpass.replication.partition import Partition
 from postpass.replication.record_log import Record
@@ -560,13 +560,13 @@
     configuration: Any = {"name": "announced", "announced": True, "machines": machines, "areas": [], "parts": 8, "copies": 4, "classes": {}, "ways": {}, **terms,
                 "pools": pools | {first: pools[first] | {"servers": servers}}}  # fmt: skip
     held = ReplicatedState(1, ReplicaSet(1, "c1", ("c2",), {}), State(1, configuration, source=doc))
-    seats = [Seat(f"i-{i:04x}", 8, i % 3) for i in range(workers)]
-    apart = readers([s.name for s in seats])
+    candidates = [WorkerCandidate(f"i-{i:04x}", 8, i % 3) for i in range(workers)]
+    apart = long_prompt_workers([c.name for c in candidates])
     hot = Prefix(b"a", 2000)
     return {
         "workers": workers, "routes": routes, "state": len(held.dump()), "dump_ms": timed(held.dump) * 1e3, "terms_ms": timed(lambda: translator.terms(doc)) * 1e3,
-        "choose_us": timed(lambda: choose(seats, Prefix(b"", 0), 8, chance, 100, apart)) * 1e6,
-        "choose_prefix_us": timed(lambda: choose(seats, hot, 8, chance, 100, apart)) * 1e6, "readers_us": timed(lambda: readers([s.name for s in seats])) * 1e6,
+        "choose_us": timed(lambda: choose_worker(candidates, Prefix(b"", 0), 8, chance, 100, apart)) * 1e6,
+        "choose_prefix_us": timed(lambda: choose_worker(candidates, hot, 8, chance, 100, apart)) * 1e6, "readers_us": timed(lambda: long_prompt_workers([c.name for c in candidates])) * 1e6,
     }  # fmt: skip
 
 
--- a/postpass/batch/item_request.py
+++ b/postpass/batch/item_request.py
@@ -8,7 +8,7 @@
 from typing import Any, Protocol
 
 from postpass.configuration.header_names import Dialect
-from postpass.gateway.response_check import AnswerNames, Proof, verdict
+from postpass.gateway.response_check import Proof, ResponseHeaderNames, check_response
 from postpass.rpc.peer_links import Body
 from postpass.runtime.errors import BROKE, SHED, Fault, Stop
 
@@ -131,7 +131,7 @@
         expect=(d.request_id.encode(), call["id"].encode()),
     )  # fmt: skip
     try:
-        judged = verdict(got.status, got.headers, AnswerNames.of(d))
+        judged = check_response(got.status, got.headers, ResponseHeaderNames.of(d))
         if judged.proof in (Proof.NOT_RUN, Proof.OTHER_WORKER):
             raise Stop(Fault("run item", worker, f"status {got.status}: not run", SHED, "shed"))
         if judged.proof is Proof.NONE:
--- a/postpass/daemon/data_plane.py
+++ b/postpass/daemon/data_plane.py
@@ -16,10 +16,10 @@
 from postpass.configuration.header_names import Dialect
 from postpass.configuration.settings import Settings
 from postpass.daemon.process import Daemon, Task
+from postpass.gateway.connection_pool import ConnectionPool
 from postpass.gateway.gateway import Gateway
 from postpass.gateway.http_server import HeadLimits, front, serve_ready
 from postpass.gateway.relay import Relay
-from postpass.gateway.upstream_connection import WorkerLinks
 from postpass.gateway.worker_load import WorkerLoad
 from postpass.replication.partition import Partition
 from postpass.replication.store import Store
@@ -39,7 +39,7 @@
     store: Store | None = None
     session: aiohttp.ClientSession | None = None
     relay: Relay | None = None
-    links: WorkerLinks | None = None
+    links: ConnectionPool | None = None
 
     def __init__(
         self, settings: Settings, environment: Environment, release: str = "", dialect: Dialect | None = None
@@ -110,7 +110,7 @@
                     self.relay = Relay(
                         self.settings, self.environment, self.configuration_view, self.dialect, self.registry
                     )
-                    self.edge.fallback = self.relay.missing
+                    self.edge.fallback = self.relay.not_found
             if "sched" in self.settings.duties:
                 # Its own floor: what the edge of the same machine places is live traffic to the scheduler.
                 self.batch = WorkerLoad(
@@ -125,7 +125,7 @@
                     dialect=self.dialect,
                 )  # fmt: skip
                 if self.settings.announce:
-                    self.scheduler.workers = self.links = WorkerLinks()
+                    self.scheduler.workers = self.links = ConnectionPool()
 
     def handlers(self) -> dict[str, Any]:
         mine: dict[str, Any] = {"floor": self.on_floor} if "edge" in self.settings.duties else {}
@@ -178,7 +178,7 @@
         inner = super().app()
         if self.relay is None:
             return inner
-        self.relay.inner, self.relay.unready = inner, self.unready
+        self.relay.fallback, self.relay.unready = inner, self.unready
         return self.relay
 
     @property
--- a/postpass/gateway/load_balancing.py
+++ b/postpass/gateway/load_balancing.py
@@ -11,18 +11,18 @@
 
 from postpass.configuration.configuration import Split
 
-OVER = 1.5  # times its even share of a worker's slots that one edge may use before it likes the worker less
-LONG = 1000  # shared tokens from which it pays to go where they were read before
-HOMES = 2
-LONG_READ = 4000  # tokens of a prompt from which it goes to the workers that read long ones
-READERS = 0.6  # of a pool's workers read long prompts
-NOBODY: frozenset[str] = frozenset()
-COLD_EDGES = 6  # edges that may use the same cold worker
-COLD_PART = 0.7  # of its rate that they use together
+EDGE_OVERCOMMIT = 1.5  # times its even share of a worker's slots that one edge may use before it likes the worker less
+LONG_PREFIX = 1000  # shared tokens from which it pays to go where they were read before
+HOMES_PER_PREFIX = 2
+LONG_PROMPT = 4000  # tokens of a prompt from which it goes to the workers that read long ones
+LONG_PROMPT_SHARE = 0.6  # of a pool's workers read long prompts
+NO_WORKERS: frozenset[str] = frozenset()
+MAX_COLD_EDGES = 6  # edges that may use the same cold worker
+COLD_SHARE = 0.7  # of its rate that they use together
 
 
 @dataclass(frozen=True, slots=True)
-class Seat:
+class WorkerCandidate:
     """A worker as one edge sees it. Invariants: it isn't leaving, evacuated, or cold without room for one more."""
 
     name: str
@@ -41,14 +41,14 @@
     tokens: int
 
 
-NONE = Prefix(b"", 0)
+NO_PREFIX = Prefix(b"", 0)
 
 
 def prefix_of(parts: bytes) -> Prefix:
     """Of a header "ID:TOKENS,ID:TOKENS": all parts but the last, which is the request's own."""
     shared = parts.split(b",")[:-1]
     if not shared:
-        return NONE
+        return NO_PREFIX
     tokens = 0
     for part in shared:
         count = part.rpartition(b":")[2].strip()
@@ -82,35 +82,39 @@
 def own_share(slots: int, edges: int) -> int:
     """Requests that one edge has at a worker before it likes it less. At least two: an edge's own count says little
     where there are more edges than slots."""
-    return max(2, math.ceil(slots * OVER / max(1, edges)))
+    return max(2, math.ceil(slots * EDGE_OVERCOMMIT / max(1, edges)))
 
 
-def readers(names: Sequence[str]) -> frozenset[str]:
+def long_prompt_workers(names: Sequence[str]) -> frozenset[str]:
     """The workers of a pool that read long prompts: while one is read, no other request there gets on."""
-    return frozenset(rendezvous(b"readers", names, max(1, round(len(names) * READERS)))) if len(names) > 1 else NOBODY
+    return (
+        frozenset(rendezvous(b"readers", names, max(1, round(len(names) * LONG_PROMPT_SHARE))))
+        if len(names) > 1
+        else NO_WORKERS
+    )
 
 
-def choose(
-    seats: Sequence[Seat],
+def choose_worker(
+    candidates: Sequence[WorkerCandidate],
     prefix: Prefix,
     edges: int,
     chance: random.Random,
     reads: int = 0,
-    apart: frozenset[str] = NOBODY,
+    apart: frozenset[str] = NO_WORKERS,
 ) -> str | None:
     """The worker for a request; None if there is none. `reads`: tokens of its prompt; `apart`: the workers that read
     long prompts. Each kind keeps to its own workers unless those are loaded, long shared prefixes to their homes
     among them; all else goes to the less loaded of two at random."""
-    good = [s for s in seats if not s.avoided and not s.full]
-    good = good or [s for s in seats if not s.avoided] or list(seats)
+    good = [s for s in candidates if not s.avoided and not s.full]
+    good = good or [s for s in candidates if not s.avoided] or list(candidates)
     if not good:
         return None
-    long = reads >= LONG_READ
-    own = [s for s in seats if (s.name in apart) == long]
-    if prefix.tokens >= LONG:
+    long = reads >= LONG_PROMPT
+    own = [s for s in candidates if (s.name in apart) == long]
+    if prefix.tokens >= LONG_PREFIX:
         by_name = {s.name: s for s in good}
         # Over all that may be used, not over the good: a worker that is briefly avoided keeps its keys.
-        for name in rendezvous(prefix.key, [s.name for s in own or seats], HOMES):
+        for name in rendezvous(prefix.key, [s.name for s in own or candidates], HOMES_PER_PREFIX):
             home = by_name.get(name)
             if home is not None and home.mine < own_share(home.slots, edges):
                 return name
@@ -119,18 +123,18 @@
     return min(chance.sample(some, min(2, len(some))), key=load).name
 
 
-def load(seat: Seat) -> tuple[float, float]:
-    return seat.mine / max(1, seat.slots), seat.lag
+def load(candidate: WorkerCandidate) -> tuple[float, float]:
+    return candidate.mine / max(1, candidate.slots), candidate.lag
 
 
 def cold_edges(worker: str, edges: Sequence[str], rate: float) -> list[str]:
     """Which edges may use a cold worker: so few that one request each at once stays far below its bound."""
-    return rendezvous(worker.encode(), edges, max(1, min(COLD_EDGES, int(rate))))
+    return rendezvous(worker.encode(), edges, max(1, min(MAX_COLD_EDGES, int(rate))))
 
 
 def cold_share(rate: float, users: int) -> float:
     """Requests a second that one of these edges may send there."""
-    return COLD_PART * rate / max(1, users)
+    return COLD_SHARE * rate / max(1, users)
 
 
 @dataclass(frozen=True, slots=True)
--- a/postpass/gateway/response_check.py
+++ b/postpass/gateway/response_check.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True)
-class Verdict:
+class ResponseCheck:
     """A proof, and for `Proof.NONE` why it is none."""
 
     proof: Proof
@@ -32,30 +32,30 @@
 
 
 @dataclass(frozen=True)
-class AnswerNames:
+class ResponseHeaderNames:
     """The dialect's names of the headers on answers, as bytes."""
 
     not_run: bytes
     seal: bytes
 
     @classmethod
-    def of(cls, dialect: Dialect) -> AnswerNames:
+    def of(cls, dialect: Dialect) -> ResponseHeaderNames:
         return cls(dialect.not_run.encode(), dialect.seal.encode())
 
 
-def verdict(status: int, headers: Sequence[tuple[bytes, bytes]], names: AnswerNames) -> Verdict:
+def check_response(status: int, headers: Sequence[tuple[bytes, bytes]], names: ResponseHeaderNames) -> ResponseCheck:
     """Judges a whole head whose request id was compared already."""
     present = {name for name, _ in headers}
     if not 200 <= status <= 599:
-        return Verdict(Proof.NONE, f"status {status}")
+        return ResponseCheck(Proof.NONE, f"status {status}")
     if status == MISDIRECTED:
-        return Verdict(Proof.OTHER_WORKER)
+        return ResponseCheck(Proof.OTHER_WORKER)
     if names.not_run in present:
         if status < 300:
-            return Verdict(Proof.NONE, "a success that says that it did not run")
-        return Verdict(Proof.NOT_RUN if status in PROMISES else Proof.ANSWER)
+            return ResponseCheck(Proof.NONE, "a success that says that it did not run")
+        return ResponseCheck(Proof.NOT_RUN if status in PROMISES else Proof.ANSWER)
     if status in PROMISES:
-        return Verdict(Proof.NONE, f"{status} without proof that it did not run")
+        return ResponseCheck(Proof.NONE, f"{status} without proof that it did not run")
     if status < 300 and (names.seal not in present or CONTENT_ENCODING in present):
-        return Verdict(Proof.NONE, "a success without the worker's seal")
-    return Verdict(Proof.ANSWER)
+        return ResponseCheck(Proof.NONE, "a success without the worker's seal")
+    return ResponseCheck(Proof.ANSWER)
--- /dev/null
+++ b/postpass/gateway/worker_health.py
@@ -0,0 +1,44 @@
+"""What an edge knows of a worker by its own relayed requests: failures, refusals, lag."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from postpass.gateway.load_balancing import Bucket
+
+FULL_FOR = 0.05  # seconds that a worker which turned a request away is tried last
+AVOID_FIRST, AVOID_MOST = 0.1, 1.0  # seconds that a worker is avoided after a broken connection, doubling
+SILENT_FIRST, SILENT_MOST = 1.0, 4.0  # the same where nothing came at all
+LAG_WEIGHT = 0.1  # of the newest answer in the smoothed lag
+
+
+@dataclass(eq=False, slots=True)
+class WorkerHealth:
+    """One life of a worker as this edge sees it. Times are seconds of the loop's clock."""
+
+    in_flight: int = 0  # requests of this edge under way there
+    failures: int = 0  # since its last answer
+    silent: bool = False  # at the last failure nothing came
+    avoid_until: float = -1.0
+    full_until: float = -1.0
+    lag: float = 0.0  # seconds until the head of an answer, smoothed
+    bucket: Bucket = Bucket(0.0, 0.0)  # of requests that may go there while it is cold
+
+    def answered(self, lag: float) -> None:
+        """A proper answer's head came after so many seconds."""
+        self.failures, self.silent = 0, False
+        self.lag = (1 - LAG_WEIGHT) * self.lag + LAG_WEIGHT * lag
+
+    def failed(self, now: float, silent: bool) -> bool:
+        """Leaves the worker alone for a moment that doubles: a longer one if it was silent, which costs each that
+        tries a wait. Does this failure count? Where all that was sent to it is given up, only the first does."""
+        if now < self.avoid_until and not (silent and not self.silent):
+            return False
+        first, most = (SILENT_FIRST, SILENT_MOST) if silent else (AVOID_FIRST, AVOID_MOST)
+        self.avoid_until, self.silent = now + min(most, first * 2**self.failures), silent
+        self.failures += 1
+        return True
+
+    def is_full(self, now: float) -> None:
+        """It turned a request away."""
+        self.full_until = now + FULL_FOR
--- /dev/null
+++ b/postpass/gateway/worker_selection.py
@@ -0,0 +1,134 @@
+"""Which worker a relayed request goes to, by the configuration in force and what this edge knows of the workers."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from postpass.configuration.configuration import Configuration, Pool, Server
+from postpass.configuration.settings import Settings
+from postpass.feed.configuration_view import ConfigurationView
+from postpass.gateway.load_balancing import (
+    NO_WORKERS,
+    Bucket,
+    WorkerCandidate,
+    choose_worker,
+    cold_edges,
+    cold_share,
+    long_prompt_workers,
+    pool_order,
+)
+from postpass.gateway.relayed_request import RelayedRequest
+from postpass.gateway.route_table import RouteTable, route_table_of
+from postpass.gateway.worker_health import WorkerHealth
+from postpass.runtime.environment import Environment, now
+
+UNLIMITED_RATE = 1e9  # requests a second
+
+
+@dataclass(eq=False)
+class WorkerSelection:
+    """What is derived from a configuration until the next one, and the health of workers by name. Owner: `Relay`."""
+
+    settings: Settings
+    environment: Environment
+    configuration_view: ConfigurationView
+    revision: int = -1  # of the configuration that the following was derived from
+    table: RouteTable = field(default_factory=lambda: RouteTable({}))
+    edges: list[str] = field(default_factory=list)  # all that aren't gone, sorted
+    senders: int = 1  # processes that send requests to workers: edges and schedulers
+    long_prompt_workers: dict[str, frozenset[str]] = field(default_factory=dict)  # by pool
+    health_by_worker: dict[str, WorkerHealth] = field(default_factory=dict)
+
+    def refresh(self) -> None:
+        """Learns the configuration in force if it is a new one."""
+        configuration = self.configuration_view.manifest
+        if configuration is not None and self.revision != self.configuration_view.revision:
+            self.learn(configuration)
+
+    def learn(self, configuration: Configuration) -> None:
+        """Takes a new revision of the configuration in force."""
+        self.table, self.revision = route_table_of(configuration), self.configuration_view.revision
+        machines = {n: m for n, m in configuration["machines"].items() if not m.get("gone")}
+        self.edges = sorted(n for n, m in machines.items() if "edge" in m["duties"])
+        self.senders = max(1, sum(bool({"edge", "sched"} & set(m["duties"])) for m in machines.values()))
+        self.long_prompt_workers = {
+            pool: long_prompt_workers([n for n, s in p["servers"].items() if not self.barred(configuration, s)])
+            for pool, p in configuration["pools"].items()
+        }
+        known = {n for p in configuration["pools"].values() for n in p["servers"]}
+        for name in [n for n, h in self.health_by_worker.items() if n not in known and not h.in_flight]:
+            del self.health_by_worker[name]
+
+    def health(self, name: str) -> WorkerHealth:
+        """What is known of a worker; one that is new here may get one request at once even if it is cold."""
+        found = self.health_by_worker.get(name)
+        if found is None:
+            found = self.health_by_worker[name] = WorkerHealth(bucket=Bucket(1.0, now()))
+        return found
+
+    def barred(self, configuration: Configuration, server: Server) -> bool:
+        """Does a worker get nothing new, since it leaves or its zone is evacuated?"""
+        return bool(server.get("leave")) or server["area"] in configuration.get("evacuated", ())
+
+    def cold_rate(self, pool: Pool, name: str) -> float | None:
+        """Requests a second that this edge may send to a cold worker; None: it may send none."""
+        rate = pool.get("cold_rate", 0.0)
+        if rate <= 0:
+            return UNLIMITED_RATE
+        users = cold_edges(name, self.edges, rate)
+        return cold_share(rate, len(users)) if self.settings.name in users else None
+
+    def candidates(self, configuration: Configuration, pool: Pool, tried: set[str]) -> list[WorkerCandidate]:
+        """The workers of a pool that may get a request which was tried at those of `tried`."""
+        found: list[WorkerCandidate] = []
+        at = now()
+        for name, server in pool["servers"].items():
+            if name in tried or self.barred(configuration, server):
+                continue
+            health = self.health(name)
+            if server.get("cold"):
+                rate = self.cold_rate(pool, name)
+                if rate is None or health.bucket.filled(at, rate).level < 1:
+                    continue
+            avoided, full = health.avoid_until > at, health.full_until > at
+            found.append(WorkerCandidate(name, server["slots"], health.in_flight, avoided, full, health.lag))
+        return found
+
+    def choose(self, request: RelayedRequest) -> tuple[str, str] | None:
+        """Pool and worker for the next attempt; None if no worker is left."""
+        configuration = self.configuration_view.manifest
+        assert configuration is not None
+        tried = {a.worker for a in request.attempt_log.attempts}
+        for pool in pool_order(request.route["split"], request.request_id or b""):
+            if pool not in configuration["pools"]:
+                continue
+            name = choose_worker(
+                self.candidates(configuration, configuration["pools"][pool], tried), request.prefix, len(self.edges),
+                self.environment.chance, request.prompt_tokens, self.long_prompt_workers.get(pool, NO_WORKERS),
+            )  # fmt: skip
+            if name is not None:
+                return pool, name
+        return None
+
+    def check_admission(self, request: RelayedRequest, pool: str, name: str, addr: str) -> str:
+        """Asked right before the first byte leaves: what speaks against it by the configuration in force now; empty
+        if nothing does. Counts the request against a cold worker's rate."""
+        configuration = self.configuration_view.manifest
+        assert configuration is not None
+        self.refresh()
+        route = configuration.get("routes", {}).get(request.route_name)
+        if route is None or all(s["pool"] != pool or s["weight"] <= 0 for s in route["split"]):
+            return "the route no longer goes there"
+        server = configuration["pools"].get(pool, {"servers": {}})["servers"].get(name)  # type: ignore[typeddict-item]
+        if server is None or self.barred(configuration, server) or server["url"] != "http://" + addr:
+            return "it is leaving"
+        if server.get("cold"):
+            rate = self.cold_rate(configuration["pools"][pool], name)
+            health = self.health(name)
+            if rate is None:
+                return "it is cold"
+            filled = health.bucket.filled(now(), rate)
+            if filled.level < 1:
+                return "it is cold"
+            health.bucket = filled.taken()
+        return ""
--- a/tests/batch/test_item_request.py
+++ b/tests/batch/test_item_request.py
@@ -9,7 +9,7 @@
 
 from postpass.batch.item_request import Events, Text, request_headers, run_item
 from postpass.configuration.header_names import Dialect
-from postpass.gateway.upstream_connection import WorkerLinks
+from postpass.gateway.connection_pool import ConnectionPool
 from postpass.runtime.errors import Stop
 from tests.gateway.test_upstream_connection import run
 
@@ -78,7 +78,7 @@
         await asyncio.sleep(0.01)
         writer.close()
 
-    async def main(links: WorkerLinks, *_: Any) -> list[tuple[str, str]]:
+    async def main(links: ConnectionPool, *_: Any) -> list[tuple[str, str]]:
         out = []
         for _answer in answers:
             text = Text()
--- a/tests/gateway/test_answers_broken.py
+++ b/tests/gateway/test_answers_broken.py
@@ -14,11 +14,12 @@
 from postpass.batch.scheduler import Scheduler
 from postpass.configuration.header_names import Dialect
 from postpass.gateway import attempts, relay, upstream_connection
+from postpass.gateway.event_stream import EventStream
+from postpass.gateway.http_headers import RESPONSE_CONNECTION_HEADERS, HeaderNames
 from postpass.gateway.http_server import front, refusal
-from postpass.gateway.relay import Events as StreamEvents
-from postpass.gateway.relay import Names, Relay
-from postpass.gateway.response_check import Proof, Verdict, verdict
-from postpass.gateway.upstream_connection import Exchange, Link
+from postpass.gateway.relay import Relay
+from postpass.gateway.response_check import Proof, ResponseCheck, check_response
+from postpass.gateway.upstream_connection import Exchange, UpstreamConnection
 from postpass.runtime.errors import Stop
 from tests.gateway.test_answers import quick_collections
 from tests.support import answers
@@ -43,26 +44,26 @@
 
 
 def takes_a_cut_for_an_end(mp: pytest.MonkeyPatch) -> None:
-    plain = Link.fail
+    plain = UpstreamConnection.fail
 
-    def fail(self: Link, step: str, why: str, *rest: Any, **more: Any) -> None:
+    def fail(self: UpstreamConnection, step: str, why: str, *rest: Any, **more: Any) -> None:
         if step == "body" and self.exchange is not None:
-            self.keep = False
+            self.keep_alive = False
             self.finish()
         else:
             plain(self, step, why, *rest, **more)
 
-    mp.setattr(Link, "fail", fail)
+    mp.setattr(UpstreamConnection, "fail", fail)
     # A length would show the cut.
-    mp.setattr(relay, "HOP_BACK", relay.HOP_BACK | {b"content-length"})
+    mp.setattr(relay, "RESPONSE_CONNECTION_HEADERS", RESPONSE_CONNECTION_HEADERS | {b"content-length"})
 
 
 def takes_any_refusal_for_a_proof(mp: pytest.MonkeyPatch) -> None:
-    def judged(status: int, headers: Any, names: Any) -> Verdict:
-        got = verdict(status, headers, names)
-        return Verdict(Proof.NOT_RUN) if got.proof is Proof.NONE and status == 503 else got
+    def judged(status: int, headers: Any, names: Any) -> ResponseCheck:
+        got = check_response(status, headers, names)
+        return ResponseCheck(Proof.NOT_RUN) if got.proof is Proof.NONE and status == 503 else got
 
-    mp.setattr(relay, "verdict", judged)
+    mp.setattr(relay, "check_response", judged)
 
 
 def takes_a_garbled_refusal_for_a_proof(mp: pytest.MonkeyPatch) -> None:
@@ -78,7 +79,7 @@
 
 
 def passes_any_head(mp: pytest.MonkeyPatch) -> None:
-    mp.setattr(relay, "verdict", lambda *_: Verdict(Proof.ANSWER))
+    mp.setattr(relay, "check_response", lambda *_: ResponseCheck(Proof.ANSWER))
 
 
 def hides_failures(mp: pytest.MonkeyPatch) -> None:
@@ -112,18 +113,18 @@
 
 def joins_any_run(mp: pytest.MonkeyPatch) -> None:
     """Doesn't tell the next worker where to go on, nor look where it does."""
-    plain_names, plain_resume = Names.__init__, StreamEvents.resume
+    plain_names, plain_resume = HeaderNames.__init__, EventStream.resume
 
-    def names(self: Names, dialect: Dialect) -> None:
+    def names(self: HeaderNames, dialect: Dialect) -> None:
         plain_names(self, dialect)
         self.last_event = b"x-nothing"
 
-    def resume(self: StreamEvents) -> None:
+    def resume(self: EventStream) -> None:
         plain_resume(self)
         self.joined = True
 
-    mp.setattr(Names, "__init__", names)
-    mp.setattr(StreamEvents, "resume", resume)
+    mp.setattr(HeaderNames, "__init__", names)
+    mp.setattr(EventStream, "resume", resume)
 
 
 def scene(path: str, *plays: Play, junk: bool = False) -> Scene:
--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -14,8 +14,10 @@
 from postpass.configuration.settings import Bounds, Settings
 from postpass.daemon.data_plane import DataPlane
 from postpass.feed.configuration_view import ConfigurationView
+from postpass.gateway.event_stream import EventStream
 from postpass.gateway.http_server import HeadLimits, front, serve_ready
-from postpass.gateway.relay import Events, Relay, table_of
+from postpass.gateway.relay import Relay
+from postpass.gateway.route_table import route_table_of
 from postpass.runtime import log_events
 from postpass.runtime.environment import Environment, serve_http
 from sim.loop import Host, SimLoop, run_sim
@@ -185,7 +187,7 @@
             scene = Scene(loop, relay, configuration_view, workers, hosts)
             got: Any = await loop.create_task(main(scene), context=client.context())  # type: ignore[arg-type]
             assert loop.errors == []
-            assert all(s.mine == 0 for s in relay.sights.values())
+            assert all(h.in_flight == 0 for h in relay.workers.health_by_worker.values())
             return got
         finally:
             server.cancel()
@@ -236,7 +238,7 @@
 
 
 def test_the_longest_prefix_wins() -> None:
-    table = table_of(manifest(["w1"]))
+    table = route_table_of(manifest(["w1"]))
     names = [
         t[0] if (t := table.match(b"SHOP.example:81", p)) else "" for p in (b"/o/x", b"/o/deep/x", b"/o/deep", b"/")
     ]
@@ -270,7 +272,7 @@
         s.loop.kill(s.hosts[0])
         for _ in range(6):
             assert (await s.ask("/o/x"))[0] == 200
-        assert s.relay.sights["w1"].fails <= 2
+        assert s.relay.workers.health_by_worker["w1"].failures <= 2
 
     play({"w1": well, "w2": well}, main)
 
@@ -591,10 +593,10 @@
         _, writer = await asyncio.open_connection("127.0.0.1", 2)
         writer.write(b"POST /o/x HTTP/1.1\r\nhost: shop.example\r\nx-call-id: c1\r\ncontent-length: 0\r\n\r\n")
         await asyncio.sleep(0.2)
-        assert s.ran == [1] and s.relay.links.busy("127.0.1.1:9") == 1
+        assert s.ran == [1] and s.relay.connections.busy("127.0.1.1:9") == 1
         writer.close()
         await asyncio.sleep(0.2)
-        assert s.relay.links.busy("127.0.1.1:9") == 0
+        assert s.relay.connections.busy("127.0.1.1:9") == 0
 
     play({"w1": slow}, main)
 
@@ -621,7 +623,7 @@
         s.change(lambda m: (m.pop("evacuated"), m["pools"]["p"]["servers"]["w1"].pop("leave")))
         # It leaves while the connection is being opened: nothing is written.
         task = asyncio.create_task(s.ask("/o/deep/x"))
-        while not any(s.relay.links.opened.values()):
+        while not any(s.relay.connections.opened.values()):
             await asyncio.sleep(0.00005)
         s.change(lambda m: m["pools"]["p"]["servers"].clear())
         assert (await task)[0] in (200, 503)
@@ -727,14 +729,14 @@
 
 
 def test_events_are_cut_whole_and_joined_only_right_behind() -> None:
-    run = Events(None)
+    run = EventStream(None)
     run.resume()
     assert run.feed(b"id: 1\nda") == b"" and run.feed(b"ta: x\n\nid: 2\n") == b"id: 1\ndata: x\n\n"
-    assert run.last == 1 and run.feed(b"data: id: 9\n\n") == b"id: 2\ndata: id: 9\n\n" and run.last == 2
+    assert run.last_id == 1 and run.feed(b"data: id: 9\n\n") == b"id: 2\ndata: id: 9\n\n" and run.last_id == 2
     run.feed(b"id: 3\nda")
     run.resume()
-    assert run.feed(b": hello\n\n") == b": hello\n\n" and run.last == 2
-    assert run.feed(b"x-version: 4\nid: 3\r\ndata: x\r\n\r\n") and run.last == 3
+    assert run.feed(b": hello\n\n") == b": hello\n\n" and run.last_id == 2
+    assert run.feed(b"x-version: 4\nid: 3\r\ndata: x\r\n\r\n") and run.last_id == 3
     run.resume()
     try:
         run.feed(b"id: 5\ndata: x\n\n")
--- a/tests/gateway/test_response_check.py
+++ b/tests/gateway/test_response_check.py
@@ -5,14 +5,14 @@
 import pytest
 
 from postpass.configuration.header_names import Dialect
-from postpass.gateway.response_check import PROMISES, AnswerNames, Proof, verdict
+from postpass.gateway.response_check import PROMISES, Proof, ResponseHeaderNames, check_response
 
-NAMES = AnswerNames.of(Dialect())
+NAMES = ResponseHeaderNames.of(Dialect())
 ID, SEAL, NOT_RUN = (b"x-call-id", b"c"), (b"x-seal", b"s"), (b"x-not-run", b"1")
 
 
 def proof(status: int, *headers: tuple[bytes, bytes]) -> Proof:
-    return verdict(status, [ID, *headers], NAMES).proof
+    return check_response(status, [ID, *headers], NAMES).proof
 
 
 def test_a_success_needs_the_seal_and_a_plain_body() -> None:
--- a/tests/gateway/test_upstream_connection.py
+++ b/tests/gateway/test_upstream_connection.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from postpass.gateway.upstream_connection import WorkerLinks
+from postpass.gateway.connection_pool import ConnectionPool
 from postpass.runtime.errors import Stop
 from sim.loop import Host, SimLoop, run_sim
 
@@ -38,17 +38,17 @@
             pass
 
 
-def run(play: Play, main: Callable[[WorkerLinks, SimLoop, Worker], Awaitable[Any]]) -> Any:
+def run(play: Play, main: Callable[[ConnectionPool, SimLoop, Worker], Awaitable[Any]]) -> Any:
     async def world(loop: SimLoop) -> Any:
         there, here = loop.add(Host("w", ("w",), "a")), loop.add(Host("e", ("e",), "a"))
         worker = Worker(play)
         await loop.create_task(worker.serve(), context=there.context())
-        return await loop.create_task(main(WorkerLinks(), loop, worker), context=here.context())  # type: ignore[arg-type]
+        return await loop.create_task(main(ConnectionPool(), loop, worker), context=here.context())  # type: ignore[arg-type]
 
     return run_sim(world)
 
 
-async def ask(links: WorkerLinks, gate: str = "", limit: float = 5.0, method: str = "GET", addr: str = "w:1") -> Any:
+async def ask(links: ConnectionPool, gate: str = "", limit: float = 5.0, method: str = "GET", addr: str = "w:1") -> Any:
     """The body; else the fault's step, and whether it is proved that no byte left."""
     try:
         ex = await links.request(addr, method, b"/a%2fb?x", [(b"host", b"h")], b"", gate=lambda: gate, limit=limit)
@@ -65,7 +65,7 @@
 
 
 def test_one_connection_serves_many_requests_and_the_target_stays_raw() -> None:
-    async def main(links: WorkerLinks, _loop: SimLoop, worker: Worker) -> None:
+    async def main(links: ConnectionPool, _loop: SimLoop, worker: Worker) -> None:
         for _ in range(5):
             assert await ask(links) == (200, b"ok")
         assert worker.connections == 1 and links.made == 1 and links.sent == 5
@@ -78,10 +78,10 @@
 
 
 def test_refused_and_gated_requests_left_no_byte() -> None:
-    async def main(links: WorkerLinks, _loop: SimLoop, worker: Worker) -> None:
+    async def main(links: ConnectionPool, _loop: SimLoop, worker: Worker) -> None:
         assert await ask(links, addr="w:2") == ("connect", True)
         assert await ask(links, addr="nobody:2") == ("connect", True)
-        assert links.opened == {} and links.kept == {}
+        assert links.opened == {} and links.idle == {}
         assert await ask(links, gate="it leaves") == ("gate", True)
         # The connection that was opened for it is kept.
         assert await ask(links) == (200, b"ok") and worker.connections == 1 and len(worker.heads) == 1
@@ -94,7 +94,7 @@
         await asyncio.sleep(1)
         writer.write(OK)
 
-    async def main(links: WorkerLinks, _loop: SimLoop, worker: Worker) -> None:
+    async def main(links: ConnectionPool, _loop: SimLoop, worker: Worker) -> None:
         def go() -> Any:
             return links.request("w:1", "GET", b"/", [], b"", gate=lambda: "", limit=5, most=2)
 
@@ -120,7 +120,7 @@
         await asyncio.sleep(0.1)
         writer.close()
 
-    async def main(links: WorkerLinks, _loop: SimLoop, worker: Worker) -> None:
+    async def main(links: ConnectionPool, _loop: SimLoop, worker: Worker) -> None:
         got = [await ask(links) for _ in parts]
         # One without a length has no end that could be told from a cut: it is none from its head on.
         assert got == [("body", False)] * 2 + [("head", False)] * 4 + [("body", False)]
@@ -138,7 +138,7 @@
         await asyncio.sleep(0.5)
         writer.close()
 
-    async def main(links: WorkerLinks, loop: SimLoop, _worker: Worker) -> None:
+    async def main(links: ConnectionPool, loop: SimLoop, _worker: Worker) -> None:
         ex = await links.request("w:1", "GET", b"/", [], b"", gate=lambda: "", limit=5)
         seen = []
         try:
@@ -164,7 +164,7 @@
         else:
             writer.write(OK)
 
-    async def main(links: WorkerLinks, _loop: SimLoop, worker: Worker) -> None:
+    async def main(links: ConnectionPool, _loop: SimLoop, worker: Worker) -> None:
         for n in range(1, 4):
             assert await ask(links) == (200, b"ok") and worker.connections == n
             await asyncio.sleep(0.3)
@@ -179,7 +179,7 @@
         more = {1: b"Keep-Alive: timeout=4\r\n", 2: b"Connection: close\r\n"}.get(c, b"")
         writer.write(b"HTTP/1.1 200 OK\r\n" + more + b"Content-Length: 2\r\n\r\nok")
 
-    async def main(links: WorkerLinks, _loop: SimLoop, worker: Worker) -> None:
+    async def main(links: ConnectionPool, _loop: SimLoop, worker: Worker) -> None:
         used = []
         for pause in (0, 2.5, 3.5, 0.1, 0.1, 0.6):
             await asyncio.sleep(pause)
@@ -197,7 +197,7 @@
         else:
             writer.write(OK)
 
-    async def main(links: WorkerLinks, _loop: SimLoop, _worker: Worker) -> None:
+    async def main(links: ConnectionPool, _loop: SimLoop, _worker: Worker) -> None:
         assert await ask(links) == (200, b"ok")
         assert await ask(links) == ("head", False)
 
@@ -208,7 +208,7 @@
     async def play(_c: int, _n: int, _head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
 
-    async def main(links: WorkerLinks, loop: SimLoop, _worker: Worker) -> None:
+    async def main(links: ConnectionPool, loop: SimLoop, _worker: Worker) -> None:
         assert await ask(links, limit=2.0) == ("body", False) and round(loop.clock, 1) == 2.0
         ex = await links.request("w:1", "GET", b"/", [], b"", gate=lambda: "", limit=5)
         ex.close()
@@ -230,7 +230,7 @@
             writer.write(b"x" * 4096)
             await writer.drain()
 
-    async def main(links: WorkerLinks, _loop: SimLoop, _worker: Worker) -> None:
+    async def main(links: ConnectionPool, _loop: SimLoop, _worker: Worker) -> None:
         ex = await links.request("w:1", "GET", b"/", [], b"", gate=lambda: "", limit=50)
         await asyncio.sleep(5)
         assert ex._size < 1 << 20
@@ -249,7 +249,7 @@
         else:
             writer.write(b"HTTP/1.1 100 Continue\r\nx: y\r\n\r\n" + OK)
 
-    async def main(links: WorkerLinks, _loop: SimLoop, _worker: Worker) -> None:
+    async def main(links: ConnectionPool, _loop: SimLoop, _worker: Worker) -> None:
         assert await ask(links) == (200, b"ok")
         assert await ask(links, method="HEAD") == (200, b"")
         assert await ask(links, method="PUT") == ("head", False)
@@ -264,13 +264,13 @@
         mine = b"one" if c > 1 else b"two"
         writer.write(b"HTTP/1.1 200 OK\r\nX-Id: " + mine + b"\r\nContent-Length: 2\r\n\r\nok" * c)
 
-    async def main(links: WorkerLinks, _loop: SimLoop, worker: Worker) -> None:
+    async def main(links: ConnectionPool, _loop: SimLoop, worker: Worker) -> None:
         for n in (1, 2):
             try:
                 ex = await links.request(
                     "w:1", "GET", b"/", [], b"", gate=lambda: "", limit=5, expect=(b"x-id", b"one")
                 )
-                assert n == 2 and ex.status == 200 and links.kept == {}
+                assert n == 2 and ex.status == 200 and links.idle == {}
             except Stop as bad:
                 assert n == 1 and not bad.fault.unsent and links.opened == {}
         assert worker.connections == 2
@@ -279,7 +279,7 @@
 
 
 def test_a_connection_is_given_up_after_some_times_what_one_usually_takes() -> None:
-    async def main(links: WorkerLinks, loop: SimLoop, _worker: Worker) -> None:
+    async def main(links: ConnectionPool, loop: SimLoop, _worker: Worker) -> None:
         async def took() -> float:
             began = loop.clock
             assert await ask(links, addr="gone:1") == ("connect", True)
--- a/tests/sim/test_broken_variants.py
+++ b/tests/sim/test_broken_variants.py
@@ -20,9 +20,12 @@
 from postpass.control.daemon import ControlPlane
 from postpass.daemon.data_plane import DataPlane
 from postpass.daemon.process import Daemon
-from postpass.gateway import attempts, load_balancing, relay
+from postpass.gateway import attempts, load_balancing, relay, worker_selection
+from postpass.gateway.connection_pool import ConnectionPool
+from postpass.gateway.event_stream import EventStream
 from postpass.gateway.relay import Relay
-from postpass.gateway.upstream_connection import Link, WorkerLinks
+from postpass.gateway.upstream_connection import UpstreamConnection
+from postpass.gateway.worker_selection import WorkerSelection
 from postpass.membership import registry
 from postpass.runtime.environment import now
 from postpass.runtime.errors import LACK, SLOW, Fault
@@ -48,33 +51,33 @@
 
 def takes_any_answer(mp: pytest.MonkeyPatch) -> None:
     """Passes on whatever comes on a kept connection, whichever request it answers."""
-    heard, start = Link.data_received, Link.start
+    heard, start = UpstreamConnection.data_received, UpstreamConnection.start
     early: dict[int, bytes] = {}
 
-    def data_received(self: Link, data: bytes) -> None:
+    def data_received(self: UpstreamConnection, data: bytes) -> None:
         if self.exchange is None:
             early[id(self)] = early.get(id(self), b"") + data
         else:
             heard(self, data)
 
     def started(
-        self: Link, exchange: Any, data: Any, bodiless: bool, limit: float, expect: Any, patience: float
+        self: UpstreamConnection, exchange: Any, data: Any, bodiless: bool, limit: float, expect: Any, patience: float
     ) -> None:
         start(self, exchange, data, bodiless, limit, None, patience)
         if rest := early.pop(id(self), b""):
             self.data_received(rest)
 
-    mp.setattr(Link, "data_received", data_received)
-    mp.setattr(Link, "start", started)
+    mp.setattr(UpstreamConnection, "data_received", data_received)
+    mp.setattr(UpstreamConnection, "start", started)
 
 
 def adds_to_the_path(mp: pytest.MonkeyPatch) -> None:
-    plain = WorkerLinks.request
+    plain = ConnectionPool.request
 
-    async def request(self: WorkerLinks, addr: str, method: str, target: bytes, *args: Any, **more: Any) -> Any:
+    async def request(self: ConnectionPool, addr: str, method: str, target: bytes, *args: Any, **more: Any) -> Any:
         return await plain(self, addr, method, target.replace(b"%20", b" ").replace(b" ", b"+"), *args, **more)
 
-    mp.setattr(WorkerLinks, "request", request)
+    mp.setattr(ConnectionPool, "request", request)
 
 
 def tries_anything_again(mp: pytest.MonkeyPatch) -> None:
@@ -110,13 +113,15 @@
 
 def goes_elsewhere(mp: pytest.MonkeyPatch) -> None:
     plain = load_balancing.pool_order
-    mp.setattr(relay, "pool_order", lambda split, key: ["app2" if p == "app" else p for p in plain(split, key)])
-    mp.setattr(Relay, "gate", lambda *_: "")
+    mp.setattr(
+        worker_selection, "pool_order", lambda split, key: ["app2" if p == "app" else p for p in plain(split, key)]
+    )
+    mp.setattr(WorkerSelection, "check_admission", lambda *_: "")
 
 
 # --- leaving in order
 def bars_nobody(mp: pytest.MonkeyPatch) -> None:
-    mp.setattr(Relay, "barred", lambda *_: False)
+    mp.setattr(WorkerSelection, "barred", lambda *_: False)
 
 
 def leaves_at_once(mp: pytest.MonkeyPatch) -> None:
@@ -166,20 +171,20 @@
             self.held = replace(self.held, state=registry.edit(self.held.state, evacuated=[]))
 
     mp.setattr(ControlPlane, "open", opened)
-    mp.setattr(Relay, "barred", lambda self, configuration, server: bool(server.get("leave")))
+    mp.setattr(WorkerSelection, "barred", lambda self, configuration, server: bool(server.get("leave")))
 
 
 # --- configuration
 def keeps_the_first_routes(mp: pytest.MonkeyPatch) -> None:
-    plain = Relay.learn
+    plain = WorkerSelection.learn
 
-    def learn(self: Relay, configuration: Any) -> None:
+    def learn(self: WorkerSelection, configuration: Any) -> None:
         table = self.table
         plain(self, configuration)
         self.table = table if table.hosts else self.table
 
-    mp.setattr(Relay, "learn", learn)
-    mp.setattr(Relay, "gate", lambda *_: "")
+    mp.setattr(WorkerSelection, "learn", learn)
+    mp.setattr(WorkerSelection, "check_admission", lambda *_: "")
 
 
 def both_win(mp: pytest.MonkeyPatch) -> None:
@@ -227,7 +232,7 @@
 
     async def own(self: Relay, name: str, route: Any, scope: Any, receive: Any, send: Any) -> None:
         if name.startswith("r-late"):
-            await self.refuse(send, 0.2, "late")
+            await self.reject(send, 0.2, "late")
         else:
             await plain(self, name, route, scope, receive, send)
 
@@ -261,7 +266,7 @@
 
     async def run(self: Relay, request: Any) -> None:
         await plain(self, request)
-        if request.begun and request.ledger.last.state != "done":
+        if request.begun and request.attempt_log.last.state != "done":
             await request.send({"type": "http.response.body", "body": b""})
 
     mp.setattr(Relay, "run", run)
@@ -269,20 +274,20 @@
 
 def begins_anew(mp: pytest.MonkeyPatch) -> None:
     """Goes on with a cut stream from its first event."""
-    mp.setattr(relay.Events, "resume", lambda self: setattr(self, "rest", b""))
-    plain = WorkerLinks.request
+    mp.setattr(EventStream, "resume", lambda self: setattr(self, "incomplete", b""))
+    plain = ConnectionPool.request
 
     async def request(
-        self: WorkerLinks, addr: str, method: str, target: bytes, headers: Any, *rest: Any, **more: Any
+        self: ConnectionPool, addr: str, method: str, target: bytes, headers: Any, *rest: Any, **more: Any
     ) -> Any:
         return await plain(self, addr, method, target, [h for h in headers if h[0] != b"last-event-id"], *rest, **more)
 
-    mp.setattr(WorkerLinks, "request", request)
+    mp.setattr(ConnectionPool, "request", request)
 
 
 # --- zones
 def floods(mp: pytest.MonkeyPatch) -> None:
-    mp.setattr(Relay, "cold_rate", lambda *_: 1e9)
+    mp.setattr(WorkerSelection, "cold_rate", lambda *_: 1e9)
 
 
 # --- lots
@@ -337,7 +342,7 @@
 
     async def called(self: Relay, scope: Any, receive: Any, send: Any) -> None:
         if scope["type"] == "http" and now() > LEAD + 4.5:
-            await self.refuse(send, 0.5, "down")
+            await self.reject(send, 0.5, "down")
         else:
             await plain(self, scope, receive, send)
 
--- a/tests/support/item_answers.py
+++ b/tests/support/item_answers.py
@@ -21,7 +21,7 @@
 from postpass.batch.scheduler import ItemRun, Scheduler
 from postpass.configuration.settings import Settings
 from postpass.feed.configuration_view import ConfigurationView
-from postpass.gateway.upstream_connection import WorkerLinks
+from postpass.gateway.connection_pool import ConnectionPool
 from postpass.rpc.peer_links import Body
 from postpass.runtime.environment import Environment
 from postpass.worker_api.openai import Prompt
@@ -93,7 +93,7 @@
     )
     item_scheduler.told = told
     item_scheduler.active, item_scheduler.leases, item_scheduler.dialect = True, {0: 1e9}, NAMES
-    item_scheduler.workers = cast(Any, WorkerLinks())
+    item_scheduler.workers = cast(Any, ConnectionPool())
     return item_scheduler
 
 
