--- a/postpass/batch/capacity.py
+++ b/postpass/batch/capacity.py
@@ -69,12 +69,12 @@
 
     def slots_at(self, terms: Class, worker: str, slots: int, share: int) -> int:
         """How many items of a class with these terms a worker with `slots` may run, if live requests lend theirs."""
-        spot = self.worker_load.spot(terms["pool"], worker)
+        spot = self.worker_load.state_of(terms["pool"], worker)
         # Live use: what the worker reported, less what this scheduler ran there when it did.
-        live = max(0, (spot.seen.running + spot.seen.waiting if spot.seen else 0) - spot.mine_seen)
-        peak = max(0.0, spot.peak - spot.mine_seen)
+        live = max(0, (spot.report.running + spot.report.waiting if spot.report else 0) - spot.in_flight_at_poll)
+        peak = max(0.0, spot.peak_use - spot.in_flight_at_poll)
         reserve = math.ceil(terms.get("reserve", DEFAULT_RESERVE) * max(live, peak)) if self.reserves else 0
-        return batch_slots(slots, share, live, reserve, self.worker_load.warm(terms["pool"], worker) >= 1)
+        return batch_slots(slots, share, live, reserve, self.worker_load.warm_part(terms["pool"], worker) >= 1)
 
     def hand_back(self, configuration: Configuration, item_class: str, slots: dict[str, int]) -> None:
         """Cancels items where live requests came back; they are put back, and run again later.
--- a/postpass/batch/item_request.py
+++ b/postpass/batch/item_request.py
@@ -10,7 +10,7 @@
 
 from postpass.batch.messages import Item
 from postpass.configuration.header_names import Dialect
-from postpass.gateway.response_check import AnswerNames, Proof, verdict
+from postpass.gateway.response_check import Proof, ResponseHeaderNames, check_response
 from postpass.runtime.errors import BROKE, SHED, Fault, Stop
 
 LEAST_URGENT = b"9"
@@ -57,11 +57,11 @@
 
     async def request(
         self, addr: str, method: str, target: bytes, headers: list[tuple[bytes, bytes]], body: bytes,
-        *, gate: Callable[[], str], limit: float, expect: tuple[bytes, bytes] | None,
+        *, admission_check: Callable[[], str], limit: float, expect: tuple[bytes, bytes] | None,
     ) -> Exchange:  # fmt: skip
         """Sends a request and returns it with the head of its answer.
 
-        `gate` is asked right before the bytes go out, and tells why they may not. `limit` is in seconds. An answer
+        `admission_check` is asked right before the bytes go out, and tells why they may not. `limit` is in seconds. An answer
         without the header `expect` is another request's, and is not returned. Raises Stop if there is no answer, with
         `unsent` if it is sure that nothing went out.
         """
@@ -180,7 +180,7 @@
     exchange = await workers.request(
         url.removeprefix("http://"), "POST", item["path"].encode("latin-1"),
         request_headers(dialect, item, host, worker, int(limit * 1000), text.last), base64.b64decode(item["body"]),
-        gate=gate, limit=limit, expect=(dialect.request_id.encode(), item["id"].encode()),
+        admission_check=gate, limit=limit, expect=(dialect.request_id.encode(), item["id"].encode()),
     )  # fmt: skip
     try:
         check_head(exchange, dialect, worker)
@@ -197,7 +197,7 @@
 
 def check_head(exchange: Exchange, dialect: Dialect, worker: str) -> None:
     """Raises Stop unless the head proves that it is the worker's own answer to a request that it ran."""
-    judged = verdict(exchange.status, exchange.headers, AnswerNames.of(dialect))
+    judged = check_response(exchange.status, exchange.headers, ResponseHeaderNames.of(dialect))
     if judged.proof in (Proof.NOT_RUN, Proof.OTHER_WORKER):
         raise Stop(Fault("run item", worker, f"status {exchange.status}: not run", SHED, REJECTED_HINT))
     if judged.proof is Proof.NONE:
--- a/postpass/batch/item_run.py
+++ b/postpass/batch/item_run.py
@@ -129,8 +129,8 @@
 
     async def run_prompt(self, configuration: Configuration, pool: str, item: LeasedItem) -> None:
         """Runs an item of a class at `item.worker`. What the owner did not take is leased again, once it isn't held."""
-        spot = self.worker_load.spot(pool, item.worker)
-        spot.mine[item.item_class] += 1
+        spot = self.worker_load.state_of(pool, item.worker)
+        spot.in_flight[item.item_class] += 1
         try:
             output = await self.send_prompt(configuration, pool, item)
             end, result = RunEnd.DONE, ItemResult(ItemStatus.DONE, output, checksum=output_checksum(output))
@@ -138,18 +138,18 @@
             end = RunEnd.NOT_RUN if not_run(stop.fault) else RunEnd.BROKEN
             result = ItemResult(ItemStatus.FAILED, str(stop.fault))
             if stop.fault.unsent:
-                spot.why = spot.why or stop.fault.why
+                spot.unusable = spot.unusable or stop.fault.why
         except asyncio.CancelledError:
             item.task = None
             raise
         finally:
-            spot.mine[item.item_class] -= 1
+            spot.in_flight[item.item_class] -= 1
         self.ended_items.labels(item.item_class, end).inc()
         await self.finish(item, result if end != RunEnd.NOT_RUN else None)
 
     async def send_prompt(self, configuration: Configuration, pool: str, item: LeasedItem) -> str:
         """Sends a prompt to its worker and returns the whole output; raises Stop if there is none."""
-        terms, seen = configuration["pools"][pool], self.worker_load.spot(pool, item.worker).seen
+        terms, seen = configuration["pools"][pool], self.worker_load.state_of(pool, item.worker).report
         model = seen.weights if seen else ""
         output: list[str] = []
         async for text in complete(
--- a/postpass/batch/job_api.py
+++ b/postpass/batch/job_api.py
@@ -14,7 +14,8 @@
 from postpass.batch.messages import Item, ResultsRequest
 from postpass.configuration.configuration import Route, part_of
 from postpass.configuration.schema import flaws
-from postpass.gateway.live_requests import NAME, Gateway
+from postpass.gateway.gateway import Gateway
+from postpass.gateway.request_bodies import IDENTIFIER
 from postpass.rpc.peer_links import Body
 from postpass.runtime.environment import now
 from postpass.runtime.errors import CLASH, CROWD, FULL, LACK, SHED, Fault
@@ -69,7 +70,7 @@
 
 def item_flaw(item: Item, other_ids: set[str]) -> str:
     """The first flaw of an item, with its path there; empty if there is none."""
-    if not NAME.fullmatch(item["id"]) or item["id"] in other_ids:
+    if not IDENTIFIER.fullmatch(item["id"]) or item["id"] in other_ids:
         return "id: want an id of its own of 1 to 80 of A-Z a-z 0-9 . _ -"
     path = item["path"]
     if not path.startswith("/") or not path.isascii() or not path.isprintable() or " " in path:
@@ -108,7 +109,7 @@
         edge = self.edge
         if edge.unready() is not None or edge.leaving:
             return JobAnswer(503, {"error": "this edge takes none now"})
-        if not NAME.fullmatch(job_id):
+        if not IDENTIFIER.fullmatch(job_id):
             return JobAnswer(400, {"error": "id: want 1 to 80 of A-Z a-z 0-9 . _ -"})
         try:
             body = json.loads(data)
@@ -119,11 +120,11 @@
             return JobAnswer(400, {"error": flaw})
         job = self.job_body(name, route, job_id, body["items"])
         partition = part_of(job_id, edge.configuration["parts"])
-        answer = await edge.to_owner(partition, "accept", {"lot": job}, now() + self.patience())
+        answer = await edge.owners.ask(partition, "accept", {"lot": job}, now() + self.patience())
         if isinstance(answer, Err):
             return self.not_accepted(answer.unwrap_err())
-        edge.lots.labels("kept").inc()
-        edge.kept.append((job_id, now()))
+        edge.jobs_total.labels("kept").inc()
+        edge.remember_job(job_id)
         return JobAnswer(202, {"id": job_id})
 
     def job_body(self, name: str, route: Route, job_id: str, items: list[Item]) -> Body:
@@ -141,7 +142,7 @@
 
     def not_accepted(self, fault: Fault) -> JobAnswer:
         """The answer for a job that an owner did not accept, as far as is known."""
-        counter = self.edge.lots
+        counter = self.edge.jobs_total
         if fault.code == CLASH:
             return JobAnswer(409, {"error": fault.why})
         if (fault.code in (CROWD, SHED, FULL) and not fault.unsure) or fault.unsent:
@@ -155,10 +156,10 @@
         edge = self.edge
         if edge.unready() is not None:
             return Err(503)
-        if not NAME.fullmatch(job_id):
+        if not IDENTIFIER.fullmatch(job_id):
             return Err(404)
         partition = part_of(job_id, edge.configuration["parts"])
-        answer = await edge.to_owner(partition, verb, body | {"id": job_id}, now() + wait)
+        answer = await edge.owners.ask(partition, verb, body | {"id": job_id}, now() + wait)
         return answer.map_err(lambda fault: 404 if fault.code == LACK else 503)
 
     async def results(self, job_id: str, start: int, hold: float) -> Result[Body, int]:
--- a/postpass/batch/placement.py
+++ b/postpass/batch/placement.py
@@ -16,7 +16,7 @@
 from postpass.configuration.settings import Settings
 from postpass.feed.configuration_view import ConfigurationView
 from postpass.runtime.environment import now
-from postpass.worker_api.plugins import Ask, Seat, fond_of, place, prefix
+from postpass.worker_api.plugins import Candidate, PlacementRequest, affinity_key, affinity_worker, place
 
 Slots = dict[str, int]  # by worker
 
@@ -76,10 +76,10 @@
         terms = configuration["classes"][item.item_class]
         servers = configuration["pools"][terms["pool"]]["servers"]
         load = Counter(i.worker for i in self.items.running())
-        ask = Ask(item.item_class, item.prompt.shared, len(item.prompt.text), self.settings.zone)
-        affine = fond_of(prefix(self.settings.name, terms.get("prefix", ""), ask), sorted(slots))
+        ask = PlacementRequest(item.item_class, item.prompt.shared, len(item.prompt.text), self.settings.zone)
+        affine = affinity_worker(affinity_key(self.settings.name, terms.get("prefix", ""), ask), sorted(slots))
         candidates = tuple(
-            Seat(name, servers[name]["area"], free, servers[name]["slots"], load[name], name == affine)
+            Candidate(name, servers[name]["area"], free, servers[name]["slots"], load[name], name == affine)
             for name in slots
             if (free := slots[name] - load[name]) >= 1
         )
--- a/postpass/daemon/data_plane.py
+++ b/postpass/daemon/data_plane.py
@@ -16,10 +16,10 @@
 from postpass.configuration.header_names import Dialect
 from postpass.configuration.settings import Settings
 from postpass.daemon.process import Daemon, Task
-from postpass.gateway.http_server import HeadLimits, front, serve_ready
-from postpass.gateway.live_requests import Gateway
+from postpass.gateway.connection_pool import ConnectionPool
+from postpass.gateway.gateway import Gateway
+from postpass.gateway.http_server import HeadLimits, limited_protocol, serve_ready
 from postpass.gateway.relay import Relay
-from postpass.gateway.upstream_connection import WorkerLinks
 from postpass.gateway.worker_load import WorkerLoad
 from postpass.replication.partition import Partition
 from postpass.replication.store import Store
@@ -39,7 +39,7 @@
     store: Store | None = None
     session: aiohttp.ClientSession | None = None
     relay: Relay | None = None
-    links: WorkerLinks | None = None
+    links: ConnectionPool | None = None
 
     def __init__(
         self, settings: Settings, environment: Environment, release: str = "", dialect: Dialect | None = None
@@ -111,7 +111,7 @@
                     self.relay = Relay(
                         self.settings, self.environment, self.configuration_view, self.dialect, self.registry
                     )
-                    self.edge.rest = self.relay.missing
+                    self.edge.fallback = self.relay.not_found
             if "sched" in self.settings.duties:
                 # Its own floor: what the edge of the same machine places is live traffic to the scheduler.
                 self.batch = WorkerLoad(
@@ -126,7 +126,7 @@
                     dialect=self.dialect,
                 )  # fmt: skip
                 if self.settings.announce:
-                    self.scheduler.runner.workers = self.links = WorkerLinks()
+                    self.scheduler.runner.workers = self.links = ConnectionPool()
 
     def handlers(self) -> dict[str, Any]:
         mine: dict[str, Any] = {"floor": self.on_floor} if "edge" in self.settings.duties else {}
@@ -136,13 +136,13 @@
 
     async def on_floor(self, _body: Body) -> Result[Body, Fault]:
         """What this edge has read off the servers, for edges of its area that don't ask them themselves."""
-        return Ok({"spots": self.worker_load.shown()})
+        return Ok({"spots": self.worker_load.as_json()})
 
     async def depart(self) -> None:
         """New calls go to other edges at once; the schedule, then the partitions, go to whoever comes next. Kept
         connections get a moment in which their next call is told to go elsewhere, rather than being cut."""
         if self.edge is not None:
-            self.edge.leaving = True
+            self.edge.leave()
         if self.relay is not None:
             self.relay.leaving = True
         if self.scheduler is not None:
@@ -156,7 +156,11 @@
             await self.scheduler.drain()
 
     def kept_lots(self, part: int) -> list[str]:
-        return self.edge.known(part) if self.edge is not None and self.configuration_view.manifest is not None else []
+        return (
+            self.edge.remembered_jobs(part)
+            if self.edge is not None and self.configuration_view.manifest is not None
+            else []
+        )
 
     def ready(self) -> str:
         if self.leaving:
@@ -175,7 +179,7 @@
         inner = super().app()
         if self.relay is None:
             return inner
-        self.relay.inner, self.relay.unready = inner, self.unready
+        self.relay.fallback, self.relay.unready = inner, self.unready
         return self.relay
 
     @property
@@ -198,10 +202,10 @@
                 limit(configuration, "idle_ms") / 1000,
             )
 
-        return front(limits, self.settings.bounds.recover / 2)
+        return limited_protocol(limits, self.settings.bounds.recover / 2)
 
     def ways(self) -> list[Any]:
-        return self.edge.ways() if self.edge is not None else []
+        return self.edge.routes() if self.edge is not None else []
 
     def tasks(self) -> list[Task]:
         out: list[Task] = [self.freshen()]
@@ -210,7 +214,7 @@
         if self.edge is not None:
             out += self.edge.tasks()
             # Workers of an announced fleet are not asked for their state: it costs them, and control tells it.
-            out += [] if self.settings.announce else [self.worker_load.watch(self.settings.bounds.probe)]
+            out += [] if self.settings.announce else [self.worker_load.poll_loop(self.settings.bounds.probe)]
             out += [serve_ready(self.settings.ready, lambda: not self.ready())] if self.settings.ready else []
         if self.scheduler is not None:
             out += self.scheduler.tasks() + ([] if self.settings.announce else [self.watch_batch()])
@@ -219,7 +223,7 @@
     async def watch_batch(self) -> None:
         """The scheduler polls on its own, at its own pace: loans must go back in time."""
         assert self.scheduler is not None
-        await self.batch.watch(self.scheduler.poll_interval, ("model",))
+        await self.batch.poll_loop(self.scheduler.poll_interval, ("model",))
 
     async def run(self) -> None:
         try:
@@ -239,13 +243,13 @@
         if self.store is not None:
             out["store"] = (await self.store.on_parts({})).unwrap()
         if self.edge is not None:
-            stale = self.edge.stale
+            stale = self.edge.admission.report_max_age
             out["servers"] = {
                 f"{p}/{n}": {
-                    "barred": self.worker_load.barred(p, n, stale), "mine": s.mine.total(), "weights": s.seen.weights if s.seen else "",
-                    "running": s.seen.running if s.seen else 0, "waiting": s.seen.waiting if s.seen else 0,
+                    "barred": self.worker_load.barred(p, n, stale), "mine": s.in_flight.total(), "weights": s.report.weights if s.report else "",
+                    "running": s.report.running if s.report else 0, "waiting": s.report.waiting if s.report else 0,
                 }
-                for (p, n), s in sorted(self.worker_load.spots.items())
+                for (p, n), s in sorted(self.worker_load.workers.items())
             }  # fmt: skip
         if self.scheduler is not None:
             out["sched"] = self.scheduler.status()
