--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -31,7 +31,7 @@
 import fire
 
 from postpass.batch import job_api
-from postpass.batch.job import Job, JobView, digest, packed
+from postpass.batch.job import Job, JobView, job_digest, pack_items
 from postpass.batch.job_service import JobService
 from postpass.configuration.configuration import part_of
 from postpass.control.daemon import ControlPlane
@@ -507,7 +507,7 @@
     raw = taken_lot(items)
     gc.collect()
     tracemalloc.start()
-    body, bodies = packed(raw)
+    body, bodies = pack_items(raw)
     record = json.dumps(body, separators=(",", ":")).encode() + b"\0" + bodies
     del body, bodies
     gc.collect()
@@ -536,7 +536,7 @@
     some = range(0, items, max(1, items // 20))
     each = timed(lambda: [open_lot.item_body(i) for i in some]) / len(some)
     return {"items": items, "record": len(record), "waiting": waiting, "ended": ended, "fold_ms": timed(lambda: JobView().fold(Record(1, 1, "lot", record))) * 1e3,
-            "dump_ms": timed(view.dump) * 1e3, "digest_ms": timed(lambda: digest(lot.body | {"sum": "x"})) * 1e3, "packed_ms": timed(lambda: packed(raw)) * 1e3,
+            "dump_ms": timed(view.dump) * 1e3, "digest_ms": timed(lambda: job_digest(lot.body | {"sum": "x"})) * 1e3, "packed_ms": timed(lambda: pack_items(raw)) * 1e3,
             "item_body_us": each * 1e6, "count_ms": timed(lambda: asked.quota.count(part, "r-batch")) * 1e3}  # fmt: skip
 
 
--- a/model/partition/rules.py
+++ b/model/partition/rules.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from model.partition.state import LOT, MEMBERS, NO_MEMBER, Ack, Log
-from postpass.batch.job import JobView, joined
+from postpass.batch.job import JobView, encode_record
 from postpass.membership.safe_change import Change, Situation, Tolerance, Topology, next_change
 from postpass.replication.partition import Partition, latest_view
 from postpass.replication.record_log import Record, RecordLog
@@ -40,7 +40,7 @@
             kind, body = "crew", {"crew": _crew(entry.members)}
         else:
             kind, body = "mark", {"settled": entry.settled} if entry.settled else {}
-        out.append(Record(seq, entry.epoch, kind, joined(body, b"")))
+        out.append(Record(seq, entry.epoch, kind, encode_record(body, b"")))
     return out
 
 
--- a/postpass/batch/job.py
+++ b/postpass/batch/job.py
@@ -21,21 +21,21 @@
 DIGEST_DIGITS = 32  # hexadecimal digits of the SHA-256 that tells jobs apart
 
 
-def joined(body: Body, payload: Payload = b"") -> bytes:
-    """A record's JSON, and the opaque bytes after it if there are any."""
+def encode_record(body: Body, payload: Payload = b"") -> bytes:
+    """A record as it is kept: its JSON, and the opaque bytes after it if there are any."""
     head = json.dumps(body, separators=(",", ":")).encode()
     return b"".join((head, PAYLOAD_MARK, payload)) if payload else head
 
 
-def parted(data: bytes) -> tuple[Body, Payload]:
-    """What `joined` joined; the opaque bytes are a view of `data`, not a copy."""
+def decode_record(data: bytes) -> tuple[Body, Payload]:
+    """What `encode_record` encoded; the opaque bytes are a view of `data`, not a copy."""
     mark = data.find(PAYLOAD_MARK)
     if mark < 0:
         return (json.loads(data) if data else {}), b""
     return json.loads(data[:mark]), memoryview(data)[mark + 1 :]
 
 
-def packed(job: Body) -> tuple[Body, bytes]:
+def pack_items(job: Body) -> tuple[Body, bytes]:
     """A job of opaque items as it is kept: the items tell the sizes of their bodies, which stand in a row behind."""
     bodies = [base64.b64decode(item["body"]) for item in job["items"]]
     payload = b"".join(bodies)
@@ -44,10 +44,10 @@
         for item, body in zip(job["items"], bodies, strict=True)
     ]
     kept = job | {"items": items}
-    return kept | {"sum": hashlib.sha256(digest(kept).encode() + payload).hexdigest()[:DIGEST_DIGITS]}, payload
+    return kept | {"sum": hashlib.sha256(job_digest(kept).encode() + payload).hexdigest()[:DIGEST_DIGITS]}, payload
 
 
-def digest(body: Body) -> str:
+def job_digest(body: Body) -> str:
     """What makes a job the same job: its content, and its due time as the client said it."""
     if "sum" in body:
         return str(body["sum"])
@@ -57,7 +57,7 @@
     return hashlib.sha256(json.dumps(core, sort_keys=True).encode()).hexdigest()[:DIGEST_DIGITS]
 
 
-def kind_of(body: Body) -> str:
+def item_class_of(body: Body) -> str:
     """What a job's items run as: a class, or a route."""
     return f"route:{body['route']}" if "route" in body else str(body["class"])
 
@@ -188,7 +188,7 @@
 
     def fold(self, record: Record) -> None:
         """Takes the next record; its kind is one of `FOLDS`."""
-        body, payload = parted(record.body)
+        body, payload = decode_record(record.body)
         getattr(self, FOLDS[record.kind])(record.seq, body)
         if payload and record.kind == "lot" and body["id"] in self.jobs and self.jobs[body["id"]].seq == record.seq:
             self.jobs[body["id"]].payload = payload
@@ -207,7 +207,7 @@
         """A job was taken; the first of an id stays, and a rejection before it wins."""
         job_id = body["id"]
         if job_id not in self.jobs and job_id not in self.rejected:
-            self.jobs[job_id] = Job(job_id, seq, body, digest(body))
+            self.jobs[job_id] = Job(job_id, seq, body, job_digest(body))
             self.lost.pop(job_id, None)  # handed in anew
 
     def fold_rejection(self, seq: int, body: Body) -> None:
@@ -270,14 +270,14 @@
         """The view as it is kept in snapshots: JSON, and behind it the payloads of all jobs."""
         flat = {VIEW_KEYS.get(name, name): value for name, value in vars(self).items() if name not in NOT_DUMPED}
         jobs = [job.dumped() for job in self.jobs.values()]
-        return joined(flat | {"lots": jobs}, b"".join(job.payload for job in self.jobs.values()))
+        return encode_record(flat | {"lots": jobs}, b"".join(job.payload for job in self.jobs.values()))
 
     @classmethod
     def load(cls, data: bytes) -> JobView:
         """The view that `dump` gave; an empty one for no bytes."""
         if not data:
             return cls()
-        body, payloads = parted(data)
+        body, payloads = decode_record(data)
         jobs = body.pop("lots")
         view, start = cls(**{VIEW_FIELDS.get(key, key): value for key, value in body.items()}), 0
         for dumped in jobs:
@@ -296,7 +296,7 @@
     done: bool
 
 
-def page(job: Job, covered: int, start: int, most: int) -> ResultsPage:
+def results_page(job: Job, covered: int, start: int, most: int) -> ResultsPage:
     """Covered results from place `start` on, in record order, `most` of them at the most.
 
     Records are covered in order, so the covered results are a prefix of `order`, and a page once read
--- a/postpass/batch/job_records.py
+++ b/postpass/batch/job_records.py
@@ -6,7 +6,7 @@
 
 from result import Err, Ok, Result
 
-from postpass.batch.job import Job, JobState, digest, page
+from postpass.batch.job import Job, JobState, job_digest, results_page
 from postpass.batch.messages import ItemStatus
 from postpass.replication.leadership_check import LeadershipCheck
 from postpass.replication.owner import PartitionOwner
@@ -66,7 +66,7 @@
         kept = partition.view.jobs.get(job["id"])
         if kept is None:
             return await self.rejected(partition, job["id"], limit)
-        if kept.digest != digest(job):
+        if kept.digest != job_digest(job):
             return self.failed("submit", "a lot with this id and other content is here", CLASH)
         if await partition.wait(kept.seq, self.class_predicate(job["class"]), limit):
             return Ok({"id": job["id"], "state": "kept"})
@@ -155,7 +155,7 @@
         if isinstance(got, Err):
             return got
         partition, job = got.unwrap()
-        shown = page(job, partition.covered, body["start"], min(body["most"], PAGE_ITEMS))
+        shown = results_page(job, partition.covered, body["start"], min(body["most"], PAGE_ITEMS))
         return Ok({"id": job.id, "results": shown.rows, "next": shown.next_start, "whole": shown.done})
 
     # --- ending, and claims
--- a/postpass/batch/job_service.py
+++ b/postpass/batch/job_service.py
@@ -10,7 +10,7 @@
 from result import Err, Ok, Result
 
 from postpass.batch.background import spawn
-from postpass.batch.job import Job, JobState, digest, packed
+from postpass.batch.job import Job, JobState, job_digest, pack_items
 from postpass.batch.messages import ItemStatus, ResultRow, ResultsRequest, ResultsResponse
 from postpass.batch.partition_access import PartitionAccess
 from postpass.batch.quota_service import QuotaService
@@ -73,7 +73,7 @@
         got = self.store.owned_partition(body["part"], "accept")
         if isinstance(got, Err):
             return got
-        partition, (job, payload) = got.unwrap(), packed(body["lot"])
+        partition, (job, payload) = got.unwrap(), pack_items(body["lot"])
         limit = min(float(body.get("wait", DEFAULT_ACCEPT_S)), self.store.settings.bounds.recover)
         if job["id"] not in partition.view.jobs:
             refused = await self.take_once(partition, job, payload, limit)
@@ -82,7 +82,7 @@
         kept = partition.view.jobs.get(job["id"])
         if kept is None:
             return self.failed("accept", "not known yet", SLOW)
-        if kept.digest != digest(job):
+        if kept.digest != job_digest(job):
             return self.failed("accept", "a lot with this id and other content is here", CLASH)
         if await partition.wait(kept.seq, "", limit):
             self.wake(partition)
--- a/postpass/batch/leases.py
+++ b/postpass/batch/leases.py
@@ -9,7 +9,7 @@
 
 from result import Err, Ok
 
-from postpass.batch.job import Job, JobState, JobView, kind_of
+from postpass.batch.job import Job, JobState, JobView, item_class_of
 from postpass.batch.messages import ItemGrant, ItemKey, ItemResult, ItemStatus, TakeRequest, TakeResponse
 from postpass.replication.leadership_check import LeadershipCheck
 from postpass.replication.owner import PartitionOwner
@@ -84,7 +84,7 @@
 
 def item_grant(job: Job, position: int) -> ItemGrant:
     """An item as a scheduler needs it."""
-    body, item_class = job.body, kind_of(job.body)
+    body, item_class = job.body, item_class_of(job.body)
     client = body.get("caller", "")
     if "route" not in body:
         prompt = Prompt(tuple(body.get("shared", [])), body["items"][position])
@@ -146,7 +146,7 @@
         leased = Counter(key.job for key in state.leases if key.item not in view.jobs[key.job].results)
         grants = []
         for job in sorted(jobs, key=lambda job: (job.body["due"], job.seq)):
-            item_class = kind_of(job.body)
+            item_class = item_class_of(job.body)
             # Counted, not listed: what a poll costs must not grow with all items that wait.
             waiting[item_class] = waiting.get(item_class, 0) + job.size - len(job.results) - leased[job.id]
             free = (i for i in range(job.size) if i not in job.results and (job.id, i) not in state.leases)
--- a/postpass/replication/partition.py
+++ b/postpass/replication/partition.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from postpass.batch.job import JobView, Payload, joined
+from postpass.batch.job import JobView, Payload, encode_record
 from postpass.replication.acknowledgements import Acknowledgements
 from postpass.replication.record_log import Record, RecordLog
 from postpass.replication.stability import (
@@ -278,7 +278,7 @@
     def make(self, kind: str, body: dict[str, Any], raw: Payload = b"") -> Record:
         """The next record of the one order of this partition."""
         assert self.owning
-        record = Record(self.record_log.last + 1, self.epoch, kind, joined(body, raw))
+        record = Record(self.record_log.last + 1, self.epoch, kind, encode_record(body, raw))
         self.record_log.append(record)
         self.view.fold(record)
         self.acknowledgements.put(self.me, self.disk, "received", record.seq)
--- a/tests/batch/test_job.py
+++ b/tests/batch/test_job.py
@@ -6,7 +6,7 @@
 import json
 from typing import Any
 
-from postpass.batch.job import PAYLOAD_MARK, JobView, digest, joined, packed, page
+from postpass.batch.job import PAYLOAD_MARK, JobView, encode_record, job_digest, pack_items, results_page
 from postpass.replication.record_log import Record
 
 
@@ -33,18 +33,18 @@
 
 def test_first_result_wins_and_refusals_win_over_their_lot() -> None:
     view = _view()
-    assert page(view.jobs["x"], 9, 0, 10)[0][0] == {"item": 1, "status": "done", "output": "B"}
+    assert results_page(view.jobs["x"], 9, 0, 10)[0][0] == {"item": 1, "status": "done", "output": "B"}
     assert "y" not in view.jobs and view.jobs["w"].order == []
 
 
 def test_pages_show_only_covered_results_and_never_change() -> None:
     lot = _view().jobs["x"]
-    assert page(lot, 1, 0, 10) == ([], 0, False)
-    first = page(lot, 3, 0, 10)
+    assert results_page(lot, 1, 0, 10) == ([], 0, False)
+    first = results_page(lot, 3, 0, 10)
     assert first[1:] == (1, False)
-    rest = page(lot, 4, first[1], 10)
+    rest = results_page(lot, 4, first[1], 10)
     assert ([r["item"] for r in rest[0]], rest[2]) == ([0], True)
-    assert page(lot, 9, 0, 1) == (first[0], 1, False)
+    assert results_page(lot, 9, 0, 1) == (first[0], 1, False)
 
 
 def test_a_view_comes_back_from_its_dump() -> None:
@@ -57,11 +57,11 @@
 def test_bodies_of_opaque_items_are_kept_as_bytes_shared_and_let_go_once_nobody_may_ask() -> None:
     bodies = [b"\0\xff one", b"", b"three\n"]
     items = [{"id": f"i{n}", "body": base64.b64encode(b).decode()} for n, b in enumerate(bodies)]
-    lot, raw = packed({"id": "x", "route": "r", "items": items})
-    again = packed({"id": "x", "route": "r", "items": [*items[:2], items[0] | {"id": "i2"}]})[0]
-    assert digest(lot) != digest(again) and "body" not in lot["items"][0]
+    lot, raw = pack_items({"id": "x", "route": "r", "items": items})
+    again = pack_items({"id": "x", "route": "r", "items": [*items[:2], items[0] | {"id": "i2"}]})[0]
+    assert job_digest(lot) != job_digest(again) and "body" not in lot["items"][0]
     view = JobView()
-    view.fold(Record(1, 1, "lot", joined(lot, raw)))
+    view.fold(Record(1, 1, "lot", encode_record(lot, raw)))
     other, third = view.copy(), JobView.load(view.dump())
     assert other.jobs["x"].payload is view.jobs["x"].payload
     for have in (view, other, third):
@@ -91,13 +91,13 @@
 def test_a_dump_has_the_keys_of_release_0_2_0_in_their_order() -> None:
     # The bytes are those that the code before the fields were renamed made of the same records.
     opaque = {"id": "i0", "tokens": 3, "body": base64.b64encode(b"ab").decode()}
-    body, payload = packed({"id": "r1", "route": "r", "items": [opaque], "due": 1.5})
+    body, payload = pack_items({"id": "r1", "route": "r", "items": [opaque], "due": 1.5})
     view = JobView()
     for rec in (
         _rec(1, "crew", crew={"s1": "d1"}),
         _rec(2, "predicate", text="MIN($ALL)"),
         _rec(3, "lot", id="x", items=["a", "b"], **{"class": "lot", "due": 9, "caller": "me"}),
-        Record(4, 1, "lot", joined(body, payload)),
+        Record(4, 1, "lot", encode_record(body, payload)),
         _rec(5, "result", id="x", item=1, status="done", output="B"),
         _rec(6, "shed", id="y"),
         _rec(7, "claim", key="k", nonce="n", edge="e"),
--- a/tests/support/data_directories.py
+++ b/tests/support/data_directories.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from postpass.batch.job import JobView, parted
+from postpass.batch.job import JobView, decode_record
 from postpass.configuration.settings import Settings
 from postpass.control.daemon import ControlPlane
 from postpass.daemon.data_plane import DataPlane
@@ -121,7 +121,7 @@
 
 def view_state(view: JobView) -> Json:
     """Members, lots, their items and results."""
-    body, raw = parted(view.dump())
+    body, raw = decode_record(view.dump())
     return body | {"bodies": base64.b64encode(raw).decode()}
 
 
--- a/tests/support/release_keys.py
+++ b/tests/support/release_keys.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any, NotRequired, get_origin, get_type_hints
 
-from postpass.batch.job import Job, JobView, parted
+from postpass.batch.job import Job, JobView, decode_record
 from postpass.configuration.settings import BoundsFile, SettingsFile, ToleranceFile
 from postpass.control.epochs import Witness
 from postpass.control.state import ReplicatedState
@@ -39,7 +39,7 @@
 def data_keys() -> Names:
     """The keys of what stands in the directories of control and stores, in their order."""
     state = as_json(ReplicatedState().raw())
-    view, _ = parted(JobView(jobs={"x": Job("x", 1, {"items": []}, "")}).dump())
+    view, _ = decode_record(JobView(jobs={"x": Job("x", 1, {"items": []}, "")}).dump())
     return {
         "witness": list(json.loads(Witness().dump())),
         "replicated state": list(state),
