--- a/tests/batch/test_job_service.py
+++ b/tests/batch/test_job_service.py
@@ -94,14 +94,14 @@
         fleet = SimFleet(loop, manifest() | {"routes": {"r": dict(ROUTE) | route}}, 1, make=make)
         await fleet.found()
 
-        def desk(name: str) -> JobApi:
+        def api(name: str) -> JobApi:
             daemon = fleet.boxes[name].daemon
             assert isinstance(daemon, DataPlane) and daemon.edge is not None
             return JobApi(daemon.edge)
 
         host = fleet.boxes[at].host
         assert host is not None
-        task = loop.create_task(check(fleet, [desk("e1"), desk("e2")], workers), context=host.context())
+        task = loop.create_task(check(fleet, [api("e1"), api("e2")], workers), context=host.context())
         await task
 
     run_sim(main, 1)
@@ -116,10 +116,10 @@
     return list(named_scheds(fleet).values())
 
 
-async def all_of(desk: JobApi, name: str) -> list[dict[str, Any]]:
+async def all_of(api: JobApi, name: str) -> list[dict[str, Any]]:
     out: list[dict[str, Any]] = []
     for _ in range(40):
-        got = (await desk.results(name, len(out), 1.0)).unwrap()
+        got = (await api.results(name, len(out), 1.0)).unwrap()
         out += got["results"]
         assert got["next"] == len(out)
         if len(out) == got["total"]:
@@ -129,60 +129,60 @@
 
 class Test_a_lot_of_a_route:
     def test_is_kept_runs_and_reads_the_same_at_every_edge(self) -> None:
-        async def check(fleet: SimFleet, desks: list[JobApi], workers: Pretend) -> None:
+        async def check(fleet: SimFleet, apis: list[JobApi], workers: Pretend) -> None:
             began = fleet.loop.clock
-            assert (await desks[0].accept("r", ROUTE, "l1", lot("a", "cut", "never", "fails")))[0] == 202
+            assert (await apis[0].accept("r", ROUTE, "l1", lot("a", "cut", "never", "fails")))[0] == 202
             assert fleet.loop.clock - began < 0.1
-            assert (await desks[1].accept("r", ROUTE, "l1", lot("a", "cut", "never", "fails")))[0] == 202
-            assert (await desks[1].accept("r", ROUTE, "l1", lot("other")))[0] == 409
-            assert (await desks[1].item("l1", "i0a")).unwrap() == b"t"
-            rows = await all_of(desks[0], "l1")
+            assert (await apis[1].accept("r", ROUTE, "l1", lot("a", "cut", "never", "fails")))[0] == 202
+            assert (await apis[1].accept("r", ROUTE, "l1", lot("other")))[0] == 409
+            assert (await apis[1].item("l1", "i0a")).unwrap() == b"t"
+            rows = await all_of(apis[0], "l1")
             assert {r["id"]: (r["state"], r["text"]) for r in rows} == {
                 "i0a": ("done", "t0\nt1\nt2"), "i1cut": ("done", "t0\nt1\nt2"), "i2never": ("abandoned", ""),
                 "i3fails": ("abandoned", ""),
             }  # fmt: skip
-            assert rows == await all_of(desks[1], "l1")
+            assert rows == await all_of(apis[1], "l1")
             assert ("i1cut", 1) in workers.runs and len(workers.runs) == 6
-            assert (await desks[1].item("l1", "i0a")).unwrap_err() == 404
-            assert (await desks[0].results("l2", 0, 0)).unwrap_err() == 404
+            assert (await apis[1].item("l1", "i0a")).unwrap_err() == 404
+            assert (await apis[0].results("l2", 0, 0)).unwrap_err() == 404
             assert fleet.loop.clock - began < 2.0
 
         with_lots(check)
 
     def test_is_refused_past_the_quota_and_taken_once_there_is_room(self) -> None:
-        async def check(fleet: SimFleet, desks: list[JobApi], workers: Pretend) -> None:
+        async def check(fleet: SimFleet, apis: list[JobApi], workers: Pretend) -> None:
             workers.full = True  # nothing leaves the count by being done
-            codes = [(await desks[n % 2].accept("r", ROUTE, f"l{n}", lot("a", tokens=400)))[0] for n in range(4)]
+            codes = [(await apis[n % 2].accept("r", ROUTE, f"l{n}", lot("a", tokens=400)))[0] for n in range(4)]
             assert codes == [202, 202, 429, 429]
-            assert (await desks[0].finish("l0")).is_ok() and (await desks[1].finish("l0")).is_ok()
+            assert (await apis[0].finish("l0")).is_ok() and (await apis[1].finish("l0")).is_ok()
             await asyncio.sleep(1.0)
-            assert (await desks[0].accept("r", ROUTE, "l2", lot("a", tokens=400)))[0] == 202
-            assert (await desks[0].accept("r", ROUTE, "l3", lot("a", tokens=400)))[0] == 429
+            assert (await apis[0].accept("r", ROUTE, "l2", lot("a", tokens=400)))[0] == 202
+            assert (await apis[0].accept("r", ROUTE, "l3", lot("a", tokens=400)))[0] == 429
 
         with_lots(check)
 
     def test_is_given_up_once_expired(self) -> None:
-        async def check(fleet: SimFleet, desks: list[JobApi], workers: Pretend) -> None:
+        async def check(fleet: SimFleet, apis: list[JobApi], workers: Pretend) -> None:
             workers.full = True
             brief: Route = ROUTE | {"expire": 3.0}  # type: ignore[assignment]
-            assert (await desks[0].accept("r", brief, "l1", lot("a", "b")))[0] == 202
+            assert (await apis[0].accept("r", brief, "l1", lot("a", "b")))[0] == 202
             began = fleet.loop.clock
-            assert [r["state"] for r in await all_of(desks[1], "l1")] == ["abandoned", "abandoned"]
+            assert [r["state"] for r in await all_of(apis[1], "l1")] == ["abandoned", "abandoned"]
             assert 2.9 <= fleet.loop.clock - began <= 5.0 and workers.runs == []
 
         with_lots(check)
 
     def test_is_given_up_at_once_when_its_route_is_gone_and_its_items_are_let_go(self) -> None:
-        async def check(fleet: SimFleet, desks: list[JobApi], workers: Pretend) -> None:
+        async def check(fleet: SimFleet, apis: list[JobApi], workers: Pretend) -> None:
             workers.full = True
-            assert (await desks[0].accept("r", ROUTE, "l1", lot("a", "b")))[0] == 202
+            assert (await apis[0].accept("r", ROUTE, "l1", lot("a", "b")))[0] == 202
             await asyncio.sleep(1.0)
             assert sum(len(s.items) for s in scheds(fleet)) == 2
             assert (
-                await fleet.apply({**fleet.configuration, "routes": {}}, desks[0].edge.configuration_view.revision) == 2
+                await fleet.apply({**fleet.configuration, "routes": {}}, apis[0].edge.configuration_view.revision) == 2
             )
             began = fleet.loop.clock
-            assert [r["state"] for r in await all_of(desks[1], "l1")] == ["abandoned", "abandoned"]
+            assert [r["state"] for r in await all_of(apis[1], "l1")] == ["abandoned", "abandoned"]
             assert fleet.loop.clock - began < 1.0
             workers.full = False
             await asyncio.sleep(1.0)
@@ -191,43 +191,43 @@
         with_lots(check)
 
     def test_goes_by_no_configuration_older_than_its_acceptance(self) -> None:
-        async def check(fleet: SimFleet, desks: list[JobApi], workers: Pretend) -> None:
-            known = desks[0].edge.configuration_view.revision
-            desks[0].edge.configuration_view.revision += 2  # as if this edge alone had heard of two more
-            told = asyncio.create_task(desks[0].accept("gone", ROUTE, "l1", lot("a")))
-            again = asyncio.create_task(desks[0].accept("r", ROUTE, "l2", lot("b")))
+        async def check(fleet: SimFleet, apis: list[JobApi], workers: Pretend) -> None:
+            known = apis[0].edge.configuration_view.revision
+            apis[0].edge.configuration_view.revision += 2  # as if this edge alone had heard of two more
+            told = asyncio.create_task(apis[0].accept("gone", ROUTE, "l1", lot("a")))
+            again = asyncio.create_task(apis[0].accept("r", ROUTE, "l2", lot("b")))
             assert [(await t)[0] for t in (told, again)] == [202, 202]
-            desks[0].edge.configuration_view.revision = known
+            apis[0].edge.configuration_view.revision = known
             await asyncio.sleep(2.0)
             assert workers.runs == []  # the route is there, but may have gone elsewhere since
-            assert (await desks[1].results("l1", 0, 0)).unwrap()["results"] == []  # and this one may have come since
+            assert (await apis[1].results("l1", 0, 0)).unwrap()["results"] == []  # and this one may have come since
             for turn in range(2):
                 configuration = fleet.configuration | {"retention": 3600.0 + turn}
                 assert await fleet.apply(configuration, known + turn) == known + turn + 1
-            assert [r["state"] for r in await all_of(desks[1], "l2")] == ["done"]
-            assert [r["state"] for r in await all_of(desks[1], "l1")] == ["abandoned"]
+            assert [r["state"] for r in await all_of(apis[1], "l2")] == ["done"]
+            assert [r["state"] for r in await all_of(apis[1], "l1")] == ["abandoned"]
 
         with_lots(check)
 
     def test_that_is_ended_does_not_run_when_a_scheduler_that_was_frozen_wakes(self) -> None:
-        async def check(fleet: SimFleet, desks: list[JobApi], workers: Pretend) -> None:
+        async def check(fleet: SimFleet, apis: list[JobApi], workers: Pretend) -> None:
             workers.full = True
             for name, ends in (("l1", ("a", "b")), ("l2", ("c", "d"))):
-                assert (await desks[1].accept("r", ROUTE, name, lot(*ends)))[0] == 202
+                assert (await apis[1].accept("r", ROUTE, name, lot(*ends)))[0] == 202
             await asyncio.sleep(0.5)
             held = next(n for n, s in named_scheds(fleet).items() if s.items)
             fleet.freeze(held)
-            desk = desks[1]
+            api = apis[1]
             assert held != "e2"  # where this runs
             async with asyncio.timeout(10.0):
-                while (await desk.finish("l1")).is_err():
+                while (await api.finish("l1")).is_err():
                     await asyncio.sleep(0.2)
             ended = fleet.loop.clock
             await asyncio.sleep(3.0)
             workers.full = False
             term = max(s.election.term for s in scheds(fleet))
             fleet.thaw(held)
-            assert {r["state"] for r in await all_of(desk, "l2")} == {"done"}
+            assert {r["state"] for r in await all_of(api, "l2")} == {"done"}
             await asyncio.sleep(2.0)
             assert fleet.loop.clock - ended > 3.0
             # Nothing of the ended one; each item of the other once, and once more only where a scheduler took over since.
