--- a/postpass/batch/retention.py
+++ b/postpass/batch/retention.py
@@ -28,7 +28,7 @@
     table: PartitionTable
     owner: PartitionOwner
     leases: Leases
-    routed: JobService
+    job_service: JobService
 
     def drop_expired(self, partition: Partition) -> None:
         """Drops what has ended for longer than the retention; a job that is long overdue is ended first."""
@@ -56,7 +56,7 @@
         out = []
         for job in partition.view.jobs.values():
             if "route" in job.body:
-                if self.routed.may_leave(partition, job):
+                if self.job_service.may_leave(partition, job):
                     out.append(job.id)
             elif job.complete or job.state == JobState.ENDED:
                 out += expired(state, "", [job.id], keep)
--- a/postpass/replication/store.py
+++ b/postpass/replication/store.py
@@ -70,14 +70,14 @@
         self.reconfiguration = Reconfiguration(self.table, self.owner)
         self.jobs = JobRecords(self.table, self.owner, self.leadership)
         self.leases = Leases(self.table, self.owner, self.leadership)
-        self.routed = JobService(self)
-        self.retention = Retention(self.table, self.owner, self.leases, self.routed)
+        self.job_service = JobService(self)
+        self.retention = Retention(self.table, self.owner, self.leases, self.job_service)
         self.duties = OwnerDuties(self.table, self.streams, self.reconfiguration, self.handover, self.retention)
 
     def ownership_began(self, number: int) -> None:
         """An ownership begins: what was kept in memory for the one before counts no more."""
         self.leases.owner_states[number] = OwnerState()
-        self.routed.forget(number)
+        self.job_service.forget(number)
 
     # --- asked for by the daemon and the job service (`PartitionAccess`)
     @property
@@ -155,7 +155,7 @@
         return {
             "carry": self.mirror.on_carry, "ack": self.owner.on_ack, "promise": self.election.on_promise, "hello": self.mirror.on_hello, "fetch": self.catch_up.on_fetch,
             "submit": self.jobs.on_submit, "show": self.jobs.on_show, "page": self.jobs.on_page, "finish": self.jobs.on_finish, "take": self.leases.on_take,
-            "done": self.leases.on_done, "claim": self.jobs.on_claim, "parts": self.on_parts, **self.routed.handlers(),
+            "done": self.leases.on_done, "claim": self.jobs.on_claim, "parts": self.on_parts, **self.job_service.handlers(),
         }  # fmt: skip
 
     async def watch_sync(self) -> None:
@@ -201,7 +201,7 @@
                 else:
                     self.election.run_if_silent(partition)
                 partition.trim(self.table.settings.buffer_bytes // max(len(self.table.partitions), 1))
-            self.routed.report()
+            self.job_service.report()
             if self.table.log.heavy():
                 await self.table.log.compact(self.table.snapshot())
                 self.synced()
