--- a/postpass/replication/partition_table.py
+++ b/postpass/replication/partition_table.py
@@ -21,6 +21,7 @@
 from postpass.runtime.environment import Environment, now
 from postpass.runtime.errors import LACK, Fault
 from postpass.storage.data_directory import DataDirectory, open_data_directory
+from postpass.storage.segmented_log import SegmentedLog
 
 
 @dataclass(eq=False)
@@ -38,7 +39,7 @@
     leaving: bool = False
 
     @property
-    def log(self) -> Any:
+    def log(self) -> SegmentedLog:
         """The log on disk, which all partitions share."""
         assert self.data_directory is not None
         return self.data_directory.log
@@ -73,7 +74,7 @@
         Raises:
             Stop: The disk takes no more.
         """
-        place: int = self.log.append(entries, vital)
+        place = self.log.append(entries, vital)
         partition.unsynced.append((place, partition.record_log.last))
         return place
 
--- a/postpass/replication/store.py
+++ b/postpass/replication/store.py
@@ -42,6 +42,7 @@
 from postpass.runtime.environment import Environment, now
 from postpass.runtime.errors import Fault
 from postpass.storage.data_directory import distrust
+from postpass.storage.segmented_log import SegmentedLog
 
 
 @dataclass(eq=False)
@@ -81,7 +82,7 @@
 
     # --- asked for by the daemon and the job service (`PartitionAccess`)
     @property
-    def log(self) -> Any:
+    def log(self) -> SegmentedLog:
         """The log on disk."""
         return self.table.log
 
