--- a/postpass/batch/partition_access.py
+++ b/postpass/batch/partition_access.py
@@ -3,20 +3,19 @@
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING, Protocol
+from typing import Protocol
 
 from result import Result
 
-if TYPE_CHECKING:
-    from postpass.batch.job import Job, Payload
-    from postpass.batch.leases import OwnerState
-    from postpass.configuration.settings import Settings
-    from postpass.feed.configuration_view import ConfigurationView
-    from postpass.replication.partition import Partition
-    from postpass.replication.record_log import Record
-    from postpass.rpc.peer_links import Body, PeerLinks, PeerResponse
-    from postpass.runtime.environment import Environment
-    from postpass.runtime.errors import Fault
+from postpass.batch.job import Job, Payload
+from postpass.batch.leases import OwnerState
+from postpass.configuration.settings import Settings
+from postpass.feed.configuration_view import ConfigurationView
+from postpass.replication.partition import Partition
+from postpass.replication.record_log import Record
+from postpass.rpc.peer_links import Body, PeerLinks, PeerResponse
+from postpass.runtime.environment import Environment
+from postpass.runtime.errors import Fault
 
 
 class PartitionAccess(Protocol):
