--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -38,7 +38,8 @@
 from postpass.control.epochs import ReplicaSet
 from postpass.control.state import ReplicatedState
 from postpass.gateway.load_balancing import Prefix, Seat, choose, readers
-from postpass.membership.registry import PARTS, State
+from postpass.membership.machine_registry import INITIAL_PARTITIONS
+from postpass.membership.registry import State
 from postpass.replication.partition import Partition
 from postpass.replication.record_log import Record
 from postpass.rpc import peer_links
@@ -369,7 +370,7 @@
         owned = {p.id: n for n, s in fleet.stores() for p in s.parts.values() if p.owning}
         while True:  # one whose owner doesn't schedule, so that both are told apart
             lot = clients.make_lot(kind, items)
-            if owned[part_of(lot.id, PARTS)] not in active:
+            if owned[part_of(lot.id, INITIAL_PARTITIONS)] not in active:
                 break
         with metered() as meter:
             await asyncio.sleep(4.0)
@@ -404,7 +405,7 @@
             n
             for n, s in fleet.stores()
             for p in s.parts.values()
-            if not p.owning and p.id == part_of(lot.id, PARTS) and n not in active
+            if not p.owning and p.id == part_of(lot.id, INITIAL_PARTITIONS) and n not in active
         ]
         stores = [m.name for m in fleet.of("store")]
 
--- a/bench/control_state.py
+++ b/bench/control_state.py
@@ -26,7 +26,7 @@
 from postpass.configuration.json_delta import patch
 from postpass.control.daemon import ControlPlane
 from postpass.control.journal import Image, StateJournal, Tree
-from postpass.membership.registry import Standing
+from postpass.membership.registry import WorkerAnnouncement
 from postpass.runtime.disk import RealDisk
 from postpass.storage.data_directory import open_data_directory
 from sim.announced import AnnouncedFleet, Sizes
@@ -79,7 +79,12 @@
         control = cast(ControlPlane, box.daemon)
         assert box.host is not None and control.configuration_view.manifest is not None
         pool = next(iter(control.configuration_view.manifest["pools"]))
-        standing: Standing = {"pool": pool, "url": "http://10.99.0.1:9000", "area": "zone-a", "slots": self.count}
+        standing: WorkerAnnouncement = {
+            "pool": pool,
+            "url": "http://10.99.0.1:9000",
+            "area": "zone-a",
+            "slots": self.count,
+        }
         call = control.beat_worker("measured", standing, self.count)
         got = await asyncio.get_running_loop().create_task(call, context=box.host.context())
         return got.is_ok() and "edition" in got.unwrap()
--- a/postpass/control/configuration.py
+++ b/postpass/control/configuration.py
@@ -11,7 +11,7 @@
 from postpass.configuration import accepted_orders
 from postpass.configuration.accepted_orders import ConfigurationOrder, Recollection
 from postpass.configuration.configuration import deep_flaws
-from postpass.membership import registry
+from postpass.membership import operator_changes
 from postpass.membership.registry import State, Translator
 from postpass.runtime.errors import BAD, OLD, SLOW, Fault
 
@@ -71,7 +71,7 @@
         if terms["version"] <= self.base:
             return self._refuse(f"version: want more than {self.base}, got {terms['version']}")
         orders = accepted_orders.remember(state.orders, self.order, self.remembered)
-        new = registry.configured(state, terms, source, orders)
+        new = operator_changes.with_configuration(state, terms, source, orders)
         flaws = deep_flaws(new.configuration)
         return self._refuse(*flaws) if flaws else Ok(new)
 
--- a/postpass/control/member.py
+++ b/postpass/control/member.py
@@ -119,7 +119,7 @@
             # An older edition is better than none to find the others by; it may be behind, never ahead
             # of what this pair's disk took.
             self.seen = self.held.state.manifest
-        self.partial_view.me["disk"] = self.disk_id
+        self.partial_view.own_record["disk"] = self.disk_id
         self.heard = now()
 
     async def read_folder(self) -> None:
--- a/postpass/control/orders.py
+++ b/postpass/control/orders.py
@@ -12,7 +12,7 @@
 from postpass.control.changes import Fold
 from postpass.control.configuration import ConfigurationChange
 from postpass.control.leadership import Leadership
-from postpass.membership import registry
+from postpass.membership import operator_changes
 from postpass.membership.registry import State
 from postpass.rpc.peer_links import Body, PeerResponse
 from postpass.runtime import log_events
@@ -164,15 +164,17 @@
             if zone not in self.settings.zones:
                 return lambda _: Err(Fault(what, self.settings.name, f"unknown area {zone!r:.60}", LACK))
             return lambda state: Ok(
-                registry.evacuated(state, zone) if what == "evacuate" else registry.returned(state, zone)
+                operator_changes.with_zone_evacuated(state, zone)
+                if what == "evacuate"
+                else operator_changes.with_zone_returned(state, zone)
             )
         if what == "retire":
 
             def retire(state: State) -> Result[State, Fault]:
-                flaw = registry.retire_flaw(state, body["name"], self.settings.tolerance)
+                flaw = operator_changes.retirement_flaw(state, body["name"], self.settings.tolerance)
                 if flaw:
-                    return Err(Fault("retire", self.settings.name, flaw[1], flaw[0]))
-                return Ok(registry.retiring(state, body["name"], self.settings.tolerance))
+                    return Err(Fault("retire", self.settings.name, flaw.reason, flaw.code))
+                return Ok(operator_changes.with_retiring_store(state, body["name"], self.settings.tolerance))
 
             return retire
         return lambda _: Err(Fault("order", self.settings.name, f"unknown order {what!r:.60}", BAD))
@@ -196,7 +198,7 @@
             return Err(Fault("retire", self.settings.name, f"no store {name!r:.60}", LACK))
         if not configuration["machines"][name].get("retire") or not await self.holds_nothing(name, configuration):
             return Ok({"done": False})
-        got = await self.change(lambda state: Ok(registry.emptied(state, name)), 0.0)
+        got = await self.change(lambda state: Ok(operator_changes.without_emptied_store(state, name)), 0.0)
         return Ok({"done": isinstance(got, Ok)})
 
     async def holds_nothing(self, name: str, configuration: Configuration) -> bool:
--- a/postpass/control/registry.py
+++ b/postpass/control/registry.py
@@ -9,8 +9,8 @@
 from postpass.configuration.configuration import Configuration, with_duty
 from postpass.control.feed import Feed
 from postpass.control.member import INFINITY
-from postpass.membership import registry
-from postpass.membership.registry import Entry, Standing, State
+from postpass.membership import machine_registry, worker_registry
+from postpass.membership.registry import MachineAnnouncement, State, WorkerAnnouncement
 from postpass.rpc.peer_links import Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
@@ -36,8 +36,10 @@
             ]
             got = await asyncio.gather(*asks)
             if all(isinstance(g, Ok) and g.unwrap().get("blank") for g in got) and self.blank():
-                entries: list[Entry] = [self.entry(), *(g.unwrap()["entry"] for g in got)]
-                configuration = registry.founded(entries, self.settings.zones, self.settings.disks_lost)
+                entries: list[MachineAnnouncement] = [self.entry(), *(g.unwrap()["entry"] for g in got)]
+                configuration = machine_registry.initial_configuration(
+                    entries, self.settings.zones, self.settings.disks_lost
+                )
                 async with self.lock:
                     done = await self.run_election(configuration, "founded", State(1, configuration))
                 if isinstance(done, Ok):
@@ -49,14 +51,14 @@
         step, entry = "join", body["entry"]
         if not await self.is_leading():
             return Err(self.not_leader(step))
-        flaws = registry.entry_flaws(entry, self.settings.zones)
+        flaws = machine_registry.announcement_flaws(entry, self.settings.zones)
         if flaws:
             return Err(Fault(step, self.settings.name, "\n".join(flaws), BAD))
         self.spoke[entry["name"]] = now()
         if (configuration := self.known()) is not None:
             self.note_newcomers(configuration)
         self.met.setdefault(entry["name"], now())
-        got = await self.change(lambda s: Ok(registry.joined(s, entry)), self.settings.bounds.beat / 4)
+        got = await self.change(lambda s: Ok(machine_registry.with_machine(s, entry)), self.settings.bounds.beat / 4)
         if isinstance(got, Err):
             return Err(got.unwrap_err())
         log_events.emit(
@@ -107,7 +109,7 @@
             return
         configuration = state.manifest
         silent = {n: t - max(self.spoke.get(n, -INFINITY), self.since) for n in configuration["machines"]}
-        every = registry.everyone(state)
+        every = worker_registry.all_workers(state)
         quiet = {w: t - max(self.beats.get(w, -INFINITY), self.since) for w in every}
         late = [w for w, q in quiet.items() if q > 3.5 * self.settings.beat]
         if 2 * len(late) > max(len(every), 4):
@@ -115,7 +117,9 @@
             late = [w for w, q in quiet.items() if q > 10 * self.settings.beat]
         # A holder leaves the replica set first: whoever is dropped can't lead, though it may hold the newest state.
         gone = [
-            n for n in registry.replaced(configuration, silent, self.met, t, self.patience) if n not in self.held.pair
+            n
+            for n in machine_registry.machines_to_drop(configuration, silent, self.met, t, self.patience)
+            if n not in self.held.pair
         ]
         joined = max((self.met.get(n, 0.0) for n in with_duty(configuration, "store")), default=t)
         few = (
@@ -125,10 +129,10 @@
 
         def fold(s: State) -> Result[State, Fault]:
             if late:
-                s = registry.expired(s, late)
+                s = worker_registry.without_silent(s, late)
             if gone:
-                s = registry.dropped(s, gone)
-            return Ok(registry.settled(s, self.settings.tolerance, few, heard))
+                s = machine_registry.without_machines(s, gone)
+            return Ok(machine_registry.with_adjusted_copies(s, self.settings.tolerance, few, heard))
 
         if fold(state).unwrap() is not state:
             got = await self.change(fold, 0.0)
@@ -137,9 +141,9 @@
                     137, self.settings.name, machines=",".join(gone), workers=",".join(late), revision=got.unwrap()
                 )
 
-    async def beat_worker(self, who: str, standing: Standing, seqno: int) -> PeerResponse:
+    async def beat_worker(self, who: str, standing: WorkerAnnouncement, seqno: int) -> PeerResponse:
         # Taken, it would make every later manifest a bad one.
-        flaws = registry.standing_flaws(standing, self.settings.zones)
+        flaws = worker_registry.announcement_flaws(standing, self.settings.zones)
         if flaws:
             return Err(Fault("beat", self.settings.name, "\n".join(flaws), BAD))
         leaves = bool(standing.get("leave"))
@@ -152,7 +156,7 @@
         lately = self.epoch > 0 or now() - self.touched < 1.5 * self.settings.beat
         # That a worker leaves is acknowledged by the primary, the first time; after that a heartbeat is one like any other.
         acknowledged = not leaves or who in self.drained
-        if lately and acknowledged and registry.unchanged(self.configuration_view.manifest, who, standing):
+        if lately and acknowledged and worker_registry.is_current(self.configuration_view.manifest, who, standing):
             self.beats[who] = now()
             return Ok({})
         got = await self.forward(
@@ -172,7 +176,7 @@
         if not await self.is_leading():
             return Err(self.not_leader("beat"))
         b, who, seqno, asked = self.settings.bounds, body["who"], body["seqno"], now()
-        standing: Standing | None = body["standing"]
+        standing: WorkerAnnouncement | None = body["standing"]
         leaves = standing is None or bool(standing.get("leave"))
         if seqno and seqno < self.seqnos.get(who, 0) and not leaves:
             return Ok({})
@@ -181,7 +185,11 @@
         self.beats[who] = now()
 
         def fold(s: State) -> Result[State, Fault]:
-            return Ok(registry.ended(s, [who]) if standing is None else registry.stood(s, who, standing))
+            return Ok(
+                worker_registry.without_ended(s, [who])
+                if standing is None
+                else worker_registry.with_worker(s, who, standing)
+            )
 
         got = await self.change(fold, b.leave / 100)
         if isinstance(got, Err):
--- a/postpass/control/state.py
+++ b/postpass/control/state.py
@@ -11,7 +11,7 @@
 from postpass.rpc.peer_links import Body
 
 # Keys on disk and between members that differ from the field's name: they are those of release 0.2.0.
-STATE_KEYS = {"revision": "edition"}
+STATE_KEYS = {"revision": "edition", "unassigned": "aside", "ended": "left"}
 STATE_FIELDS = {key: name for name, key in STATE_KEYS.items()}
 
 
--- a/postpass/daemon/data_plane.py
+++ b/postpass/daemon/data_plane.py
@@ -84,7 +84,7 @@
         if self.store is not None:
             await self.store.open()
             self.gauges(self.store)
-            self.partial_view.me["disk"] = self.store.disk_id
+            self.partial_view.own_record["disk"] = self.store.disk_id
         if {"edge", "sched"} & set(self.settings.duties):
             self.session = self.environment.session()
             floor = WorkerLoad(
--- a/postpass/daemon/process.py
+++ b/postpass/daemon/process.py
@@ -20,8 +20,9 @@
 from postpass.configuration.settings import Settings, split
 from postpass.feed.configuration_view import ConfigurationView
 from postpass.feed.messages import Poll, Rotation, Stale
+from postpass.membership.machine_registry import is_registered
 from postpass.membership.partial_view import MemberRecord, PartialView
-from postpass.membership.registry import Entry, placed
+from postpass.membership.registry import MachineAnnouncement
 from postpass.rpc.peer_links import RELEASE, Body, PeerLinks, PeerServer
 from postpass.runtime import log_events
 from postpass.runtime.environment import Environment, hear, now, serve_http
@@ -103,7 +104,7 @@
         # One that control doesn't know yet isn't counted by the others; if control can't be reached it serves all the same.
         # Read off the manifest itself: the task that announces may be waiting for a neighbour that says nothing.
         if self.settings.announce and not self.known_here:
-            self.known_here = placed(self.configuration_view.manifest, self.entry())
+            self.known_here = is_registered(self.configuration_view.manifest, self.entry())
         waits = (
             self.settings.announce and not self.known_here and now() - self.started < self.settings.bounds.recover / 2
         )
@@ -231,7 +232,7 @@
 
     # --- neighbours
     def word(self) -> MemberRecord:
-        return self.partial_view.word(edition=self.configuration_view.revision)
+        return self.partial_view.next_own_record(edition=self.configuration_view.revision)
 
     async def on_ping(self, body: Body) -> Result[Body, Fault]:
         """Answers for itself, or, asked to `reach` another, whether that one answers."""
@@ -260,20 +261,20 @@
                    "ready": self.ready(), "leaving": self.leaving})  # fmt: skip
 
     # --- announced fleets
-    def entry(self) -> Entry:
+    def entry(self) -> MachineAnnouncement:
         return {
             "name": self.settings.name, "area": self.settings.zone, "peer": self.settings.peer, "http": self.settings.http,
-            "duties": list(self.settings.duties) or ["control"], "born": self.inc, "disk": self.partial_view.me["disk"],
+            "duties": list(self.settings.duties) or ["control"], "born": self.inc, "disk": self.partial_view.own_record["disk"],
         }  # fmt: skip
 
     async def announce(self) -> None:
         """Tells control of this life until the manifest has it, and again should it be dropped from there."""
         b = self.settings.bounds
         while True:
-            if placed(self.configuration_view.manifest, self.entry()):
+            if is_registered(self.configuration_view.manifest, self.entry()):
                 await self.configuration_view.wait(self.configuration_view.revision, b.recover)
                 continue
-            neighbours = [m.card["peer"] for _, m in sorted(self.partial_view.neighbours.items())]
+            neighbours = [m.record["peer"] for _, m in sorted(self.partial_view.neighbours.items())]
             near = [a for a in dict.fromkeys([*self.sources(), *neighbours]) if a != self.settings.peer]
             if not near:
                 await asyncio.sleep(b.beat / 2)
@@ -291,7 +292,7 @@
                     await self.configuration_view.wait(got.unwrap()["edition"] - 1, b.beat / 8)
                     if got.unwrap()["edition"] > self.configuration_view.revision:
                         await self.fetch(addr)
-            if not placed(self.configuration_view.manifest, self.entry()):
+            if not is_registered(self.configuration_view.manifest, self.entry()):
                 await asyncio.sleep(b.beat / 2 * (0.6 + 0.8 * self.environment.chance.random()))
 
     async def on_join(self, body: Body) -> Result[Body, Fault]:
@@ -310,7 +311,7 @@
         self.rise_to(body.get("heights", {}))
         return Ok(
             {
-                "cards": self.partial_view.respond(body["cards"]),
+                "cards": self.partial_view.answer_shuffle(body["cards"]),
                 "edition": self.configuration_view.revision,
                 "heights": self.heights,
             }
@@ -386,12 +387,14 @@
             home = self.configuration_view.addr(self.settings.name) or self.settings.peer
             namesake = home if home not in (self.settings.peer, namesake) and not self.clash else ""
             if namesake:
-                got = await self.peer_links.call(namesake, "shuffle", {"cards": [self.partial_view.me]}, b.follow)
+                got = await self.peer_links.call(
+                    namesake, "shuffle", {"cards": [self.partial_view.own_record]}, b.follow
+                )
                 if isinstance(got, Ok):
                     self.meet(got.unwrap()["cards"])
                 continue
-            neighbour, offer = self.partial_view.begin()
-            addr = neighbour.card["peer"] if neighbour else self.environment.chance.choice(self.settings.seeds)
+            neighbour, offer = self.partial_view.begin_shuffle()
+            addr = neighbour.record["peer"] if neighbour else self.environment.chance.choice(self.settings.seeds)
             if addr == self.settings.peer:
                 continue
             asked = now()
@@ -399,11 +402,11 @@
             self.shuffles.labels("ok" if isinstance(got, Ok) else "failed").inc()
             if isinstance(got, Err):
                 if neighbour is not None:
-                    self.spawn(self.doubt(neighbour.card["name"], addr))
+                    self.spawn(self.doubt(neighbour.record["name"], addr))
                 continue
             there = got.unwrap()
             self.meet(there["cards"])
-            self.partial_view.take(there["cards"], offer[1:])
+            self.partial_view.merge(there["cards"], offer[1:])
             self.rise_to(there.get("heights", {}))
             if there["edition"] > self.configuration_view.revision:
                 await self.fetch(addr)
@@ -411,13 +414,13 @@
 
     async def doubt(self, name: str, addr: str) -> None:
         """A neighbour that doesn't answer is asked for through others before it is believed gone."""
-        others = [m.card["peer"] for n, m in sorted(self.partial_view.neighbours.items()) if n != name]
+        others = [m.record["peer"] for n, m in sorted(self.partial_view.neighbours.items()) if n != name]
         asked = self.environment.chance.sample(others, min(2, len(others)))
         got = await asyncio.gather(
             *(self.peer_links.call(o, "ping", {"reach": addr}, self.settings.bounds.beat * 2) for o in asked)
         )
         if not any(isinstance(g, Ok) and g.unwrap().get("reached") for g in got):
-            self.partial_view.bury(name)
+            self.partial_view.remove_dead(name)
 
     async def fetch(self, addr: str, limit: float = 0.0) -> None:
         limit = limit or self.settings.bounds.manifest
@@ -482,7 +485,7 @@
 
     async def fetch_from_neighbour(self, sources: list[str]) -> None:
         neighbours = [
-            m.card["peer"] for _, m in sorted(self.partial_view.neighbours.items()) if m.card["peer"] not in sources
+            m.record["peer"] for _, m in sorted(self.partial_view.neighbours.items()) if m.record["peer"] not in sources
         ]
         if neighbours:
             await self.fetch(self.environment.chance.choice(neighbours), self.settings.bounds.follow / 2)
--- a/postpass/membership/safe_change.py
+++ b/postpass/membership/safe_change.py
@@ -2,7 +2,7 @@
 
 Pure functions. Members are named with the identity of their disk, since a wiped disk has no vote and no copy. A change
 replaces one member, adds one or removes one; it adds or removes two where each alone would leave an even number that
-does not bear the loss of an area. It is made under the majorities of before and after (control: both grant the epoch;
+does not bear the loss of a zone. It is made under the majorities of before and after (control: both grant the epoch;
 partitions: the record of the change is covered under both), and only if the members after it would keep a majority
 through the next tolerated loss, counted on those that answer now.
 """
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class Tolerance:
-    """What may be lost at once: so many machines with a disk, or so many whole areas."""
+    """What may be lost at once: so many machines with a disk, or so many whole zones."""
 
     machines: int = 1
     zones: int = 1
@@ -29,21 +29,21 @@
 class Topology:
     """Where machines stand, and what may be lost of them at once."""
 
-    zones: Mapping[str, str]  # machine -> area
+    zones: Mapping[str, str]  # machine -> zone
     tolerance: Tolerance = Tolerance()
 
     def worst_machines(self, live: Collection[str]) -> int:
         """How many of `live` a tolerated loss of machines takes at the most."""
         return min(self.tolerance.machines, len(live))
 
-    def worst_areas(self, live: Collection[str]) -> int:
-        """How many of `live` a tolerated loss of whole areas takes at the most. An area that isn't known stands alone."""
-        by_area = Counter(self.zones.get(name) or f"of {name}" for name in live)
-        return sum(sorted(by_area.values(), reverse=True)[: self.tolerance.zones])
+    def worst_zones(self, live: Collection[str]) -> int:
+        """How many of `live` a tolerated loss of whole zones takes at the most. A zone that isn't known stands alone."""
+        by_zone = Counter(self.zones.get(name) or f"of {name}" for name in live)
+        return sum(sorted(by_zone.values(), reverse=True)[: self.tolerance.zones])
 
     def worst_loss(self, live: Collection[str]) -> int:
         """How many of `live` one tolerated loss of either kind takes at the most."""
-        return max(self.worst_machines(live), self.worst_areas(live))
+        return max(self.worst_machines(live), self.worst_zones(live))
 
 
 @dataclass(frozen=True)
@@ -74,7 +74,7 @@
     """What the next tolerated loss would leave of `members`, of whom only `live` can answer now."""
     here = [name for name in members if name in live]
     spare = len(here) - majority_of(len(members))
-    return Margin(spare - topology.worst_machines(here), spare - topology.worst_areas(here))
+    return Margin(spare - topology.worst_machines(here), spare - topology.worst_zones(here))
 
 
 def bears_loss(members: Collection[str], live: Collection[str], topology: Topology) -> bool:
@@ -121,7 +121,7 @@
         spare = [name for name in self.current if name not in self.wanted]
         return sorted(spare, key=lambda name: name in self.answering)
 
-    def floor(self, leaves: Iterable[str]) -> Margin:
+    def required_margin(self, leaves: Iterable[str]) -> Margin:
         """The least margin that a change must keep.
 
         One that answers leaves only if the rest bears the next loss, as far as these members could bear one with all
@@ -137,7 +137,7 @@
 def is_safe(situation: Situation, change: Change) -> bool:
     """Does the next tolerated loss after this change leave a majority, or at least as much as one before it would?"""
     live = {name for name, disk in change.members.items() if situation.ready.get(name) == disk}
-    return margin(change.members, live, situation.topology).at_least(situation.floor(change.leaves))
+    return margin(change.members, live, situation.topology).at_least(situation.required_margin(change.leaves))
 
 
 def _changed(situation: Situation, joins: Sequence[str] = (), leaves: Sequence[str] = ()) -> Change:
@@ -199,32 +199,32 @@
     return change.members if change is not None else dict(voters)
 
 
-def safe_copies(areas_of_stores: Sequence[str], most: int, tolerance: Tolerance) -> int:
-    """How many copies the stores in these areas should hold: the most, up to `most`, that bear the next loss.
+def safe_copies(store_zones: Sequence[str], most: int, tolerance: Tolerance) -> int:
+    """How many copies the stores in these zones should hold: the most, up to `most`, that bear the next loss.
 
-    Copies are spread over as many areas as there are. Four copies in three areas do not bear the loss of the area that
+    Copies are spread over as many zones as there are. Four copies in three zones do not bear the loss of the zone that
     has two, three copies do. If no number bears it, as many as there can be.
     """
-    count = min(most, len(areas_of_stores))
-    safe = (n for n in range(count, 0, -1) if copies_bear_loss(areas_of_stores, n, tolerance))
+    count = min(most, len(store_zones))
+    safe = (n for n in range(count, 0, -1) if copies_bear_loss(store_zones, n, tolerance))
     return next(safe, count)
 
 
-def copies_bear_loss(areas_of_stores: Sequence[str], copies: int, tolerance: Tolerance) -> bool:
-    """Would a majority of so many copies, spread over these areas, be left after the next tolerated loss?"""
-    placed = dict(enumerate(_spread(areas_of_stores, copies)))
+def copies_bear_loss(store_zones: Sequence[str], copies: int, tolerance: Tolerance) -> bool:
+    """Would a majority of so many copies, spread over these zones, be left after the next tolerated loss?"""
+    placed = dict(enumerate(_spread(store_zones, copies)))
     names = [str(index) for index in placed]
     topology = Topology({str(index): zone for index, zone in placed.items()}, tolerance)
     return bears_loss(names, names, topology)
 
 
 def _spread(zones: Sequence[str], copies: int) -> list[str]:
-    """The areas of so many copies: one in each area before a second in any, as `manifest.members` chooses them."""
+    """The zones of so many copies: one in each zone before a second in any, as `manifest.members` chooses them."""
     heads = list(dict.fromkeys(zones))
     rest = list(zones)
     for zone in heads:
         rest.remove(zone)
-    # The fullest area last: `members` may choose any of the rest, and the worst choice must be borne.
+    # The fullest zone last: `members` may choose any of the rest, and the worst choice must be borne.
     worst = sorted(rest, key=lambda zone: -rest.count(zone))
     return (heads + worst)[:copies]
 
@@ -247,7 +247,7 @@
 def has_successor(old: Presence, others: Iterable[Presence], patience: float) -> bool:
     """Has another machine come for one that is silent, so that the silent one may be dropped?
 
-    One of the same duties in the same area that announced itself since the silent one was last heard. Where the silent one
+    One of the same duties in the same zone that announced itself since the silent one was last heard. Where the silent one
     has been away for long, also one that came shortly before, since a planned replacement starts the new machine first, and
     one that started later, since a primary may know nothing of who came before it led. A machine that is frozen or cut off
     for a moment soon after another was added is no replaced one.
--- a/tests/control/test_announced_control.py
+++ b/tests/control/test_announced_control.py
@@ -8,14 +8,14 @@
 from typing import Any
 
 from postpass.control.daemon import ControlPlane
-from postpass.membership.registry import Standing
+from postpass.membership.registry import WorkerAnnouncement
 from sim.disk import SimDisk
 from sim.loop import SimLoop, run_sim
 from tests.platform.test_configuration import document
 from tests.support.announced import Fleet
 
 
-def standing(n: int, **more: Any) -> Standing:
+def standing(n: int, **more: Any) -> WorkerAnnouncement:
     return {"pool": "llm", "url": f"http://10.9.0.{n}:9000", "area": "a", "slots": 8, **more}  # type: ignore[typeddict-item]
 
 
@@ -75,7 +75,7 @@
             got = await f.ask("c1", lambda c, bad=bad: c.beat_worker("w1", bad, 1))  # type: ignore[misc]
             assert got.unwrap_err().code == 400 and got.unwrap_err().why.startswith(next(iter(flaw))), flaw
         assert f.primary() is lead and lead.held.state.configuration["pools"] == before.configuration["pools"]
-        assert lead.held.state.aside == before.aside
+        assert lead.held.state.unassigned == before.unassigned
         # An operator's document is taken as ever.
         assert (await f.ask("c3", lambda c: c.apply_source(document(3), 0))).is_ok()
 
--- a/tests/control/test_configuration.py
+++ b/tests/control/test_configuration.py
@@ -8,7 +8,8 @@
 from postpass.configuration.accepted_orders import ConfigurationOrder
 from postpass.control.configuration import ConfigurationChange
 from postpass.control.state import ReplicatedState
-from postpass.membership.registry import State, founded, recovered
+from postpass.membership.machine_registry import initial_configuration
+from postpass.membership.registry import State, recovered
 from tests.platform.test_configuration import document
 from tests.platform.test_settings import adapter
 
@@ -21,7 +22,7 @@
 
 def after(versions: int, remembered: int = REMEMBERED) -> State:
     """The state after as many orders, one version each."""
-    state = State(manifest=founded([], ["a"], 1))
+    state = State(manifest=initial_configuration([], ["a"], 1))
     for version in range(1, versions + 1):
         state = change(document(version), version - 1, remembered=remembered)(state).unwrap()
     return state
--- a/tests/control/test_leadership.py
+++ b/tests/control/test_leadership.py
@@ -16,8 +16,8 @@
 from postpass.control.epochs import ReplicaSet
 from postpass.control.journal import replay
 from postpass.control.member import STATE_SEGMENT
-from postpass.membership import registry
-from postpass.membership.registry import Standing
+from postpass.membership import machine_registry
+from postpass.membership.registry import WorkerAnnouncement
 from postpass.storage.segmented_log import SegmentedLog
 from sim.disk import SimDisk
 from sim.loop import SimLoop, run_sim
@@ -29,7 +29,7 @@
 CUT_TIME = 20.0
 
 
-def standing(n: int, **more: Any) -> Standing:
+def standing(n: int, **more: Any) -> WorkerAnnouncement:
     return {"pool": "llm", "url": f"http://10.9.0.{n}:9000", "area": "a", "slots": 8, **more}  # type: ignore[typeddict-item]
 
 
@@ -348,7 +348,9 @@
         first, backup = lead.held.pair.holders
         if dropped:
             # The backup acknowledges the very change that drops it, and is gone before the replica set is renewed.
-            got = await f.ask(first, lambda c: c.change(lambda s: Ok(registry.dropped(s, [backup])), 0.0))
+            got = await f.ask(
+                first, lambda c: c.change(lambda s: Ok(machine_registry.without_machines(s, [backup])), 0.0)
+            )
             assert got.is_ok(), got
         f.kill(backup, silent=True)
         wipe(f, first)
--- a/tests/membership/test_retirement.py
+++ b/tests/membership/test_retirement.py
@@ -3,19 +3,21 @@
 from __future__ import annotations
 
 from postpass.configuration.configuration import members
-from postpass.membership.registry import Entry, State, edit, emptied, founded, joined, retire_flaw, retiring
+from postpass.membership.machine_registry import initial_configuration, with_machine
+from postpass.membership.operator_changes import retirement_flaw, with_retiring_store, without_emptied_store
+from postpass.membership.registry import MachineAnnouncement, State, with_parts
 from postpass.membership.safe_change import Tolerance
 
 
 def fleet(copies: int, **zones: str) -> State:
-    entries: list[Entry] = [
+    entries: list[MachineAnnouncement] = [
         {"name": n, "area": a, "peer": f"{n}:1", "http": f"{n}:2", "duties": ["store"], "born": 1, "disk": n}
         for n, a in zones.items()
     ]
-    return edit(State(manifest=founded(entries, sorted(set(zones.values())), 1)), copies=copies)
+    return with_parts(State(manifest=initial_configuration(entries, sorted(set(zones.values())), 1)), copies=copies)
 
 
-def entry(name: str, disk: str, born: int) -> Entry:
+def entry(name: str, disk: str, born: int) -> MachineAnnouncement:
     return {
         "name": name,
         "area": "a",
@@ -27,54 +29,58 @@
     }
 
 
+def refusal_code(state: State, name: str, tolerance: Tolerance) -> int:
+    """The code of the fault with which a retirement is refused; 0 if it is not."""
+    flaw = retirement_flaw(state, name, tolerance)
+    return flaw.code if flaw is not None else 0
+
+
 def test_the_last_spare_store_may_go_with_one_copy_fewer() -> None:
     four = fleet(4, s1="a", s2="b", s3="c", s4="d")
-    assert retire_flaw(four, "s4", Tolerance(1, 1)) is None
-    three = retiring(four, "s4", Tolerance(1, 1))
+    assert retirement_flaw(four, "s4", Tolerance(1, 1)) is None
+    three = with_retiring_store(four, "s4", Tolerance(1, 1))
     assert three.configuration["copies"] == 3 and set(members(three.configuration, 0)) == {"s1", "s2", "s3"}
     # One more would leave two: no majority after a loss. Asked again for the one under way, it is still well.
-    assert (retire_flaw(three, "s3", Tolerance(1, 1)) or (0, ""))[0] == 409 and retire_flaw(
-        three, "s4", Tolerance(1, 1)
-    ) is None
+    assert refusal_code(three, "s3", Tolerance(1, 1)) == 409 and retirement_flaw(three, "s4", Tolerance(1, 1)) is None
 
 
 def test_with_a_spare_store_the_copies_stay() -> None:
     five = fleet(4, s1="a", s2="b", s3="c", s4="d", s5="a")
     assert (
-        retire_flaw(five, "s5", Tolerance(1, 1)) is None
-        and retiring(five, "s5", Tolerance(1, 1)).configuration["copies"] == 4
+        retirement_flaw(five, "s5", Tolerance(1, 1)) is None
+        and with_retiring_store(five, "s5", Tolerance(1, 1)).configuration["copies"] == 4
     )
 
 
 def test_two_of_three_copies_in_one_area_would_be_too_few() -> None:
     four = fleet(4, s1="a", s2="a", s3="c", s4="d")
-    assert (retire_flaw(four, "s4", Tolerance(1, 1)) or (0, ""))[0] == 409
-    assert retire_flaw(four, "s2", Tolerance(1, 1)) is None
-    assert retire_flaw(four, "s4", Tolerance(1, 0)) is None
+    assert refusal_code(four, "s4", Tolerance(1, 1)) == 409
+    assert retirement_flaw(four, "s2", Tolerance(1, 1)) is None
+    assert retirement_flaw(four, "s4", Tolerance(1, 0)) is None
 
 
 def test_what_may_be_lost_sets_how_many_must_stay() -> None:
     five = fleet(5, s1="a", s2="b", s3="c", s4="d", s5="e")
-    assert (retire_flaw(five, "s5", Tolerance(2, 1)) or (0, ""))[0] == 409 and retire_flaw(
-        five, "s5", Tolerance(1, 1)
-    ) is None
-    assert (retire_flaw(five, "nobody", Tolerance(1, 1)) or (0, ""))[0] == 404
+    assert refusal_code(five, "s5", Tolerance(2, 1)) == 409 and retirement_flaw(five, "s5", Tolerance(1, 1)) is None
+    assert refusal_code(five, "nobody", Tolerance(1, 1)) == 404
 
 
 def test_an_emptied_store_stays_out_and_one_of_its_name_with_another_disk_is_a_new_one() -> None:
-    four = emptied(retiring(fleet(4, s1="a", s2="b", s3="c", s4="d", s5="a"), "s5", Tolerance(1, 1)), "s5")
-    assert "s5" in four.retired and retire_flaw(four, "s5", Tolerance(1, 1)) is None
-    assert joined(four, entry("s5", "s5", 2)) is four
-    five = joined(four, entry("s5", "new", 2))
+    four = without_emptied_store(
+        with_retiring_store(fleet(4, s1="a", s2="b", s3="c", s4="d", s5="a"), "s5", Tolerance(1, 1)), "s5"
+    )
+    assert "s5" in four.retired and retirement_flaw(four, "s5", Tolerance(1, 1)) is None
+    assert with_machine(four, entry("s5", "s5", 2)) is four
+    five = with_machine(four, entry("s5", "new", 2))
     assert "s5" in five.configuration["machines"] and "s5" not in five.retired
     # It holds copies again: to retire it is an order of its own, and not done at once.
-    again = retiring(five, "s5", Tolerance(1, 1))
+    again = with_retiring_store(five, "s5", Tolerance(1, 1))
     assert again.configuration["machines"]["s5"].get("retire") and "s5" not in again.retired
 
 
 def test_fewer_copies_where_a_retirement_would_leave_two_in_one_area() -> None:
     """Four copies with two in one area don't bear the loss of that area, three copies do."""
     five = fleet(4, s1="a", s2="b", s3="c", s4="d", s5="a")
-    without = retiring(five, "s4", Tolerance(1, 1))
-    assert retire_flaw(five, "s4", Tolerance(1, 1)) is None and without.configuration["copies"] == 3
+    without = with_retiring_store(five, "s4", Tolerance(1, 1))
+    assert retirement_flaw(five, "s4", Tolerance(1, 1)) is None and without.configuration["copies"] == 3
     assert all({"s2", "s3"} < set(members(without.configuration, part)) for part in range(8))
--- a/tests/sim/test_broken_variants.py
+++ b/tests/sim/test_broken_variants.py
@@ -159,7 +159,7 @@
     async def opened(self: ControlPlane) -> None:
         await plain(self)
         if self.held.state.manifest is not None:
-            self.held = replace(self.held, state=registry.edit(self.held.state, evacuated=[]))
+            self.held = replace(self.held, state=registry.with_parts(self.held.state, evacuated=[]))
 
     mp.setattr(ControlPlane, "open", opened)
     mp.setattr(Relay, "barred", lambda self, configuration, server: bool(server.get("leave")))
--- a/tests/support/data_directories.py
+++ b/tests/support/data_directories.py
@@ -14,7 +14,7 @@
 from postpass.configuration.settings import Settings
 from postpass.control.daemon import ControlPlane
 from postpass.daemon.data_plane import DataPlane
-from postpass.membership.registry import edit
+from postpass.membership.registry import with_parts
 from postpass.replication.partition import Partition, head
 from postpass.replication.store import Store
 from postpass.runtime.environment import Environment
@@ -106,7 +106,7 @@
     """Writes one change of the state, as a primary does at home."""
     held = daemon.held
     assert held.state.manifest is not None
-    changed = edit(held.state, evacuated=[held.state.manifest["areas"][0]])
+    changed = with_parts(held.state, evacuated=[held.state.manifest["areas"][0]])
     await daemon.store(replace(held, state=replace(changed, revision=held.state.revision + 1)))
 
 
--- a/tests/support/release_keys.py
+++ b/tests/support/release_keys.py
@@ -9,7 +9,7 @@
 from postpass.configuration.settings import BoundsFile, SettingsFile, ToleranceFile
 from postpass.control.epochs import Witness
 from postpass.control.state import ReplicatedState
-from postpass.membership.registry import Entry, Standing
+from postpass.membership.registry import MachineAnnouncement, WorkerAnnouncement
 from postpass.rpc.peer_links import IDL
 from sim.announced import module
 from tests.support.data_directories import as_json
@@ -68,8 +68,8 @@
         "process": SettingsFile,
         "process bounds": BoundsFile,
         "process tolerate": ToleranceFile,
-        "machine": Entry,
-        "worker": Standing,
+        "machine": MachineAnnouncement,
+        "worker": WorkerAnnouncement,
     }
     return {name: typed_keys(kind) for name, kind in kinds.items()}
 
--- a/tests/test_readable_code.py
+++ b/tests/test_readable_code.py
@@ -19,7 +19,10 @@
     "control": (
         "epochs", "state", "journal", "changes", "configuration", "member", "contact", "replica", "election", "writer",
         "in_force", "feed", "registry", "leadership", "orders", "health", "api", "daemon",
-    )
+    ),
+    "membership": (
+        "partial_view", "safe_change", "registry", "machine_registry", "worker_registry", "operator_changes",
+    ),
 }  # fmt: skip
 # Withdrawn words that still stand in names, by module. The users of these names are being worked on.
 STANDING_NAMES: dict[str, set[str]] = {
@@ -36,6 +39,9 @@
     "control/replica.py": {"held: say replicated state"},
     "control/state.py": {"Held: say replicated state", "pair: say replica set", "whole: say state epoch"},
     "gateway/relay.py": {"edition: say version"},
+    # Fields of typed dictionaries, which are keys of JSON between processes; and the field of the replicated state.
+    "membership/partial_view.py": {"area: say zone", "beat: say heartbeat", "edition: say version"},
+    "membership/registry.py": {"area: say zone", "manifest: say configuration"},
     "batch/item_request.py": {"call: say request"},
 }  # fmt: skip
 # How many one-letter names still stand in a module.
