--- a/postpass/control/api.py
+++ b/postpass/control/api.py
@@ -38,7 +38,7 @@
 
         return handle
 
-    def ways(self) -> list[Any]:
+    def http_routes(self) -> list[Any]:
         """The HTTP routes for operators."""
         return [Route("/v1/manifest", self.http_manifest, methods=["GET", "PUT"])]
 
--- a/postpass/control/feed.py
+++ b/postpass/control/feed.py
@@ -26,7 +26,7 @@
     async def on_ping(self, body: Body) -> PeerResponse:
         """Answers a ping; one that asks for an entry is told of this member and whether its disk is blank."""
         if "entry" in body:
-            return Ok({"entry": self.entry(), "blank": self.blank()})
+            return Ok({"entry": self.announcer.announcement(), "blank": self.blank()})
         return await super().on_ping(body)
 
     async def on_follow(self, body: Body) -> PeerResponse:
@@ -114,7 +114,7 @@
                     return 0
                 revision = int(got.unwrap()["edition"])
                 if revision > self.configuration_view.revision:
-                    await self.fetch(addr, self.settings.bounds.follow)
+                    await self.follower.fetch(addr, self.settings.bounds.follow)
                 return revision
 
         if self.next_confirmation is None:
--- a/postpass/control/registry.py
+++ b/postpass/control/registry.py
@@ -36,7 +36,10 @@
             ]
             got = await asyncio.gather(*asks)
             if all(isinstance(g, Ok) and g.unwrap().get("blank") for g in got) and self.blank():
-                entries: list[MachineAnnouncement] = [self.entry(), *(g.unwrap()["entry"] for g in got)]
+                entries: list[MachineAnnouncement] = [
+                    self.announcer.announcement(),
+                    *(g.unwrap()["entry"] for g in got),
+                ]
                 configuration = machine_registry.initial_configuration(
                     entries, self.settings.zones, self.settings.disks_lost
                 )
--- a/postpass/control/replica.py
+++ b/postpass/control/replica.py
@@ -86,7 +86,7 @@
         if self.held.whole == body["epoch"] and self.held.state.revision == revision:
             self.publish(self.held.state)
         elif at := self.addr(body["who"]) or body.get("at", ""):
-            task = asyncio.create_task(self.fetch(at))
+            task = asyncio.create_task(self.follower.fetch(at))
             self.fetches.add(task)
             task.add_done_callback(self.fetches.discard)
 
--- a/postpass/daemon/data_plane.py
+++ b/postpass/daemon/data_plane.py
@@ -1,145 +1,123 @@
-"""The data plane: one process a machine, with the duties its config lists."""
+"""The data plane: one process a machine, with the duties its settings list."""
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Any
 
 import aiohttp
-from prometheus_client import Gauge
-from result import Ok, Result
+from result import Ok
+from starlette.routing import BaseRoute
 
 from postpass.batch.scheduler import Scheduler
 from postpass.configuration.configuration import LIMITS, limit
 from postpass.configuration.header_names import Dialect
 from postpass.configuration.settings import Settings
-from postpass.daemon.process import Daemon, Task
+from postpass.daemon.data_plane_status import duty_status, register_store_gauges
+from postpass.daemon.process import HTTP_PROTOCOL, Daemon, Task
 from postpass.gateway.http_server import HeadLimits, front, serve_ready
 from postpass.gateway.live_requests import Gateway
 from postpass.gateway.relay import Relay
 from postpass.gateway.upstream_connection import WorkerLinks
 from postpass.gateway.worker_load import WorkerLoad
-from postpass.replication.partition import Partition
 from postpass.replication.store import Store
-from postpass.rpc.peer_links import RELEASE, Body
+from postpass.rpc.peer_links import RELEASE, Body, PeerLinks, PeerResponse
 from postpass.runtime.environment import Environment
-from postpass.runtime.errors import Fault
 
 LEAVE_NOTICED = 2.5  # seconds until nobody passes new connections to an edge that says that it isn't ready
+GRACE_RESERVE = 1.0  # seconds of the grace period that are left for closing
 
 
 @dataclass(eq=False)
 class DataPlane(Daemon):
-    """Invariant: a duty that the config doesn't list has no object here."""
+    """The daemon of a machine that serves requests, schedules jobs or stores records.
+
+    Invariant: a duty that the settings don't list has no object here. `session`, `worker_load` and `batch_worker_load`
+    are there once `open` is done, for the duties that use them.
+    """
 
     edge: Gateway | None = None
     scheduler: Scheduler | None = None
     store: Store | None = None
     session: aiohttp.ClientSession | None = None
     relay: Relay | None = None
-    links: WorkerLinks | None = None
+    worker_links: WorkerLinks | None = None
 
     def __init__(
         self, settings: Settings, environment: Environment, release: str = "", dialect: Dialect | None = None
     ) -> None:
         super().__init__(settings, environment, release or RELEASE)
         self.dialect = dialect or Dialect()
-        self.edge = self.scheduler = self.store = self.session = self.relay = self.links = None
+        self.edge = self.scheduler = self.store = self.session = self.relay = self.worker_links = None
         if "store" in settings.duties:
             self.store = Store(settings, environment, self.configuration_view, self.peer_links)
-            self.store.ask_kept = self.ask_kept
-            self.store.rise_to, self.store.ask_heights, self.store.heights = (
-                self.rise_to,
-                self.ask_heights,
-                self.heights,
-            )
-
-    def gauges(self, store: Store) -> None:
-        def gauge(name: str, text: str, read: Callable[[], float]) -> None:
-            Gauge(f"postpass_{name}", text, registry=self.registry).set_function(read)
-
-        def owned() -> list[Partition]:
-            return [p for p in store.parts.values() if p.owning]
-
-        gauge("parts_owned", "Partitions owned here", lambda: len(owned()))
-        gauge("records_not_covered", "Records of owned partitions beyond the frontier",
-              lambda: sum(p.record_log.last - p.covered for p in owned()))  # fmt: skip
-        gauge("mirror_lag_records", "How far the furthest mirror is behind",
-              lambda: max((p.record_log.last - p.recorder.get(n, f.disk, "persisted") for p in owned() for n, f in p.follows.items()), default=0))  # fmt: skip
-        gauge("lots_open", "Lots that are not finished", lambda: sum(
-            int(x.state == "open" and not x.whole) for p in owned() for x in p.view.lots.values()))  # fmt: skip
-        gauge("losses", "How often more was lost than is tolerated", lambda: sum(p.view.losses for p in owned()))
-        gauge(
-            "tape_bytes",
-            "Memory of records not yet folded away",
-            lambda: sum(p.record_log.size for p in store.parts.values()),
-        )
-        gauge("disk_free_bytes", "Room left for the data folder", lambda: store.log.disk.room()[0])
-        gauge("takeovers", "Partitions taken over since the start", lambda: store.counts["takeovers"])
-        gauge("refills", "Snapshots sent to mirrors since the start", lambda: store.counts["refills"])
+            self.store.ask_kept = self.ask_kept_jobs
+            self.store.rise_to = self.gossip.raise_epochs
+            self.store.ask_heights = self.gossip.ask_epochs
+            self.store.heights = self.gossip.partition_epochs
 
     async def open(self) -> None:
+        """Reads the store's disk, and makes what the other duties need."""
         if self.store is not None:
             await self.store.open()
-            self.gauges(self.store)
+            register_store_gauges(self.registry, self.store)
             self.partial_view.own_record["disk"] = self.store.disk_id
-        if {"edge", "sched"} & set(self.settings.duties):
+        duties = self.settings.duties
+        if {"edge", "sched"} & set(duties):
             self.session = self.environment.session()
-            floor = WorkerLoad(
-                self.settings.name,
-                self.environment,
-                self.configuration_view,
-                self.session,
-                self.settings.bounds.deaf,
-                peer_links=self.peer_links,
-            )
-            self.worker_load = floor
-            if "edge" in self.settings.duties:
-                self.edge = Gateway(
-                    self.settings,
-                    self.environment,
-                    self.configuration_view,
-                    self.peer_links,
-                    floor,
-                    self.session,
-                    self.registry,
-                )
-                if self.settings.announce:
-                    self.relay = Relay(
-                        self.settings, self.environment, self.configuration_view, self.dialect, self.registry
-                    )
-                    self.edge.rest = self.relay.missing
-            if "sched" in self.settings.duties:
-                # Its own floor: what the edge of the same machine places is live traffic to the scheduler.
-                self.batch = WorkerLoad(
-                    self.settings.name,
-                    self.environment,
-                    self.configuration_view,
-                    self.session,
-                    self.settings.bounds.deaf,
-                )
-                self.scheduler = Scheduler(
-                    self.settings, self.environment, self.configuration_view, self.peer_links, self.batch, self.session, self.registry,
-                    dialect=self.dialect,
-                )  # fmt: skip
-                if self.settings.announce:
-                    self.scheduler.workers = self.links = WorkerLinks()
+            self.worker_load = self._new_worker_load(self.session, self.peer_links)
+            if "edge" in duties:
+                self._open_edge(self.session)
+            if "sched" in duties:
+                self._open_scheduler(self.session)
+
+    def _new_worker_load(self, session: aiohttp.ClientSession, peer_links: PeerLinks | None) -> WorkerLoad:
+        """The load of the workers, as one duty sees it; with `peer_links` it is shared between edges."""
+        return WorkerLoad(
+            self.settings.name,
+            self.environment,
+            self.configuration_view,
+            session,
+            self.settings.bounds.deaf,
+            peer_links=peer_links,
+        )
+
+    def _open_edge(self, session: aiohttp.ClientSession) -> None:
+        """Makes the gateway and, in an announced fleet, the relay in front of it."""
+        self.edge = Gateway(
+            self.settings, self.environment, self.configuration_view, self.peer_links, self.worker_load, session,
+            self.registry,
+        )  # fmt: skip
+        if self.settings.announce:
+            self.relay = Relay(self.settings, self.environment, self.configuration_view, self.dialect, self.registry)
+            self.edge.rest = self.relay.missing
+
+    def _open_scheduler(self, session: aiohttp.ClientSession) -> None:
+        """Makes the scheduler, which sees the load of the workers by itself: what the edge of the same machine places is
+        live traffic to it."""
+        self.batch_worker_load = self._new_worker_load(session, None)
+        self.scheduler = Scheduler(
+            self.settings, self.environment, self.configuration_view, self.peer_links, self.batch_worker_load, session,
+            self.registry, dialect=self.dialect,
+        )  # fmt: skip
+        if self.settings.announce:
+            self.scheduler.workers = self.worker_links = WorkerLinks()
 
     def handlers(self) -> dict[str, Any]:
+        """The verbs of peers that the duties answer."""
         mine: dict[str, Any] = {"floor": self.on_floor} if "edge" in self.settings.duties else {}
         if self.scheduler is not None:
             mine |= {"wake": self.scheduler.on_wake}
         return mine | (self.store.handlers() if self.store is not None else {})
 
-    async def on_floor(self, _body: Body) -> Result[Body, Fault]:
-        """What this edge has read off the servers, for edges of its area that don't ask them themselves."""
+    async def on_floor(self, _body: Body) -> PeerResponse:
+        """What this edge has read off the workers, for edges of its zone that don't ask them themselves."""
         return Ok({"spots": self.worker_load.shown()})
 
     async def depart(self) -> None:
-        """New calls go to other edges at once; the schedule, then the partitions, go to whoever comes next. Kept
-        connections get a moment in which their next call is told to go elsewhere, rather than being cut."""
+        """Hands over: new requests go to other edges at once; the schedule, then the partitions, go to whoever comes
+        next. Kept connections get a moment in which their next request is told to go elsewhere, rather than being cut."""
         if self.edge is not None:
             self.edge.leaving = True
         if self.relay is not None:
@@ -154,10 +132,12 @@
         if self.scheduler is not None:
             await self.scheduler.drain()
 
-    def kept_lots(self, part: int) -> list[str]:
+    def kept_jobs(self, part: int) -> list[str]:
+        """Names of jobs of a partition that this edge has lately told a client to be accepted."""
         return self.edge.known(part) if self.edge is not None and self.configuration_view.manifest is not None else []
 
     def ready(self) -> str:
+        """Empty if ready to serve; else what is lacking."""
         if self.leaving:
             return "it is leaving"
         lack = super().ready() or ("" if self.configuration_view.fresh else "no fresh news yet")
@@ -167,10 +147,11 @@
         return lack
 
     def unready(self) -> str:
-        """What is lacking to answer callers: one that leaves still does."""
+        """What is lacking to answer clients: one that leaves still does."""
         return "" if self.leaving else self.ready()
 
     def app(self) -> Any:
+        """The ASGI application; in an announced fleet the relay stands before it."""
         inner = super().app()
         if self.relay is None:
             return inner
@@ -179,31 +160,34 @@
 
     @property
     def drain(self) -> float:
+        """How many seconds requests under way may take; of a grace period, what leaving in order leaves of it."""
         grace = self.settings.bounds.grace
-        return self.settings.bounds.drain if grace == 0 else max(1.0, grace - LEAVE_NOTICED - 1.0)
+        return self.settings.bounds.drain if grace == 0 else max(1.0, grace - LEAVE_NOTICED - GRACE_RESERVE)
 
     def protocol(self) -> Any:
+        """The HTTP protocol: in an announced fleet one whose limits on request heads the configuration sets."""
         if self.relay is None:
-            return "httptools"
-        configuration_view = self.configuration_view
-
-        def limits() -> HeadLimits:
-            configuration = configuration_view.manifest
-            if configuration is None:
-                return HeadLimits(LIMITS["head_bytes"], LIMITS["head_ms"] / 1000, LIMITS["idle_ms"] / 1000)
-            return HeadLimits(
-                limit(configuration, "head_bytes"),
-                limit(configuration, "head_ms") / 1000,
-                limit(configuration, "idle_ms") / 1000,
-            )
-
-        return front(limits, self.settings.bounds.recover / 2)
-
-    def ways(self) -> list[Any]:
+            return HTTP_PROTOCOL
+        return front(self.head_limits, self.settings.bounds.recover / 2)
+
+    def head_limits(self) -> HeadLimits:
+        """The limits on request heads now: those of the configuration, or the defaults while there is none."""
+        configuration = self.configuration_view.manifest
+        if configuration is None:
+            return HeadLimits(LIMITS["head_bytes"], LIMITS["head_ms"] / 1000, LIMITS["idle_ms"] / 1000)
+        return HeadLimits(
+            limit(configuration, "head_bytes"),
+            limit(configuration, "head_ms") / 1000,
+            limit(configuration, "idle_ms") / 1000,
+        )
+
+    def http_routes(self) -> list[BaseRoute]:
+        """The HTTP routes for clients."""
         return self.edge.ways() if self.edge is not None else []
 
     def tasks(self) -> list[Task]:
-        out: list[Task] = [self.freshen()]
+        """What the duties run for as long as the process does."""
+        out: list[Task] = [self.follower.prove_fresh()]
         if self.store is not None:
             out += self.store.tasks()
         if self.edge is not None:
@@ -216,11 +200,12 @@
         return out
 
     async def watch_batch(self) -> None:
-        """The scheduler polls on its own, at its own pace: loans must go back in time."""
+        """The scheduler polls on its own, at its own pace: capacity that was lent must go back in time."""
         assert self.scheduler is not None
-        await self.batch.watch(self.scheduler.pace, ("model",))
+        await self.batch_worker_load.watch(self.scheduler.pace, ("model",))
 
     async def run(self) -> None:
+        """Runs from start to end, and closes what the duties hold open."""
         try:
             await super().run()
         finally:
@@ -230,23 +215,9 @@
                 await self.session.close()
             if self.relay is not None:
                 self.relay.close()
-            if self.links is not None:
-                self.links.close()
+            if self.worker_links is not None:
+                self.worker_links.close()
 
     async def more_status(self) -> Body:
-        out: Body = {}
-        if self.store is not None:
-            out["store"] = (await self.store.status({})).unwrap()
-        if self.edge is not None:
-            stale = self.edge.stale
-            out["servers"] = {
-                f"{p}/{n}": {
-                    "barred": self.worker_load.barred(p, n, stale), "mine": s.mine.total(), "weights": s.seen.weights if s.seen else "",
-                    "running": s.seen.running if s.seen else 0, "waiting": s.seen.waiting if s.seen else 0,
-                }
-                for (p, n), s in sorted(self.worker_load.spots.items())
-            }  # fmt: skip
-        if self.scheduler is not None:
-            out["sched"] = {"active": self.scheduler.active, "term": self.scheduler.term, "held": len(self.scheduler.jobs),
-                            "running": sum(j.task is not None for j in self.scheduler.jobs.values())}  # fmt: skip
-        return out
+        """What the duties add to the status page."""
+        return await duty_status(self.store, self.edge, self.scheduler)
--- /dev/null
+++ b/postpass/daemon/data_plane_status.py
@@ -0,0 +1,95 @@
+"""What the data plane tells operators of its duties: gauges of the store, and the duties' part of the status page."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from prometheus_client import CollectorRegistry, Gauge
+
+from postpass.batch.scheduler import Scheduler
+from postpass.gateway.live_requests import Gateway
+from postpass.replication.partition import Partition
+from postpass.replication.store import Store
+from postpass.rpc.peer_links import Body
+
+
+def owned_partitions(store: Store) -> list[Partition]:
+    """The partitions that this store owns now."""
+    return [partition for partition in store.parts.values() if partition.owning]
+
+
+def unconfirmed_records(store: Store) -> int:
+    """Records of owned partitions beyond what is covered."""
+    return sum(partition.record_log.last - partition.covered for partition in owned_partitions(store))
+
+
+def replica_lag(store: Store) -> int:
+    """How many records the furthest replica of an owned partition is behind."""
+    return max(
+        (
+            partition.record_log.last - partition.recorder.get(name, replica.disk, "persisted")
+            for partition in owned_partitions(store)
+            for name, replica in partition.follows.items()
+        ),
+        default=0,
+    )
+
+
+def open_jobs(store: Store) -> int:
+    """Jobs of owned partitions that are not finished."""
+    jobs = (job for partition in owned_partitions(store) for job in partition.view.lots.values())
+    return sum(int(job.state == "open" and not job.whole) for job in jobs)
+
+
+def register_store_gauges(registry: CollectorRegistry, store: Store) -> None:
+    """Registers the gauges of a store; each is read when the page is asked for."""
+
+    def gauge(name: str, text: str, read: Callable[[], float]) -> None:
+        Gauge(f"postpass_{name}", text, registry=registry).set_function(read)
+
+    gauge("parts_owned", "Partitions owned here", lambda: len(owned_partitions(store)))
+    gauge("records_not_covered", "Records of owned partitions beyond the frontier", lambda: unconfirmed_records(store))
+    gauge("mirror_lag_records", "How far the furthest mirror is behind", lambda: replica_lag(store))
+    gauge("lots_open", "Lots that are not finished", lambda: open_jobs(store))
+    gauge(
+        "losses",
+        "How often more was lost than is tolerated",
+        lambda: sum(partition.view.losses for partition in owned_partitions(store)),
+    )
+    gauge(
+        "tape_bytes",
+        "Memory of records not yet folded away",
+        lambda: sum(partition.record_log.size for partition in store.parts.values()),
+    )
+    gauge("disk_free_bytes", "Room left for the data folder", lambda: store.log.disk.room()[0])
+    gauge("takeovers", "Partitions taken over since the start", lambda: store.counts["takeovers"])
+    gauge("refills", "Snapshots sent to mirrors since the start", lambda: store.counts["refills"])
+
+
+async def duty_status(store: Store | None, edge: Gateway | None, scheduler: Scheduler | None) -> Body:
+    """The part of the status page that the duties add; one that isn't there adds nothing."""
+    out: Body = {}
+    if store is not None:
+        out["store"] = (await store.status({})).unwrap()
+    if edge is not None:
+        out["servers"] = worker_status(edge)
+    if scheduler is not None:
+        running = sum(job.task is not None for job in scheduler.jobs.values())
+        out["sched"] = {
+            "active": scheduler.active, "term": scheduler.term, "held": len(scheduler.jobs), "running": running,
+        }  # fmt: skip
+    return out
+
+
+def worker_status(edge: Gateway) -> Body:
+    """What an edge knows of each worker, by pool and name."""
+    return {
+        f"{pool}/{name}": {
+            "barred": edge.worker_load.barred(pool, name, edge.stale),
+            "mine": spot.mine.total(),
+            "weights": spot.seen.weights if spot.seen else "",
+            "running": spot.seen.running if spot.seen else 0,
+            "waiting": spot.seen.waiting if spot.seen else 0,
+        }
+        for (pool, name), spot in sorted(edge.worker_load.spots.items())
+    }
--- a/sim/broken.py
+++ b/sim/broken.py
@@ -13,8 +13,8 @@
 from postpass.batch import scheduler
 from postpass.batch.job import JobView
 from postpass.control.daemon import ControlPlane
-from postpass.daemon.process import Daemon
 from postpass.feed.configuration_view import ConfigurationView
+from postpass.feed.follower import Follower
 from postpass.gateway import attempts, live_requests
 from postpass.gateway.attempts import Move
 from postpass.gateway.worker_load import WorkerLoad
@@ -127,16 +127,16 @@
         return []
 
     mp.setattr(ControlPlane, "in_force", in_force)
-    plain = Daemon.fetch
+    plain = Follower.fetch
 
-    async def fetch(self: Daemon, addr: str, limit: float = 0.0) -> None:
+    async def fetch(self: Follower, addr: str, limit: float = 0.0) -> None:
         if self.configuration_view.revision == 0 or not self.settings.name.startswith("e"):
             await plain(self, addr, limit)
 
-    mp.setattr(Daemon, "fetch", fetch)
-    sources = Daemon.sources
+    mp.setattr(Follower, "fetch", fetch)
+    sources = Follower.sources
     mp.setattr(
-        Daemon,
+        Follower,
         "sources",
         lambda self: [] if self.configuration_view.revision and self.settings.name == "e1" else sources(self),
     )
--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -771,7 +771,7 @@
             # Control doesn't know this process yet, so the others don't count it.
             assert (await ask("/i/x"))[0] == 503 and (await ask("/x/ready", 3))[0] == 503
             known = manifest(["w1"])
-            known["machines"]["e"]["born"] = data.inc
+            known["machines"]["e"]["born"] = data.incarnation
             data.configuration_view.accept(2, known)
             assert (await ask("/i/x"))[0] == 200 and (await ask("/x/ready", 3))[0] == 200
             assert (await ask("/health"))[0] == 200 and (await ask("/none"))[0] == 404
--- a/tests/sim/test_broken_variants.py
+++ b/tests/sim/test_broken_variants.py
@@ -19,6 +19,7 @@
 from postpass.batch.quota import Budget
 from postpass.control.daemon import ControlPlane
 from postpass.daemon.data_plane import DataPlane
+from postpass.daemon.gossip import Gossip
 from postpass.daemon.process import Daemon
 from postpass.gateway import attempts, load_balancing, relay
 from postpass.gateway.relay import Relay
@@ -341,15 +342,15 @@
 
 
 def ends_itself(mp: pytest.MonkeyPatch) -> None:
-    plain = Daemon.gossip
+    plain = Gossip.run
 
-    async def gossip(self: Daemon) -> None:
+    async def run(self: Gossip) -> None:
         task = asyncio.create_task(plain(self))
         await asyncio.sleep(LEAD + 2 if self.settings.name == "store-zone-b-1" else 1e9)
         task.cancel()
         raise RuntimeError("a defect")
 
-    mp.setattr(Daemon, "gossip", gossip)
+    mp.setattr(Gossip, "run", run)
 
 
 FLEET = "announced edges 4 stores 4 cores 4 zones 4 lost 1 models 3 plains 3\nlead 8\nrun 10\nsettle 4\n"
