--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -79,7 +79,13 @@
             peer = raw["peer"]
             self.spawn(
                 name,
-                ["bench.lag", str(self.plan.delay), "ppc" if control else "ppd", f"--config={file}", f"--peer={peer}"],
+                [
+                    "bench.lag",
+                    str(self.plan.delay),
+                    "control-plane" if control else "data-plane",
+                    f"--config={file}",
+                    f"--peer={peer}",
+                ],
             )
             return
         for pool in self.configuration["pools"].values():
--- a/bench/lag.py
+++ b/bench/lag.py
@@ -1,4 +1,4 @@
-"""Gives a loopback fleet the delay between its areas: python -m bench.lag MS ppd|ppc [flags of the daemon].
+"""Gives a loopback fleet the delay between its areas: python -m bench.lag MS data-plane|control-plane [flags of the daemon].
 
 Loopback has none. The disk is one that loses what was not synced (bench.brittle), and with POSTPASS_CUT the process can
 be cut off. A connection that this process opens towards another area (the second number of the
@@ -144,15 +144,14 @@
     LagLoop.zone = next((f.split("=", 1)[1].split(".")[1] for f in flags if f.startswith("--peer=")), "")
     asyncio.set_event_loop_policy(Policy())
     sys.argv = [program, *flags]
-    import postpass.daemon.data_plane_command
+    import postpass.daemon.commands
     from bench.brittle import BrittleDisk
 
-    setattr(postpass.daemon.data_plane_command, "RealDisk", BrittleDisk)  # noqa: B010
-    if program == "ppd":
-        from postpass.daemon.data_plane_command import main as run
+    setattr(postpass.daemon.commands, "RealDisk", BrittleDisk)  # noqa: B010
+    if program == "data-plane":
+        postpass.daemon.commands.data_plane_main()
     else:
-        from postpass.daemon.control_plane_command import main as run
-    run()
+        postpass.daemon.commands.control_plane_main()
 
 
 if __name__ == "__main__":
--- a/postpass/cli/main.py
+++ b/postpass/cli/main.py
@@ -1,128 +1,81 @@
-"""pp: the tool for operators and callers."""
+"""`postpassctl`: the command line for operators and clients."""
 
 from __future__ import annotations
 
 import asyncio
 import json
-import os
 import sys
-from collections.abc import Callable
-from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
-import aiohttp
 import fire
 from fire.decorators import SetParseFns
 from result import Err, Ok, Result
 
+from postpass.cli import fleet_client
 from postpass.cli.doctor import diagnose
+from postpass.cli.fleet_client import Answer, CommandError, ExitCode, control_addresses, edge_addresses
+from postpass.cli.status import overview
+from postpass.cli.status_page import FleetStatus
 from postpass.configuration.configuration import check
 from postpass.configuration.json_delta import delta
 from postpass.control.health import health_lines
 
-FINE, REFUSED, USAGE, UNKNOWN, PENDING = 0, 1, 2, 3, 4
-# Another one in the simulator.
-CONNECTOR: Callable[[], aiohttp.BaseConnector | None] = lambda: None  # noqa: E731
+PROGRAM = "postpassctl"
+JOBS_PATH = "/v1/lots"
 
 
-@dataclass(frozen=True)
-class Got:
-    status: int
-    body: Any
-    heads: dict[str, str]
-    addr: str
+def print_json(value: Any) -> None:
+    """Prints a value on standard output, for people."""
+    print(json.dumps(value, indent=2, ensure_ascii=False))
 
 
-class Exit(Exception):
-    """Ends the command with a line for the user and a code."""
+def print_errors(lines: list[str]) -> None:
+    """Prints lines on standard error."""
+    for line in lines:
+        print(line, file=sys.stderr)
 
-    def __init__(self, code: int, line: str) -> None:
-        super().__init__(line)
-        self.code, self.line = code, line
 
-
-def addrs(given: Any, env: str, what: str) -> list[str]:
-    if isinstance(given, (tuple, list)):
-        out = [str(a) for a in given]
+def write_json(path: str, value: Any, ensure_ascii: bool = False) -> None:
+    """Writes a value to a file, or prints it if the path is empty."""
+    if path:
+        text = json.dumps(value, indent=2, ensure_ascii=ensure_ascii) + "\n"
+        Path(path).write_text(text, encoding="utf-8")
     else:
-        out = [a for a in str(given or os.environ.get(env, "")).split(",") if a]
-    if not out:
-        raise Exit(USAGE, f"pp: no {what} address: give --{what} IP:PORT[,IP:PORT] or set {env}")
-    return out
-
-
-async def ask(
-    where: list[str], method: str, path: str, body: Any = None, heads: dict[str, str] | None = None, limit: float = 20
-) -> Got:
-    """The first address that answers; a call that changes something isn't sent on after it may have left.
-
-    A control machine without contact says so with 503: the next one is asked. A manifest may be sent on even then, since
-    one that was taken already is told as such.
-    """
-    why, last = "", None
-    repeatable = method == "GET" or path == "/v1/manifest"
-    async with aiohttp.ClientSession(
-        connector=CONNECTOR(), timeout=aiohttp.ClientTimeout(total=limit, sock_connect=2)
-    ) as session:
-        for addr in where:
-            try:
-                async with session.request(method, f"http://{addr}{path}", json=body, headers=heads) as got:
-                    data = await got.read()
-                    try:
-                        raw = json.loads(data)
-                    except ValueError:
-                        raw = data.decode(errors="replace")
-                    last = Got(got.status, raw, {k.lower(): v for k, v in got.headers.items()}, addr)
-                    if got.status != 503 or not repeatable:
-                        return last
-            except aiohttp.ClientConnectorError as bad:
-                why = f"{addr}: {bad.os_error.strerror or 'cannot be reached'}"
-            except (aiohttp.ClientError, OSError, TimeoutError) as bad:
-                why = f"{addr}: {str(bad) or 'no answer in time'}"
-                if method != "GET":
-                    raise Exit(UNKNOWN, f"pp: {why}; it is not known whether it was taken, ask again") from bad
-    if last is not None:
-        return last
-    raise Exit(UNKNOWN, f"pp: {why}")
-
-
-def refusal(got: Got) -> str:
-    error = got.body.get("error", {}) if isinstance(got.body, dict) else {}
-    why = error.get("why", str(got.body)[:200])
-    wait = f"; try again in {got.heads['retry-after']} s" if "retry-after" in got.heads else ""
-    return f"pp: {error.get('step', 'call')} at {error.get('peer', got.addr)}: {why}{wait}"
-
-
-def show(thing: Any) -> None:
-    print(json.dumps(thing, indent=2, ensure_ascii=False))
+        print_json(value)
 
 
 def read_json(path: str) -> Any:
+    """The value of a file; raises CommandError if it can't be read or is no JSON."""
     try:
         return json.loads(Path(path).read_text(encoding="utf-8"))
-    except OSError as bad:
-        raise Exit(USAGE, f"pp: {path}: {bad.strerror}") from bad
-    except ValueError as bad:
-        raise Exit(USAGE, f"pp: {path}: not JSON: {bad}") from bad
+    except OSError as error:
+        raise CommandError(ExitCode.USAGE, f"{path}: {error.strerror}") from error
+    except ValueError as error:
+        raise CommandError(ExitCode.USAGE, f"{path}: not JSON: {error}") from error
 
 
-def checked(path: str) -> Result[Any, list[str]]:
+def checked_configuration(path: str) -> Result[Any, list[str]]:
+    """The configuration of a file, or its flaws; raises CommandError if it can't be read."""
     raw = read_json(path)
-    return Ok(raw) if (got := check(raw)).is_ok() else Err(got.unwrap_err())
+    flaws = check(raw).err()
+    return Ok(raw) if flaws is None else Err(flaws)
 
 
-class ConfigurationTool:
+class ConfigurationCommands:
     """The whole desired state, in one file, applied as a whole."""
 
+    def __init__(self, program: str) -> None:
+        self._program = program
+
     def check(self, file: str) -> int:
         """Checks a manifest file without applying it; every flaw is listed with its path."""
-        got = checked(file)
+        got = checked_configuration(file)
         if isinstance(got, Err):
-            print("\n".join(got.unwrap_err()), file=sys.stderr)
-            return REFUSED
+            print_errors(got.unwrap_err())
+            return ExitCode.REFUSED
         print(f"{file}: good")
-        return FINE
+        return ExitCode.OK
 
     def get(self, control: str = "", out: str = "") -> int:
         """Prints the manifest in force; the edition goes to stderr.
@@ -131,58 +84,53 @@
           control: IP:PORT of control machines' HTTP side, with commas between them (or POSTPASS_CONTROL).
           out: a file to write to instead.
         """
-        got = asyncio.run(ask(addrs(control, "POSTPASS_CONTROL", "control"), "GET", "/v1/manifest"))
+        got = asyncio.run(fleet_client.read_configuration(control_addresses(control)))
         if got.status != 200:
-            raise Exit(REFUSED if got.status == 404 else UNKNOWN, refusal(got))
-        print(f"edition {got.heads['etag'].strip(chr(34))}", file=sys.stderr)
-        if out:
-            Path(out).write_text(json.dumps(got.body, indent=2, ensure_ascii=False) + "\n", encoding="utf-8")
-        else:
-            show(got.body)
-        return FINE
+            raise CommandError(ExitCode.REFUSED if got.status == 404 else ExitCode.UNKNOWN, got.refusal())
+        print(f"edition {got.revision}", file=sys.stderr)
+        write_json(out, got.body)
+        return ExitCode.OK
 
     def apply(self, file: str, edition: int, control: str = "") -> int:
         """Applies a manifest made from an edition; if that is no longer the one in force, nothing changes.
 
         Args:
           file: the whole manifest.
-          edition: the edition that it was made from, as `pp manifest get` told it; 0 for the very first.
+          edition: the edition that it was made from, as `manifest get` told it; 0 for the very first.
           control: IP:PORT of control machines' HTTP side, with commas between them (or POSTPASS_CONTROL).
         """
-        got_file = checked(file)
-        if isinstance(got_file, Err):
-            print("\n".join(got_file.unwrap_err()), file=sys.stderr)
-            return REFUSED
-        where = addrs(control, "POSTPASS_CONTROL", "control")
-        got = asyncio.run(ask(where, "PUT", "/v1/manifest", got_file.unwrap(), {"if-match": f'"{edition}"'}))
+        configuration = checked_configuration(file)
+        if isinstance(configuration, Err):
+            print_errors(configuration.unwrap_err())
+            return ExitCode.REFUSED
+        where, headers = control_addresses(control), {"if-match": f'"{edition}"'}
+        path = fleet_client.CONFIGURATION_PATH
+        got = asyncio.run(fleet_client.ask(where, "PUT", path, configuration.unwrap(), headers))
         if got.status == 200:
             print(f"edition {got.body['edition']} is in force")
-            return FINE
+            return ExitCode.OK
         if got.status == 202:
             names = ", ".join(got.body["unconfirmed"])
             print(f"edition {got.body['edition']} is taken; not yet confirmed by {names}")
-            print("`pp status` shows when it is complete; applying the same again asks them anew", file=sys.stderr)
-            return PENDING
+            hint = f"`{self._program} status` shows when it is complete; applying the same again asks them anew"
+            print(hint, file=sys.stderr)
+            return ExitCode.PENDING
         if got.status == 412:
-            raise Exit(
-                REFUSED,
-                f"pp: edition {got.heads['etag'].strip(chr(34))} is in force, this was made from {edition}; get it anew",
-            )
-        for flaw in got.body.get("flaws", []) if isinstance(got.body, dict) else []:
-            print(flaw, file=sys.stderr)
-        raise Exit(REFUSED if got.status < 500 else UNKNOWN, refusal(got))
+            reason = f"edition {got.revision} is in force, this was made from {edition}; get it anew"
+            raise CommandError(ExitCode.REFUSED, reason)
+        print_errors(got.body.get("flaws", []) if isinstance(got.body, dict) else [])
+        raise CommandError(ExitCode.REFUSED if got.status < 500 else ExitCode.UNKNOWN, got.refusal())
 
     def diff(self, file: str, control: str = "") -> int:
         """Shows what applying a file would change; exit 1 if anything would."""
-        got = asyncio.run(ask(addrs(control, "POSTPASS_CONTROL", "control"), "GET", "/v1/manifest"))
+        got = asyncio.run(fleet_client.read_configuration(control_addresses(control)))
         if got.status != 200:
-            raise Exit(UNKNOWN, refusal(got))
+            raise CommandError(ExitCode.UNKNOWN, got.refusal())
         changes = delta(got.body, read_json(file))
         for change in changes:
-            print(
-                ".".join(change[0]), "->", json.dumps(change[1], ensure_ascii=False) if len(change) > 1 else "(dropped)"
-            )
-        return REFUSED if changes else FINE
+            value = json.dumps(change[1], ensure_ascii=False) if len(change) > 1 else "(dropped)"
+            print(".".join(change[0]), "->", value)
+        return ExitCode.REFUSED if changes else ExitCode.OK
 
     def import_(self, file: str, out: str = "") -> int:
         """Makes pools, classes and ways from an nginx configuration; says what it could not carry over.
@@ -191,115 +139,87 @@
           file: the nginx configuration file.
           out: a file for the parts of a manifest; printed if left out.
         """
+        # The parser of nginx files is loaded for this command alone.
         from postpass.configuration.nginx_import import carry_over
 
         got = carry_over(file)
         if isinstance(got, Err):
-            print("\n".join(got.unwrap_err()), file=sys.stderr)
-            return REFUSED
-        parts, left = got.unwrap()
-        for line in left:
-            print(line, file=sys.stderr)
-        if out:
-            Path(out).write_text(json.dumps(parts, indent=2) + "\n", encoding="utf-8")
-        else:
-            show(parts)
-        return FINE
+            print_errors(got.unwrap_err())
+            return ExitCode.REFUSED
+        parts, not_carried_over = got.unwrap()
+        print_errors(not_carried_over)
+        write_json(out, parts, ensure_ascii=True)
+        return ExitCode.OK
 
 
-class JobTool:
+class JobCommands:
     """Lots: hand in, look, read results, end."""
 
-    def send(self, file: str, edge: str = "", caller: str = "") -> int:
+    def __init__(self, program: str) -> None:
+        self._program = program
+
+    def send(self, file: str, edge: str = "", caller: str = "", client: str = "") -> int:
         """Hands in a lot: a JSON file with class, items, and due (a time) or within (seconds). Give it an
         id to make sending again safe.
 
         Args:
           file: the lot.
           edge: IP:PORT of edges, with commas between them (or POSTPASS_EDGE).
-          caller: your name; a lot sent under a name is shown under that name only.
+          caller: the same as client, which wins.
+          client: your name; a lot sent under a name is shown under that name only.
         """
-        got = asyncio.run(
-            ask(addrs(edge, "POSTPASS_EDGE", "edge"), "POST", "/v1/lots", read_json(file), {"x-caller": caller})
-        )
+        headers = {"x-caller": client or caller}
+        got = asyncio.run(fleet_client.ask(edge_addresses(edge), "POST", JOBS_PATH, read_json(file), headers))
         if got.status == 201:
             print(f"{got.body['id']} {got.body['state']}")
-            return FINE
+            return ExitCode.OK
         state = got.body.get("error", {}).get("state", "") if isinstance(got.body, dict) else ""
         if state == "unknown":
-            raise Exit(UNKNOWN, refusal(got) + f"; ask with: pp lot show {got.body['error']['id']}")
-        raise Exit(REFUSED, refusal(got))
-
-    def _lot(self, method: str, path: str, edge: str, caller: str) -> Any:
-        got = asyncio.run(ask(addrs(edge, "POSTPASS_EDGE", "edge"), method, path, None, {"x-caller": caller}))
-        if got.status != 200:
-            raise Exit(UNKNOWN if got.status >= 500 else REFUSED, refusal(got))
-        return got.body
+            hint = f"ask with: {self._program} lot show {got.body['error']['id']}"
+            raise CommandError(ExitCode.UNKNOWN, f"{got.refusal()}; {hint}")
+        raise CommandError(ExitCode.REFUSED, got.refusal())
 
     @SetParseFns(lot=str)
-    def show(self, lot: str, edge: str = "", caller: str = "") -> int:
+    def show(self, lot: str, edge: str = "", caller: str = "", client: str = "") -> int:
         """Shows a lot's state."""
-        show(self._lot("GET", f"/v1/lots/{lot}", edge, caller))
-        return FINE
+        print_json(_ask_for_job("GET", f"{JOBS_PATH}/{lot}", edge, client or caller))
+        return ExitCode.OK
 
     @SetParseFns(lot=str)
-    def results(self, lot: str, start: int = 0, most: int = 100, edge: str = "", caller: str = "") -> int:
+    def results(
+        self, lot: str, start: int = 0, most: int = 100, edge: str = "", caller: str = "", client: str = ""
+    ) -> int:
         """Prints results from a place on, a JSON line each; exit 0 if the lot's results end there, 1 if more come."""
-        body = self._lot("GET", f"/v1/lots/{lot}/results?start={start}&most={most}", edge, caller)
+        path = f"{JOBS_PATH}/{lot}/results?start={start}&most={most}"
+        body = _ask_for_job("GET", path, edge, client or caller)
         for row in body["results"]:
             print(json.dumps(row, ensure_ascii=False))
         if not body["whole"]:
             print(f"more may come: --start {body['next']}", file=sys.stderr)
-        return FINE if body["whole"] else REFUSED
+        return ExitCode.OK if body["whole"] else ExitCode.REFUSED
 
     @SetParseFns(lot=str)
-    def end(self, lot: str, edge: str = "", caller: str = "") -> int:
+    def end(self, lot: str, edge: str = "", caller: str = "", client: str = "") -> int:
         """Ends a lot: nothing of it reaches a worker more than the end bound later."""
-        print(self._lot("DELETE", f"/v1/lots/{lot}", edge, caller)["state"])
-        return FINE
-
-
-async def control_views(where: list[str]) -> dict[str, Any]:
-    """What those of the given control machines say of themselves that answer, whether or not any of them leads."""
-
-    async def one(addr: str) -> Any:
-        try:
-            return (await ask([addr], "GET", "/v1/status", limit=3)).body
-        except Exit:
-            return None
-
-    seen = await asyncio.gather(*(one(addr) for addr in where))
-    return {s["name"]: s["control"] for s in seen if isinstance(s, dict) and "control" in s}
+        print(_ask_for_job("DELETE", f"{JOBS_PATH}/{lot}", edge, client or caller)["state"])
+        return ExitCode.OK
 
 
-async def statuses(where: list[str]) -> dict[str, Any]:
-    """The status of every machine of the manifest, or why it can't be had."""
-    got = await ask(where, "GET", "/v1/manifest")
+def _ask_for_job(method: str, path: str, edge: str, client: str) -> Any:
+    """What an edge answers about a job; raises CommandError if it refuses."""
+    got: Answer = asyncio.run(fleet_client.ask(edge_addresses(edge), method, path, None, {"x-caller": client}))
     if got.status != 200:
-        raise Exit(UNKNOWN, refusal(got))
-
-    async def one(m: dict[str, Any]) -> Any:
-        try:
-            answer = await ask([m["http"]], "GET", "/v1/status", limit=3)
-            return answer.body
-        except Exit as bad:
-            return {"unreachable": bad.line}
+        raise CommandError(ExitCode.UNKNOWN if got.status >= 500 else ExitCode.REFUSED, got.refusal())
+    return got.body
 
-    names = [n for n, m in got.body["machines"].items() if not m.get("gone")]
-    seen = await asyncio.gather(*(one(got.body["machines"][n]) for n in names))
-    return {
-        "edition": int(got.heads["etag"].strip('"')),
-        "manifest": got.body,
-        "machines": dict(zip(names, seen, strict=True)),
-    }
 
+class Commands:
+    """postpass, from outside: manifest (or configuration), lot, status, doctor."""
 
-class Tool:
-    """postpass, from outside: pp manifest, pp lot, pp status, pp doctor."""
-
-    def __init__(self) -> None:
-        self.manifest = ConfigurationTool()
-        self.lot = JobTool()
+    def __init__(self, program: str = PROGRAM) -> None:
+        self._program = program
+        self.manifest = self.configuration = ConfigurationCommands(program)
+        self.lot = JobCommands(program)
 
     def status(self, control: str = "", raw: bool = False) -> int:
         """Shows the edition each daemon runs, who owns which partition, and what is still pending.
@@ -308,21 +228,22 @@
           control: IP:PORT of control machines' HTTP side, with commas between them (or POSTPASS_CONTROL).
           raw: print everything as JSON.
         """
-        from postpass.cli.status import overview
-
-        where = addrs(control, "POSTPASS_CONTROL", "control")
+        where = control_addresses(control)
         try:
-            seen = asyncio.run(statuses(where))
-        except Exit as bad:
-            # Without a primary no manifest can be read; what the members say of themselves can.
-            views = asyncio.run(control_views(where))
-            show(views) if raw else print("\n".join([bad.line, *health_lines(views)]))
-            return UNKNOWN
+            pages = asyncio.run(fleet_client.fleet_status_pages(where, self._program))
+        except CommandError as error:
+            # Without a primary no configuration can be read; what the members say of themselves can.
+            members = asyncio.run(fleet_client.control_status_pages(where))
+            if raw:
+                print_json(members)
+            else:
+                print("\n".join([f"{self._program}: {error.reason}", *health_lines(members)]))
+            return ExitCode.UNKNOWN
         if raw:
-            show(seen)
+            print_json(pages)
         else:
-            print("\n".join(overview(seen)))
-        return FINE
+            print("\n".join(overview(FleetStatus.from_json(pages))))
+        return ExitCode.OK
 
     def doctor(self, control: str = "") -> int:
         """Looks for common faults on a live fleet; exit 1 if there are any, each with its remedy.
@@ -330,29 +251,33 @@
         Args:
           control: IP:PORT of control machines' HTTP side, with commas between them (or POSTPASS_CONTROL).
         """
-        where = addrs(control, "POSTPASS_CONTROL", "control")
+        where = control_addresses(control)
         try:
-            first = asyncio.run(statuses(where))
-        except Exit as bad:
-            print(
-                f"D01 control: the manifest can't be read ({bad.line})\n    remedy: start control machines until most of them run"
-            )
-            for line in health_lines(asyncio.run(control_views(where))):
+            first = asyncio.run(fleet_client.fleet_status_pages(where, self._program))
+        except CommandError as error:
+            print(f"D01 control: the manifest can't be read ({self._program}: {error.reason})")
+            print("    remedy: start control machines until most of them run")
+            for line in health_lines(asyncio.run(fleet_client.control_status_pages(where))):
                 print(line)
-            return REFUSED
-        second = asyncio.run(statuses(where))
-        found = diagnose(first, second)
-        for f in found:
-            print(f)
-        print("no faults found" if not found else f"{len(found)} found")
-        return REFUSED if found else FINE
-
-
-def main(argv: list[str] | None = None) -> None:
-    words = [("import_" if w == "import" else w) for w in (argv if argv is not None else sys.argv[1:])]
+            return ExitCode.REFUSED
+        second = asyncio.run(fleet_client.fleet_status_pages(where, self._program))
+        findings = diagnose(FleetStatus.from_json(first), FleetStatus.from_json(second))
+        for finding in findings:
+            print(finding)
+        print("no faults found" if not findings else f"{len(findings)} found")
+        return ExitCode.REFUSED if findings else ExitCode.OK
+
+
+def main(argv: list[str] | None = None, program: str = PROGRAM) -> None:
+    """Runs a command and exits with its code; `program` is the name that it was called by."""
+    arguments = argv if argv is not None else sys.argv[1:]
+    # `import` is a keyword of the language, so that no method can have that name.
+    words = ["import_" if argument == "import" else argument for argument in arguments]
     try:
-        code = fire.Fire(Tool(), command=words, name="pp", serialize=lambda got: None if isinstance(got, int) else got)
-    except Exit as bad:
-        print(bad.line, file=sys.stderr)
-        sys.exit(bad.code)
-    sys.exit(code if isinstance(code, int) else FINE)
+        code = fire.Fire(
+            Commands(program), command=words, name=program, serialize=lambda got: None if isinstance(got, int) else got
+        )
+    except CommandError as error:
+        print(f"{program}: {error.reason}", file=sys.stderr)
+        sys.exit(error.code)
+    sys.exit(code if isinstance(code, int) else ExitCode.OK)
--- a/postpass/membership/safe_change.py
+++ b/postpass/membership/safe_change.py
@@ -219,7 +219,7 @@
 
 
 def _spread(zones: Sequence[str], copies: int) -> list[str]:
-    """The zones of so many copies: one in each zone before a second in any, as `manifest.members` chooses them."""
+    """The zones of so many copies: one in each zone before a second in any, as `configuration.members` chooses them."""
     heads = list(dict.fromkeys(zones))
     rest = list(zones)
     for zone in heads:
--- a/sim/ailing.py
+++ b/sim/ailing.py
@@ -6,9 +6,10 @@
 from collections.abc import Awaitable, Callable
 
 from bench.plan import changed
-from postpass.cli import main
 from postpass.cli.doctor import diagnose
+from postpass.cli.fleet_client import fleet_status_pages
 from postpass.cli.status import pending
+from postpass.cli.status_page import FleetStatus
 from sim.fleet import SimFleet
 
 Cause = Callable[[SimFleet], Awaitable[None]]
@@ -17,9 +18,9 @@
 async def look(world: SimFleet) -> tuple[set[str], list[str]]:
     """What the doctor finds in two looks, and what is pending."""
     where = [world.configuration["machines"][n]["http"] for n in world.controls()]
-    first = await main.statuses(where)
+    first = FleetStatus.from_json(await fleet_status_pages(where, "postpassctl"))
     await asyncio.sleep(0.5)
-    second = await main.statuses(where)
+    second = FleetStatus.from_json(await fleet_status_pages(where, "postpassctl"))
     return {f.code for f in diagnose(first, second)}, pending(second)
 
 
--- a/tests/cli/test_control_command.py
+++ b/tests/cli/test_control_command.py
@@ -8,7 +8,9 @@
 
 import pytest
 
-from postpass.cli import main
+from postpass.cli import fleet_client
+from postpass.cli.fleet_client import Answer, CommandError, ExitCode
+from postpass.cli.main import Commands
 from tests.control.test_health import _views
 
 STALE = (503, {"error": {"step": "read", "peer": "c1", "why": "out of touch"}})
@@ -28,13 +30,13 @@
     return serve
 
 
-def asked(answers: list[tuple[int, Any]], method: str, path: str) -> tuple[main.Got, int]:
+def asked(answers: list[tuple[int, Any]], method: str, path: str) -> tuple[Answer, int]:
     """What `ask` gives, and which of the machines answered it."""
 
-    async def exchange() -> tuple[main.Got, int]:
+    async def exchange() -> tuple[Answer, int]:
         servers = [await asyncio.start_server(door(a), "127.0.0.1", 0) for a in answers]
         addrs = [f"127.0.0.1:{s.sockets[0].getsockname()[1]}" for s in servers]
-        got = await main.ask(addrs, method, path, None)
+        got = await fleet_client.ask(addrs, method, path, None)
         for server in servers:
             server.close()
         return got, addrs.index(got.addr)
@@ -58,18 +60,18 @@
     views = _views(3)
     views["c1"]["leads"] = False
 
-    async def ask(where: list[str], _method: str, path: str, *_more: Any, **_options: Any) -> main.Got:
+    async def ask(where: list[str], _method: str, path: str, *_more: Any, **_options: Any) -> Answer:
         if path == "/v1/manifest":
-            return main.Got(*STALE, {"retry-after": "1"}, where[0])
+            return Answer(*STALE, {"retry-after": "1"}, where[0])
         name = where[0].partition(":")[0]
         if name == "c3":
-            raise main.Exit(main.UNKNOWN, "pp: c3: cannot be reached")
-        return main.Got(200, {"name": name, "control": views[name]}, {}, where[0])
+            raise CommandError(ExitCode.UNKNOWN, "c3: cannot be reached")
+        return Answer(200, {"name": name, "control": views[name]}, {}, where[0])
 
-    monkeypatch.setattr(main, "ask", ask)
-    assert main.Tool().status(control="c1:80,c2:80,c3:80") == main.UNKNOWN
+    monkeypatch.setattr(fleet_client, "ask", ask)
+    assert Commands().status(control="c1:80,c2:80,c3:80") == ExitCode.UNKNOWN
     lines = capsys.readouterr().out.splitlines()
     assert "out of touch" in lines[0] and lines[2].startswith("c1") and lines[3].startswith("c2")
     assert lines[-1] == "next tolerated loss: COULD NOT BE BORNE, there is no primary"
-    assert main.Tool().doctor(control="c1:80,c2:80,c3:80") == main.REFUSED
+    assert Commands().doctor(control="c1:80,c2:80,c3:80") == ExitCode.REFUSED
     assert "D01" in capsys.readouterr().out
--- a/tests/cli/test_doctor.py
+++ b/tests/cli/test_doctor.py
@@ -2,28 +2,27 @@
 
 from __future__ import annotations
 
+import copy
 from typing import Any
 
 from postpass.cli.doctor import diagnose
+from postpass.cli.status_page import FleetStatus
+from tests.support.status_pages import sound_fleet
 
 
 def test_a_sound_fleet_has_no_findings_and_each_fault_has_its_own() -> None:
-    import copy
-
-    from postpass.cli.status import _seen
-
-    good = _seen()
+    good = sound_fleet()
     later = copy.deepcopy(good)
     for m in later["machines"].values():
         m["up"] += 1
-    assert diagnose(good, later) == []
+    assert diagnose(FleetStatus.from_json(good), FleetStatus.from_json(later)) == []
 
     def found(change: Any, early: Any = None) -> set[str]:
         one, two = copy.deepcopy(good), copy.deepcopy(later)
         change(two)
         if early:
             early(one)
-        return {f.code for f in diagnose(one, two)}
+        return {f.code for f in diagnose(FleetStatus.from_json(one), FleetStatus.from_json(two))}
 
     def machine(which: str, **more: Any) -> Any:
         return lambda s: s["machines"][which].update(more)
--- a/tests/cli/test_status.py
+++ b/tests/cli/test_status.py
@@ -2,11 +2,23 @@
 
 from __future__ import annotations
 
-from postpass.cli.status import _seen, overview, pending
+from typing import Any
+
+from postpass.cli import status
+from postpass.cli.status_page import FleetStatus
+from tests.support.status_pages import sound_fleet
+
+
+def pending(pages: dict[str, Any]) -> list[str]:
+    return status.pending(FleetStatus.from_json(pages))
+
+
+def overview(pages: dict[str, Any]) -> list[str]:
+    return status.overview(FleetStatus.from_json(pages))
 
 
 def test_pending_operations_say_why_and_complete_ones_that_they_are() -> None:
-    seen = _seen()
+    seen = sound_fleet()
     assert pending(seen) == []
     seen["manifest"]["machines"]["s4"]["retire"] = True
     assert pending(seen) == ["retire s4: pending, still a member of partitions [0, 1, 2, 3]"]
--- a/tests/sim/test_ailing.py
+++ b/tests/sim/test_ailing.py
@@ -8,7 +8,8 @@
 import pytest
 
 from bench.plan import changed
-from postpass.cli import main
+from postpass.cli import fleet_client
+from postpass.cli.fleet_client import CommandError, ExitCode
 from sim.ailing import CASES, control_gone, look
 from sim.fleet import SimConnector, SimFleet
 from sim.interface import Say, with_fleet
@@ -16,7 +17,7 @@
 
 @pytest.mark.parametrize("name", CASES)
 def test_the_doctor_finds_what_was_caused(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(main, "CONNECTOR", lambda: SimConnector(limit=0))
+    monkeypatch.setattr(fleet_client, "connector_factory", lambda: SimConnector(limit=0))
     cause, want = CASES[name]
 
     async def check(world: SimFleet, say: Say) -> None:
@@ -28,19 +29,19 @@
 
 
 def test_without_a_majority_of_control_the_manifest_cannot_be_read(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(main, "CONNECTOR", lambda: SimConnector(limit=0))
+    monkeypatch.setattr(fleet_client, "connector_factory", lambda: SimConnector(limit=0))
 
     async def check(world: SimFleet, say: Say) -> None:
         await control_gone(world)
-        with pytest.raises(main.Exit) as seen:
+        with pytest.raises(CommandError) as seen:
             await look(world)
-        assert seen.value.code == main.UNKNOWN
+        assert seen.value.code == ExitCode.UNKNOWN
 
     with_fleet(check)
 
 
 def test_operations_are_pending_until_they_are_complete(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(main, "CONNECTOR", lambda: SimConnector(limit=0))
+    monkeypatch.setattr(fleet_client, "connector_factory", lambda: SimConnector(limit=0))
 
     async def check(world: SimFleet, say: Say) -> None:
         configuration: dict[str, Any] = changed(world.configuration, "evacuated", ["b"])
--- a/tests/test_readable_code.py
+++ b/tests/test_readable_code.py
@@ -24,6 +24,10 @@
         "partial_view", "safe_change", "registry", "machine_registry", "worker_registry", "operator_changes",
     ),
     "feed": ("checksum", "messages", "configuration_view", "follower"),
+    "daemon": (
+        "gossip", "announcer", "health_endpoints", "process", "data_plane_status", "data_plane", "commands",
+    ),
+    "cli": ("fleet_client", "status_page", "status", "doctor", "main", "renamed_commands"),
 }  # fmt: skip
 # Withdrawn words that still stand in names, by module. The users of these names are being worked on.
 STANDING_NAMES: dict[str, set[str]] = {
@@ -42,6 +46,9 @@
     "gateway/relay.py": {"edition: say version"},
     "feed/configuration_view.py": {"manifest: say configuration"},
     "feed/messages.py": {"edition: say version"},
+    # Names of flags and of commands.
+    "cli/main.py": {"caller: say client", "edition: say version", "manifest: say configuration"},
+    "daemon/commands.py": {"area: say zone"},
     # Fields of typed dictionaries, which are keys of JSON between processes; and the field of the replicated state.
     "membership/partial_view.py": {"area: say zone", "beat: say heartbeat", "edition: say version"},
     "membership/registry.py": {"area: say zone", "manifest: say configuration"},
