--- a/postpass/control/feed.py
+++ b/postpass/control/feed.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+from typing import cast
 
 from result import Err, Ok
 
@@ -25,7 +26,7 @@
     async def on_ping(self, body: Body) -> PeerResponse:
         """Answers a ping; one that asks for an entry is told of this member and whether its disk is blank."""
         if "entry" in body:
-            return Ok({"entry": self.entry(), "blank": self.blank()})
+            return Ok({"entry": self.announcer.announcement(), "blank": self.blank()})
         return await super().on_ping(body)
 
     async def on_follow(self, body: Body) -> PeerResponse:
@@ -38,7 +39,10 @@
         while self.in_touch() and self.configuration_view.revision <= poll.after and now() < until:
             lease_end = self.last_contact() + self.settings.bounds.contact
             await self.configuration_view.wait(poll.after, max(min(until, lease_end) - now(), SHORTEST_WAIT_S))
-        return Ok(self.configuration_view.since(poll.after) if self.in_touch() else self.stale().as_json())
+        answer = (
+            cast(Body, self.configuration_view.changes_since(poll.after)) if self.in_touch() else self.stale().as_json()
+        )
+        return Ok(answer)
 
     async def in_force(
         self, revision: int, before: Configuration | None, after: Configuration, asked: float, limit: float = 0.0
@@ -110,7 +114,7 @@
                     return 0
                 revision = int(got.unwrap()["edition"])
                 if revision > self.configuration_view.revision:
-                    await self.fetch(addr, self.settings.bounds.follow)
+                    await self.follower.fetch(addr, self.settings.bounds.follow)
                 return revision
 
         if self.next_confirmation is None:
--- a/postpass/gateway/admission_control.py
+++ b/postpass/gateway/admission_control.py
@@ -186,7 +186,7 @@
             return Err(Fault("let in", name, LEAVING, SHED, hint="another edge"))
         if self.configuration_view.evacuated(name):
             return Err(Fault("let in", name, EVACUATED, SHED, hint="another edge"))
-        if now() - self.configuration_view.heard > self.settings.bounds.deaf:
+        if now() - self.configuration_view.last_contact > self.settings.bounds.deaf:
             return Err(Fault("let in", name, ISOLATED, SHED, hint="another edge"))
         if queue.size >= self.queue_limit(class_name):
             return Err(Fault("let in", name, f"the backlog of {class_name} is full ({queue.size})", CROWD))
--- a/tests/gateway/test_worker_load.py
+++ b/tests/gateway/test_worker_load.py
@@ -36,7 +36,7 @@
         configuration = small()
         configuration["ramp"] = 10.0
         configuration["pools"]["gpu"]["servers"]["w1"]["slots"] = 8
-        configuration_view.take(1, configuration)
+        configuration_view.accept(1, configuration)
         async with aiohttp.ClientSession() as session:
             load = WorkerLoad("e1", Environment(wall=lambda: clock[0]), configuration_view, session)
             assert load.barred("gpu", "w1", 2.0) == "not polled yet"
@@ -47,7 +47,7 @@
             assert sum(load.quota("gpu", "w1", r, 8) for r in range(8)) == 4
             clock[0] = 1010.0
             assert sum(load.quota("gpu", "w1", r, 8) for r in range(8)) == 12
-            configuration_view.take(
+            configuration_view.accept(
                 2,
                 configuration
                 | {
--- a/tests/sim/test_broken_variants.py
+++ b/tests/sim/test_broken_variants.py
@@ -19,6 +19,7 @@
 from postpass.batch.quota import Budget
 from postpass.control.daemon import ControlPlane
 from postpass.daemon.data_plane import DataPlane
+from postpass.daemon.gossip import Gossip
 from postpass.daemon.process import Daemon
 from postpass.gateway import attempts, load_balancing, relay, worker_selection
 from postpass.gateway.connection_pool import ConnectionPool
@@ -168,7 +169,7 @@
     async def opened(self: ControlPlane) -> None:
         await plain(self)
         if self.held.state.manifest is not None:
-            self.held = replace(self.held, state=registry.edit(self.held.state, evacuated=[]))
+            self.held = replace(self.held, state=registry.with_parts(self.held.state, evacuated=[]))
 
     mp.setattr(ControlPlane, "open", opened)
     mp.setattr(WorkerSelection, "barred", lambda self, configuration, server: bool(server.get("leave")))
@@ -350,15 +351,15 @@
 
 
 def ends_itself(mp: pytest.MonkeyPatch) -> None:
-    plain = Daemon.gossip
+    plain = Gossip.run
 
-    async def gossip(self: Daemon) -> None:
+    async def run(self: Gossip) -> None:
         task = asyncio.create_task(plain(self))
         await asyncio.sleep(LEAD + 2 if self.settings.name == "store-zone-b-1" else 1e9)
         task.cancel()
         raise RuntimeError("a defect")
 
-    mp.setattr(Daemon, "gossip", gossip)
+    mp.setattr(Gossip, "run", run)
 
 
 FLEET = "announced edges 4 stores 4 cores 4 zones 4 lost 1 models 3 plains 3\nlead 8\nrun 10\nsettle 4\n"
