--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -242,7 +242,7 @@
     """Who has which role now."""
     control = {n: b.daemon for n, b in fleet.boxes.items() if isinstance(b.daemon, ControlPlane)}
     lead = max((c.epoch, n) for n, c in control.items())[1]
-    backups = [n for n in control if n in control[lead].held.pair.backups]  # type: ignore[union-attr]
+    backups = [n for n in control if n in control[lead].replicated_state.replica_set.backups]  # type: ignore[union-attr]
     return {
         "edge": [m.name for m in fleet.of("edge")], "store": [m.name for m in fleet.of("store")], "primary": [lead],
         "backup": backups, "witness": [n for n in control if n != lead and n not in backups],
@@ -295,11 +295,11 @@
             change = {k: meter.cost(v, CHANGES) for k, v in crew.items()}
             watched = (loop.clock - at) / CHANGES
         lead: Any = fleet.boxes[crew["primary"][0]].daemon
-        configuration = lead.held.state.configuration
+        configuration = lead.replicated_state.state.configuration
         return {
             "daemons": daemons, "workers": workers, "routes": routes, "known": sum(len(p["servers"]) for p in configuration["pools"].values()),
-            "machines": len(configuration["machines"]), "edition": lead.held.state.revision, "manifest": len(json.dumps(configuration)),
-            "state": len(lead.held.dump()), "memory": memory, "rest": rest, "stores": stores, "change": change, "change_span": watched, "told": max(told), "answers": answers, "seconds": round(time.time() - began, 1),
+            "machines": len(configuration["machines"]), "edition": lead.replicated_state.state.revision, "manifest": len(json.dumps(configuration)),
+            "state": len(lead.replicated_state.dump()), "memory": memory, "rest": rest, "stores": stores, "change": change, "change_span": watched, "told": max(told), "answers": answers, "seconds": round(time.time() - began, 1),
         }  # fmt: skip
 
     row: Row = run_sim(main, 1)
--- a/bench/control_state.py
+++ b/bench/control_state.py
@@ -80,7 +80,7 @@
         assert box.host is not None and control.configuration_view.manifest is not None
         pool = next(iter(control.configuration_view.manifest["pools"]))
         standing: Standing = {"pool": pool, "url": "http://10.99.0.1:9000", "area": "zone-a", "slots": self.count}
-        call = control.beat_worker("measured", standing, self.count)
+        call = control.record_worker_heartbeat("measured", standing, self.count)
         got = await asyncio.get_running_loop().create_task(call, context=box.host.context())
         return got.is_ok() and "edition" in got.unwrap()
 
--- a/model/contact/rules.py
+++ b/model/contact/rules.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from postpass.control import epochs
-from postpass.control.epochs import PreVote, Voters, Witness
+from postpass.control.epochs import PreVote, VoteRecord, Voters
 
 
 @dataclass(frozen=True)
@@ -44,7 +44,7 @@
 
     may_campaign: Callable[[PreVotes], bool] = may_campaign
     may_stay: Callable[[Voters, Voters], bool] = may_stay
-    promise: Callable[[Witness, int, str], Witness | None] = Witness.look
+    promise: Callable[[VoteRecord, int, str], VoteRecord | None] = VoteRecord.prepare
     asks_first: bool = True
     refuses_while_hearing: bool = True
     promises_last: bool = True
--- a/model/contact/steps.py
+++ b/model/contact/steps.py
@@ -11,7 +11,7 @@
 from model.contact.rules import PreVotes, Rules
 from model.contact.state import EVERY, WHOLE, Invariant, Member, Size, State, cuts, founded
 from model.search import Step, System
-from postpass.control.epochs import PreVote, Voters, Witness, majority
+from postpass.control.epochs import PreVote, VoteRecord, Voters, majority
 
 ContactStep = Step[State]
 
@@ -156,7 +156,7 @@
     def _promises(self, voter: Member, candidate: int, epoch: int) -> bool:
         if self.rules.refuses_while_hearing and (voter.hears or voter.leads):
             return False
-        return self.rules.promise(Witness(promised=voter.promised), epoch, name(candidate)) is not None
+        return self.rules.promise(VoteRecord(promised=voter.promised), epoch, name(candidate)) is not None
 
     def _breach(self, which: Invariant, broken: bool) -> str:
         return str(which) if broken and which in self.checked else ""
--- a/model/control/rules.py
+++ b/model/control/rules.py
@@ -15,15 +15,15 @@
 from model.control import transcribed
 from model.control.state import NO_VOTE, NOBODY, Answer, Member, ModelReplicaSet
 from postpass.control import epochs
-from postpass.control.epochs import PreVote, ReplicaSet, Voters, Witness
+from postpass.control.epochs import PreVote, ReplicaSet, VoteRecord, Voters
 
 
 @dataclass(frozen=True)
 class Rules:
     """Each decision of the protocol; tests put a faulty one in place of a product's function."""
 
-    promise: Callable[[Witness, int, str], Witness | None] = Witness.look
-    grant: Callable[[Witness, ReplicaSet, str], Witness | None] = Witness.grant
+    promise: Callable[[VoteRecord, int, str], VoteRecord | None] = VoteRecord.prepare
+    grant: Callable[[VoteRecord, ReplicaSet, str], VoteRecord | None] = VoteRecord.grant
     may_campaign: Callable[[Iterable[str], Voters, Iterable[PreVote]], bool] = epochs.may_campaign
     may_lead: Callable[[str, int, ReplicaSet, dict[str, ReplicaSet], Voters, Voters], str] = epochs.may_lead
     without_majority: Callable[[transcribed.Heard], tuple[str, bool]] = transcribed.without_majority
@@ -101,18 +101,22 @@
     def _promised(
         self, promised: int, to: int, granted: ModelReplicaSet, epoch: int, who: int
     ) -> tuple[int, int] | None:
-        before = Witness(promised, name(to), pair_of(granted))
+        before = VoteRecord(promised, name(to), pair_of(granted))
         after = self.rules.promise(before, epoch, name(who))
-        return (after.promised, _member_of(after.to)) if after else None
+        return (after.promised, _member_of(after.candidate)) if after else None
 
     def _granted(
         self, promised: int, to: int, granted: ModelReplicaSet, proposal: ModelReplicaSet
     ) -> tuple[int, int, ModelReplicaSet] | None:
-        before = Witness(promised, name(to), pair_of(granted))
+        before = VoteRecord(promised, name(to), pair_of(granted))
         after = self.rules.grant(before, pair_of(proposal), name(proposal.primary))
         if after is None:
             return None
-        return after.promised, _member_of(after.to), proposal if after.pair == pair_of(proposal) else granted
+        return (
+            after.promised,
+            _member_of(after.candidate),
+            proposal if after.replica_set == pair_of(proposal) else granted,
+        )
 
     def _candidacy(
         self, me: int, state_epoch: int, own: ModelReplicaSet, answers: tuple[Answer, ...], present: int
--- a/postpass/control/api.py
+++ b/postpass/control/api.py
@@ -40,7 +40,7 @@
 
     def ways(self) -> list[Any]:
         """The HTTP routes for operators."""
-        return [Route("/v1/manifest", self.http_manifest, methods=["GET", "PUT"])]
+        return [Route("/v1/manifest", self.http_configuration, methods=["GET", "PUT"])]
 
     def tasks(self) -> list[Task]:
         """What runs for as long as the process does."""
@@ -51,7 +51,7 @@
             *([self.found_fleet(), self.write(), self.report()] if self.settings.announce else []),
         ]
 
-    async def http_manifest(self, request: Request) -> Response:
+    async def http_configuration(self, request: Request) -> Response:
         """Reads the manifest in force, or puts another in its place if it was made from that one."""
         if request.method == "GET":
             got = await self.forward("read", {})
@@ -105,11 +105,11 @@
         contact = round(now() - self.last_contact(), 3)
         return {
             "control": {
-                "epoch": self.witness.pair.epoch, "promised": self.witness.promised, "primary": self.witness.pair.primary,
-                "backup": self.witness.pair.backup, "backups": list(self.witness.pair.backups), "leads": self.epoch > 0, "disk": self.disk_id,
-                "voters": self.witness.pair.voters, "losses": self.committed.state.losses, "bad": self.bad,
-                "committed": self.configuration_view.revision, "held": self.held.state.revision, "in_touch": self.in_touch(),
+                "epoch": self.vote_record.replica_set.epoch, "promised": self.vote_record.promised, "primary": self.vote_record.replica_set.primary,
+                "backup": self.vote_record.replica_set.backup, "backups": list(self.vote_record.replica_set.backups), "leads": self.epoch > 0, "disk": self.disk_id,
+                "voters": self.vote_record.replica_set.voters, "losses": self.committed.state.losses, "bad": self.disk_failure,
+                "committed": self.configuration_view.revision, "held": self.replicated_state.state.revision, "in_touch": self.in_touch(),
                 "contact": contact if contact < INFINITY else None, "tolerate": self.settings.disks_lost,
-                "backup_heard": round(now() - min(self.copied.values(), default=now()), 3) if self.epoch else None,
+                "backup_heard": round(now() - min(self.backup_heard.values(), default=now()), 3) if self.epoch else None,
             }
         }  # fmt: skip
--- a/postpass/control/contact.py
+++ b/postpass/control/contact.py
@@ -33,8 +33,8 @@
 
     def last_contact(self) -> float:
         """When this member last heard its primary or, as the primary, most voters; -INFINITY if it never did."""
-        answered = self.answered | ({self.settings.name: now()} if self.epoch else {})
-        return max(self.led, last_majority(self.held.pair.voters, answered))
+        answered = self.voter_heard | ({self.settings.name: now()} if self.epoch else {})
+        return max(self.leader_heard, last_majority(self.replicated_state.replica_set.voters, answered))
 
     def in_touch(self) -> bool:
         """Is the last contact recent enough to hand out what this member knows?"""
--- a/postpass/control/election.py
+++ b/postpass/control/election.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import asyncio
-from dataclasses import asdict, replace
+from dataclasses import replace
 
 from result import Err, Ok, Result
 
@@ -36,7 +36,11 @@
 
     def electorate(self, configuration: Configuration) -> list[str]:
         """All that may have a vote: the members of the configuration, and the voters of the epochs known here."""
-        voters = [*self.held.pair.voters, *self.held.pair.previous_voters, *self.witness.pair.voters]
+        voters = [
+            *self.replicated_state.replica_set.voters,
+            *self.replicated_state.replica_set.previous_voters,
+            *self.vote_record.replica_set.voters,
+        ]
         return list(dict.fromkeys([*self.members(configuration), *voters]))
 
     def gone(self, configuration: Configuration) -> set[str]:
@@ -97,13 +101,13 @@
         if me not in good or top > epoch:
             return Err(Fault(step, me, f"epoch {epoch} was not promised by enough; {top} was seen", SLOW))
         # Only now: a copy that was under way when this one promised may have been answered since.
-        start = self.held
-        voters: Voters = start.pair.voters
+        start = self.replicated_state
+        voters: Voters = start.replica_set.voters
         got = {n: str(a["disk"]) for n, a in good.items()}
-        pairs = {n: ReplicaSet.of(a["pair"]) for n, a in good.items()}
+        replica_sets = {n: ReplicaSet.of(a["pair"]) for n, a in good.items()}
         every = all(n in good for n in names if n not in gone)
         state, loss, flaw = start.state, False, ""
-        blank = all(p.epoch == 0 for p in pairs.values()) and all(a["whole"] == 0 for a in good.values())
+        blank = all(p.epoch == 0 for p in replica_sets.values()) and all(a["whole"] == 0 for a in good.values())
         if blank:
             if not every:
                 return Err(Fault(step, me, "a fleet is founded only when all its control machines answer", SLOW))
@@ -119,9 +123,9 @@
             else:
                 return Err(Fault(step, me, "nothing to begin from", SLOW))
         else:
-            flaw = may_lead(me, start.whole, start.pair, pairs, voters, got)
+            flaw = may_lead(me, start.epoch, start.replica_set, replica_sets, voters, got)
             if flaw:
-                best = max(pairs.values(), key=lambda replica_set: replica_set.epoch)
+                best = max(replica_sets.values(), key=lambda replica_set: replica_set.epoch)
                 # A voter of the newest pair that answers with that epoch's state can lead; it goes first.
                 able = [
                     n
@@ -138,15 +142,15 @@
                         return Err(Fault(step, me, f"{', '.join(unheard)} may hold the newest state", SLOW))
                     revision = max(newest[0], *(a["edition"] for a in good.values())) + 1
                     state, loss = recovered(revision, newest[1], start.state.losses + 1), True
-                elif start.whole != best.epoch:
+                elif start.epoch != best.epoch:
                     return Err(Fault(step, me, flaw, SLOW))
         # Without a majority of the voters before, all have answered: those are the voters from here on.
         unopposed = blank or flaw != ""
         leaving = [n for n, a in good.items() if a.get("leaving") and n != me]
         topology = self.topology(configuration)
         wanted = next_voters(voters, self.members(configuration), got, topology, leaving) if change_voters else voters
-        now_voters = got if unopposed else voters_after(start.pair, wanted)
-        before = {} if unopposed else previous_voters(start.pair, now_voters)
+        now_voters = got if unopposed else voters_after(start.replica_set, wanted)
+        before = {} if unopposed else previous_voters(start.replica_set, now_voters)
         # A backup's acknowledgements count by its disk, so only one whose disk is among the voters can be a backup.
         rest = [n for n in self.members(configuration) if n != me and n in good and now_voters.get(n) == got[n]]
         rest = [n for n in rest if not good[n].get("leaving")] or rest
@@ -154,7 +158,7 @@
         liked = sorted(
             rest,
             key=lambda n: (
-                n == start.pair.primary and why in ("primary lost", "handed over"),
+                n == start.replica_set.primary and why in ("primary lost", "handed over"),
                 self.settings.announce and zone[n] == self.settings.zone,
                 self.members(configuration).index(n),
             ),
@@ -162,33 +166,36 @@
         backups = backups_of(
             liked, zone if self.settings.announce else {n: n for n in liked}, self.settings.zone, self.wanted_backups
         )
-        pair = ReplicaSet(epoch, me, backups, now_voters, before)
-        held = ReplicatedState(epoch, pair, state)
+        replica_set = ReplicaSet(epoch, me, backups, now_voters, before)
+        replicated_state = ReplicatedState(epoch, replica_set, state)
         # The new backups hold the whole state before the epoch is granted: nothing is written in between.
-        if self.witness.promised != epoch:
+        if self.vote_record.promised != epoch:
             return Err(Fault(step, me, "a higher epoch was promised", SLOW))
-        held = (await self.store(held)).held
-        self.held = held
-        if not await self.append_to_all(held, epoch):
+        replicated_state = (await self.store(replicated_state)).replicated_state
+        self.replicated_state = replicated_state
+        if not await self.append_to_all(replicated_state, epoch):
             return Err(Fault(step, me, f"one of the backups {', '.join(backups)} did not take the state", SLOW))
-        grants = await self.ask_all("grant", {"pair": asdict(pair), "who": me}, list(good), configuration)
+        grants = await self.ask_all("grant", {"pair": replica_set.as_json(), "who": me}, list(good), configuration)
         granted = votes(
             (Acknowledgement(n, str(a["disk"]), a["pair"]["epoch"]) for n, a in grants.items() if a["ok"]), epoch
         )
-        if not pair.elected_by(granted) or self.witness.promised != epoch:
+        if not replica_set.elected_by(granted) or self.vote_record.promised != epoch:
             return Err(Fault(step, me, "too few granted the epoch", SLOW))
         self.unsettled_epoch = 0
-        if pair.previous_voters:
-            self.held, self.unsettled_epoch = replace(held, pair=pair.settled()), epoch
+        if replica_set.previous_voters:
+            self.replicated_state, self.unsettled_epoch = (
+                replace(replicated_state, replica_set=replica_set.settled()),
+                epoch,
+            )
             await self.settle()
-            if self.witness.promised != epoch:
+            if self.vote_record.promised != epoch:
                 return Err(Fault(step, me, "a higher epoch was promised", SLOW))
-        self.epoch, self.copied, self.leader = epoch, dict.fromkeys(backups, now()), me
+        self.epoch, self.backup_heard, self.leader = epoch, dict.fromkeys(backups, now()), me
         self.wiped_backups.clear()
-        self.answered = {n: now() for n, d in now_voters.items() if granted.get(n) == d}
+        self.voter_heard = {n: now() for n, d in now_voters.items() if granted.get(n) == d}
         self.announce_leader()
         if why not in ("backup lost", "too few backups") and not why.startswith("voters"):
-            self.since, self.beats = now(), {}
+            self.leading_since, self.worker_heartbeats = now(), {}
         log_events.emit(
             133 if loss else 130,
             self.settings.name,
@@ -199,7 +206,7 @@
         )
         for name in sorted(set(now_voters) - {n for n, d in voters.items() if now_voters.get(n) == d}):
             log_events.emit(134, self.settings.name, joins=name)
-        self.publish(self.held.state)
+        self.publish(self.replicated_state.state)
         # Who leads is told by the granted epoch alone; members that wait for a primary need not wait for the next beat.
         self.spawn(self.announce_epoch(epoch, configuration))
         return Ok(None)
@@ -212,16 +219,16 @@
         """True if nobody else led when this was called: all holders and most voters answered under this epoch since. A backup
         that does not answer is replaced, and the new replica set asked. Called with the lock held."""
         for attempt in range(2):
-            epoch, pair = self.epoch, self.held.pair
+            epoch, replica_set = self.epoch, self.replicated_state.replica_set
             if not epoch:
                 return False
             answers = await self.confirmation_round()
             if self.epoch != epoch:
                 return False
-            if pair.confirmed_by(answers):
+            if replica_set.confirmed_by(answers):
                 return True
             configuration = self.known()
-            if attempt or configuration is None or pair.copied_to_all(answers):
+            if attempt or configuration is None or replica_set.copied_to_all(answers):
                 return False
             await self.renew_replica_set(configuration, "backup lost", quick=True)
         return False
@@ -235,9 +242,11 @@
         self.epoch = 0
         got = await self.run_election(configuration, why, prevotes=prevotes, change_voters=not quick)
         if isinstance(got, Ok):
-            log_events.emit(132, self.settings.name, backup=",".join(self.held.pair.backups), why=why)
+            log_events.emit(
+                132, self.settings.name, backup=",".join(self.replicated_state.replica_set.backups), why=why
+            )
         else:
-            self.heard = now() - self.settings.bounds.detect
+            self.leader_silent_since = now() - self.settings.bounds.detect
 
     def topology(self, configuration: Configuration) -> Topology:
         """Where the machines stand, and what may be lost of them at once."""
@@ -245,9 +254,9 @@
 
     def voters_to_change(self, configuration: Configuration, answers: list[Acknowledgement]) -> list[str]:
         """As primary: who would join or leave the voters by the next safe change, given who answered the heartbeat."""
-        voters = self.held.pair.voters
+        voters = self.replicated_state.replica_set.voters
         answered = {a.member: a.disk for a in answers} | {self.settings.name: self.disk_id}
-        leaving = sorted(self.departing & set(answered))
+        leaving = sorted(self.departing_members & set(answered))
         after = next_voters(voters, self.members(configuration), answered, self.topology(configuration), leaving)
         return sorted(n for n in {*voters, *after} if voters.get(n) != after.get(n))
 
@@ -267,17 +276,20 @@
 
     def better_replica_set(self, configuration: Configuration, answered: list[str]) -> bool:
         """Could there be more backups, or copies in more areas, with those that answered?"""
-        pair, zone = self.held.pair, {n: configuration["machines"][n]["area"] for n in self.members(configuration)}
-        if len(pair.backups) < self.wanted_backups:
-            return bool(set(answered) - set(pair.holders))
+        replica_set, zone = (
+            self.replicated_state.replica_set,
+            {n: configuration["machines"][n]["area"] for n in self.members(configuration)},
+        )
+        if len(replica_set.backups) < self.wanted_backups:
+            return bool(set(answered) - set(replica_set.holders))
         if not self.settings.announce:
             return False
-        there = [*pair.backups, *answered]
-        if not set(pair.backups) <= set(zone):
+        there = [*replica_set.backups, *answered]
+        if not set(replica_set.backups) <= set(zone):
             return True
         best = backups_of(there, zone, self.settings.zone, self.wanted_backups)
         return len({self.settings.zone, *(zone[n] for n in best)}) > len(
-            {self.settings.zone, *(zone[n] for n in pair.backups)}
+            {self.settings.zone, *(zone[n] for n in replica_set.backups)}
         )
 
     async def newest_known(self, configuration: Configuration) -> tuple[int, Configuration] | None:
@@ -303,7 +315,7 @@
     def may_try_to_lead(self, configuration: Configuration, every: dict[str, Body]) -> bool:
         """Is it this one's turn to try? One that can't lead would only burn epochs of one that can."""
         best = max((ReplicaSet.of(a["pair"]) for a in every.values()), key=lambda replica_set: replica_set.epoch)
-        if self.held.whole >= best.epoch or (
+        if self.replicated_state.epoch >= best.epoch or (
             self.settings.name in best and best.voters.get(self.settings.name) == self.disk_id
         ):
             return True
--- a/postpass/control/epochs.py
+++ b/postpass/control/epochs.py
@@ -1,4 +1,4 @@
-"""What a control machine holds of epochs: the witnesses' part, synced before it is told."""
+"""Epochs of the control plane: the record of votes that each member syncs, and the rules of election as pure functions."""
 
 from __future__ import annotations
 
@@ -88,6 +88,10 @@
         """Do the disks that granted this epoch make its primary the leader?"""
         return all(majority(voters, granted) for voters in self.electorates)
 
+    def as_json(self) -> dict[str, Any]:
+        """As members send it and as it stands on disk; shares nothing with this one."""
+        return asdict(self)
+
     @classmethod
     def of(cls, raw: dict[str, Any]) -> ReplicaSet:
         """From JSON; releases up to 0.2.0 knew one backup, and none before 0.3 knew the voters of the epoch before."""
@@ -96,47 +100,55 @@
 
 
 @dataclass(frozen=True)
-class Witness:
-    """Invariants: `promised` never falls; `pair.epoch` <= `promised`; one name holds the promise of one epoch."""
+class VoteRecord:
+    """What a member promised and granted; synced before it is told to anyone.
+
+    `promised` is the highest epoch that was promised, to `candidate`; `replica_set` is the last one that was granted.
+    Invariants: `promised` never falls; `replica_set.epoch` <= `promised`; one name holds the promise of one epoch.
+    """
 
     promised: int = 0
-    to: str = ""
-    pair: ReplicaSet = ReplicaSet()
+    candidate: str = ""
+    replica_set: ReplicaSet = ReplicaSet()
 
-    def look(self, epoch: int, who: str) -> Witness | None:
+    def prepare(self, epoch: int, who: str) -> VoteRecord | None:
         """Promises to take nothing below `epoch`; None if that can't be promised."""
-        if epoch > self.promised or (epoch == self.promised and who == self.to):
-            return replace(self, promised=epoch, to=who)
+        if epoch > self.promised or (epoch == self.promised and who == self.candidate):
+            return replace(self, promised=epoch, candidate=who)
         return None
 
-    def accept(self, epoch: int, who: str, granted: bool) -> Witness | None:
+    def accept(self, epoch: int, who: str, granted: bool) -> VoteRecord | None:
         """What must be on disk before a message of that epoch takes effect; None if it is refused.
 
         A primary whose epoch a majority granted is followed, whoever else asked here for a promise of that epoch: no
         majority can grant it to another. A candidate is heard only by those that promised the epoch to it.
         """
         if granted and epoch > self.promised:
-            return replace(self, promised=epoch, to=who)
-        if epoch == self.promised and (granted or who == self.to):
+            return replace(self, promised=epoch, candidate=who)
+        if epoch == self.promised and (granted or who == self.candidate):
             return self
         return None
 
-    def grant(self, pair: ReplicaSet, who: str) -> Witness | None:
-        if pair.epoch < self.promised or (pair.epoch == self.promised and who != self.to):
+    def grant(self, replica_set: ReplicaSet, who: str) -> VoteRecord | None:
+        """Grants an epoch with its replica set; None if a later epoch, or this one to another, was promised."""
+        if replica_set.epoch < self.promised or (replica_set.epoch == self.promised and who != self.candidate):
             return None
-        return Witness(pair.epoch, who, pair)
+        return VoteRecord(replica_set.epoch, who, replica_set)
 
     def dump(self) -> bytes:
-        return json.dumps(asdict(self)).encode()
+        """The record by its keys on disk, which are those of release 0.2.0."""
+        body = {"promised": self.promised, "to": self.candidate, "pair": self.replica_set.as_json()}
+        return json.dumps(body).encode()
 
     @classmethod
-    def load(cls, data: bytes) -> Witness:
+    def load(cls, data: bytes) -> VoteRecord:
+        """Reads what `dump` wrote; raises ValueError, KeyError or TypeError if it is damaged."""
         raw = json.loads(data)
         return cls(raw["promised"], raw["to"], ReplicaSet.of(raw["pair"]))
 
 
 def backups_of(ranked: list[str], zone: Mapping[str, str], mine: str, want: int) -> tuple[str, ...]:
-    """As many as are wanted, the better ranked first, no two of them or with `mine` in one area while areas suffice."""
+    """As many as are wanted, the better ranked first, no two of them or with `mine` in one zone while zones suffice."""
     out: list[str] = []
     used, rest = {mine}, list(ranked)
     while rest and len(out) < want:
@@ -205,31 +217,33 @@
     return needed - {""} - set(answered)
 
 
-def may_lead(me: str, whole: int, own: ReplicaSet, pairs: dict[str, ReplicaSet], voters: Voters, got: Voters) -> str:
-    """The rule of takeover: empty if `me` may go on from the state it holds of epoch `whole`, else why not.
+def may_lead(
+    me: str, state_epoch: int, own: ReplicaSet, replica_sets: dict[str, ReplicaSet], voters: Voters, got: Voters
+) -> str:
+    """The rule of takeover: empty if `me` may go on from the state it holds of epoch `state_epoch`, else why not.
 
     `got` has the disk of each member that promised, `me` among them. A disk that the replica set doesn't name may hold
-    an older state of the same epoch: the primary never counted its answers. `pairs` is what each answering voter last
-    granted; `own` is the pair of epoch `whole`. An epoch above `whole` stands in the way unless it is proved that no
-    majority granted it: those that answered and did not grant it have promised a higher one, so they never will. All of
+    an older state of the same epoch: the primary never counted its answers. `replica_sets` has what each answering
+    voter last granted; `own` is the replica set of epoch `state_epoch`. A later epoch stands in the way unless it is proved
+    that no majority granted it: those that answered and did not grant it have promised a higher one, so they never will. All of
     this holds for `voters` and for the voters before them, if `own` is not settled.
     """
-    if whole == 0 or own.epoch != whole or me not in own or own.voters.get(me) != got.get(me):
+    if state_epoch == 0 or own.epoch != state_epoch or me not in own or own.voters.get(me) != got.get(me):
         return "not of the pair whose state this is, or the state isn't whole"
     electorates = [voters, own.previous_voters] if own.previous_voters else [voters]
     if not all(majority(electorate, got) for electorate in electorates):
         return "no majority answered"
-    later = {p.epoch: p for p in pairs.values() if p.epoch > whole}
-    for pair in later.values():
-        if any(may_be_granted(pair.epoch, electorate, pairs, got) for electorate in electorates):
-            return f"epoch {pair.epoch} of {pair.primary} may stand"
+    later = {p.epoch: p for p in replica_sets.values() if p.epoch > state_epoch}
+    for replica_set in later.values():
+        if any(may_be_granted(replica_set.epoch, electorate, replica_sets, got) for electorate in electorates):
+            return f"epoch {replica_set.epoch} of {replica_set.primary} may stand"
     return ""
 
 
-def may_be_granted(epoch: int, voters: Voters, pairs: dict[str, ReplicaSet], got: Voters) -> bool:
+def may_be_granted(epoch: int, voters: Voters, replica_sets: dict[str, ReplicaSet], got: Voters) -> bool:
     """Could a majority of these voters have granted this epoch, as far as those tell that promised a later one?"""
     valid = {n for n, d in voters.items() if got.get(n) == d}
     # One that has granted a later one may have granted this one before.
-    granted = {n for n in valid if n in pairs and pairs[n].epoch >= epoch}
+    granted = {n for n in valid if n in replica_sets and replica_sets[n].epoch >= epoch}
     missing = set(voters) - valid
     return 2 * len(granted | missing) > len(voters)
--- a/postpass/control/feed.py
+++ b/postpass/control/feed.py
@@ -33,7 +33,7 @@
         poll = Poll.from_json(body)
         if not poll.follower:
             return await super().on_follow(body)
-        self.spoke[poll.follower] = now()
+        self.machine_heartbeats[poll.follower] = now()
         until = now() + poll.hold
         while self.in_touch() and self.configuration_view.revision <= poll.after and now() < until:
             lease_end = self.last_contact() + self.settings.bounds.contact
@@ -46,7 +46,7 @@
         """Who of the old and the new manifest has neither said that it runs this edition nor is shown not to run."""
         bounds, me = self.settings.bounds, self.settings.name
         if after.get("announced"):
-            hearing = Hearing(self.spoke, self.reported, self.since)
+            hearing = Hearing(self.machine_heartbeats, self.member_reports, self.leading_since)
             machines = awaited_senders(after, me, hearing, now(), bounds.detect, 4 * self.patience)
         else:
             every = {
@@ -125,7 +125,7 @@
         while True:
             if self.lost_touch():
                 return Err(self.out_of_touch("read"))
-            led = self.led_now
+            led = self.leader_heard_event
             revision = await self.confirmed()
             if revision:
                 return Ok({"edition": revision})
@@ -142,7 +142,11 @@
                 return Err(Fault("read", self.settings.name, "could not be confirmed; ask again", SLOW))
             return Ok({"edition": revision})
         if not self.epoch:
-            hint = self.witness.pair.primary if self.witness.pair.primary != self.settings.name else ""
+            hint = (
+                self.vote_record.replica_set.primary
+                if self.vote_record.replica_set.primary != self.settings.name
+                else ""
+            )
             return Err(Fault("read", self.settings.name, "not the primary", MOVED, hint))
         async with self.lock:
             state = self.committed.state
--- a/postpass/control/leadership.py
+++ b/postpass/control/leadership.py
@@ -31,7 +31,7 @@
             try:
                 if self.epoch:
                     await self.lead_heartbeat(configuration)
-                elif not self.leaving or self.settings.name in self.witness.pair:
+                elif not self.leaving or self.settings.name in self.vote_record.replica_set:
                     # One that holds the state may be the only one that can lead, also while it leaves.
                     await self.watch_for_leader(configuration)
             except Stop as bad:
@@ -39,16 +39,16 @@
 
     async def lead_heartbeat(self, configuration: Configuration) -> None:
         """The primary's heartbeat to all members; steps down without a majority, and mends the replica set."""
-        b, epoch, pair = self.settings.bounds, self.epoch, self.held.pair
+        b, epoch, replica_set = self.settings.bounds, self.epoch, self.replicated_state.replica_set
         answers = await self.heartbeat(epoch, configuration)
         if self.epoch != epoch:
             return
-        self.answered[self.settings.name] = now()
-        if not in_touch(pair.voters, self.answered, now() - b.detect):
+        self.voter_heard[self.settings.name] = now()
+        if not in_touch(replica_set.voters, self.voter_heard, now() - b.detect):
             self.step_down("no majority answers")
             return
         if configuration.get("announced"):
-            self.spoke |= dict.fromkeys([self.settings.name, *(a.member for a in answers)], now())
+            self.machine_heartbeats |= dict.fromkeys([self.settings.name, *(a.member for a in answers)], now())
             self.spawn(self.reconcile())
         why = self.flaw_of_replica_set(configuration, answers)
         if why:
@@ -62,18 +62,22 @@
     def flaw_of_replica_set(self, configuration: Configuration, answers: list[Acknowledgement]) -> str:
         """Why another replica set or other voters are wanted; empty if they are not."""
         oldest = now() - self.settings.bounds.detect
-        if self.wiped_backups or self.backup_leaves(answers) or any(at < oldest for at in self.copied.values()):
+        if (
+            self.wiped_backups
+            or self.backup_is_leaving(answers)
+            or any(at < oldest for at in self.backup_heard.values())
+        ):
             return "backup lost"
         if self.better_replica_set(configuration, [a.member for a in answers]):
             return "too few backups"
         changed = self.voters_to_change(configuration, answers)
         return f"voters {changed}" if changed else ""
 
-    def backup_leaves(self, answers: list[Acknowledgement]) -> bool:
+    def backup_is_leaving(self, answers: list[Acknowledgement]) -> bool:
         """Was a backup told to leave, while another member could hold the state in its place?"""
-        pair = self.held.pair
-        others = [a for a in answers if a.member not in pair and a.member not in self.departing]
-        return bool(others) and bool(self.departing & set(pair.backups))
+        replica_set = self.replicated_state.replica_set
+        others = [a for a in answers if a.member not in replica_set and a.member not in self.departing_members]
+        return bool(others) and bool(self.departing_members & set(replica_set.backups))
 
     async def lead_after_restart(self) -> None:
         """After a start: where most have started as well and nobody has heard a primary since, there is none to wait for.
@@ -82,16 +86,16 @@
         lost their disks; anyone else leaves it to the ordinary watch. A mistake costs an epoch and no more.
         """
         b, began, seen = self.settings.bounds, now(), INFINITY
-        while now() - began < b.detect and not (self.epoch or self.leaving) and self.led < began:
+        while now() - began < b.detect and not (self.epoch or self.leaving) and self.leader_heard < began:
             configuration, me = self.known(), self.settings.name
-            if configuration is not None and self.held.whole and me in self.members(configuration):
+            if configuration is not None and self.replicated_state.epoch and me in self.members(configuration):
                 every = await self.collect_prevotes(configuration, True)
                 if any(not a["ok"] for a in every.values()):
                     return
                 best = max((ReplicaSet.of(a["pair"]) for a in every.values()), key=lambda p: p.epoch)
                 got = {n: str(a["disk"]) for n, a in every.items()}
                 able = [n for n in best.holders if n in got and best.voters.get(n) == got[n]]
-                if majority(best.voters, got) and me in able and self.held.whole == best.epoch:
+                if majority(best.voters, got) and me in able and self.replicated_state.epoch == best.epoch:
                     seen = min(seen, now())
                     # The primary went first if its disk is here; one that is not heard yet may be starting.
                     first = all(n in got for n in best.holders[: best.holders.index(me)])
@@ -99,7 +103,7 @@
                         async with self.lock:
                             done = (
                                 await self.run_election(configuration, "restarted", prevotes=every)
-                                if not self.epoch and self.led < began
+                                if not self.epoch and self.leader_heard < began
                                 else Ok(None)
                             )
                         if isinstance(done, Ok):
@@ -110,12 +114,16 @@
         """Takes over if no primary is heard: those of the pair first, then in the agreed order."""
         b = self.settings.bounds
         order = sorted(
-            self.members(configuration), key=lambda n: (n not in self.held.pair, self.members(configuration).index(n))
+            self.members(configuration),
+            key=lambda n: (n not in self.replicated_state.replica_set, self.members(configuration).index(n)),
         )
         rank = order.index(self.settings.name)
-        if now() - self.heard <= b.detect + rank * b.stagger or now() < self.candidate_until + rank * b.stagger:
+        if (
+            now() - self.leader_silent_since <= b.detect + rank * b.stagger
+            or now() < self.candidate_until + rank * b.stagger
+        ):
             return
-        if self.held.whole == 0 and self.configuration_view.manifest is None:
+        if self.replicated_state.epoch == 0 and self.configuration_view.manifest is None:
             return
         if self.disk_busy:
             # It could not sync its own promise, and would only hold up those that can.
@@ -125,11 +133,11 @@
                 return
             prevotes = await self.collect_prevotes(configuration)
             if not self.prevote_won(configuration, prevotes) or not self.may_try_to_lead(configuration, prevotes):
-                self.heard = now() - b.detect + b.stagger * self.environment.chance.random()
+                self.leader_silent_since = now() - b.detect + b.stagger * self.environment.chance.random()
                 return
             got = await self.run_election(configuration, "primary lost", prevotes=prevotes)
             if isinstance(got, Err):
-                self.heard = now() - b.detect + b.stagger * self.environment.chance.random()
+                self.leader_silent_since = now() - b.detect + b.stagger * self.environment.chance.random()
 
     async def depart(self) -> None:
         """Goes only once others hold the state without this one, or once the time for leaving is over.
@@ -144,7 +152,7 @@
             configuration = self.known()
             if configuration is None or self.members(configuration) == [self.settings.name]:
                 return
-            if not handed_over and self.settings.name == self.witness.pair.primary:
+            if not handed_over and self.settings.name == self.vote_record.replica_set.primary:
                 async with self.lock:
                     got = await self.run_election(configuration, "too few backups", change_voters=True)
                 if isinstance(got, Err):
@@ -158,17 +166,17 @@
 
     def needed(self) -> bool:
         """Would the others miss the copy or the vote of this member, as the newest epoch that it granted has them?"""
-        pair, configuration = self.witness.pair, self.known()
-        if self.settings.name in pair:
+        replica_set, configuration = self.vote_record.replica_set, self.known()
+        if self.settings.name in replica_set:
             return True
-        if configuration is None or self.settings.name not in pair.voters:
+        if configuration is None or self.settings.name not in replica_set.voters:
             return False
-        return gives_up_vote(pair.voters, self.settings.name, pair.voters, self.topology(configuration))
+        return gives_up_vote(replica_set.voters, self.settings.name, replica_set.voters, self.topology(configuration))
 
     async def hand_over(self) -> bool:
         """Asks the backups to lead, instead of being missed; True once one does."""
         async with self.lock:
-            epoch, addrs = self.epoch, [a for n in self.held.pair.backups if (a := self.addr(n))]
+            epoch, addrs = self.epoch, [a for n in self.replicated_state.replica_set.backups if (a := self.addr(n))]
             if not epoch or not addrs:
                 return False
             self.epoch = 0
@@ -186,8 +194,8 @@
             if (
                 configuration is None
                 or self.epoch
-                or self.held.whole != body["epoch"]
-                or self.settings.name not in self.held.pair.backups
+                or self.replicated_state.epoch != body["epoch"]
+                or self.settings.name not in self.replicated_state.replica_set.backups
             ):
                 return Ok({"ok": False})
             got = await self.run_election(configuration, "handed over", handover=True)
--- a/postpass/control/member.py
+++ b/postpass/control/member.py
@@ -4,7 +4,7 @@
 
 import asyncio
 from collections.abc import Coroutine
-from dataclasses import asdict, dataclass, field
+from dataclasses import dataclass, field
 from typing import Any
 
 from prometheus_client import Gauge
@@ -13,7 +13,7 @@
 from postpass.configuration.configuration import Configuration, with_duty
 from postpass.configuration.settings import Settings
 from postpass.control.changes import Edit
-from postpass.control.epochs import ReplicaSet, Witness
+from postpass.control.epochs import ReplicaSet, VoteRecord
 from postpass.control.journal import Change, Image, StateJournal
 from postpass.control.state import Committed, ReplicatedState
 from postpass.daemon.process import Daemon
@@ -34,7 +34,7 @@
 class Stored:
     """A state that was synced here, with its keys in the journal's order, and the change that led to it, if one did."""
 
-    held: ReplicatedState
+    replicated_state: ReplicatedState
     change: Change | None
 
 
@@ -44,54 +44,56 @@
     of it; what `news` holds was on the disks of all holders."""
 
     journal: StateJournal = field(init=False)
-    witness: Witness = Witness()
-    held: ReplicatedState = ReplicatedState()
+    vote_record: VoteRecord = VoteRecord()
+    replicated_state: ReplicatedState = ReplicatedState()
     committed: Committed = Committed()
     disk_id: str = ""
     epoch: int = 0
-    heard: float = 0.0
+    leader_silent_since: float = 0.0
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)
     disk_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
-    bad: str = ""
-    seen: Configuration | None = None
+    disk_failure: str = ""
+    configuration_on_disk: Configuration | None = None
 
     def __init__(
         self, settings: Settings, environment: Environment, release: str = "", translator: Translator | None = None
     ) -> None:
         super().__init__(settings, environment, release or RELEASE)
         self.translator = translator
-        self.edits: list[Edit] = []
-        self.due, self.hurry = INFINITY, asyncio.Event()
+        self.waiting_edits: list[Edit] = []
+        self.write_due, self.write_wakeup = INFINITY, asyncio.Event()
         # What was heard last, by this machine's clock: workers and machines that spoke here or at another control
         # machine; when a machine's name was first heard; and, here alone, the primary's last word.
-        self.beats: dict[str, float] = {}
-        self.seqnos: dict[str, int] = {}
-        self.drained: dict[str, float] = {}  # workers whose leaving was acknowledged through this member, and when
-        self.spoke: dict[str, float] = {}
-        self.reported: dict[str, float] = {}  # when each other control machine last told whom it had heard
-        self.met: dict[str, float] = {}
-        self.since = self.touched = 0.0
+        self.worker_heartbeats: dict[str, float] = {}
+        self.worker_seqnos: dict[str, int] = {}
+        self.drained_workers: dict[
+            str, float
+        ] = {}  # workers whose leaving was acknowledged through this member, and when
+        self.machine_heartbeats: dict[str, float] = {}
+        self.member_reports: dict[str, float] = {}  # when each other control machine last told whom it had heard
+        self.first_heard: dict[str, float] = {}
+        self.leading_since = self.reported_at = 0.0
         self.leader = ""
-        self.witness, self.held, self.disk_id, self.epoch = Witness(), ReplicatedState(), "", 0
+        self.vote_record, self.replicated_state, self.disk_id, self.epoch = VoteRecord(), ReplicatedState(), "", 0
         self.committed = Committed()
-        self.heard = 0.0
+        self.leader_silent_since = 0.0
         self.candidate_until = 0.0  # until when a candidate that was given a promise may become the primary
         self.promise_on_disk = 0  # the highest promise that is synced
-        self.copied: dict[str, float] = {}  # when each backup last answered
-        self.answered: dict[str, float] = {}  # when each voter's disk last answered under this epoch
-        self.departing: set[str] = set()  # members that were told to leave, by their last answer
+        self.backup_heard: dict[str, float] = {}  # when each backup last answered
+        self.voter_heard: dict[str, float] = {}  # when each voter's disk last answered under this epoch
+        self.departing_members: set[str] = set()  # members that were told to leave, by their last answer
         self.unsettled_epoch = 0  # the epoch led, while the holders' disks name the voters before it as well
         self.wiped_backups: set[str] = set()  # backups that answered with another disk than the replica set names
         # When a primary was last heard in this life, and who waits for one.
-        self.led, self.led_now = -INFINITY, asyncio.Event()
+        self.leader_heard, self.leader_heard_event = -INFINITY, asyncio.Event()
         self.next_confirmation: asyncio.Task[int] | None = None
         self.confirmation_lock = asyncio.Lock()
-        self.lock, self.disk_lock, self.bad = asyncio.Lock(), asyncio.Lock(), ""
+        self.lock, self.disk_lock, self.disk_failure = asyncio.Lock(), asyncio.Lock(), ""
         self.fetches: set[asyncio.Task[Any]] = set()
 
         for name, text, read in (
             ("control_leads", "1 while this machine is the primary", lambda: float(self.epoch > 0)),
-            ("control_epoch", "The epoch last granted here", lambda: float(self.witness.pair.epoch)),
+            ("control_epoch", "The epoch last granted here", lambda: float(self.vote_record.replica_set.epoch)),
             (
                 "control_losses",
                 "How often acknowledged editions may have been lost",
@@ -114,23 +116,23 @@
                 if name in self.disk.names():
                     self.disk.rename(name, f"damaged-{name}")
             await self.read_folder()
-        self.promise_on_disk = self.witness.promised
-        if self.held.state.manifest is not None:
+        self.promise_on_disk = self.vote_record.promised
+        if self.replicated_state.state.manifest is not None:
             # An older edition is better than none to find the others by; it may be behind, never ahead
             # of what this pair's disk took.
-            self.seen = self.held.state.manifest
+            self.configuration_on_disk = self.replicated_state.state.manifest
         self.partial_view.me["disk"] = self.disk_id
-        self.heard = now()
+        self.leader_silent_since = now()
 
     async def read_folder(self) -> None:
         """Reads the promises and the state, that of releases up to 0.2.0 too; a damaged file raises ValueError."""
-        self.witness, self.held = Witness(), ReplicatedState()
+        self.vote_record, self.replicated_state = VoteRecord(), ReplicatedState()
         data_directory = await open_data_directory(
             self.settings.name, self.disk, self.environment.chance, STATE_SEGMENT, 0, strict=True, reads=STATE_FORMAT
         )
         self.disk_id = data_directory.name
         if not data_directory.fresh and "epochs" in self.disk.names():
-            self.witness = Witness.load(self.disk.read("epochs"))
+            self.vote_record = VoteRecord.load(self.disk.read("epochs"))
         self.journal = await StateJournal.open(
             self.settings.name, self.disk, data_directory.log, data_directory.entries
         )
@@ -139,20 +141,20 @@
             old = ReplicatedState.load(self.disk.read(STATE_FILE))
         # Releases that know only the state file must not go on with it from here on.
         await raise_format(self.disk, STATE_FORMAT)
-        if old.whole:
-            await self.journal.replace(Image.of(old.whole, old.state.revision, old.raw()))
+        if old.epoch:
+            await self.journal.replace(Image.of(old.epoch, old.state.revision, old.raw()))
         if STATE_FILE in self.disk.names():
             self.disk.remove(STATE_FILE)
         if self.journal.image is not None:
-            self.held = ReplicatedState.of(self.journal.image.tree)
+            self.replicated_state = ReplicatedState.of(self.journal.image.tree)
 
-    async def store(self, held: ReplicatedState) -> Stored:
+    async def store(self, replicated_state: ReplicatedState) -> Stored:
         """Syncs a state here, as a change of the one that is held, where there is one."""
-        base, tree, version = self.journal.image, held.raw(), held.state.revision
+        base, tree, version = self.journal.image, replicated_state.raw(), replicated_state.state.revision
         if base is None:
-            image = await self.write_journal(self.journal.replace(Image.of(held.whole, version, tree)))
+            image = await self.write_journal(self.journal.replace(Image.of(replicated_state.epoch, version, tree)))
             return Stored(ReplicatedState.of(image.tree), None)
-        change, _ = base.change_to(held.whole, version, tree)
+        change, _ = base.change_to(replicated_state.epoch, version, tree)
         image = await self.write_journal(self.journal.append(change))
         return Stored(ReplicatedState.of(image.tree), change)
 
@@ -167,9 +169,9 @@
         return ReplicatedState.of(image.tree) if image is not None else ReplicatedState()
 
     async def write_journal(self, write: Coroutine[Any, Any, Image]) -> Image:
-        if self.bad:
+        if self.disk_failure:
             write.close()
-            raise Stop(Fault("sync", self.settings.name, self.bad))
+            raise Stop(Fault("sync", self.settings.name, self.disk_failure))
         try:
             return await write
         except Stop as stop:
@@ -189,8 +191,8 @@
                     raise
 
     async def keep(self, name: str, data: bytes) -> None:
-        if self.bad:
-            raise Stop(Fault("sync", self.settings.name, self.bad))
+        if self.disk_failure:
+            raise Stop(Fault("sync", self.settings.name, self.disk_failure))
         try:
             async with self.disk_lock:
                 await self.disk.write(name, data)
@@ -201,7 +203,7 @@
 
     def fail_disk(self, why: str) -> Fault:
         """A write failed: nothing more is written or answered by this process, which ends."""
-        self.bad = why
+        self.disk_failure = why
         log_events.emit(113, self.settings.name, why=why)
         self.failed = Fault("sync", self.settings.name, why)
         self.stop.set()
@@ -210,8 +212,8 @@
 
     def about(self) -> Body:
         return {
-            "disk": self.disk_id, "promised": self.witness.promised, "pair": asdict(self.witness.pair),
-            "whole": self.held.whole, "edition": self.held.state.revision, "news": self.configuration_view.revision,
+            "disk": self.disk_id, "promised": self.vote_record.promised, "pair": self.vote_record.replica_set.as_json(),
+            "whole": self.replicated_state.epoch, "edition": self.replicated_state.state.revision, "news": self.configuration_view.revision,
             "leaving": self.leaving,
         }  # fmt: skip
 
@@ -222,7 +224,7 @@
         if hears_primary and not body.get("handover"):
             # The pre-vote is past: whoever asks was frozen since, or this one heard the primary again.
             return Ok(self.about() | {"ok": False})
-        new = self.witness.look(body["epoch"], body["who"])
+        new = self.vote_record.prepare(body["epoch"], body["who"])
         if new is None:
             return Ok(self.about() | {"ok": False})
         self.yield_to_candidate()
@@ -236,18 +238,18 @@
         """Is there a primary, by what was heard here, that `candidate` would depose?"""
         if self.epoch:
             return candidate != self.settings.name
-        return self.leader != candidate and now() - self.led < self.settings.bounds.detect * 0.9
+        return self.leader != candidate and now() - self.leader_heard < self.settings.bounds.detect * 0.9
 
     async def on_grant(self, body: Body) -> PeerResponse:
-        new = self.witness.grant(ReplicaSet.of(body["pair"]), body["who"])
+        new = self.vote_record.grant(ReplicaSet.of(body["pair"]), body["who"])
         if new is None:
             return Ok(self.about() | {"ok": False})
         self.yield_to_candidate()
         return await self.promise(new)
 
-    async def promise(self, new: Witness) -> PeerResponse:
+    async def promise(self, new: VoteRecord) -> PeerResponse:
         """Answers once the promise is on disk."""
-        self.witness = new
+        self.vote_record = new
         if self.epoch and new.promised > self.epoch:
             self.step_down(new.promised)
         try:
@@ -255,14 +257,14 @@
         except Stop as bad:
             return Err(bad.fault)
         self.promise_on_disk = max(self.promise_on_disk, new.promised)
-        return Ok(self.about() | {"ok": self.witness == new})
+        return Ok(self.about() | {"ok": self.vote_record == new})
 
     def step_down(self, seen: int | str) -> None:
         """Leads no more: a higher epoch was seen, or what else the event tells."""
         if self.epoch:
             log_events.emit(131, self.settings.name, epoch=self.epoch, seen=seen)
         self.epoch = 0
-        self.heard = now()
+        self.leader_silent_since = now()
 
     def publish(self, state: State) -> None:
         """Makes a state known that all holders have synced."""
@@ -271,7 +273,7 @@
             self.configuration_view.take(state.revision, state.manifest)
 
     def known(self) -> Configuration | None:
-        return self.configuration_view.manifest or self.held.state.manifest or self.seen
+        return self.configuration_view.manifest or self.replicated_state.state.manifest or self.configuration_on_disk
 
     def addr(self, name: str) -> str:
         configuration = self.known()
@@ -285,8 +287,8 @@
 
     def announce_leader(self) -> None:
         """A primary was heard: whoever waits for one tries again."""
-        self.led_now.set()
-        self.led_now = asyncio.Event()
+        self.leader_heard_event.set()
+        self.leader_heard_event = asyncio.Event()
 
     async def wait_for_leader(self, led: asyncio.Event, until: float) -> bool:
         """True once a primary is heard after the try before which `led` was taken."""
@@ -301,4 +303,4 @@
         return Fault(step, self.settings.name, "not the primary", MOVED, hint)
 
     def blank(self) -> bool:
-        return self.known() is None and self.held.whole == 0 and self.witness.pair.epoch == 0
+        return self.known() is None and self.replicated_state.epoch == 0 and self.vote_record.replica_set.epoch == 0
--- a/postpass/control/orders.py
+++ b/postpass/control/orders.py
@@ -57,7 +57,7 @@
         """Founds the fleet with its first manifest; refuses if this member only doesn't lead. Holds the lock."""
         step, me = "apply", self.settings.name
         if self.known() is not None or base not in (0, -1):
-            hint = self.witness.pair.primary if self.witness.pair.primary != me else ""
+            hint = self.vote_record.replica_set.primary if self.vote_record.replica_set.primary != me else ""
             return Err(Fault(step, me, "not the primary", MOVED, hint))
         if me not in self.members(configuration):
             return Err(Fault(step, me, f"machines: {me} is not a control machine of this manifest", SHED))
@@ -91,7 +91,7 @@
             # It may or may not come to be: whoever leads next decides. This one leads no further.
             if self.epoch:
                 self.epoch = 0
-                self.heard = now() - self.settings.bounds.detect
+                self.leader_silent_since = now() - self.settings.bounds.detect
             return Err(Fault("apply", self.settings.name, "not known whether it was taken; ask again", SLOW))
         return Ok({"edition": state.revision})
 
@@ -103,7 +103,7 @@
         """What stands against this configuration after the present state."""
         if state.manifest is not None and configuration["parts"] != state.manifest["parts"]:
             return [f"parts: stays {state.manifest['parts']}; lots are spread by it"]
-        if not set(self.members(configuration)) & set(self.held.pair.holders):
+        if not set(self.members(configuration)) & set(self.replicated_state.replica_set.holders):
             return ["machines: neither primary nor backup stays a control machine"]
         return await self.strangers(state.manifest, configuration)
 
--- a/postpass/control/registry.py
+++ b/postpass/control/registry.py
@@ -52,10 +52,10 @@
         flaws = registry.entry_flaws(entry, self.settings.zones)
         if flaws:
             return Err(Fault(step, self.settings.name, "\n".join(flaws), BAD))
-        self.spoke[entry["name"]] = now()
+        self.machine_heartbeats[entry["name"]] = now()
         if (configuration := self.known()) is not None:
             self.note_newcomers(configuration)
-        self.met.setdefault(entry["name"], now())
+        self.first_heard.setdefault(entry["name"], now())
         got = await self.change(lambda s: Ok(registry.joined(s, entry)), self.settings.bounds.beat / 4)
         if isinstance(got, Err):
             return Err(got.unwrap_err())
@@ -70,7 +70,7 @@
         while True:
             await asyncio.sleep(period * (0.8 + 0.4 * self.environment.chance.random()))
             if self.epoch:
-                self.touched = now()
+                self.reported_at = now()
                 continue
             addr = self.addr(self.leader)
             if not addr:
@@ -78,27 +78,31 @@
             t = now()
             ages: Body = {
                 key: {n: round(t - at, 3) for n, at in seen.items() if t - at < 2 * self.settings.beat + period}
-                for key, seen in (("beats", self.beats), ("spoke", self.spoke))
+                for key, seen in (("beats", self.worker_heartbeats), ("spoke", self.machine_heartbeats))
             }
             got = await self.peer_links.call(addr, "hear", ages | {"who": self.settings.name}, min(period, b.beat * 2))
             if isinstance(got, Ok) and got.unwrap()["leads"]:
-                self.touched = t
-            self.beats = {n: at for n, at in self.beats.items() if t - at < 8 * self.settings.beat}
-            self.spoke = {n: at for n, at in self.spoke.items() if t - at < 8 * self.settings.beat}
+                self.reported_at = t
+            self.worker_heartbeats = {
+                n: at for n, at in self.worker_heartbeats.items() if t - at < 8 * self.settings.beat
+            }
+            self.machine_heartbeats = {
+                n: at for n, at in self.machine_heartbeats.items() if t - at < 8 * self.settings.beat
+            }
 
     async def on_hear(self, body: Body) -> PeerResponse:
         if "who" in body:
-            self.reported[body["who"]] = now()
-        for key, seen in (("beats", self.beats), ("spoke", self.spoke)):
+            self.member_reports[body["who"]] = now()
+        for key, seen in (("beats", self.worker_heartbeats), ("spoke", self.machine_heartbeats)):
             for name, age in body[key].items():
                 seen[name] = max(seen.get(name, -INFINITY), now() - float(age))
         return Ok({"leads": self.epoch > 0})
 
     def note_newcomers(self, configuration: Configuration) -> None:
         """Remembers when each machine came, as every member sees it: whoever leads next has to know which are new."""
-        first = not self.met
+        first = not self.first_heard
         for name in configuration["machines"]:
-            self.met.setdefault(name, -INFINITY if first else now())
+            self.first_heard.setdefault(name, -INFINITY if first else now())
 
     async def reconcile(self) -> None:
         """The primary's care: who is gone, and how many copies there can be."""
@@ -106,20 +110,24 @@
         if not self.epoch or state.manifest is None:
             return
         configuration = state.manifest
-        silent = {n: t - max(self.spoke.get(n, -INFINITY), self.since) for n in configuration["machines"]}
+        silent = {
+            n: t - max(self.machine_heartbeats.get(n, -INFINITY), self.leading_since) for n in configuration["machines"]
+        }
         every = registry.everyone(state)
-        quiet = {w: t - max(self.beats.get(w, -INFINITY), self.since) for w in every}
+        quiet = {w: t - max(self.worker_heartbeats.get(w, -INFINITY), self.leading_since) for w in every}
         late = [w for w, q in quiet.items() if q > 3.5 * self.settings.beat]
         if 2 * len(late) > max(len(every), 4):
             # So many at once: it may well be the way to here that is cut, and no beat can come.
             late = [w for w, q in quiet.items() if q > 10 * self.settings.beat]
         # A holder leaves the replica set first: whoever is dropped can't lead, though it may hold the newest state.
         gone = [
-            n for n in registry.replaced(configuration, silent, self.met, t, self.patience) if n not in self.held.pair
+            n
+            for n in registry.replaced(configuration, silent, self.first_heard, t, self.patience)
+            if n not in self.replicated_state.replica_set
         ]
-        joined = max((self.met.get(n, 0.0) for n in with_duty(configuration, "store")), default=t)
+        joined = max((self.first_heard.get(n, 0.0) for n in with_duty(configuration, "store")), default=t)
         few = (
-            t - max(joined, self.since) > b.recover / 4
+            t - max(joined, self.leading_since) > b.recover / 4
         )  # longer than the patience, so that `heard` leaves out the gone
         heard = [n for n, q in silent.items() if q <= self.patience]
 
@@ -137,31 +145,31 @@
                     137, self.settings.name, machines=",".join(gone), workers=",".join(late), revision=got.unwrap()
                 )
 
-    async def beat_worker(self, who: str, standing: Standing, seqno: int) -> PeerResponse:
+    async def record_worker_heartbeat(self, who: str, standing: Standing, seqno: int) -> PeerResponse:
         # Taken, it would make every later manifest a bad one.
         flaws = registry.standing_flaws(standing, self.settings.zones)
         if flaws:
             return Err(Fault("beat", self.settings.name, "\n".join(flaws), BAD))
         leaves = bool(standing.get("leave"))
-        if seqno and seqno < self.seqnos.get(who, 0) and not leaves:
+        if seqno and seqno < self.worker_seqnos.get(who, 0) and not leaves:
             return Ok({})
         if seqno:
-            self.seqnos[who] = max(seqno, self.seqnos.get(who, 0))
-        if len(self.seqnos) > 4096:
-            self.seqnos = dict(list(self.seqnos.items())[-1024:])
-        lately = self.epoch > 0 or now() - self.touched < 1.5 * self.settings.beat
+            self.worker_seqnos[who] = max(seqno, self.worker_seqnos.get(who, 0))
+        if len(self.worker_seqnos) > 4096:
+            self.worker_seqnos = dict(list(self.worker_seqnos.items())[-1024:])
+        lately = self.epoch > 0 or now() - self.reported_at < 1.5 * self.settings.beat
         # That a worker leaves is acknowledged by the primary, the first time; after that a heartbeat is one like any other.
-        acknowledged = not leaves or who in self.drained
+        acknowledged = not leaves or who in self.drained_workers
         if lately and acknowledged and registry.unchanged(self.configuration_view.manifest, who, standing):
-            self.beats[who] = now()
+            self.worker_heartbeats[who] = now()
             return Ok({})
         got = await self.forward(
             "beat", {"who": who, "standing": standing, "seqno": seqno}, self.settings.bounds.leave / 3
         )
         if leaves and isinstance(got, Ok):
-            self.drained[who] = now()
-            if len(self.drained) > MOST_DRAINED:
-                del self.drained[next(iter(self.drained))]
+            self.drained_workers[who] = now()
+            if len(self.drained_workers) > MOST_DRAINED:
+                del self.drained_workers[next(iter(self.drained_workers))]
         return got
 
     async def leave_worker(self, who: str) -> PeerResponse:
@@ -174,11 +182,11 @@
         b, who, seqno, asked = self.settings.bounds, body["who"], body["seqno"], now()
         standing: Standing | None = body["standing"]
         leaves = standing is None or bool(standing.get("leave"))
-        if seqno and seqno < self.seqnos.get(who, 0) and not leaves:
+        if seqno and seqno < self.worker_seqnos.get(who, 0) and not leaves:
             return Ok({})
         if seqno:
-            self.seqnos[who] = max(seqno, self.seqnos.get(who, 0))
-        self.beats[who] = now()
+            self.worker_seqnos[who] = max(seqno, self.worker_seqnos.get(who, 0))
+        self.worker_heartbeats[who] = now()
 
         def fold(s: State) -> Result[State, Fault]:
             return Ok(registry.ended(s, [who]) if standing is None else registry.stood(s, who, standing))
--- a/postpass/control/replica.py
+++ b/postpass/control/replica.py
@@ -26,14 +26,14 @@
         Nothing of an epoch is accepted before the promise of that epoch is on disk."""
         # Releases before 0.3 don't tell whether their epoch is granted, and take every sender for a primary.
         granted = bool(body.get("granted", True))
-        accepted = self.witness.accept(body["epoch"], body.get("who", ""), granted)
+        accepted = self.vote_record.accept(body["epoch"], body.get("who", ""), granted)
         if accepted is None:
             return self.append_answer(body, False)
         if accepted.promised > self.promise_on_disk:
             promised = await self.promise(accepted)
             if isinstance(promised, Err):
                 return promised
-            if body["epoch"] < self.witness.promised:
+            if body["epoch"] < self.vote_record.promised:
                 return self.append_answer(body, False)
         if granted:
             self.follow_leader(body.get("who", ""))
@@ -42,28 +42,28 @@
                 taken = await (self.take_change(body) if "change" in body else self.take_state(body))
             except Stop as bad:
                 return Err(bad.fault)
-            if not taken or body["epoch"] < self.witness.promised:
+            if not taken or body["epoch"] < self.vote_record.promised:
                 return self.append_answer(body, False)
-            self.held = self.stored()
+            self.replicated_state = self.stored()
         if granted:
             self.learn_version(body)
         return self.append_answer(body, True)
 
     def follow_leader(self, name: str) -> None:
         """The primary of a granted epoch was heard."""
-        self.heard = self.led = now()
+        self.leader_silent_since = self.leader_heard = now()
         self.leader = name
         self.announce_leader()
 
     async def take_state(self, body: Body) -> bool:
         """Syncs a whole state, unless a newer one is held."""
         new = ReplicatedState.of(body["held"])
-        if new.pair.voters.get(self.settings.name) != self.disk_id:
+        if new.replica_set.voters.get(self.settings.name) != self.disk_id:
             # Meant for the disk that this member had before; it may have been under way since then.
             return False
-        if new.order < self.held.order:
+        if new.order < self.replicated_state.order:
             return False
-        await self.write_journal(self.journal.replace(Image.of(new.whole, new.state.revision, new.raw())))
+        await self.write_journal(self.journal.replace(Image.of(new.epoch, new.state.revision, new.raw())))
         return True
 
     async def take_change(self, body: Body) -> bool:
@@ -83,8 +83,8 @@
         revision = body.get("edition", 0)
         if revision <= self.configuration_view.revision:
             return
-        if self.held.whole == body["epoch"] and self.held.state.revision == revision:
-            self.publish(self.held.state)
+        if self.replicated_state.epoch == body["epoch"] and self.replicated_state.state.revision == revision:
+            self.publish(self.replicated_state.state)
         elif at := self.addr(body["who"]) or body.get("at", ""):
             task = asyncio.create_task(self.fetch(at))
             self.fetches.add(task)
@@ -92,7 +92,7 @@
 
     def append_answer(self, body: Body, ok: bool) -> PeerResponse:
         answer: Body = {
-            "ok": ok, "epoch": body["epoch"], "promised": self.witness.promised, "disk": self.disk_id,
+            "ok": ok, "epoch": body["epoch"], "promised": self.vote_record.promised, "disk": self.disk_id,
             "leaving": self.leaving,
         }  # fmt: skip
         image = self.journal.image
@@ -101,7 +101,7 @@
         return Ok(answer)
 
     async def append_to(
-        self, held: ReplicatedState | None, epoch: int, to: str, change: Change | None = None
+        self, replicated_state: ReplicatedState | None, epoch: int, to: str, change: Change | None = None
     ) -> Acknowledgement | None:
         """Sends the state, as a change where one is given, or a heartbeat alone; the member's acknowledgement, if any."""
         addr = self.addr(to)
@@ -113,60 +113,62 @@
         }  # fmt: skip
         if change is not None:
             body["change"] = change.as_json()
-        elif held:
-            body["held"] = held.raw()
+        elif replicated_state:
+            body["held"] = replicated_state.raw()
         # Where machines announce themselves another backup is soon found; an order doesn't wait long for this one.
         wait = self.settings.bounds.promise / (2 if self.settings.announce else 1)
         got = await self.peer_links.call(addr, "copy", body, wait)
         if isinstance(got, Err):
             return None
-        answer, pair = got.unwrap(), self.held.pair
+        answer, replica_set = got.unwrap(), self.replicated_state.replica_set
         if answer["promised"] > epoch and self.epoch == epoch:
             self.step_down(answer["promised"])
-        if epoch == self.epoch and to in pair.backups and pair.voters.get(to) != answer["disk"]:
+        if epoch == self.epoch and to in replica_set.backups and replica_set.voters.get(to) != answer["disk"]:
             self.wiped_backups.add(to)
         elif change is not None and not (answer["ok"] and answer.get("holds") == change.position.as_json()):
             # It held another state, or is of a release that takes whole states only and took this for a heartbeat.
-            return await self.append_to(held, epoch, to) if self.epoch == epoch else None
+            return await self.append_to(replicated_state, epoch, to) if self.epoch == epoch else None
         if not answer["ok"]:
             return None
-        (self.departing.add if answer.get("leaving") else self.departing.discard)(to)
+        (self.departing_members.add if answer.get("leaving") else self.departing_members.discard)(to)
         # Releases before 0.3 don't repeat the epoch; the answer belongs to this request by its number.
         acknowledgement = Acknowledgement(to, str(answer["disk"]), answer.get("epoch", epoch))
-        if epoch == self.epoch and pair.counts(acknowledgement):
-            self.answered[to] = now()
-            if to in pair.backups:
-                self.copied[to] = now()
+        if epoch == self.epoch and replica_set.counts(acknowledgement):
+            self.voter_heard[to] = now()
+            if to in replica_set.backups:
+                self.backup_heard[to] = now()
         return acknowledgement
 
     async def append_to_backups(
-        self, held: ReplicatedState | None, epoch: int, change: Change | None = None
+        self, replicated_state: ReplicatedState | None, epoch: int, change: Change | None = None
     ) -> list[Acknowledgement]:
-        answers = await asyncio.gather(*(self.append_to(held, epoch, n, change) for n in self.held.pair.backups))
+        answers = await asyncio.gather(
+            *(self.append_to(replicated_state, epoch, n, change) for n in self.replicated_state.replica_set.backups)
+        )
         return [a for a in answers if a is not None]
 
-    async def append_to_all(self, held: ReplicatedState | None, epoch: int) -> bool:
+    async def append_to_all(self, replicated_state: ReplicatedState | None, epoch: int) -> bool:
         """True once all backups of the epoch have acknowledged, each by the disk that the replica set names."""
-        pair = self.held.pair
-        answers = await self.append_to_backups(held, epoch)
-        return pair.epoch == epoch and pair.copied_to_all(answers)
+        replica_set = self.replicated_state.replica_set
+        answers = await self.append_to_backups(replicated_state, epoch)
+        return replica_set.epoch == epoch and replica_set.copied_to_all(answers)
 
     async def commit(self, state: State) -> bool:
         """True once the state is synced here and at all backups, and most voters have answered under this epoch since."""
-        epoch, pair = self.epoch, self.held.pair
+        epoch, replica_set = self.epoch, self.replicated_state.replica_set
         # The voters that keep no copy are asked while the disks sync, so that their round trip adds no delay.
-        others = asyncio.create_task(self.answers_of_voters(epoch, pair))
+        others = asyncio.create_task(self.answers_of_voters(epoch, replica_set))
         try:
             async with asyncio.timeout(self.settings.bounds.detect):
-                stored = await self.store(ReplicatedState(epoch, pair, state))
+                stored = await self.store(ReplicatedState(epoch, replica_set, state))
             if self.epoch != epoch:
                 return False
-            self.held = held = stored.held
-            backups = await self.append_to_backups(held, epoch, stored.change)
+            self.replicated_state = replicated_state = stored.replicated_state
+            backups = await self.append_to_backups(replicated_state, epoch, stored.change)
             answers = [self.own_acknowledgement(epoch), *backups]
-            if not pair.copied_to_all(answers):
+            if not replica_set.copied_to_all(answers):
                 return False
-            if not pair.confirmed_by(answers):
+            if not replica_set.confirmed_by(answers):
                 answers += await others
         except TimeoutError:
             # While its disk stalls this member takes no change; another may lead meanwhile.
@@ -174,12 +176,12 @@
             return False
         finally:
             others.cancel()
-        if self.epoch != epoch or not pair.confirmed_by(answers):
+        if self.epoch != epoch or not replica_set.confirmed_by(answers):
             return False
-        self.publish(held.state)
+        self.publish(replicated_state.state)
         # In force within its bound even if this machine dies now: the backups hand it out as well before the
         # operator is answered, and the witnesses are told.
-        for name in [n for n in self.members(state.manifest) if n not in held.pair]:
+        for name in [n for n in self.members(state.manifest) if n not in replicated_state.replica_set]:
             task = asyncio.create_task(self.notify(name, epoch))
             self.fetches.add(task)
             task.add_done_callback(self.fetches.discard)
@@ -205,10 +207,10 @@
     async def settle(self) -> None:
         """Once more the state to the disks of all holders, now that its epoch is known to be granted: an election that
         rests on it needs no majority of the voters before any more. Called with the lock held."""
-        stored = await self.store(self.held)
-        self.held, epoch = stored.held, stored.held.whole
-        answers = await self.append_to_backups(stored.held, epoch, stored.change)
-        if self.held.pair.copied_to_all(answers) and self.unsettled_epoch == epoch:
+        stored = await self.store(self.replicated_state)
+        self.replicated_state, epoch = stored.replicated_state, stored.replicated_state.epoch
+        answers = await self.append_to_backups(stored.replicated_state, epoch, stored.change)
+        if self.replicated_state.replica_set.copied_to_all(answers) and self.unsettled_epoch == epoch:
             self.unsettled_epoch = 0
 
     async def notify(self, name: str, epoch: int) -> None:
@@ -246,12 +248,15 @@
 
     async def confirmation_round(self) -> list[Acknowledgement]:
         """Answers under this epoch to messages sent from now on; ends once they confirm it."""
-        epoch, pair = self.epoch, self.held.pair
+        epoch, replica_set = self.epoch, self.replicated_state.replica_set
         mine = self.own_acknowledgement(epoch)
 
         def enough(got: dict[str, Acknowledgement | None]) -> bool:
-            return pair.confirmed_by([mine, *(a for a in got.values() if a is not None)])
+            return replica_set.confirmed_by([mine, *(a for a in got.values() if a is not None)])
 
-        asks = {n: self.append_to(None, epoch, n) for n in {*pair.voters, *pair.backups} - {self.settings.name}}
+        asks = {
+            n: self.append_to(None, epoch, n)
+            for n in {*replica_set.voters, *replica_set.backups} - {self.settings.name}
+        }
         got = await hear(dict(sorted(asks.items())), enough, 0.0)
         return [mine, *(a for a in got.values() if a is not None)]
--- a/postpass/control/state.py
+++ b/postpass/control/state.py
@@ -4,7 +4,7 @@
 
 import hashlib
 import json
-from dataclasses import asdict, dataclass
+from dataclasses import dataclass
 
 from postpass.control.epochs import ReplicaSet
 from postpass.membership.registry import State
@@ -35,22 +35,22 @@
 
 @dataclass(frozen=True)
 class ReplicatedState:
-    """What this machine keeps of the state; it may be a proposal that never comes to be. Invariant: `whole` is the epoch
-    whose state this is, all of it; it is set only by that epoch's primary, here or over the copy link."""
+    """What this machine keeps of the state; it may be a proposal that never comes to be. Invariant: `epoch` is the one
+    whose state this is, all of it; 0 if none is held. It is set only by that epoch's primary, here or by an append."""
 
-    whole: int = 0
-    pair: ReplicaSet = ReplicaSet()
+    epoch: int = 0
+    replica_set: ReplicaSet = ReplicaSet()
     state: State = State()
 
     @property
     def order(self) -> tuple[int, bool, int]:
         """Of two states that a member is given the greater one is the later: nothing is written before a replica set is
         settled."""
-        return self.whole, not self.pair.previous_voters, self.state.revision
+        return self.epoch, not self.replica_set.previous_voters, self.state.revision
 
     def raw(self) -> Body:
-        """As JSON has it; shares what it can with this one."""
-        return {"whole": self.whole, "pair": asdict(self.pair), "state": state_body(self.state)}
+        """By its keys on disk and between members, those of release 0.2.0; shares what it can with this one."""
+        return {"whole": self.epoch, "pair": self.replica_set.as_json(), "state": state_body(self.state)}
 
     @classmethod
     def of(cls, raw: Body) -> ReplicatedState:
@@ -58,11 +58,13 @@
         return cls(raw["whole"], ReplicaSet.of(raw["pair"]), state_of(raw["state"]))
 
     def dump(self) -> bytes:
+        """The state file of releases up to 0.2.0, with the checksum of its body."""
         body = json.dumps(self.raw(), separators=(",", ":"))
         return json.dumps({"sum": hashlib.sha256(body.encode()).hexdigest(), "body": body}).encode()
 
     @classmethod
     def load(cls, data: bytes) -> ReplicatedState:
+        """Reads a state file; raises ValueError if the checksum doesn't match."""
         raw = json.loads(data)
         if hashlib.sha256(raw["body"].encode()).hexdigest() != raw["sum"]:
             raise ValueError("the sum doesn't match")
--- a/postpass/control/writer.py
+++ b/postpass/control/writer.py
@@ -31,26 +31,26 @@
         if not await self.is_leading():
             return Err(self.not_leader("write"))
         edit = Edit(fold, asyncio.get_running_loop().create_future())
-        self.edits.append(edit)
-        if now() + pause < self.due:
-            self.due = now() + pause
-            self.hurry.set()
+        self.waiting_edits.append(edit)
+        if now() + pause < self.write_due:
+            self.write_due = now() + pause
+            self.write_wakeup.set()
         return await edit.done
 
     async def write(self) -> None:
         """Writes what waits, whenever its time has come."""
         while True:
-            if not self.edits:
-                self.due = INFINITY
-            left = self.due - now()
+            if not self.waiting_edits:
+                self.write_due = INFINITY
+            left = self.write_due - now()
             if left > 0:
-                self.hurry.clear()
+                self.write_wakeup.clear()
                 try:
-                    await asyncio.wait_for(self.hurry.wait(), None if left == INFINITY else left)
+                    await asyncio.wait_for(self.write_wakeup.wait(), None if left == INFINITY else left)
                 except TimeoutError:
                     pass
                 continue
-            edits, self.edits, self.due = self.edits, [], INFINITY
+            edits, self.waiting_edits, self.write_due = self.waiting_edits, [], INFINITY
             async with self.lock:
                 try:
                     got = await self.write_edits(edits)
@@ -76,16 +76,24 @@
                 state = replace(state, revision=before.revision + 1)
                 done = await self.commit(state)
             else:
-                done = self.held.pair.confirmed_by(await self.confirmation_round()) and self.epoch == epoch
+                done = (
+                    self.replicated_state.replica_set.confirmed_by(await self.confirmation_round())
+                    and self.epoch == epoch
+                )
             if done:
                 return [Ok(state.revision) if isinstance(g, Ok) else Err(g.unwrap_err()) for g in out]
             if self.epoch == epoch:
                 self.epoch = 0
                 again = await self.run_election(state.configuration, "backup lost")
                 if isinstance(again, Err):
-                    self.heard = now() - bounds.detect
+                    self.leader_silent_since = now() - bounds.detect
                 else:
-                    log_events.emit(132, me, backup=",".join(self.held.pair.backups), why="it did not take a write")
+                    log_events.emit(
+                        132,
+                        me,
+                        backup=",".join(self.replicated_state.replica_set.backups),
+                        why="it did not take a write",
+                    )
         return [Err(Fault("write", me, "not known whether it was taken; ask again", SLOW)) for _ in edits]
 
     async def forward(self, verb: str, body: Body, limit: float = 0.0) -> PeerResponse:
@@ -94,7 +102,7 @@
             return await self.forward_without_contact(verb, body)
         until = now() + (self.settings.bounds.leave / 4 if self.settings.announce else 0.0)
         while True:
-            led = self.led_now
+            led = self.leader_heard_event
             got = await self.forward_once(verb, body, limit)
             none = (
                 isinstance(got, Err) and got.unwrap_err().code == SHED and got.unwrap_err().peer == self.settings.name
--- a/sim/fleet.py
+++ b/sim/fleet.py
@@ -254,7 +254,7 @@
             top = max(leads)[1]
             daemon = self.boxes[top].daemon
             assert isinstance(daemon, ControlPlane)
-            pair = daemon.held.pair
+            pair = daemon.replicated_state.replica_set
             rest_ = [n for n, m in self.configuration["machines"].items() if "control" in m["duties"] and n not in pair]
             return {"primary": top, "backup": pair.backup, "witness": rest_[0] if rest_ else ""}[kind]
         if kind == "sched":
--- a/tests/control/test_announced_control.py
+++ b/tests/control/test_announced_control.py
@@ -33,9 +33,9 @@
         took = await f.until(f.joined, 10)
         lead = f.primary()
         assert lead is not None
-        await f.until(lambda: len(lead.held.pair.voters) == f.control, 5)
-        assert lead.held.pair.voters.keys() == {f"c{i}" for i in range(1, f.control + 1)}
-        return took, lead.configuration_view.revision, lead.held.state.configuration["copies"]
+        await f.until(lambda: len(lead.replicated_state.replica_set.voters) == f.control, 5)
+        assert lead.replicated_state.replica_set.voters.keys() == {f"c{i}" for i in range(1, f.control + 1)}
+        return took, lead.configuration_view.revision, lead.replicated_state.state.configuration["copies"]
 
     took, revision, copies = play(scene)
     assert 0 < took < 1.5 and revision < 12 and copies == 4
@@ -48,12 +48,12 @@
         await f.until(f.joined, 10)
         lead = f.primary()
         assert lead is not None
-        few = await f.until(lambda: lead.held.state.configuration["copies"] == 3, 8)
+        few = await f.until(lambda: lead.replicated_state.state.configuration["copies"] == 3, 8)
         assert few > 0
         f.first = False
         f.add("s4", "store", "d", "10.1.4.1")
-        await f.until(lambda: lead.held.state.configuration["copies"] == 4, 8)
-        return 3, lead.held.state.configuration["copies"]
+        await f.until(lambda: lead.replicated_state.state.configuration["copies"] == 4, 8)
+        return 3, lead.replicated_state.state.configuration["copies"]
 
     assert play(scene, stores=3) == (3, 4)
 
@@ -63,7 +63,7 @@
         await f.until(f.joined, 10)
         lead = f.primary()
         assert lead is not None
-        before = lead.held.state
+        before = lead.replicated_state.state
         for flaw in (
             {"url": "http://worker:80"},
             {"url": "10.9.9.9:80"},
@@ -72,10 +72,12 @@
             {"pool": ""},
         ):
             bad: Any = standing(1) | flaw
-            got = await f.ask("c1", lambda c, bad=bad: c.beat_worker("w1", bad, 1))  # type: ignore[misc]
+            got = await f.ask("c1", lambda c, bad=bad: c.record_worker_heartbeat("w1", bad, 1))  # type: ignore[misc]
             assert got.unwrap_err().code == 400 and got.unwrap_err().why.startswith(next(iter(flaw))), flaw
-        assert f.primary() is lead and lead.held.state.configuration["pools"] == before.configuration["pools"]
-        assert lead.held.state.aside == before.aside
+        assert (
+            f.primary() is lead and lead.replicated_state.state.configuration["pools"] == before.configuration["pools"]
+        )
+        assert lead.replicated_state.state.aside == before.aside
         # An operator's document is taken as ever.
         assert (await f.ask("c3", lambda c: c.apply_source(document(3), 0))).is_ok()
 
@@ -86,24 +88,24 @@
     async def scene(f: Fleet) -> None:
         await f.until(f.joined, 10)
         # A worker may beat before there is any document.
-        assert (await f.ask("c2", lambda c: c.beat_worker("w1", standing(1), 1))).is_ok()
+        assert (await f.ask("c2", lambda c: c.record_worker_heartbeat("w1", standing(1), 1))).is_ok()
         got = await f.ask("c3", lambda c: c.apply_source(document(3), 0))
         assert got.is_ok() and got.unwrap()["waits"] == [], got
         lead = f.primary()
-        assert lead is not None and list(lead.held.state.configuration["pools"]["llm"]["servers"]) == ["w1"]
-        assert (await f.ask("c1", lambda c: c.beat_worker("w2", standing(2, cold=True), 1))).is_ok()
+        assert lead is not None and list(lead.replicated_state.state.configuration["pools"]["llm"]["servers"]) == ["w1"]
+        assert (await f.ask("c1", lambda c: c.record_worker_heartbeat("w2", standing(2, cold=True), 1))).is_ok()
         revision = lead.configuration_view.revision
-        assert (await f.ask("c1", lambda c: c.beat_worker("w2", standing(2, cold=True), 2))).is_ok()
+        assert (await f.ask("c1", lambda c: c.record_worker_heartbeat("w2", standing(2, cold=True), 2))).is_ok()
         assert lead.configuration_view.revision == revision
         began = f.loop.clock
-        assert (await f.ask("c2", lambda c: c.beat_worker("w2", standing(2, leave=True), 3))).is_ok()
+        assert (await f.ask("c2", lambda c: c.record_worker_heartbeat("w2", standing(2, leave=True), 3))).is_ok()
         assert f.loop.clock - began < 0.3
         for n in f.nodes.values():
             assert n.daemon is not None and n.daemon.configuration_view.manifest is not None
             if n.settings.duties:
                 assert n.daemon.configuration_view.manifest["pools"]["llm"]["servers"]["w2"].get("leave")
         # A late word doesn't bring it back.
-        assert (await f.ask("c2", lambda c: c.beat_worker("w2", standing(2), 2))).is_ok()
+        assert (await f.ask("c2", lambda c: c.record_worker_heartbeat("w2", standing(2), 2))).is_ok()
         name = lead.settings.name
         f.kill(name, silent=True)
         other = next(n for n in ("c1", "c2", "c3") if n != name)
@@ -129,13 +131,13 @@
                 via = f"c{(turn + n) % 3 + 1}"
 
                 async def call(c: ControlPlane, n: int = n, turn: int = turn) -> Any:
-                    return await c.beat_worker(f"w{n}", standing(n), turn + 1)
+                    return await c.record_worker_heartbeat(f"w{n}", standing(n), turn + 1)
 
                 assert (await f.ask(via, call)).is_ok()
             await asyncio.sleep(1.2)
         lead = f.primary()
         assert lead is not None
-        return sorted(lead.held.state.configuration["pools"]["llm"]["servers"])
+        return sorted(lead.replicated_state.state.configuration["pools"]["llm"]["servers"])
 
     assert play(scene) == ["w1", "w2", "w3"]
 
@@ -159,7 +161,7 @@
 
             def done(new: str = f"n{turn}", old: str = name) -> bool:
                 lead = f.primary()
-                voters = lead.held.pair.voters if lead else {}
+                voters = lead.replicated_state.replica_set.voters if lead else {}
                 return new in voters and old not in voters and len(voters) == f.control
 
             out.append(await f.until(done, 20))
@@ -181,8 +183,8 @@
         await f.ask("c1", lambda c: c.apply_source(document(3), 0))
         lead = f.primary()
         assert lead is not None
-        lost = {"primary": lead.settings.name, "backup": lead.held.pair.backup}.get(wiped, "")
-        before, f.first = lead.held.pair.epoch, False
+        lost = {"primary": lead.settings.name, "backup": lead.replicated_state.replica_set.backup}.get(wiped, "")
+        before, f.first = lead.replicated_state.replica_set.epoch, False
         for name in f.nodes:
             f.kill(name, silent=silent)
         for name, node in f.nodes.items():
@@ -201,7 +203,11 @@
 
         out = [await f.until(f.primary, 6), await f.until(serving, 6)]
         lead = f.primary()
-        assert lead is not None and lead.held.pair.epoch > before and lead.held.state.losses == 0
+        assert (
+            lead is not None
+            and lead.replicated_state.replica_set.epoch > before
+            and lead.replicated_state.state.losses == 0
+        )
         got = await f.ask("c1", lambda c: c.read_source())
         assert got.unwrap()["source"] == document(3)
         return out
@@ -218,12 +224,14 @@
 
     async def scene(f: Fleet, lost: tuple[str, str]) -> float:
         await f.until(f.joined, 10)
-        await f.until(lambda: (lead := f.primary()) is not None and len(lead.held.pair.voters) == 5, 10)
+        await f.until(
+            lambda: (lead := f.primary()) is not None and len(lead.replicated_state.replica_set.voters) == 5, 10
+        )
         got = await f.ask("c2", lambda c: c.apply_source(document(3), 0))
         assert got.is_ok()
         lead = f.primary()
-        assert lead is not None and len(lead.held.pair.backups) == 2
-        assert len({f.nodes[n].settings.zone for n in lead.held.pair.holders}) == 3
+        assert lead is not None and len(lead.replicated_state.replica_set.backups) == 2
+        assert len({f.nodes[n].settings.zone for n in lead.replicated_state.replica_set.holders}) == 3
         f.first = False
         for name in f.nodes:
             f.kill(name, silent=True)
@@ -238,15 +246,15 @@
             f.boot(name)
         took = await f.until(f.primary, 6)
         lead = f.primary()
-        assert lead is not None and lead.held.state.losses == 0, lost
+        assert lead is not None and lead.replicated_state.state.losses == 0, lost
         assert (await f.ask("c1", lambda c: c.read_source())).unwrap()["source"] == document(3)
 
         def whole() -> bool:
             lead = f.primary()
-            if lead is None or len(lead.held.pair.backups) != 2:
+            if lead is None or len(lead.replicated_state.replica_set.backups) != 2:
                 return False
-            voters = {n: f.nodes[n].daemon.disk_id for n in lead.held.pair.voters}  # type: ignore[union-attr]
-            return voters == lead.held.pair.voters and len(voters) == 5
+            voters = {n: f.nodes[n].daemon.disk_id for n in lead.replicated_state.replica_set.voters}  # type: ignore[union-attr]
+            return voters == lead.replicated_state.replica_set.voters and len(voters) == 5
 
         refilled = await f.until(whole, 8)
         assert 0 <= refilled < 4.7, (lost, refilled)
@@ -262,15 +270,15 @@
     async def scene(f: Fleet) -> None:
         await f.until(f.joined, 10)
         await f.ask("c1", lambda c: c.apply_source(document(3), 0))
-        await f.ask("c1", lambda c: c.beat_worker("w1", standing(1), 1))
+        await f.ask("c1", lambda c: c.record_worker_heartbeat("w1", standing(1), 1))
         lead = f.primary()
         assert lead is not None
         assert (await f.ask("c2", lambda c: c.evacuate("a", True))).is_ok()
         assert (await f.ask("c3", lambda c: c.evacuate("a", True))).is_ok()
-        assert lead.held.state.configuration.get("evacuated") == ["a"]
+        assert lead.replicated_state.state.configuration.get("evacuated") == ["a"]
         assert (await f.ask("c2", lambda c: c.evacuate("a", False))).is_ok()
-        assert lead.held.state.configuration.get("evacuated") == []
-        assert lead.held.state.configuration["pools"]["llm"]["servers"]["w1"].get("cold")
+        assert lead.replicated_state.state.configuration.get("evacuated") == []
+        assert lead.replicated_state.state.configuration["pools"]["llm"]["servers"]["w1"].get("cold")
         assert (await f.ask("c2", lambda c: c.evacuate("z", True))).unwrap_err().code == 404
         assert (await f.ask("c2", lambda c: c.retire("s9"))).unwrap_err().code == 404
         assert (await f.ask("c2", lambda c: c.retire("s1"))).is_ok()
@@ -284,9 +292,9 @@
                     break
                 await asyncio.sleep(0.2)
             assert got.unwrap()["done"]
-            assert name not in f.primary().held.state.configuration["machines"]  # type: ignore[union-attr]
+            assert name not in f.primary().replicated_state.state.configuration["machines"]  # type: ignore[union-attr]
             assert (await f.ask("c1", lambda c, name=name: c.retired(name))).unwrap()["done"]  # type: ignore[misc]
-        assert f.primary().held.state.configuration["copies"] == 3  # type: ignore[union-attr]
+        assert f.primary().replicated_state.state.configuration["copies"] == 3  # type: ignore[union-attr]
         assert (await f.ask("c2", lambda c: c.retire("s3"))).unwrap_err().code == 409
 
     play(scene, stores=5)
--- a/tests/control/test_epochs.py
+++ b/tests/control/test_epochs.py
@@ -6,8 +6,8 @@
     Acknowledgement,
     PreVote,
     ReplicaSet,
+    VoteRecord,
     Voters,
-    Witness,
     in_touch,
     majority,
     may_campaign,
@@ -19,15 +19,19 @@
 
 
 def test_a_witness_never_goes_back_and_names_one_pair_an_epoch() -> None:
-    w = Witness()
-    w1 = w.look(3, "c1")
-    assert w1 and w1.look(3, "c2") is None and w1.look(2, "c1") is None
+    w = VoteRecord()
+    w1 = w.prepare(3, "c1")
+    assert w1 and w1.prepare(3, "c2") is None and w1.prepare(2, "c1") is None
     pair = ReplicaSet(3, "c1", ("c2",), {"c1": "d1"})
     w2 = w1.grant(pair, "c1")
     assert w2 and w1.grant(ReplicaSet(3, "c2", ("c3",)), "c2") is None
-    assert Witness.load(w2.dump()) == w2
-    w3 = w2.look(4, "c2")
-    assert w3 and w3.grant(pair, "c1") is None and w3.pair == pair
+    assert VoteRecord.load(w2.dump()) == w2
+    assert w2.dump() == (
+        b'{"promised": 3, "to": "c1", "pair": {"epoch": 3, "primary": "c1", "backups": ["c2"], '
+        b'"voters": {"c1": "d1"}, "previous_voters": {}}}'
+    )
+    w3 = w2.prepare(4, "c2")
+    assert w3 and w3.grant(pair, "c1") is None and w3.replica_set == pair
 
 
 def test_a_dropped_backup_cannot_come_back_with_old_state() -> None:
@@ -127,10 +131,10 @@
     unsettled = ReplicaSet(3, "c1", ("c2",), WIPED, THREE)
     assert ReplicaSet.of(raw | {"voters": WIPED, "previous_voters": THREE}) == unsettled
     assert unsettled.settled() == ReplicaSet(3, "c1", ("c2",), WIPED)
-    promised = Witness().look(3, "c1")
+    promised = VoteRecord().prepare(3, "c1")
     assert promised is not None
     granted = promised.grant(unsettled, "c1")
-    assert granted is not None and Witness.load(granted.dump()) == granted
+    assert granted is not None and VoteRecord.load(granted.dump()) == granted
 
 
 def test_an_epoch_carries_the_voters_before_it_only_where_they_differ() -> None:
--- a/tests/control/test_feed.py
+++ b/tests/control/test_feed.py
@@ -31,7 +31,7 @@
 async def heartbeats(fleet: Fleet, at: str, worker: str) -> None:
     """A worker's heartbeats at one member."""
     for number in range(2, 99):
-        await fleet.ask(at, lambda c, number=number: c.beat_worker(worker, standing(1), number))  # type: ignore[misc]
+        await fleet.ask(at, lambda c, number=number: c.record_worker_heartbeat(worker, standing(1), number))  # type: ignore[misc]
         await asyncio.sleep(1.0)
 
 
@@ -41,15 +41,19 @@
 
     def whole() -> bool:
         lead = fleet.primary()
-        return lead is not None and len(lead.held.pair.voters) == fleet.control and bool(lead.held.pair.backups)
+        return (
+            lead is not None
+            and len(lead.replicated_state.replica_set.voters) == fleet.control
+            and bool(lead.replicated_state.replica_set.backups)
+        )
 
     assert await fleet.until(whole, 10) >= 0
     assert (await fleet.ask("c1", lambda c: c.apply_source(document(3), 0))).is_ok()
-    assert (await fleet.ask("c1", lambda c: c.beat_worker("w1", standing(1), 1))).is_ok()
+    assert (await fleet.ask("c1", lambda c: c.record_worker_heartbeat("w1", standing(1), 1))).is_ok()
     await asyncio.sleep(3)
     lead = fleet.primary()
     assert lead is not None
-    backup = next(c for c in fleet.controls() if c.settings.name == lead.held.pair.backups[0])
+    backup = next(c for c in fleet.controls() if c.settings.name == lead.replicated_state.replica_set.backups[0])
     return lead, backup, [c for c in fleet.controls() if c not in (lead, backup)]
 
 
@@ -157,9 +161,9 @@
             cut(f, lead.settings.name, [lost.settings.name])
             await asyncio.sleep(lease(lost) + 0.1)
             began = f.loop.clock
-            got = await f.ask(lost.settings.name, lambda c: c.beat_worker("w2", standing(2), 1))
+            got = await f.ask(lost.settings.name, lambda c: c.record_worker_heartbeat("w2", standing(2), 1))
             assert got.is_ok() and f.loop.clock - began < 1.0, (got, f.loop.clock - began)
-            assert "w2" in lead.held.state.configuration["pools"]["llm"]["servers"]
+            assert "w2" in lead.replicated_state.state.configuration["pools"]["llm"]["servers"]
 
         play(scene)
 
@@ -265,7 +269,7 @@
             assert await f.until(f.primary, 20) >= 0
             new = f.primary()
             assert new is not None
-            lost = "s1" not in new.held.state.retired
+            lost = "s1" not in new.replicated_state.state.retired
             assert lost and not any(g.is_ok() and g.unwrap()["done"] for g in told), told
             assert status["committed"] == revision, (status, revision)
 
@@ -291,7 +295,9 @@
             assert edge is not None and edge.configuration_view.manifest is not None
             assert "w1" in edge.configuration_view.manifest["pools"]["llm"]["servers"]
             began = f.loop.clock
-            got = await f.ask(lead.settings.name, lambda c: c.beat_worker("w1", standing(1, leave=True), 99))
+            got = await f.ask(
+                lead.settings.name, lambda c: c.record_worker_heartbeat("w1", standing(1, leave=True), 99)
+            )
             took = f.loop.clock - began
             assert got.is_ok()
             return bool(edge.configuration_view.manifest["pools"]["llm"]["servers"]["w1"].get("leave")), took
@@ -308,7 +314,7 @@
             f.kill("e4", silent=True)
             await asyncio.sleep(3)
             began = f.loop.clock
-            got = await f.ask(lead.settings.name, lambda c: c.beat_worker("w1", standing(1, leave=True), 2))
+            got = await f.ask(lead.settings.name, lambda c: c.record_worker_heartbeat("w1", standing(1, leave=True), 2))
             assert got.is_ok()
             return f.loop.clock - began
 
--- a/tests/control/test_isolation.py
+++ b/tests/control/test_isolation.py
@@ -98,7 +98,7 @@
 
     async def heartbeat(self, who: str, says: Any, number: int) -> None:
         while True:
-            _, got = await self.call(lambda c: c.beat_worker(who, says, number))
+            _, got = await self.call(lambda c: c.record_worker_heartbeat(who, says, number))
             if got is not None and got.is_ok():
                 return
 
@@ -218,7 +218,7 @@
         member.addr = lambda name: address if name == lead.settings.name else ""  # type: ignore[method-assign]
         got = [
             await f.ask(member.settings.name, lambda c: c.evacuate("a", True)),
-            await f.ask(member.settings.name, lambda c: c.beat_worker("w7", standing(7), 1)),
+            await f.ask(member.settings.name, lambda c: c.record_worker_heartbeat("w7", standing(7), 1)),
             await f.ask(member.settings.name, lambda c: c.read_source()),
         ]
         return [200 if g.is_ok() else g.unwrap_err().code for g in got]
--- a/tests/control/test_isolation_runs.py
+++ b/tests/control/test_isolation_runs.py
@@ -60,7 +60,9 @@
                 name, beat = f"c{(number + turn) % self.fleet.control + 1}", (seqno, leaves)
 
                 async def call(c: Any, beat: tuple[int, bool] = beat) -> Any:
-                    return await c.beat_worker(who, standing(number, **({"leave": True} if beat[1] else {})), beat[0])
+                    return await c.record_worker_heartbeat(
+                        who, standing(number, **({"leave": True} if beat[1] else {})), beat[0]
+                    )
 
                 got = await self.fleet.ask(name, call)
                 if got.is_ok():
@@ -96,8 +98,8 @@
 def test_a_cut_of_twenty_seconds_under_load_breaks_no_rule(control: int, role: str, way: str) -> None:
     async def scene(f: Fleet) -> None:
         lead = await settle(f)
-        holders = lead.held.pair.holders
-        witness = next(n for n in lead.held.pair.voters if n not in holders)
+        holders = lead.replicated_state.replica_set.holders
+        witness = next(n for n in lead.replicated_state.replica_set.voters if n not in holders)
         inside = {"primary": holders[:1], "backup": holders[1:], "witness": (witness,), "primary and backup": holders}
         day = Day(f)
         tasks = [asyncio.create_task(day.operate(n)) for n in range(OPERATORS)]
@@ -121,8 +123,8 @@
         for result in await asyncio.gather(*tasks, return_exceptions=True):
             assert result is None or isinstance(result, asyncio.CancelledError), result
         assert await readable(f, day.highest()) >= 0
-        assert max(c.held.state.losses for c in f.controls()) == 0
-        pool = leader(f).held.state.configuration["pools"]["llm"]["servers"]
+        assert max(c.replicated_state.state.losses for c in f.controls()) == 0
+        pool = leader(f).replicated_state.state.configuration["pools"]["llm"]["servers"]
         assert len(day.drained) == 8, day.drained
         assert all(w not in pool or pool[w].get("leave") for w in day.drained), pool
 
--- a/tests/control/test_leadership.py
+++ b/tests/control/test_leadership.py
@@ -54,7 +54,7 @@
 
     def all_vote() -> bool:
         lead = f.primary()
-        return lead is not None and len(lead.held.pair.voters) == f.control
+        return lead is not None and len(lead.replicated_state.replica_set.voters) == f.control
 
     assert await f.until(all_vote, 10) >= 0
     got = await f.ask(leader(f).settings.name, lambda c: c.apply_source(document(3), 0))
@@ -105,13 +105,13 @@
 def test_a_wiped_backup_gets_its_vote_back_whenever_it_returns(control: int, gap: float) -> None:
     async def scene(f: Fleet) -> tuple[bool, float, float, int]:
         lead = await settle(f)
-        backup = lead.held.pair.backup
+        backup = lead.replicated_state.replica_set.backup
         wipe(f, backup)
         await asyncio.sleep(gap)
         f.boot(backup)
         await asyncio.sleep(10)
         lead = leader(f)
-        counted = lead.held.pair.voters == current_disks(f)
+        counted = lead.replicated_state.replica_set.voters == current_disks(f)
         got = await f.ask(lead.settings.name, lambda c: c.apply_source(document(4), 3))
         assert got.is_ok(), got
         lost = leader(f).settings.name
@@ -125,7 +125,7 @@
             f.boot(name)
         led = await f.until(f.primary, RECOVERY_TIME)
         read = await readable(f, 4)
-        return counted, led, read, max(c.held.state.losses for c in f.controls())
+        return counted, led, read, max(c.replicated_state.state.losses for c in f.controls())
 
     counted, led, read, losses = play(scene, control=control)
     assert counted, "the voters name a disk that is no more"
@@ -137,7 +137,7 @@
 def test_wiping_the_backup_and_later_the_primary_loses_nothing(control: int, gap: float) -> None:
     async def scene(f: Fleet) -> tuple[float, int]:
         lead = await settle(f)
-        backup, first = lead.held.pair.backup, lead.settings.name
+        backup, first = lead.replicated_state.replica_set.backup, lead.settings.name
         wipe(f, backup)
         await asyncio.sleep(gap)
         f.boot(backup)
@@ -148,7 +148,7 @@
         await asyncio.sleep(gap)
         f.boot(first)
         read = await readable(f, 4)
-        return read, max(c.held.state.losses for c in f.controls())
+        return read, max(c.replicated_state.state.losses for c in f.controls())
 
     read, losses = play(scene, control=control)
     assert 0 <= read < RECOVERY_TIME and losses == 0, (read, losses)
@@ -161,12 +161,12 @@
 def test_a_member_that_returns_from_a_cut_never_deposes_a_primary(control: int, role: str, way: str) -> None:
     async def scene(f: Fleet) -> None:
         lead = await settle(f)
-        holders = lead.held.pair.holders
-        witness = next(n for n in lead.held.pair.voters if n not in holders)
+        holders = lead.replicated_state.replica_set.holders
+        witness = next(n for n in lead.replicated_state.replica_set.voters if n not in holders)
         inside = {"primary": holders[:1], "backup": holders[1:2], "witness": (witness,), "primary and backup": holders}[
             role
         ]
-        before = max(c.witness.promised for c in f.controls())
+        before = max(c.vote_record.promised for c in f.controls())
         isolate(f, inside, way)
         await asyncio.sleep(CUT_TIME)
         outside = [c for c in f.controls() if c.settings.name not in inside]
@@ -176,7 +176,7 @@
             assert led, "the majority has no primary"
         highest = max([before, *(c.epoch for c in led)])
         for member in f.controls():
-            assert member.witness.promised <= highest, (member.settings.name, member.witness.promised, highest)
+            assert member.vote_record.promised <= highest, (member.settings.name, member.vote_record.promised, highest)
         f.loop.net.cuts.clear()
         if not led:
             assert await f.until(f.primary, RECOVERY_TIME) >= 0
@@ -204,7 +204,7 @@
             await f.ask(name, lambda c: c.apply_source(document(4), 3))
             await asyncio.sleep(0.5)
         successor = leader(f)
-        promised, taken = first.witness.promised, successor.epoch
+        promised, taken = first.vote_record.promised, successor.epoch
         f.loop.net.cuts.clear()
         await asyncio.sleep(6)
         assert leader(f) is successor
@@ -222,7 +222,7 @@
     "no-op": lambda c: c.evacuate("b", False),
     "retire": lambda c: c.retire("s1"),
     "retired": lambda c: c.retired("s9"),
-    "drain": lambda c: c.beat_worker("w1", standing(1, leave=True), 9),
+    "drain": lambda c: c.record_worker_heartbeat("w1", standing(1, leave=True), 9),
     "end": lambda c: c.leave_worker("w1"),
     "read": lambda c: c.read_source(),
     "confirm": lambda c: c.on_read({"brief": 1}),
@@ -234,8 +234,8 @@
 def test_primary_and_backup_without_a_majority_acknowledge_nothing(what: str, delay: float) -> None:
     async def scene(f: Fleet) -> None:
         lead = await settle(f)
-        assert (await f.ask("c1", lambda c: c.beat_worker("w1", standing(1), 1))).is_ok()
-        holders = lead.held.pair.holders
+        assert (await f.ask("c1", lambda c: c.record_worker_heartbeat("w1", standing(1), 1))).is_ok()
+        holders = lead.replicated_state.replica_set.holders
         assert len(holders) == 2
         isolate(f, [*holders, "e1", "s1"])
         await asyncio.sleep(delay)
@@ -248,7 +248,8 @@
         assert await f.until(f.primary, RECOVERY_TIME) >= 0
         assert (
             await f.ask(
-                holders[0], lambda c: c.apply_source(document(5), leader(f).held.state.configuration["version"])
+                holders[0],
+                lambda c: c.apply_source(document(5), leader(f).replicated_state.state.configuration["version"]),
             )
         ).is_ok()
 
@@ -259,10 +260,12 @@
 def test_a_candidate_without_a_grant_is_taken_for_no_primary() -> None:
     async def scene(f: Fleet) -> None:
         lead = await settle(f)
-        node = f.nodes[next(n for n in lead.held.pair.voters if n not in lead.held.pair)]
+        node = f.nodes[
+            next(n for n in lead.replicated_state.replica_set.voters if n not in lead.replicated_state.replica_set)
+        ]
         member, disk = node.daemon, node.disk
         assert isinstance(member, ControlPlane) and disk is not None
-        believed, epoch = (member.leader, member.witness.promised), lead.epoch
+        believed, epoch = (member.leader, member.vote_record.promised), lead.epoch
 
         async def copy(c: ControlPlane, **body: Any) -> Any:
             return (await c.on_copy({"edition": 0, **body})).unwrap()["ok"]
@@ -271,16 +274,16 @@
             return f.ask(member.settings.name, lambda c: copy(c, **body))
 
         assert not await deliver(epoch=epoch + 5, who="c9", granted=False), "it was promised nothing"
-        assert (member.leader, member.witness.promised) == believed
+        assert (member.leader, member.vote_record.promised) == believed
         ask = {"epoch": epoch + 5, "who": "c9", "handover": 1}
         assert (await f.ask(member.settings.name, lambda c: c.on_look(ask))).unwrap()["ok"]
-        led, heard = member.led, member.heard
+        led, heard = member.leader_heard, member.leader_silent_since
         assert await deliver(epoch=epoch + 5, who="c9", granted=False)
         assert not await deliver(epoch=epoch + 5, who="c8", granted=False), "the promise is another's"
-        pair = ReplicaSet(epoch + 5, "c9", (), lead.held.pair.voters)
+        pair = ReplicaSet(epoch + 5, "c9", (), lead.replicated_state.replica_set.voters)
         grant = {"pair": asdict(pair), "who": "c9"}
         assert (await f.ask(member.settings.name, lambda c: c.on_grant(grant))).unwrap()["ok"]
-        assert (member.leader, member.led, member.heard) == (believed[0], led, heard), (
+        assert (member.leader, member.leader_heard, member.leader_silent_since) == (believed[0], led, heard), (
             "an epoch not granted was followed"
         )
         assert await deliver(epoch=epoch + 6, who="c8", granted=True)
@@ -319,7 +322,7 @@
             watch(node)
         lead = await settle(f)
         for turn, (gap, silent) in enumerate(((0.1, True), (0.5, False), (3.0, True), (0.2, True))):
-            name = lead.settings.name if turn % 2 else lead.held.pair.backup
+            name = lead.settings.name if turn % 2 else lead.replicated_state.replica_set.backup
             if turn < 2:
                 f.kill(name, silent=silent)
             else:
@@ -345,7 +348,7 @@
 def test_no_loss_is_declared_while_a_holder_is_only_away(control: int, dropped: bool) -> None:
     async def scene(f: Fleet) -> tuple[int, float, int]:
         lead = await settle(f)
-        first, backup = lead.held.pair.holders
+        first, backup = lead.replicated_state.replica_set.holders
         if dropped:
             # The backup acknowledges the very change that drops it, and is gone before the replica set is renewed.
             got = await f.ask(first, lambda c: c.change(lambda s: Ok(registry.dropped(s, [backup])), 0.0))
@@ -355,12 +358,12 @@
         await asyncio.sleep(0.2)
         f.boot(first)
         await asyncio.sleep(30)
-        told = max(c.held.state.losses for c in f.controls())
+        told = max(c.replicated_state.state.losses for c in f.controls())
         if dropped:
             return told, 0.0, 0
         f.boot(backup)
         read = await readable(f, 3)
-        return told, read, max(c.held.state.losses for c in f.controls())
+        return told, read, max(c.replicated_state.state.losses for c in f.controls())
 
     told, read, losses = play(scene, control=control)
     assert told == 0 and losses == 0 and 0 <= read < RECOVERY_TIME, (told, read, losses)
@@ -369,13 +372,16 @@
 def test_a_silent_holder_is_dropped_only_after_the_replica_set_is_renewed() -> None:
     async def scene(f: Fleet) -> bool:
         lead = await settle(f)
-        backup = lead.held.pair.backup
+        backup = lead.replicated_state.replica_set.backup
         f.kill(backup, silent=True)
         f.add("n1", "control", f.nodes[backup].settings.zone, "10.0.21.1")
         dropped = await f.until(
-            lambda: all(backup not in c.held.state.configuration["machines"] for c in f.controls() if c.epoch), 20
+            lambda: all(
+                backup not in c.replicated_state.state.configuration["machines"] for c in f.controls() if c.epoch
+            ),
+            20,
         )
         assert dropped >= 0
-        return all(backup not in c.held.pair for c in f.controls() if c.epoch)
+        return all(backup not in c.replicated_state.replica_set for c in f.controls() if c.epoch)
 
     assert play(scene, control=4)
--- a/tests/control/test_orders.py
+++ b/tests/control/test_orders.py
@@ -162,7 +162,7 @@
 async def cut_off_witness(fleet: Fleet) -> None:
     primary = fleet.primary()
     assert primary is not None
-    holders = primary.held.pair.holders
+    holders = primary.replicated_state.replica_set.holders
     await cut_off(fleet, {next(c.settings.name for c in fleet.controls() if c.settings.name not in holders)}, CUT_S)
 
 
@@ -170,7 +170,7 @@
     """Primary and backups, a minority of five members, are cut off together."""
     primary = fleet.primary()
     assert primary is not None
-    await cut_off(fleet, set(primary.held.pair.holders), CUT_S)
+    await cut_off(fleet, set(primary.replicated_state.replica_set.holders), CUT_S)
 
 
 Strike = Callable[[Fleet], Awaitable[None]]
--- a/tests/control/test_state_recovery.py
+++ b/tests/control/test_state_recovery.py
@@ -50,7 +50,7 @@
         names = [c.settings.name for c in self.fleet.controls() if self.reachable(c.settings.name)]
         via = names[count % len(names)]
         call = asyncio.wait_for(
-            self.fleet.ask(via, lambda c: c.beat_worker(COUNTED, standing(1, slots=count), count)), 2.0
+            self.fleet.ask(via, lambda c: c.record_worker_heartbeat(COUNTED, standing(1, slots=count), count)), 2.0
         )
         try:
             got = await call
@@ -171,7 +171,7 @@
     """The name of the control member with this role now."""
     lead = fleet.primary()
     assert lead is not None
-    pair = lead.held.pair
+    pair = lead.replicated_state.replica_set
     if role == "primary":
         return lead.settings.name
     if role == "backup":
@@ -181,7 +181,7 @@
 
 def voters_of(fleet: Fleet) -> int:
     lead = fleet.primary()
-    return len(lead.held.pair.voters) if lead is not None else 0
+    return len(lead.replicated_state.replica_set.voters) if lead is not None else 0
 
 
 async def leader_with_all(fleet: Fleet, changes: Changes) -> str:
@@ -193,7 +193,7 @@
         lead.settings.name,
         count_at(fleet, lead.settings.name),
     )
-    assert lead.held.state.losses == 0
+    assert lead.replicated_state.state.losses == 0
     return lead.settings.name
 
 
@@ -284,7 +284,7 @@
             fault.strike(fleet, name)
             await changes.make(10)
             old = next(c for c in fleet.controls() if c.epoch and c.settings.name != name)
-            backup = old.held.pair.backups[0]
+            backup = old.replicated_state.replica_set.backups[0]
             fault.mend(fleet, name)
             await asyncio.sleep(0.05)
             fleet.kill(old.settings.name, silent=True)
@@ -456,7 +456,7 @@
     for name in [n for n in disk.names() if n.startswith(("log-", "snap-"))]:
         disk.remove(name)
     disk.files[MARK] = bytearray(json.dumps(mark | {"format": 2}).encode())
-    if held.whole:
+    if held.epoch:
         disk.files["state"] = bytearray(held.dump())
     disk.kept = {n: bytes(b) for n, b in disk.files.items()}
     return held
@@ -478,7 +478,7 @@
                 disk = fleet.nodes[name].disk
                 assert disk is not None
                 held = await off_loop(partial(in_the_old_format, disk))
-                assert ("state" in disk.names()) == bool(held.whole)
+                assert ("state" in disk.names()) == bool(held.epoch)
             for name in fleet.nodes:
                 fleet.boot(name)
             await leader_with_all(fleet, changes)
@@ -549,7 +549,7 @@
             backup.journal.image = Image.of(image.position.epoch, image.position.version, tree)
             epoch = lead.epoch
             await changes.make(3)
-            assert lead.epoch == epoch and backup.held == lead.held
+            assert lead.epoch == epoch and backup.replicated_state == lead.replicated_state
             assert backup.journal.image.position == lead.journal.image.position  # type: ignore[union-attr]
 
         play(scene)
--- a/tests/control/test_voters.py
+++ b/tests/control/test_voters.py
@@ -29,7 +29,7 @@
     """The replica set whose state a member has synced."""
     member = f.nodes[name].daemon
     assert isinstance(member, ControlPlane)
-    return member.stored().pair
+    return member.stored().replica_set
 
 
 def promise_of(candidate: str, epoch: int) -> Body:
@@ -50,7 +50,7 @@
 
     candidate.ask_all = ask_with_late_answers  # type: ignore[method-assign]
     prevotes = await candidate.collect_prevotes(configuration, True)
-    prevotes = {n: a | {"promised": min(a["promised"], candidate.witness.promised)} for n, a in prevotes.items()}
+    prevotes = {n: a | {"promised": min(a["promised"], candidate.vote_record.promised)} for n, a in prevotes.items()}
     async with candidate.lock:
         got = await candidate.run_election(configuration, "primary lost", prevotes=prevotes, change_voters=True)
         assert got.is_err(), "it needs a majority of the voters before"
@@ -61,7 +61,7 @@
     """The replica set that leads: the primary leads two epochs on, granted by itself and a voter that is then wiped; the backup before has a promise
     of the epoch between, and proposes it with the new disk as voter and backup."""
     primary = await settle(f)
-    first, second = primary.settings.name, primary.held.pair.backup
+    first, second = primary.settings.name, primary.replicated_state.replica_set.backup
     third = next(n for n in ("c1", "c2", "c3") if n not in (first, second))
     epoch = primary.epoch
     isolate(f, [second])
@@ -70,10 +70,10 @@
 
     def leads_on() -> bool:
         lead = f.primary()
-        return lead is not None and lead.epoch > epoch + 1 and lead.held.pair.backups == (third,)
+        return lead is not None and lead.epoch > epoch + 1 and lead.replicated_state.replica_set.backups == (third,)
 
     assert await f.until(leads_on, RECOVERY_TIME) >= 0
-    led = leader(f).held.pair
+    led = leader(f).replicated_state.replica_set
     assert led.primary == first
     wipe(f, third)
     isolate(f, [first])
@@ -89,8 +89,8 @@
     async def scene(f: Fleet) -> Any:
         led = await propose_to_the_wiped_member(f)
         third = led.backup
-        held = f.nodes[third].daemon.held  # type: ignore[union-attr]
-        assert held.pair.epoch == led.epoch - 1 and held.pair.voters[third] != led.voters[third], held
+        held = f.nodes[third].daemon.replicated_state  # type: ignore[union-attr]
+        assert held.replica_set.epoch == led.epoch - 1 and held.replica_set.voters[third] != led.voters[third], held
         epochs = {led.primary: led.epoch}
         for _ in range(int(3 * RECOVERY_TIME)):
             await asyncio.sleep(1)
@@ -101,7 +101,7 @@
         assert await readable(f, 3) >= 0
         await asyncio.sleep(2 * DETECTION_TIME)
         disks = {c.settings.name: c.disk_id for c in f.controls()}
-        assert leader(f).held.pair.voters == disks
+        assert leader(f).replicated_state.replica_set.voters == disks
         assert (await f.ask(leader(f).settings.name, lambda c: c.read_source())).unwrap()["version"] == 3
 
     play(scene, seed)
@@ -113,17 +113,17 @@
 
     async def scene(f: Fleet) -> None:
         primary = (await settle(f)).settings.name
-        wiped = leader(f).held.pair.backup
+        wiped = leader(f).replicated_state.replica_set.backup
         wipe(f, wiped)
         await asyncio.sleep(1)
         f.boot(wiped)
 
         def repaired() -> bool:
             lead = f.primary()
-            return lead is not None and lead.held.pair.voters == current_disks(f)
+            return lead is not None and lead.replicated_state.replica_set.voters == current_disks(f)
 
         assert await f.until(repaired, RECOVERY_TIME) >= 0
-        pair = leader(f).held.pair
+        pair = leader(f).replicated_state.replica_set
         assert pair.primary == primary and pair.backups
         assert [name for name in pair.holders if pair_on_disk(f, name).previous_voters] == []
 
@@ -135,19 +135,19 @@
 
     async def scene(f: Fleet) -> None:
         primary = await settle(f)
-        before = primary.held.pair
+        before = primary.replicated_state.replica_set
         wiped = next(n for n in before.voters if n not in before)
         f.kill(before.primary, silent=True)
         await asyncio.sleep(0.2)
         wipe(f, wiped)
         f.boot(wiped)
         assert await f.until(f.primary, RECOVERY_TIME) >= 0
-        taken_over = leader(f).held.pair
+        taken_over = leader(f).replicated_state.replica_set
         assert taken_over.primary == before.backup and taken_over.voters == before.voters
 
         def repaired() -> bool:
             lead = f.primary()
-            return lead is not None and lead.held.pair.voters == before.voters | current_disks(f)
+            return lead is not None and lead.replicated_state.replica_set.voters == before.voters | current_disks(f)
 
         assert await f.until(repaired, RECOVERY_TIME) >= 0
 
--- a/tests/sim/test_broken_variants.py
+++ b/tests/sim/test_broken_variants.py
@@ -167,8 +167,10 @@
 
     async def opened(self: ControlPlane) -> None:
         await plain(self)
-        if self.held.state.manifest is not None:
-            self.held = replace(self.held, state=registry.edit(self.held.state, evacuated=[]))
+        if self.replicated_state.state.manifest is not None:
+            self.replicated_state = replace(
+                self.replicated_state, state=registry.edit(self.replicated_state.state, evacuated=[])
+            )
 
     mp.setattr(ControlPlane, "open", opened)
     mp.setattr(WorkerSelection, "barred", lambda self, configuration, server: bool(server.get("leave")))
@@ -250,13 +252,13 @@
 
 
 def answers_no_leaving(mp: pytest.MonkeyPatch) -> None:
-    plain = ControlPlane.beat_worker
+    plain = ControlPlane.record_worker_heartbeat
 
     async def beat(self: ControlPlane, who: str, standing: Any, seqno: int) -> Any:
         got = await plain(self, who, standing, seqno)
         return Err(Fault("beat", self.settings.name, "busy", SLOW)) if standing["leave"] else got
 
-    mp.setattr(ControlPlane, "beat_worker", beat)
+    mp.setattr(ControlPlane, "record_worker_heartbeat", beat)
 
 
 # --- streams
--- a/tests/support/data_directories.py
+++ b/tests/support/data_directories.py
@@ -94,9 +94,9 @@
     told: Json = as_json(
         {
             "disk": daemon.disk_id,
-            "witness": json.loads(daemon.witness.dump()),
+            "witness": json.loads(daemon.vote_record.dump()),
             "position": image.position.as_json(),
-            "held": daemon.held.raw(),
+            "held": daemon.replicated_state.raw(),
         }
     )
     return told
@@ -104,7 +104,7 @@
 
 async def write_control_change(daemon: ControlPlane) -> None:
     """Writes one change of the state, as a primary does at home."""
-    held = daemon.held
+    held = daemon.replicated_state
     assert held.state.manifest is not None
     changed = edit(held.state, evacuated=[held.state.manifest["areas"][0]])
     await daemon.store(replace(held, state=replace(changed, revision=held.state.revision + 1)))
--- a/tests/support/membership_drill.py
+++ b/tests/support/membership_drill.py
@@ -182,8 +182,12 @@
                 return ""
             if role == "primary":
                 return primary.settings.name
-            others = [c.settings.name for c in self.fleet.controls() if c.settings.name not in primary.held.pair]
-            return primary.held.pair.backup if role == "backup" else next(iter(sorted(others)), "")
+            others = [
+                c.settings.name
+                for c in self.fleet.controls()
+                if c.settings.name not in primary.replicated_state.replica_set
+            ]
+            return primary.replicated_state.replica_set.backup if role == "backup" else next(iter(sorted(others)), "")
         if role in ("owner", "mirror"):
             owner = owners(self.fleet).get(0)
             if owner is None:
@@ -455,11 +459,11 @@
         f = self.fleet
         lead = f.primary()
         if lead is not None:
-            there = lead.held.state.configuration.get("version", 0)
+            there = lead.replicated_state.state.configuration.get("version", 0)
             if there < self.version:
                 self.flaw(f"configuration {there}, but {self.version} was acknowledged")
-            if lead.held.state.losses:
-                self.flaw(f"control tells {lead.held.state.losses} losses")
+            if lead.replicated_state.state.losses:
+                self.flaw(f"control tells {lead.replicated_state.state.losses} losses")
         mine = owners(f)
         lost = [lot for lot, n in self.kept.items() if n in mine and lot not in mine[n][1].view.jobs]
         if lost:
--- a/tests/support/model_mutants.py
+++ b/tests/support/model_mutants.py
@@ -11,7 +11,7 @@
 from model.control.rules import Rules
 from model.control.state import Size
 from postpass.control import epochs
-from postpass.control.epochs import PreVote, ReplicaSet, Voters, Witness, majority, may_lead
+from postpass.control.epochs import PreVote, ReplicaSet, VoteRecord, Voters, majority, may_lead
 
 SMALL = Size(members=3, epochs=2, bases=(0,), wipes=0, reads=0, restarts=False)
 
@@ -109,17 +109,17 @@
     return "" if majority(voters, got) else "no majority answered"
 
 
-def promises_again(witness: Witness, epoch: int, who: str) -> Witness | None:
-    return replace(witness, promised=epoch, to=who) if epoch >= witness.promised else None
+def promises_again(witness: VoteRecord, epoch: int, who: str) -> VoteRecord | None:
+    return replace(witness, promised=epoch, candidate=who) if epoch >= witness.promised else None
 
 
-def promises_anything(witness: Witness, epoch: int, who: str) -> Witness | None:
-    return replace(witness, promised=epoch, to=who)
+def promises_anything(witness: VoteRecord, epoch: int, who: str) -> VoteRecord | None:
+    return replace(witness, promised=epoch, candidate=who)
 
 
-def grants_anything(witness: Witness, pair: ReplicaSet, who: str) -> Witness | None:
-    promised, to = max((witness.promised, witness.to), (pair.epoch, who))
-    return Witness(promised, to, pair)
+def grants_anything(witness: VoteRecord, pair: ReplicaSet, who: str) -> VoteRecord | None:
+    promised, to = max((witness.promised, witness.candidate), (pair.epoch, who))
+    return VoteRecord(promised, to, pair)
 
 
 def takes_an_older_state(offer: transcribed.Offer) -> bool:
--- a/tests/support/release_day.py
+++ b/tests/support/release_day.py
@@ -51,7 +51,7 @@
         primary = fleet.pick("leader")
         daemon = fleet.boxes[primary].daemon
         assert isinstance(daemon, ControlPlane)
-        machines = {"control-primary": primary, "control-backup": daemon.held.pair.backup}
+        machines = {"control-primary": primary, "control-backup": daemon.replicated_state.replica_set.backup}
         machines |= {f"store-{number}": fleet.pick(role) for number, role in enumerate(STORES, 1)}
         for name, machine in machines.items():
             disk = fleet.boxes[machine].disk
--- a/tests/support/release_keys.py
+++ b/tests/support/release_keys.py
@@ -7,7 +7,7 @@
 
 from postpass.batch.job import Job, JobView, decode_record
 from postpass.configuration.settings import BoundsFile, SettingsFile, ToleranceFile
-from postpass.control.epochs import Witness
+from postpass.control.epochs import VoteRecord
 from postpass.control.state import ReplicatedState
 from postpass.membership.registry import Entry, Standing
 from postpass.rpc.peer_links import IDL
@@ -41,7 +41,7 @@
     state = as_json(ReplicatedState().raw())
     view, _ = decode_record(JobView(jobs={"x": Job("x", 1, {"items": []}, "")}).dump())
     return {
-        "witness": list(json.loads(Witness().dump())),
+        "witness": list(json.loads(VoteRecord().dump())),
         "replicated state": list(state),
         "replica set": list(state["pair"]),
         "state": list(state["state"]),
--- a/tests/test_release_compatibility.py
+++ b/tests/test_release_compatibility.py
@@ -17,7 +17,7 @@
 from result import Err, Ok, Result
 
 from postpass.configuration.settings import Settings
-from postpass.control.epochs import ReplicaSet, Witness
+from postpass.control.epochs import ReplicaSet, VoteRecord
 from postpass.control.journal import Change
 from postpass.control.state import ReplicatedState
 from postpass.feed.messages import Poll, Stale
@@ -138,7 +138,7 @@
 @pytest.mark.parametrize("name", CONTROL)
 def test_promises_are_written_as_they_were_read(name: str) -> None:
     data = (RELEASE / name / "epochs").read_bytes()
-    assert Witness.load(data).dump() == data
+    assert VoteRecord.load(data).dump() == data
 
 
 def test_a_new_directory_is_formatted_as_the_release_did() -> None:
