--- a/postpass/control/election.py
+++ b/postpass/control/election.py
@@ -1,25 +1,25 @@
-"""How a member becomes the primary of a new epoch."""
+"""Elections: how a member becomes the primary of a new epoch. The decisions are made by `election_rules`."""
 
 from __future__ import annotations
 
 import asyncio
-from dataclasses import replace
+from collections.abc import Mapping
+from dataclasses import dataclass, replace
 
 from result import Err, Ok, Result
 
 from postpass.configuration.configuration import Configuration, check
-from postpass.control.epochs import (
-    Acknowledgement,
-    PreVote,
-    ReplicaSet,
-    Voters,
-    backups_of,
-    may_campaign,
-    may_lead,
-    previous_voters,
-    unheard_holders,
-    voters_after,
-    votes,
+from postpass.control import election_rules
+from postpass.control.election_rules import Basis, Campaign, Cause, ElectionReason, Found, Placement, Rebuild, Refused
+from postpass.control.epochs import Acknowledgement, ReplicaSet, Voters, unheard_holders, votes
+from postpass.control.messages import (
+    GRANT,
+    PREPARE,
+    GrantRequest,
+    PrepareRequest,
+    PreVoteRequest,
+    VoteAnswer,
+    newest_replica_set,
 )
 from postpass.control.replica import Replica
 from postpass.control.state import ReplicatedState
@@ -30,9 +30,29 @@
 from postpass.runtime.environment import now
 from postpass.runtime.errors import SLOW, Fault
 
+STEP = "stand"  # of the faults that an election ends with, as operators see it
+DEPOSED = "a higher epoch was promised"
+
+
+class ElectionLostError(Exception):
+    """An election ended without a new epoch for this member; its text says why."""
+
+
+@dataclass(frozen=True)
+class KnownConfiguration:
+    """A configuration that daemons hold, with its revision."""
+
+    revision: int
+    configuration: Configuration
+
 
 class Election(Replica):
-    """Runs elections; the rules themselves are pure functions in `epochs`."""
+    """Runs elections, and renews the replica set of the epoch that this member leads.
+
+    Owns `epoch` while it rises (an election won sets it; `step_down` and each renewal clear it), `unsettled_epoch`,
+    `wiped_backups` and `leading_since`; all are changed with `lock` held, but that a higher epoch may clear `epoch` at any
+    await. Decides through `election_rules` whether this member may lead, from which state, with which backups and voters.
+    """
 
     def electorate(self, configuration: Configuration) -> list[str]:
         """All that may have a vote: the members of the configuration, and the voters of the epochs known here."""
@@ -48,168 +68,192 @@
         machines = configuration["machines"]
         return {n for n in self.electorate(configuration) if n not in machines or machines[n].get("gone")}
 
-    async def collect_prevotes(self, configuration: Configuration, quick: bool = False) -> dict[str, Body]:
+    async def collect_prevotes(self, configuration: Configuration, quick: bool = False) -> dict[str, VoteAnswer]:
         """Who would back this member as the primary of a new epoch, and what each one holds; nothing is promised."""
         me = self.settings.name
         others = [n for n in self.electorate(configuration) if n != me]
-        answers = await self.ask_all("look", {"probe": 1, "who": me}, others, configuration, quick)
-        return answers | {me: self.about() | {"ok": not self.hears_another_primary(me)}}
+        answers = await self.ask_for_votes(PREPARE, PreVoteRequest(me).as_json(), others, configuration, quick)
+        return answers | {me: self.vote_answer(not self.hears_another_primary(me))}
 
-    def prevote_won(self, configuration: Configuration, answers: dict[str, Body]) -> bool:
-        """The rule of the pre-vote, by the voters of the newest epoch that an answer tells."""
-        newest = max((ReplicaSet.of(a["pair"]) for a in answers.values()), key=lambda replica_set: replica_set.epoch)
-        prevotes = [PreVote(n, str(a["disk"]), not a["ok"]) for n, a in answers.items()]
-        return may_campaign(set(self.electorate(configuration)) - self.gone(configuration), newest.voters, prevotes)
+    async def ask_for_votes(
+        self, verb: str, body: Body, names: list[str], configuration: Configuration, quick: bool = False
+    ) -> dict[str, VoteAnswer]:
+        """The answers of these members to a request of an election; those that gave none are left out."""
+        answers = await self.ask_all(verb, body, names, configuration, quick)
+        return {name: VoteAnswer.from_json(answer) for name, answer in answers.items()}
+
+    def prevote_won(self, configuration: Configuration, answers: dict[str, VoteAnswer]) -> bool:
+        """Would enough members back this one? All that may have a vote must, where the voters are not enough."""
+        return election_rules.prevote_won(set(self.electorate(configuration)) - self.gone(configuration), answers)
 
     async def collect_promises(
-        self, configuration: Configuration, epoch: int, prevotes: dict[str, Body], handover: bool
-    ) -> dict[str, Body]:
+        self, configuration: Configuration, request: PrepareRequest, prevotes: dict[str, VoteAnswer]
+    ) -> dict[str, VoteAnswer]:
         """Promises of those that answered the pre-vote. This member promises last, once enough others have: if it was frozen
         in between, the others hear another primary by now, and no epoch is spent."""
-        me = self.settings.name
-        ask: Body = {"epoch": epoch, "who": me} | ({"handover": 1} if handover else {})
-        answers = await self.ask_all("look", ask, [n for n in prevotes if n != me], configuration)
-        if not self.prevote_won(configuration, answers | {me: self.about() | {"ok": True}}):
+        me, body = self.settings.name, request.as_json()
+        answers = await self.ask_for_votes(PREPARE, body, [n for n in prevotes if n != me], configuration)
+        if not self.prevote_won(configuration, answers | {me: self.vote_answer(True)}):
             return answers
-        return answers | await self.ask_all("look", ask, [me], configuration)
+        return answers | await self.ask_for_votes(PREPARE, body, [me], configuration)
 
     async def run_election(
         self,
         configuration: Configuration,
-        why: str,
+        reason: ElectionReason,
         first: State | None = None,
-        prevotes: dict[str, Body] | None = None,
+        prevotes: dict[str, VoteAnswer] | None = None,
         handover: bool = False,
         change_voters: bool = False,
     ) -> Result[None, Fault]:
-        """Tries to become the primary of a new epoch; `first` is the state of a fleet that has none yet. A primary that
-        hands over asks for it itself, so the others still hear it. Where nobody waits for it, `change_voters` also makes
-        the next safe change of voters, and settles it before the epoch is led."""
+        """Tries to become the primary of a new epoch. Called with the lock held.
+
+        `first` is the state of a fleet that has none yet. A primary that hands over asks for the election itself, so the
+        others still hear it: `handover` tells them. Where nobody waits for it, `change_voters` also makes the next safe
+        change of voters, and settles it before the epoch is led. Raises Stop if this member's disk fails.
+        """
+        try:
+            if prevotes is None:
+                prevotes = await self.collect_prevotes(configuration)
+            if not handover and not self.prevote_won(configuration, prevotes):
+                raise ElectionLostError(election_rules.prevote_lost_why(prevotes))
+            campaign = await self.campaign(configuration, prevotes, handover)
+            basis = self.basis_of(campaign, first)
+            state = await self.first_state(configuration, campaign, basis)
+            replica_set = self.replica_set_after(configuration, campaign, basis, reason, change_voters)
+            await self.replicate_proposal(ReplicatedState(campaign.epoch, replica_set, state))
+            granted = await self.collect_grants(configuration, replica_set, list(campaign.promises))
+            await self.settle_voters_before()
+        except ElectionLostError as lost:
+            return Err(Fault(STEP, self.settings.name, str(lost), SLOW))
+        self.take_lead(replica_set, granted, reason)
+        self.report_election(campaign, basis, replica_set, reason)
+        self.publish(self.replicated_state.state)
+        # Who leads is told by the granted epoch alone; members that wait for a primary need not wait for the next heartbeat.
+        self.spawn(self.announce_epoch(campaign.epoch, configuration))
+        return Ok(None)
+
+    async def campaign(self, configuration: Configuration, prevotes: dict[str, VoteAnswer], handover: bool) -> Campaign:
+        """Asks for promises of an epoch above all that the pre-vote told; raises ElectionLostError if too few give them."""
         me = self.settings.name
-        step = "stand"
-        if prevotes is None:
-            prevotes = await self.collect_prevotes(configuration)
-        if not handover and not self.prevote_won(configuration, prevotes):
-            if all(a["whole"] == 0 and a["pair"]["epoch"] == 0 for a in prevotes.values()):
-                return Err(Fault(step, me, "a fleet is founded only when all its control machines answer", SLOW))
-            return Err(Fault(step, me, "too few voters answered that they hear no other primary", SLOW))
-        names, gone = self.electorate(configuration), self.gone(configuration)
-        epoch = max(int(a["promised"]) for a in prevotes.values()) + 1
-        looks = await self.collect_promises(configuration, epoch, prevotes, handover)
-        top = max(int(a["promised"]) for a in looks.values()) if looks else epoch
-        good = {n: a for n, a in looks.items() if a["ok"] and a["promised"] == epoch}
-        if me not in good or top > epoch:
-            return Err(Fault(step, me, f"epoch {epoch} was not promised by enough; {top} was seen", SLOW))
-        # Only now: a copy that was under way when this one promised may have been answered since.
-        start = self.replicated_state
-        voters: Voters = start.replica_set.voters
-        got = {n: str(a["disk"]) for n, a in good.items()}
-        replica_sets = {n: ReplicaSet.of(a["pair"]) for n, a in good.items()}
-        every = all(n in good for n in names if n not in gone)
-        state, loss, flaw = start.state, False, ""
-        blank = all(p.epoch == 0 for p in replica_sets.values()) and all(a["whole"] == 0 for a in good.values())
-        if blank:
-            if not every:
-                return Err(Fault(step, me, "a fleet is founded only when all its control machines answer", SLOW))
-            if self.configuration_view.manifest is not None:
-                newest = await self.newest_known(configuration)
-                if newest is None:
-                    return Err(Fault(step, me, "too few daemons confirm the newest edition", SLOW))
-                if unheard := self.unheard(newest[1], good):
-                    return Err(Fault(step, me, f"{', '.join(unheard)} may hold the newest state", SLOW))
-                state, loss = recovered(newest[0] + 1, newest[1], 1), True
-            elif first is not None:
-                state = first
-            else:
-                return Err(Fault(step, me, "nothing to begin from", SLOW))
-        else:
-            flaw = may_lead(me, start.epoch, start.replica_set, replica_sets, voters, got)
-            if flaw:
-                best = max(replica_sets.values(), key=lambda replica_set: replica_set.epoch)
-                # A voter of the newest pair that answers with that epoch's state can lead; it goes first.
-                able = [
-                    n
-                    for n, a in good.items()
-                    if a["whole"] == best.epoch and n in best and best.voters.get(n) == a["disk"]
-                ]
-                if not every or (able and able[0] != me):
-                    return Err(Fault(step, me, flaw, SLOW))
-                if not able:
-                    newest = await self.newest_known(configuration)
-                    if newest is None:
-                        return Err(Fault(step, me, "too few daemons confirm the newest edition", SLOW))
-                    if unheard := self.unheard(newest[1], good):
-                        return Err(Fault(step, me, f"{', '.join(unheard)} may hold the newest state", SLOW))
-                    revision = max(newest[0], *(a["edition"] for a in good.values())) + 1
-                    state, loss = recovered(revision, newest[1], start.state.losses + 1), True
-                elif start.epoch != best.epoch:
-                    return Err(Fault(step, me, flaw, SLOW))
-        # Without a majority of the voters before, all have answered: those are the voters from here on.
-        unopposed = blank or flaw != ""
-        leaving = [n for n, a in good.items() if a.get("leaving") and n != me]
-        topology = self.topology(configuration)
-        wanted = next_voters(voters, self.members(configuration), got, topology, leaving) if change_voters else voters
-        now_voters = got if unopposed else voters_after(start.replica_set, wanted)
-        before = {} if unopposed else previous_voters(start.replica_set, now_voters)
-        # A backup's acknowledgements count by its disk, so only one whose disk is among the voters can be a backup.
-        rest = [n for n in self.members(configuration) if n != me and n in good and now_voters.get(n) == got[n]]
-        rest = [n for n in rest if not good[n].get("leaving")] or rest
-        zone = {n: configuration["machines"][n]["area"] for n in self.members(configuration)}
-        liked = sorted(
-            rest,
-            key=lambda n: (
-                n == start.replica_set.primary and why in ("primary lost", "handed over"),
-                self.settings.announce and zone[n] == self.settings.zone,
-                self.members(configuration).index(n),
-            ),
-        )
-        backups = backups_of(
-            liked, zone if self.settings.announce else {n: n for n in liked}, self.settings.zone, self.wanted_backups
-        )
-        replica_set = ReplicaSet(epoch, me, backups, now_voters, before)
-        replicated_state = ReplicatedState(epoch, replica_set, state)
-        # The new backups hold the whole state before the epoch is granted: nothing is written in between.
+        electorate, gone = self.electorate(configuration), self.gone(configuration)
+        epoch = max(answer.promised for answer in prevotes.values()) + 1
+        answers = await self.collect_promises(configuration, PrepareRequest(me, epoch, handover), prevotes)
+        highest = max((answer.promised for answer in answers.values()), default=epoch)
+        promises = {n: answer for n, answer in answers.items() if answer.accepted and answer.promised == epoch}
+        # Case: this one was outbid, or held its own promise back because too few others gave theirs.
+        if me not in promises or highest > epoch:
+            raise ElectionLostError(f"epoch {epoch} was not promised by enough; {highest} was seen")
+        is_complete = all(n in promises for n in electorate if n not in gone)
+        # The state is read only now: an append that was under way when this one promised may have been answered since.
+        return Campaign(me, epoch, self.replicated_state, promises, is_complete)
+
+    def basis_of(self, campaign: Campaign, first: State | None) -> Basis:
+        """What the new epoch begins from; raises ElectionLostError if this member may not lead it."""
+        basis = election_rules.decide(campaign, self.configuration_view.manifest is not None, first)
+        if isinstance(basis, Refused):
+            raise ElectionLostError(basis.why)
+        return basis
+
+    async def first_state(self, configuration: Configuration, campaign: Campaign, basis: Basis) -> State:
+        """The state that the new epoch begins with; raises ElectionLostError if it must be rebuilt and can't be."""
+        if isinstance(basis, Found):
+            return basis.state
+        if not isinstance(basis, Rebuild):
+            return campaign.own.state
+        newest = await self.newest_known(configuration)
+        if newest is None:
+            raise ElectionLostError("too few daemons confirm the newest edition")
+        if unheard := self.unheard(newest.configuration, campaign.promises):
+            raise ElectionLostError(f"{', '.join(unheard)} may hold the newest state")
+        revision = max(newest.revision, basis.revision_floor) + 1
+        return recovered(revision, newest.configuration, basis.losses)
+
+    def replica_set_after(
+        self,
+        configuration: Configuration,
+        campaign: Campaign,
+        basis: Basis,
+        reason: ElectionReason,
+        change_voters: bool,
+    ) -> ReplicaSet:
+        """Who keeps the state and who votes in the new epoch."""
+        topology = self.topology(configuration) if change_voters else None
+        members, placement = self.members(configuration), self.placement(configuration)
+        voters, voters_before = election_rules.electorate_after(campaign, basis.unanimous, members, topology)
+        backups = election_rules.choose_backups(campaign, voters, placement, reason)
+        return ReplicaSet(campaign.epoch, campaign.candidate, backups, voters, voters_before)
+
+    def placement(self, configuration: Configuration) -> Placement:
+        """Where backups may stand, and how many there should be."""
+        zones = {n: configuration["machines"][n]["area"] for n in self.members(configuration)}
+        return Placement(zones, self.settings.zone, self.wanted_backups, self.settings.announce)
+
+    def check_not_deposed(self, epoch: int) -> None:
+        """Raises ElectionLostError if this member has promised a later epoch to another since."""
         if self.vote_record.promised != epoch:
-            return Err(Fault(step, me, "a higher epoch was promised", SLOW))
-        replicated_state = (await self.store(replicated_state)).replicated_state
-        self.replicated_state = replicated_state
-        if not await self.append_to_all(replicated_state, epoch):
-            return Err(Fault(step, me, f"one of the backups {', '.join(backups)} did not take the state", SLOW))
-        grants = await self.ask_all("grant", {"pair": replica_set.as_json(), "who": me}, list(good), configuration)
-        granted = votes(
-            (Acknowledgement(n, str(a["disk"]), a["pair"]["epoch"]) for n, a in grants.items() if a["ok"]), epoch
-        )
-        if not replica_set.elected_by(granted) or self.vote_record.promised != epoch:
-            return Err(Fault(step, me, "too few granted the epoch", SLOW))
+            raise ElectionLostError(DEPOSED)
+
+    async def replicate_proposal(self, proposal: ReplicatedState) -> None:
+        """Syncs the proposed state here and at the new backups, before the epoch is granted: nothing is written in between.
+        Raises ElectionLostError if one of them doesn't acknowledge it."""
+        epoch, backups = proposal.epoch, proposal.replica_set.backups
+        self.check_not_deposed(epoch)
+        # As it is on disk, with its keys in the journal's order.
+        stored = (await self.store(proposal)).replicated_state
+        self.replicated_state = stored
+        if not await self.append_to_all(stored, epoch):
+            raise ElectionLostError(f"one of the backups {', '.join(backups)} did not take the state")
+
+    async def collect_grants(
+        self, configuration: Configuration, replica_set: ReplicaSet, promised: list[str]
+    ) -> Voters:
+        """The disks that granted the epoch; raises ElectionLostError if they make no majority, or another was promised."""
+        request = GrantRequest(self.settings.name, replica_set)
+        answers = await self.ask_for_votes(GRANT, request.as_json(), promised, configuration)
+        grants = (answer.acknowledgement(name) for name, answer in answers.items() if answer.accepted)
+        granted = votes(grants, replica_set.epoch)
+        if not replica_set.elected_by(granted) or self.vote_record.promised != replica_set.epoch:
+            raise ElectionLostError("too few granted the epoch")
+        return granted
+
+    async def settle_voters_before(self) -> None:
+        """Where the granted epoch changes the voters: writes those before off, at all holders; raises ElectionLostError if a
+        later epoch was promised meanwhile."""
         self.unsettled_epoch = 0
-        if replica_set.previous_voters:
-            self.replicated_state, self.unsettled_epoch = (
-                replace(replicated_state, replica_set=replica_set.settled()),
-                epoch,
-            )
-            await self.settle()
-            if self.vote_record.promised != epoch:
-                return Err(Fault(step, me, "a higher epoch was promised", SLOW))
-        self.epoch, self.backup_heard, self.leader = epoch, dict.fromkeys(backups, now()), me
+        proposal = self.replicated_state
+        if not proposal.replica_set.previous_voters:
+            return
+        self.replicated_state = replace(proposal, replica_set=proposal.replica_set.settled())
+        self.unsettled_epoch = proposal.epoch
+        await self.settle()
+        self.check_not_deposed(proposal.epoch)
+
+    def take_lead(self, replica_set: ReplicaSet, granted: Voters, reason: ElectionReason) -> None:
+        """From here on this member is the primary of a granted epoch."""
+        self.epoch, self.leader = replica_set.epoch, self.settings.name
+        self.backup_heard = dict.fromkeys(replica_set.backups, now())
         self.wiped_backups.clear()
-        self.voter_heard = {n: now() for n, d in now_voters.items() if granted.get(n) == d}
+        self.voter_heard = {n: now() for n, disk in replica_set.voters.items() if granted.get(n) == disk}
         self.announce_leader()
-        if why not in ("backup lost", "too few backups") and not why.startswith("voters"):
+        if not reason.renews:
             self.leading_since, self.worker_heartbeats = now(), {}
+
+    def report_election(
+        self, campaign: Campaign, basis: Basis, replica_set: ReplicaSet, reason: ElectionReason
+    ) -> None:
+        """Logs the epoch that was won, whether state was lost for it, and which disks got a vote by it."""
         log_events.emit(
-            133 if loss else 130,
+            133 if isinstance(basis, Rebuild) else 130,
             self.settings.name,
-            epoch=epoch,
-            backup=",".join(backups),
-            revision=state.revision,
-            why=why,
+            epoch=replica_set.epoch,
+            backup=",".join(replica_set.backups),
+            revision=self.replicated_state.state.revision,
+            why=reason,
         )
-        for name in sorted(set(now_voters) - {n for n, d in voters.items() if now_voters.get(n) == d}):
+        before = campaign.own.replica_set.voters
+        for name in sorted(n for n, disk in replica_set.voters.items() if before.get(n) != disk):
             log_events.emit(134, self.settings.name, joins=name)
-        self.publish(self.replicated_state.state)
-        # Who leads is told by the granted epoch alone; members that wait for a primary need not wait for the next beat.
-        self.spawn(self.announce_epoch(epoch, configuration))
-        return Ok(None)
 
     async def announce_epoch(self, epoch: int, configuration: Configuration) -> None:
         """One heartbeat at once, so that all members hear of a granted epoch."""
@@ -230,20 +274,22 @@
             configuration = self.known()
             if attempt or configuration is None or replica_set.copied_to_all(answers):
                 return False
-            await self.renew_replica_set(configuration, "backup lost", quick=True)
+            await self.renew_replica_set(configuration, ElectionReason(Cause.BACKUP_LOST), quick=True)
         return False
 
-    async def renew_replica_set(self, configuration: Configuration, why: str, quick: bool = False) -> None:
+    async def renew_replica_set(
+        self, configuration: Configuration, reason: ElectionReason, quick: bool = False
+    ) -> None:
         """Leads on under a new epoch, if most voters still hear no other primary. Called with the lock held."""
         epoch = self.epoch
         prevotes = await self.collect_prevotes(configuration, quick)
         if not epoch or self.epoch != epoch or not self.prevote_won(configuration, prevotes):
             return
         self.epoch = 0
-        got = await self.run_election(configuration, why, prevotes=prevotes, change_voters=not quick)
+        got = await self.run_election(configuration, reason, prevotes=prevotes, change_voters=not quick)
         if isinstance(got, Ok):
             log_events.emit(
-                132, self.settings.name, backup=",".join(self.replicated_state.replica_set.backups), why=why
+                132, self.settings.name, backup=",".join(self.replicated_state.replica_set.backups), why=reason
             )
         else:
             self.leader_silent_since = now() - self.settings.bounds.detect
@@ -260,9 +306,9 @@
         after = next_voters(voters, self.members(configuration), answered, self.topology(configuration), leaving)
         return sorted(n for n in {*voters, *after} if voters.get(n) != after.get(n))
 
-    def unheard(self, configuration: Configuration, answers: dict[str, Body]) -> list[str]:
+    def unheard(self, configuration: Configuration, answers: Mapping[str, VoteAnswer]) -> list[str]:
         """Who might hold a newer state than those that answered, by the newest configuration in force."""
-        newest = max((ReplicaSet.of(a["pair"]) for a in answers.values()), key=lambda replica_set: replica_set.epoch)
+        newest = newest_replica_set(answers)
         known = {*self.electorate(configuration), *newest.voters, *newest.holders}
         dropped = {n for n in known if n not in configuration["machines"] or configuration["machines"][n].get("gone")}
         # Where machines announce themselves it was no operator that dropped them.
@@ -275,50 +321,29 @@
         return max(1, self.settings.disks_lost)
 
     def better_replica_set(self, configuration: Configuration, answered: list[str]) -> bool:
-        """Could there be more backups, or copies in more areas, with those that answered?"""
-        replica_set, zone = (
-            self.replicated_state.replica_set,
-            {n: configuration["machines"][n]["area"] for n in self.members(configuration)},
-        )
-        if len(replica_set.backups) < self.wanted_backups:
-            return bool(set(answered) - set(replica_set.holders))
-        if not self.settings.announce:
-            return False
-        there = [*replica_set.backups, *answered]
-        if not set(replica_set.backups) <= set(zone):
-            return True
-        best = backups_of(there, zone, self.settings.zone, self.wanted_backups)
-        return len({self.settings.zone, *(zone[n] for n in best)}) > len(
-            {self.settings.zone, *(zone[n] for n in replica_set.backups)}
-        )
+        """Could there be more backups, or copies in more zones, with those that answered?"""
+        return election_rules.better_backups(self.replicated_state.replica_set, answered, self.placement(configuration))
 
-    async def newest_known(self, configuration: Configuration) -> tuple[int, Configuration] | None:
-        """The newest edition that daemons hold, once most of them have been heard."""
+    async def newest_known(self, configuration: Configuration) -> KnownConfiguration | None:
+        """The newest configuration that daemons hold; None unless most of them have been heard."""
         names = [n for n, m in configuration["machines"].items() if not m.get("gone") and n != self.settings.name]
+        poll = {"after": 0, "wait": 0}
         got = await asyncio.gather(*(
-            self.peer_links.call(configuration["machines"][n]["peer"], "follow", {"after": 0, "wait": 0}, self.settings.bounds.promise)
+            self.peer_links.call(configuration["machines"][n]["peer"], "follow", poll, self.settings.bounds.promise)
             for n in names
         ))  # fmt: skip
-        seen = [g.unwrap() for g in got if isinstance(g, Ok)]
-        if 2 * (len(seen) + 1) <= len(names) + 1:
+        answers = [g.unwrap() for g in got if isinstance(g, Ok)]
+        if 2 * (len(answers) + 1) <= len(names) + 1:
             return None
-        best: tuple[int, Configuration] | None = (
-            (self.configuration_view.revision, self.configuration_view.manifest)
-            if self.configuration_view.manifest
-            else None
-        )
-        for body in seen:
-            if "snapshot" in body and (best is None or body["edition"] > best[0]) and check(body["snapshot"]).is_ok():
-                best = (body["edition"], body["snapshot"])
+        mine = self.configuration_view
+        best = KnownConfiguration(mine.revision, mine.manifest) if mine.manifest else None
+        for body in answers:
+            is_newer = "snapshot" in body and (best is None or body["edition"] > best.revision)
+            if is_newer and check(body["snapshot"]).is_ok():
+                best = KnownConfiguration(body["edition"], body["snapshot"])
         return best
 
-    def may_try_to_lead(self, configuration: Configuration, every: dict[str, Body]) -> bool:
-        """Is it this one's turn to try? One that can't lead would only burn epochs of one that can."""
-        best = max((ReplicaSet.of(a["pair"]) for a in every.values()), key=lambda replica_set: replica_set.epoch)
-        if self.replicated_state.epoch >= best.epoch or (
-            self.settings.name in best and best.voters.get(self.settings.name) == self.disk_id
-        ):
-            return True
-        able = [n for n, a in every.items() if n in best and best.voters.get(n) == a["disk"]]
-        # Of a pair that both lost their disks, anyone may go on, once all have told so.
-        return not able and all(n in every for n in self.members(configuration))
+    def may_try_to_lead(self, configuration: Configuration, answers: dict[str, VoteAnswer]) -> bool:
+        """Is it this one's turn to run for election?"""
+        state_epoch, members = self.replicated_state.epoch, self.members(configuration)
+        return election_rules.may_run(self.settings.name, self.disk_id, state_epoch, members, answers)
--- a/postpass/control/leadership.py
+++ b/postpass/control/leadership.py
@@ -7,8 +7,10 @@
 from result import Err, Ok
 
 from postpass.configuration.configuration import Configuration
-from postpass.control.epochs import Acknowledgement, ReplicaSet, in_touch, majority
+from postpass.control.election_rules import Cause, ElectionReason, restart_turn
+from postpass.control.epochs import Acknowledgement, in_touch
 from postpass.control.member import INFINITY
+from postpass.control.messages import ADOPT, AdoptAnswer, AdoptRequest, VoteAnswer
 from postpass.control.registry import Registry
 from postpass.membership.safe_change import gives_up_vote
 from postpass.rpc.peer_links import Body, PeerResponse
@@ -50,28 +52,30 @@
         if configuration.get("announced"):
             self.machine_heartbeats |= dict.fromkeys([self.settings.name, *(a.member for a in answers)], now())
             self.spawn(self.reconcile())
-        why = self.flaw_of_replica_set(configuration, answers)
-        if why:
+        reason = self.flaw_of_replica_set(configuration, answers)
+        if reason is not None:
             async with self.lock:
                 if self.epoch == epoch:
-                    await self.renew_replica_set(configuration, why)
+                    await self.renew_replica_set(configuration, reason)
         elif self.unsettled_epoch == epoch and not self.lock.locked():
             async with self.lock:
                 await self.settle()
 
-    def flaw_of_replica_set(self, configuration: Configuration, answers: list[Acknowledgement]) -> str:
-        """Why another replica set or other voters are wanted; empty if they are not."""
+    def flaw_of_replica_set(
+        self, configuration: Configuration, answers: list[Acknowledgement]
+    ) -> ElectionReason | None:
+        """Why another replica set or other voters are wanted; None if they are not."""
         oldest = now() - self.settings.bounds.detect
         if (
             self.wiped_backups
             or self.backup_is_leaving(answers)
             or any(at < oldest for at in self.backup_heard.values())
         ):
-            return "backup lost"
+            return ElectionReason(Cause.BACKUP_LOST)
         if self.better_replica_set(configuration, [a.member for a in answers]):
-            return "too few backups"
+            return ElectionReason(Cause.TOO_FEW_BACKUPS)
         changed = self.voters_to_change(configuration, answers)
-        return f"voters {changed}" if changed else ""
+        return ElectionReason(Cause.VOTERS_CHANGE, tuple(changed)) if changed else None
 
     def backup_is_leaving(self, answers: list[Acknowledgement]) -> bool:
         """Was a backup told to leave, while another member could hold the state in its place?"""
@@ -82,33 +86,38 @@
     async def lead_after_restart(self) -> None:
         """After a start: where most have started as well and nobody has heard a primary since, there is none to wait for.
 
-        The primary of the newest epoch stands at once. Each backup lets those before it, for a beat, unless it is seen that they
-        lost their disks; anyone else leaves it to the ordinary watch. A mistake costs an epoch and no more.
+        The primary of the newest epoch runs for election at once. Each backup lets those before it, for a heartbeat, unless
+        it is seen that they lost their disks; anyone else leaves it to the ordinary watch. A mistake costs an epoch and no
+        more.
         """
-        b, began, seen = self.settings.bounds, now(), INFINITY
-        while now() - began < b.detect and not (self.epoch or self.leaving) and self.leader_heard < began:
-            configuration, me = self.known(), self.settings.name
-            if configuration is not None and self.replicated_state.epoch and me in self.members(configuration):
-                every = await self.collect_prevotes(configuration, True)
-                if any(not a["ok"] for a in every.values()):
+        bounds, began, able_since = self.settings.bounds, now(), INFINITY
+        while now() - began < bounds.detect and not (self.epoch or self.leaving) and self.leader_heard < began:
+            configuration = self.known()
+            if configuration is not None and self.may_lead_after_restart(configuration):
+                answers = await self.collect_prevotes(configuration, True)
+                if any(not answer.accepted for answer in answers.values()):
                     return
-                best = max((ReplicaSet.of(a["pair"]) for a in every.values()), key=lambda p: p.epoch)
-                got = {n: str(a["disk"]) for n, a in every.items()}
-                able = [n for n in best.holders if n in got and best.voters.get(n) == got[n]]
-                if majority(best.voters, got) and me in able and self.replicated_state.epoch == best.epoch:
-                    seen = min(seen, now())
-                    # The primary went first if its disk is here; one that is not heard yet may be starting.
-                    first = all(n in got for n in best.holders[: best.holders.index(me)])
-                    if (me == able[0] and first) or now() - seen > b.beat * best.holders.index(me):
-                        async with self.lock:
-                            done = (
-                                await self.run_election(configuration, "restarted", prevotes=every)
-                                if not self.epoch and self.leader_heard < began
-                                else Ok(None)
-                            )
-                        if isinstance(done, Ok):
+                turn = restart_turn(self.settings.name, self.replicated_state.epoch, answers)
+                if turn is not None:
+                    able_since = min(able_since, now())
+                    if turn.is_first or now() - able_since > bounds.beat * turn.rank:
+                        if await self.run_after_restart(configuration, answers, began):
                             return
-            await asyncio.sleep(b.beat / 4 * (0.8 + 0.4 * self.environment.chance.random()))
+            await asyncio.sleep(bounds.beat / 4 * (0.8 + 0.4 * self.environment.chance.random()))
+
+    def may_lead_after_restart(self, configuration: Configuration) -> bool:
+        """Does this member hold a state, and is it a member of the configuration it knows?"""
+        return self.replicated_state.epoch > 0 and self.settings.name in self.members(configuration)
+
+    async def run_after_restart(
+        self, configuration: Configuration, answers: dict[str, VoteAnswer], began: float
+    ) -> bool:
+        """True once there is a primary since `began`: this one, or another that was heard meanwhile."""
+        async with self.lock:
+            if self.epoch or self.leader_heard >= began:
+                return True
+            reason = ElectionReason(Cause.RESTARTED)
+            return isinstance(await self.run_election(configuration, reason, prevotes=answers), Ok)
 
     async def watch_for_leader(self, configuration: Configuration) -> None:
         """Takes over if no primary is heard: those of the pair first, then in the agreed order."""
@@ -135,7 +144,7 @@
             if not self.prevote_won(configuration, prevotes) or not self.may_try_to_lead(configuration, prevotes):
                 self.leader_silent_since = now() - b.detect + b.stagger * self.environment.chance.random()
                 return
-            got = await self.run_election(configuration, "primary lost", prevotes=prevotes)
+            got = await self.run_election(configuration, ElectionReason(Cause.PRIMARY_LOST), prevotes=prevotes)
             if isinstance(got, Err):
                 self.leader_silent_since = now() - b.detect + b.stagger * self.environment.chance.random()
 
@@ -154,7 +163,9 @@
                 return
             if not handed_over and self.settings.name == self.vote_record.replica_set.primary:
                 async with self.lock:
-                    got = await self.run_election(configuration, "too few backups", change_voters=True)
+                    got = await self.run_election(
+                        configuration, ElectionReason(Cause.TOO_FEW_BACKUPS), change_voters=True
+                    )
                 if isinstance(got, Err):
                     await asyncio.sleep(self.settings.bounds.promise)
             await asyncio.sleep(self.settings.bounds.beat / 4)
@@ -182,21 +193,22 @@
             self.epoch = 0
             log_events.emit(131, self.settings.name, epoch=epoch, seen="handed over")
         for addr in addrs:
-            got = await self.peer_links.call(addr, "adopt", {"epoch": epoch}, self.settings.bounds.promise)
-            if isinstance(got, Ok) and got.unwrap()["ok"]:
+            request = AdoptRequest(epoch)
+            got = await self.peer_links.call(addr, ADOPT, request.as_json(), self.settings.bounds.promise)
+            if isinstance(got, Ok) and AdoptAnswer.from_json(got.unwrap()).accepted:
                 return True
         return False
 
     async def on_adopt(self, body: Body) -> PeerResponse:
-        """The primary of an epoch leaves and won't write under it again: a backup may stand at once."""
-        configuration = self.known()
+        """The primary of an epoch leaves and won't write under it again: a backup may run for election at once."""
+        request, configuration = AdoptRequest.from_json(body), self.known()
         async with self.lock:
             if (
                 configuration is None
                 or self.epoch
-                or self.replicated_state.epoch != body["epoch"]
+                or self.replicated_state.epoch != request.epoch
                 or self.settings.name not in self.replicated_state.replica_set.backups
             ):
-                return Ok({"ok": False})
-            got = await self.run_election(configuration, "handed over", handover=True)
-        return Ok({"ok": isinstance(got, Ok)})
+                return Ok(AdoptAnswer(False).as_json())
+            got = await self.run_election(configuration, ElectionReason(Cause.HANDED_OVER), handover=True)
+        return Ok(AdoptAnswer(isinstance(got, Ok)).as_json())
--- a/postpass/control/member.py
+++ b/postpass/control/member.py
@@ -13,8 +13,9 @@
 from postpass.configuration.configuration import Configuration, with_duty
 from postpass.configuration.settings import Settings
 from postpass.control.changes import Edit
-from postpass.control.epochs import ReplicaSet, VoteRecord
+from postpass.control.epochs import VoteRecord
 from postpass.control.journal import Change, Image, StateJournal
+from postpass.control.messages import GrantRequest, PreVoteRequest, VoteAnswer, prepare_request_of
 from postpass.control.state import Committed, ReplicatedState
 from postpass.daemon.process import Daemon
 from postpass.membership.registry import State, Translator
@@ -210,25 +211,29 @@
         self.closed.set()
         return self.failed
 
-    def about(self) -> Body:
-        return {
-            "disk": self.disk_id, "promised": self.vote_record.promised, "pair": self.vote_record.replica_set.as_json(),
-            "whole": self.replicated_state.epoch, "edition": self.replicated_state.state.revision, "news": self.configuration_view.revision,
-            "leaving": self.leaving,
-        }  # fmt: skip
+    def vote_answer(self, accepted: bool) -> VoteAnswer:
+        """What this member tells of itself when it is asked for a vote."""
+        return VoteAnswer(
+            accepted=accepted,
+            disk=self.disk_id,
+            promised=self.vote_record.promised,
+            replica_set=self.vote_record.replica_set,
+            state_epoch=self.replicated_state.epoch,
+            state_revision=self.replicated_state.state.revision,
+            known_revision=self.configuration_view.revision,
+            leaving=self.leaving,
+        )
 
     async def on_look(self, body: Body) -> PeerResponse:
-        hears_primary = self.hears_another_primary(body.get("who", ""))
-        if body.get("probe"):
-            return Ok(self.about() | {"ok": not hears_primary})
-        if hears_primary and not body.get("handover"):
+        """A candidate asks for a pre-vote, which promises nothing, or for a promise."""
+        request = prepare_request_of(body)
+        hears_primary = self.hears_another_primary(request.candidate)
+        if isinstance(request, PreVoteRequest):
+            return Ok(self.vote_answer(not hears_primary).as_json())
+        if hears_primary and not request.handover:
             # The pre-vote is past: whoever asks was frozen since, or this one heard the primary again.
-            return Ok(self.about() | {"ok": False})
-        new = self.vote_record.prepare(body["epoch"], body["who"])
-        if new is None:
-            return Ok(self.about() | {"ok": False})
-        self.yield_to_candidate()
-        return await self.promise(new)
+            return Ok(self.vote_answer(False).as_json())
+        return await self.vote(self.vote_record.prepare(request.epoch, request.candidate))
 
     def yield_to_candidate(self) -> None:
         """Whoever asks may soon lead: this one's own try can wait for that. It is no primary yet, and is not taken for one."""
@@ -241,14 +246,19 @@
         return self.leader != candidate and now() - self.leader_heard < self.settings.bounds.detect * 0.9
 
     async def on_grant(self, body: Body) -> PeerResponse:
-        new = self.vote_record.grant(ReplicaSet.of(body["pair"]), body["who"])
-        if new is None:
-            return Ok(self.about() | {"ok": False})
+        """A candidate whose backups hold the state asks this member to grant its epoch."""
+        request = GrantRequest.from_json(body)
+        return await self.vote(self.vote_record.grant(request.replica_set, request.candidate))
+
+    async def vote(self, record: VoteRecord | None) -> PeerResponse:
+        """Answers a request that leads to this record of votes; None if it must be refused."""
+        if record is None:
+            return Ok(self.vote_answer(False).as_json())
         self.yield_to_candidate()
-        return await self.promise(new)
+        return await self.promise(record)
 
     async def promise(self, new: VoteRecord) -> PeerResponse:
-        """Answers once the promise is on disk."""
+        """Answers once the record of votes is on disk; a promise above the epoch led ends this member's leadership."""
         self.vote_record = new
         if self.epoch and new.promised > self.epoch:
             self.step_down(new.promised)
@@ -257,7 +267,7 @@
         except Stop as bad:
             return Err(bad.fault)
         self.promise_on_disk = max(self.promise_on_disk, new.promised)
-        return Ok(self.about() | {"ok": self.vote_record == new})
+        return Ok(self.vote_answer(self.vote_record == new).as_json())
 
     def step_down(self, seen: int | str) -> None:
         """Leads no more: a higher epoch was seen, or what else the event tells."""
--- a/postpass/control/orders.py
+++ b/postpass/control/orders.py
@@ -11,6 +11,7 @@
 from postpass.configuration.configuration import Configuration, check, dump, members, with_duty
 from postpass.control.changes import Fold
 from postpass.control.configuration import ConfigurationChange
+from postpass.control.election_rules import Cause, ElectionReason
 from postpass.control.leadership import Leadership
 from postpass.membership import registry
 from postpass.membership.registry import State
@@ -61,7 +62,7 @@
             return Err(Fault(step, me, "not the primary", MOVED, hint))
         if me not in self.members(configuration):
             return Err(Fault(step, me, f"machines: {me} is not a control machine of this manifest", SHED))
-        found = await self.run_election(configuration, "founded", State(1, configuration))
+        found = await self.run_election(configuration, ElectionReason(Cause.FOUNDED), State(1, configuration))
         if isinstance(found, Err):
             return found
         return Ok({"edition": 1})
--- a/postpass/control/registry.py
+++ b/postpass/control/registry.py
@@ -3,12 +3,15 @@
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Mapping
 
 from result import Err, Ok, Result
 
 from postpass.configuration.configuration import Configuration, with_duty
+from postpass.control.election_rules import Cause, ElectionReason
 from postpass.control.feed import Feed
 from postpass.control.member import INFINITY
+from postpass.control.messages import HEAR, HeartbeatReport, HeartbeatReportAnswer
 from postpass.membership import registry
 from postpass.membership.registry import Entry, Standing, State
 from postpass.rpc.peer_links import Body, PeerResponse
@@ -19,6 +22,11 @@
 MOST_DRAINED = 4096  # workers whose acknowledged leaving a member remembers
 
 
+def recent_ages(heard: Mapping[str, float], clock: float, horizon: float) -> dict[str, float]:
+    """Seconds since each name was heard, rounded to milliseconds; those that were not heard within `horizon` are left out."""
+    return {name: round(clock - at, 3) for name, at in heard.items() if clock - at < horizon}
+
+
 class Registry(Feed):
     """Keeps the registry of machines and workers."""
 
@@ -39,7 +47,9 @@
                 entries: list[Entry] = [self.entry(), *(g.unwrap()["entry"] for g in got)]
                 configuration = registry.founded(entries, self.settings.zones, self.settings.disks_lost)
                 async with self.lock:
-                    done = await self.run_election(configuration, "founded", State(1, configuration))
+                    done = await self.run_election(
+                        configuration, ElectionReason(Cause.FOUNDED), State(1, configuration)
+                    )
                 if isinstance(done, Ok):
                     log_events.emit(135, self.settings.name, machines=",".join(e["name"] for e in entries))
                     return
@@ -65,8 +75,8 @@
         return Ok({"edition": got.unwrap()})
 
     async def report(self) -> None:
-        """Tells the primary whom this machine has heard, so that nobody is missed who beats elsewhere."""
-        b, period = self.settings.bounds, self.settings.beat / 2
+        """Tells the primary whom this machine has heard, so that nobody is missed whose heartbeats go elsewhere."""
+        bounds, period = self.settings.bounds, self.settings.beat / 2
         while True:
             await asyncio.sleep(period * (0.8 + 0.4 * self.environment.chance.random()))
             if self.epoch:
@@ -75,28 +85,32 @@
             addr = self.addr(self.leader)
             if not addr:
                 continue
-            t = now()
-            ages: Body = {
-                key: {n: round(t - at, 3) for n, at in seen.items() if t - at < 2 * self.settings.beat + period}
-                for key, seen in (("beats", self.worker_heartbeats), ("spoke", self.machine_heartbeats))
-            }
-            got = await self.peer_links.call(addr, "hear", ages | {"who": self.settings.name}, min(period, b.beat * 2))
-            if isinstance(got, Ok) and got.unwrap()["leads"]:
-                self.reported_at = t
-            self.worker_heartbeats = {
-                n: at for n, at in self.worker_heartbeats.items() if t - at < 8 * self.settings.beat
-            }
-            self.machine_heartbeats = {
-                n: at for n, at in self.machine_heartbeats.items() if t - at < 8 * self.settings.beat
-            }
+            asked = now()
+            horizon = 2 * self.settings.beat + period
+            report = HeartbeatReport(
+                recent_ages(self.worker_heartbeats, asked, horizon),
+                recent_ages(self.machine_heartbeats, asked, horizon),
+                self.settings.name,
+            )
+            got = await self.peer_links.call(addr, HEAR, report.as_json(), min(period, bounds.beat * 2))
+            if isinstance(got, Ok) and HeartbeatReportAnswer.from_json(got.unwrap()).leads:
+                self.reported_at = asked
+            kept = 8 * self.settings.beat
+            self.worker_heartbeats = {n: at for n, at in self.worker_heartbeats.items() if asked - at < kept}
+            self.machine_heartbeats = {n: at for n, at in self.machine_heartbeats.items() if asked - at < kept}
 
     async def on_hear(self, body: Body) -> PeerResponse:
-        if "who" in body:
-            self.member_reports[body["who"]] = now()
-        for key, seen in (("beats", self.worker_heartbeats), ("spoke", self.machine_heartbeats)):
-            for name, age in body[key].items():
-                seen[name] = max(seen.get(name, -INFINITY), now() - float(age))
-        return Ok({"leads": self.epoch > 0})
+        """Takes another member's report of whom it heard, into what was heard here."""
+        report = HeartbeatReport.from_json(body)
+        if report.member:
+            self.member_reports[report.member] = now()
+        for ages, heard in (
+            (report.worker_ages, self.worker_heartbeats),
+            (report.machine_ages, self.machine_heartbeats),
+        ):
+            for name, age in ages.items():
+                heard[name] = max(heard.get(name, -INFINITY), now() - float(age))
+        return Ok(HeartbeatReportAnswer(self.epoch > 0).as_json())
 
     def note_newcomers(self, configuration: Configuration) -> None:
         """Remembers when each machine came, as every member sees it: whoever leads next has to know which are new."""
--- a/postpass/control/replica.py
+++ b/postpass/control/replica.py
@@ -10,6 +10,7 @@
 from postpass.control.contact import Contact
 from postpass.control.epochs import Acknowledgement, ReplicaSet
 from postpass.control.journal import Change, Image, JournalError
+from postpass.control.messages import APPEND, AppendAnswer, AppendRequest
 from postpass.control.state import ReplicatedState
 from postpass.membership.registry import State
 from postpass.rpc.peer_links import Body, PeerResponse
@@ -24,30 +25,31 @@
     async def on_copy(self, body: Body) -> PeerResponse:
         """From the primary, or from a candidate to its backups: the state to sync, or just a heartbeat under the epoch.
         Nothing of an epoch is accepted before the promise of that epoch is on disk."""
-        # Releases before 0.3 don't tell whether their epoch is granted, and take every sender for a primary.
-        granted = bool(body.get("granted", True))
-        accepted = self.vote_record.accept(body["epoch"], body.get("who", ""), granted)
+        request = AppendRequest.from_json(body)
+        accepted = self.vote_record.accept(request.epoch, request.sender, request.granted)
         if accepted is None:
-            return self.append_answer(body, False)
+            return self.append_answer(request, False)
         if accepted.promised > self.promise_on_disk:
             promised = await self.promise(accepted)
             if isinstance(promised, Err):
                 return promised
-            if body["epoch"] < self.vote_record.promised:
-                return self.append_answer(body, False)
-        if granted:
-            self.follow_leader(body.get("who", ""))
-        if "held" in body or "change" in body:
+            if request.epoch < self.vote_record.promised:
+                return self.append_answer(request, False)
+        if request.granted:
+            self.follow_leader(request.sender)
+        if not request.is_heartbeat:
             try:
-                taken = await (self.take_change(body) if "change" in body else self.take_state(body))
+                is_synced = await (
+                    self.take_change(request) if request.change_json is not None else self.take_state(request)
+                )
             except Stop as bad:
                 return Err(bad.fault)
-            if not taken or body["epoch"] < self.vote_record.promised:
-                return self.append_answer(body, False)
+            if not is_synced or request.epoch < self.vote_record.promised:
+                return self.append_answer(request, False)
             self.replicated_state = self.stored()
-        if granted:
-            self.learn_version(body)
-        return self.append_answer(body, True)
+        if request.granted:
+            self.learn_version(request)
+        return self.append_answer(request, True)
 
     def follow_leader(self, name: str) -> None:
         """The primary of a granted epoch was heard."""
@@ -55,9 +57,9 @@
         self.leader = name
         self.announce_leader()
 
-    async def take_state(self, body: Body) -> bool:
+    async def take_state(self, request: AppendRequest) -> bool:
         """Syncs a whole state, unless a newer one is held."""
-        new = ReplicatedState.of(body["held"])
+        new = request.state()
         if new.replica_set.voters.get(self.settings.name) != self.disk_id:
             # Meant for the disk that this member had before; it may have been under way since then.
             return False
@@ -66,11 +68,11 @@
         await self.write_journal(self.journal.replace(Image.of(new.epoch, new.state.revision, new.raw())))
         return True
 
-    async def take_change(self, body: Body) -> bool:
+    async def take_change(self, request: AppendRequest) -> bool:
         """Syncs a change if exactly the state that it builds on is held here; if not, the primary sends the whole."""
         try:
-            change = Change.from_json(body["change"])
-            if change.base.epoch != body["epoch"] or change.position.epoch != body["epoch"]:
+            change = request.change()
+            if change.base.epoch != request.epoch or change.position.epoch != request.epoch:
                 return False
             await self.write_journal(self.journal.append(change))
         except JournalError as error:
@@ -78,27 +80,24 @@
             return False
         return True
 
-    def learn_version(self, body: Body) -> None:
+    def learn_version(self, request: AppendRequest) -> None:
         """The primary tells the edition in force: publishes it, or fetches it if this member has no copy of it."""
-        revision = body.get("edition", 0)
+        revision = request.revision
         if revision <= self.configuration_view.revision:
             return
-        if self.replicated_state.epoch == body["epoch"] and self.replicated_state.state.revision == revision:
+        if self.replicated_state.epoch == request.epoch and self.replicated_state.state.revision == revision:
             self.publish(self.replicated_state.state)
-        elif at := self.addr(body["who"]) or body.get("at", ""):
+        elif at := self.addr(request.sender) or request.address:
             task = asyncio.create_task(self.fetch(at))
             self.fetches.add(task)
             task.add_done_callback(self.fetches.discard)
 
-    def append_answer(self, body: Body, ok: bool) -> PeerResponse:
-        answer: Body = {
-            "ok": ok, "epoch": body["epoch"], "promised": self.vote_record.promised, "disk": self.disk_id,
-            "leaving": self.leaving,
-        }  # fmt: skip
+    def append_answer(self, request: AppendRequest, accepted: bool) -> PeerResponse:
+        """The answer to an append; where a change came, with the position of the state that is held."""
         image = self.journal.image
-        if "change" in body and image is not None:
-            answer["holds"] = image.position.as_json()
-        return Ok(answer)
+        position = image.position if request.change_json is not None and image is not None else None
+        answer = AppendAnswer(accepted, request.epoch, self.vote_record.promised, self.disk_id, self.leaving, position)
+        return Ok(answer.as_json())
 
     async def append_to(
         self, replicated_state: ReplicatedState | None, epoch: int, to: str, change: Change | None = None
@@ -107,32 +106,32 @@
         addr = self.addr(to)
         if not addr:
             return None
-        body: Body = {
-            "epoch": epoch, "who": self.settings.name, "edition": self.configuration_view.revision, "at": self.settings.peer,
-            "granted": self.epoch == epoch,
-        }  # fmt: skip
-        if change is not None:
-            body["change"] = change.as_json()
-        elif replicated_state:
-            body["held"] = replicated_state.raw()
+        request = AppendRequest(
+            epoch=epoch,
+            sender=self.settings.name,
+            revision=self.configuration_view.revision,
+            address=self.settings.peer,
+            granted=self.epoch == epoch,
+            change_json=change.as_json() if change is not None else None,
+            state_json=replicated_state.raw() if change is None and replicated_state is not None else None,
+        )
         # Where machines announce themselves another backup is soon found; an order doesn't wait long for this one.
         wait = self.settings.bounds.promise / (2 if self.settings.announce else 1)
-        got = await self.peer_links.call(addr, "copy", body, wait)
+        got = await self.peer_links.call(addr, APPEND, request.as_json(), wait)
         if isinstance(got, Err):
             return None
-        answer, replica_set = got.unwrap(), self.replicated_state.replica_set
-        if answer["promised"] > epoch and self.epoch == epoch:
-            self.step_down(answer["promised"])
-        if epoch == self.epoch and to in replica_set.backups and replica_set.voters.get(to) != answer["disk"]:
+        answer, replica_set = AppendAnswer.from_json(got.unwrap(), epoch), self.replicated_state.replica_set
+        if answer.promised > epoch and self.epoch == epoch:
+            self.step_down(answer.promised)
+        if epoch == self.epoch and to in replica_set.backups and replica_set.voters.get(to) != answer.disk:
             self.wiped_backups.add(to)
-        elif change is not None and not (answer["ok"] and answer.get("holds") == change.position.as_json()):
+        elif change is not None and not (answer.accepted and answer.position == change.position):
             # It held another state, or is of a release that takes whole states only and took this for a heartbeat.
             return await self.append_to(replicated_state, epoch, to) if self.epoch == epoch else None
-        if not answer["ok"]:
+        if not answer.accepted:
             return None
-        (self.departing_members.add if answer.get("leaving") else self.departing_members.discard)(to)
-        # Releases before 0.3 don't repeat the epoch; the answer belongs to this request by its number.
-        acknowledgement = Acknowledgement(to, str(answer["disk"]), answer.get("epoch", epoch))
+        (self.departing_members.add if answer.leaving else self.departing_members.discard)(to)
+        acknowledgement = Acknowledgement(to, answer.disk, answer.epoch)
         if epoch == self.epoch and replica_set.counts(acknowledgement):
             self.voter_heard[to] = now()
             if to in replica_set.backups:
--- a/postpass/control/writer.py
+++ b/postpass/control/writer.py
@@ -9,6 +9,7 @@
 
 from postpass.control.changes import Edit, Fold
 from postpass.control.election import Election
+from postpass.control.election_rules import Cause, ElectionReason
 from postpass.control.member import INFINITY
 from postpass.rpc.peer_links import Body, PeerResponse
 from postpass.runtime import log_events
@@ -84,7 +85,7 @@
                 return [Ok(state.revision) if isinstance(g, Ok) else Err(g.unwrap_err()) for g in out]
             if self.epoch == epoch:
                 self.epoch = 0
-                again = await self.run_election(state.configuration, "backup lost")
+                again = await self.run_election(state.configuration, ElectionReason(Cause.BACKUP_LOST))
                 if isinstance(again, Err):
                     self.leader_silent_since = now() - bounds.detect
                 else:
--- a/tests/control/test_voters.py
+++ b/tests/control/test_voters.py
@@ -3,12 +3,14 @@
 from __future__ import annotations
 
 import asyncio
+from dataclasses import replace
 from typing import Any
 
 import pytest
 
 from postpass.configuration.configuration import Configuration
 from postpass.control.daemon import ControlPlane
+from postpass.control.election_rules import Cause, ElectionReason
 from postpass.control.epochs import ReplicaSet
 from postpass.rpc.peer_links import Body
 from tests.control.test_leadership import (
@@ -50,9 +52,11 @@
 
     candidate.ask_all = ask_with_late_answers  # type: ignore[method-assign]
     prevotes = await candidate.collect_prevotes(configuration, True)
-    prevotes = {n: a | {"promised": min(a["promised"], candidate.vote_record.promised)} for n, a in prevotes.items()}
+    prevotes = {n: replace(a, promised=min(a.promised, candidate.vote_record.promised)) for n, a in prevotes.items()}
     async with candidate.lock:
-        got = await candidate.run_election(configuration, "primary lost", prevotes=prevotes, change_voters=True)
+        got = await candidate.run_election(
+            configuration, ElectionReason(Cause.PRIMARY_LOST), prevotes=prevotes, change_voters=True
+        )
         assert got.is_err(), "it needs a majority of the voters before"
     candidate.ask_all = ask_all  # type: ignore[method-assign]
 
