--- a/postpass/control/api.py
+++ b/postpass/control/api.py
@@ -1,4 +1,4 @@
-"""The doors of a control member: verbs of its peers, and HTTP for operators."""
+"""The interfaces of a control member: verbs of its peers, and HTTP for operators."""
 
 from __future__ import annotations
 
@@ -6,18 +6,46 @@
 from collections.abc import Callable
 from typing import Any
 
-from result import Ok
+from result import Err
 from starlette.requests import Request
 from starlette.responses import JSONResponse, Response
 from starlette.routing import Route
 
 from postpass.control.member import INFINITY
+from postpass.control.order_messages import ApplyRequest, OrderAnswer
 from postpass.control.orders import Orders
 from postpass.daemon.process import Task
 from postpass.rpc.peer_links import Body, PeerResponse
 from postpass.runtime.environment import now
 from postpass.runtime.errors import BAD, BROKE, CLASH, MOVED, OLD, SHED, SLOW, Fault
 
+LONGEST_CONFIGURATION = 4 << 20  # bytes of a configuration that HTTP takes
+STATUSES = {BAD: 400, OLD: 412, MOVED: 503, SLOW: 503, SHED: 503, CLASH: 409, BROKE: 502}  # of faults; any other is 503
+
+
+def entity_tag(revision: int) -> dict[str, str]:
+    """The header that tells a revision, to be sent back as `If-Match`."""
+    return {"etag": f'"{revision}"'}
+
+
+def refused(status: int, fault: Fault) -> Response:
+    """A request that this member refuses by itself."""
+    return JSONResponse({"error": fault.as_json()}, status)
+
+
+def failed(fault: Fault) -> Response:
+    """A request that the primary refused, or that did not reach it."""
+    status = STATUSES.get(fault.code, 503)
+    body: Body = {"error": fault.as_json()}
+    if fault.code == BAD:
+        body["flaws"] = fault.why.split("\n")
+    headers = {}
+    if fault.code == OLD:
+        headers = {"etag": f'"{fault.hint}"'}
+    elif status == 503:
+        headers = {"retry-after": "1"}
+    return JSONResponse(body, status, headers=headers)
+
 
 class Api(Orders):
     """Wires verbs, HTTP routes and tasks to what the other modules do."""
@@ -52,53 +80,44 @@
         ]
 
     async def http_configuration(self, request: Request) -> Response:
-        """Reads the manifest in force, or puts another in its place if it was made from that one."""
+        """Reads the configuration in force, or puts another in its place if it was made from that one."""
         if request.method == "GET":
-            got = await self.forward("read", {})
-            if isinstance(got, Ok) and got.unwrap()["manifest"] is None:
-                return JSONResponse(
-                    {"error": {"step": "read", "peer": self.settings.name, "why": "no manifest yet"}}, 404
-                )
-        else:
-            match = request.headers.get("if-match", "").strip().strip('"')
-            if not match.lstrip("-").isdigit():
-                return JSONResponse(
-                    {
-                        "error": Fault(
-                            "apply",
-                            self.settings.name,
-                            'If-Match: want the edition it was made from, as "N"; 0 for the first',
-                        ).as_json()
-                    },
-                    428,
-                )
-            data = b""
-            async for part in request.stream():
-                data += part
-                if len(data) > 4 << 20:
-                    return JSONResponse({"error": Fault("apply", self.settings.name, "more than 4 MiB").as_json()}, 413)
-            try:
-                raw = json.loads(data)
-            except ValueError as bad:
-                return JSONResponse({"error": Fault("apply", self.settings.name, f"not JSON: {bad}").as_json()}, 400)
-            got = await self.forward("apply", {"manifest": raw, "base": int(match)})
-        if isinstance(got, Ok):
-            body = got.unwrap()
-            etag = {"etag": f'"{body["edition"]}"'}
-            if request.method == "GET":
-                return JSONResponse(body["manifest"], headers=etag)
-            waits = body["waits"]
-            more = {"unconfirmed": waits} if waits else {}
-            return JSONResponse({"edition": body["edition"]} | more, 202 if waits else 200, headers=etag)
-        flaw = got.unwrap_err()
-        code = {BAD: 400, OLD: 412, MOVED: 503, SLOW: 503, SHED: 503, CLASH: 409}.get(
-            flaw.code, 502 if flaw.code == BROKE else 503
-        )
-        body = {"error": flaw.as_json()}
-        if flaw.code == BAD:
-            body["flaws"] = flaw.why.split("\n")
-        more = {"etag": f'"{flaw.hint}"'} if flaw.code == OLD else {"retry-after": "1"} if code == 503 else {}
-        return JSONResponse(body, code, headers=more)
+            return await self.http_read()
+        return await self.http_apply(request)
+
+    async def http_read(self) -> Response:
+        """The configuration in force, confirmed; its revision is the entity tag."""
+        got = await self.forward("read", {})
+        if isinstance(got, Err):
+            return failed(got.unwrap_err())
+        body = got.unwrap()
+        if body["manifest"] is None:
+            return refused(404, Fault("read", self.settings.name, "no manifest yet"))
+        return JSONResponse(body["manifest"], headers=entity_tag(body["edition"]))
+
+    async def http_apply(self, request: Request) -> Response:
+        """Takes a configuration; 202 where machines have not confirmed in time that they run it."""
+        me = self.settings.name
+        match = request.headers.get("if-match", "").strip().strip('"')
+        if not match.lstrip("-").isdigit():
+            why = 'If-Match: want the edition it was made from, as "N"; 0 for the first'
+            return refused(428, Fault("apply", me, why))
+        data = b""
+        async for part in request.stream():
+            data += part
+            if len(data) > LONGEST_CONFIGURATION:
+                return refused(413, Fault("apply", me, "more than 4 MiB"))
+        try:
+            raw = json.loads(data)
+        except ValueError as bad:
+            return refused(400, Fault("apply", me, f"not JSON: {bad}"))
+        got = await self.forward("apply", ApplyRequest(raw, int(match)).as_json())
+        if isinstance(got, Err):
+            return failed(got.unwrap_err())
+        answer = OrderAnswer.from_json(got.unwrap())
+        more = {"unconfirmed": answer.unconfirmed} if answer.unconfirmed else {}
+        status = 202 if answer.unconfirmed else 200
+        return JSONResponse({"edition": answer.revision} | more, status, headers=entity_tag(answer.revision))
 
     async def more_status(self) -> Body:
         """What the status page tells of a control member beyond what each daemon tells."""
--- a/postpass/control/epochs.py
+++ b/postpass/control/epochs.py
@@ -152,7 +152,7 @@
     out: list[str] = []
     used, rest = {mine}, list(ranked)
     while rest and len(out) < want:
-        name = min(rest, key=lambda n: (zone[n] in used, ranked.index(n)))
+        name = min(rest, key=lambda name: (zone[name] in used, ranked.index(name)))
         rest.remove(name)
         out.append(name)
         used.add(zone[name])
--- a/postpass/control/journal.py
+++ b/postpass/control/journal.py
@@ -169,10 +169,10 @@
             raise BaseMismatchError("the log begins with a change")
         base = Position(record.base_epoch, record.base_revision, record.base_checksum)
         return image.apply(Change(base, position, body))
-    whole = Image.of(position.epoch, position.version, body)
-    if whole.position != position:
-        raise ChecksumMismatchError(f"the snapshot has checksum {whole.position.checksum}, not {position.checksum}")
-    return whole
+    snapshot = Image.of(position.epoch, position.version, body)
+    if snapshot.position != position:
+        raise ChecksumMismatchError(f"the snapshot has checksum {snapshot.position.checksum}, not {position.checksum}")
+    return snapshot
 
 
 # --- the journal
--- a/postpass/control/leadership.py
+++ b/postpass/control/leadership.py
@@ -23,9 +23,10 @@
     """Keeps this member a primary, or makes it one when there is none."""
 
     async def tick(self) -> None:
-        b = self.settings.bounds
+        """The heartbeat of a primary, or the watch of any other member, at random intervals around a heartbeat's."""
+        bounds = self.settings.bounds
         while True:
-            await asyncio.sleep(b.beat * (0.8 + 0.4 * self.environment.chance.random()))
+            await asyncio.sleep(bounds.beat * (0.8 + 0.4 * self.environment.chance.random()))
             configuration = self.known()
             if configuration is None or self.settings.name not in self.members(configuration):
                 continue
@@ -41,12 +42,12 @@
 
     async def lead_heartbeat(self, configuration: Configuration) -> None:
         """The primary's heartbeat to all members; steps down without a majority, and mends the replica set."""
-        b, epoch, replica_set = self.settings.bounds, self.epoch, self.replicated_state.replica_set
+        bounds, epoch, replica_set = self.settings.bounds, self.epoch, self.replicated_state.replica_set
         answers = await self.heartbeat(epoch, configuration)
         if self.epoch != epoch:
             return
         self.voter_heard[self.settings.name] = now()
-        if not in_touch(replica_set.voters, self.voter_heard, now() - b.detect):
+        if not in_touch(replica_set.voters, self.voter_heard, now() - bounds.detect):
             self.step_down("no majority answers")
             return
         if configuration.get("announced"):
@@ -120,16 +121,16 @@
             return isinstance(await self.run_election(configuration, reason, prevotes=answers), Ok)
 
     async def watch_for_leader(self, configuration: Configuration) -> None:
-        """Takes over if no primary is heard: those of the pair first, then in the agreed order."""
-        b = self.settings.bounds
-        order = sorted(
+        """Takes over if no primary is heard: the holders of the state first, then in the agreed order."""
+        bounds = self.settings.bounds
+        ranked_members = sorted(
             self.members(configuration),
-            key=lambda n: (n not in self.replicated_state.replica_set, self.members(configuration).index(n)),
+            key=lambda name: (name not in self.replicated_state.replica_set, self.members(configuration).index(name)),
         )
-        rank = order.index(self.settings.name)
+        rank = ranked_members.index(self.settings.name)
         if (
-            now() - self.leader_silent_since <= b.detect + rank * b.stagger
-            or now() < self.candidate_until + rank * b.stagger
+            now() - self.leader_silent_since <= bounds.detect + rank * bounds.stagger
+            or now() < self.candidate_until + rank * bounds.stagger
         ):
             return
         if self.replicated_state.epoch == 0 and self.configuration_view.manifest is None:
@@ -142,11 +143,11 @@
                 return
             prevotes = await self.collect_prevotes(configuration)
             if not self.prevote_won(configuration, prevotes) or not self.may_try_to_lead(configuration, prevotes):
-                self.leader_silent_since = now() - b.detect + b.stagger * self.environment.chance.random()
+                self.leader_silent_since = now() - bounds.detect + bounds.stagger * self.environment.chance.random()
                 return
             got = await self.run_election(configuration, ElectionReason(Cause.PRIMARY_LOST), prevotes=prevotes)
             if isinstance(got, Err):
-                self.leader_silent_since = now() - b.detect + b.stagger * self.environment.chance.random()
+                self.leader_silent_since = now() - bounds.detect + bounds.stagger * self.environment.chance.random()
 
     async def depart(self) -> None:
         """Goes only once others hold the state without this one, or once the time for leaving is over.
@@ -187,7 +188,10 @@
     async def hand_over(self) -> bool:
         """Asks the backups to lead, instead of being missed; True once one does."""
         async with self.lock:
-            epoch, addrs = self.epoch, [a for n in self.replicated_state.replica_set.backups if (a := self.addr(n))]
+            epoch, addrs = (
+                self.epoch,
+                [addr for n in self.replicated_state.replica_set.backups if (addr := self.addr(n))],
+            )
             if not epoch or not addrs:
                 return False
             self.epoch = 0
--- a/postpass/control/member.py
+++ b/postpass/control/member.py
@@ -42,7 +42,7 @@
 @dataclass(eq=False)
 class ControlMember(Daemon):
     """One control member. Invariants: writes go one at a time under `lock`; `epoch` > 0 only while this is the primary
-    of it; what `news` holds was on the disks of all holders."""
+    of it; what `configuration_view` holds was on the disks of all holders."""
 
     journal: StateJournal = field(init=False)
     vote_record: VoteRecord = VoteRecord()
@@ -64,7 +64,7 @@
         self.waiting_edits: list[Edit] = []
         self.write_due, self.write_wakeup = INFINITY, asyncio.Event()
         # What was heard last, by this machine's clock: workers and machines that spoke here or at another control
-        # machine; when a machine's name was first heard; and, here alone, the primary's last word.
+        # machine; when a machine's name was first heard; and, here alone, when the primary was heard last.
         self.worker_heartbeats: dict[str, float] = {}
         self.worker_seqnos: dict[str, int] = {}
         self.drained_workers: dict[
@@ -105,10 +105,15 @@
 
     @property
     def disk(self) -> Disk:
+        """This member's disk; a control member always has one."""
         assert self.environment.disk is not None
         return self.environment.disk
 
     async def open(self) -> None:
+        """Reads the data folder; damaged files are set aside, and this member starts without them.
+
+        Raises Stop if a later release wrote the folder, or the disk fails.
+        """
         try:
             await self.read_folder()
         except (ValueError, KeyError, TypeError) as bad:
@@ -119,8 +124,8 @@
             await self.read_folder()
         self.promise_on_disk = self.vote_record.promised
         if self.replicated_state.state.manifest is not None:
-            # An older edition is better than none to find the others by; it may be behind, never ahead
-            # of what this pair's disk took.
+            # An older revision is better than none to find the others by; it may be behind, never ahead of what this
+            # replica set's disk took.
             self.configuration_on_disk = self.replicated_state.state.manifest
         self.partial_view.me["disk"] = self.disk_id
         self.leader_silent_since = now()
@@ -170,6 +175,7 @@
         return ReplicatedState.of(image.tree) if image is not None else ReplicatedState()
 
     async def write_journal(self, write: Coroutine[Any, Any, Image]) -> Image:
+        """Awaits a write of the journal; raises Stop if it fails. Any failure but a full disk ends the process."""
         if self.disk_failure:
             write.close()
             raise Stop(Fault("sync", self.settings.name, self.disk_failure))
@@ -192,6 +198,7 @@
                     raise
 
     async def keep(self, name: str, data: bytes) -> None:
+        """Syncs a file of the data folder; raises Stop if that fails. Any failure but a full disk ends the process."""
         if self.disk_failure:
             raise Stop(Fault("sync", self.settings.name, self.disk_failure))
         try:
@@ -283,12 +290,14 @@
             self.configuration_view.take(state.revision, state.manifest)
 
     def known(self) -> Configuration | None:
+        """The best configuration to find others by: the one in force as far as it is known, else the one on disk."""
         return self.configuration_view.manifest or self.replicated_state.state.manifest or self.configuration_on_disk
 
     def addr(self, name: str) -> str:
+        """The address of a machine for its peers; empty if it is unknown or gone."""
         configuration = self.known()
-        m = configuration["machines"].get(name) if configuration else None
-        return m["peer"] if m and not m.get("gone") else ""
+        machine = configuration["machines"].get(name) if configuration else None
+        return machine["peer"] if machine and not machine.get("gone") else ""
 
     def members(self, configuration: Configuration | None = None) -> list[str]:
         """The control machines, in the agreed order."""
@@ -309,8 +318,10 @@
         return True
 
     def not_leader(self, step: str) -> Fault:
+        """The error of a member that isn't the primary; its hint names the one that was heard last."""
         hint = self.leader if self.leader != self.settings.name else ""
         return Fault(step, self.settings.name, "not the primary", MOVED, hint)
 
     def blank(self) -> bool:
+        """Does this member know of no fleet at all?"""
         return self.known() is None and self.replicated_state.epoch == 0 and self.vote_record.replica_set.epoch == 0
--- a/postpass/control/orders.py
+++ b/postpass/control/orders.py
@@ -13,6 +13,18 @@
 from postpass.control.configuration import ConfigurationChange
 from postpass.control.election_rules import Cause, ElectionReason
 from postpass.control.leadership import Leadership
+from postpass.control.order_messages import (
+    ApplyRequest,
+    Change,
+    DocumentOrder,
+    EvacuationOrder,
+    OrderAnswer,
+    RetirementAnswer,
+    RetirementOrder,
+    RetirementQuery,
+    UnknownOrder,
+    order_of,
+)
 from postpass.membership import registry
 from postpass.membership.registry import State
 from postpass.rpc.peer_links import Body, PeerResponse
@@ -25,22 +37,24 @@
     """Takes the orders of operators."""
 
     async def on_apply(self, body: Body) -> PeerResponse:
-        """Takes a whole manifest, and answers once it is in force, or names those that have not said so in time."""
+        """Takes a whole configuration, and answers once it is in force, or names those that have not said so in time."""
+        request = ApplyRequest.from_json(body)
         before = self.committed.state.manifest
         asked = now()
-        got = await self.take_configuration(body)
+        got = await self.take_configuration(request)
         if isinstance(got, Err):
-            return got
-        revision = got.unwrap()["edition"]
-        return Ok({"edition": revision, "waits": await self.in_force(revision, before, body["manifest"], asked)})
+            return Err(got.unwrap_err())
+        revision = got.unwrap()
+        unconfirmed = await self.in_force(revision, before, request.configuration, asked)
+        return Ok(OrderAnswer(revision, unconfirmed).as_json())
 
-    async def take_configuration(self, body: Body) -> PeerResponse:
-        """Takes a whole manifest if it was made from the present edition."""
+    async def take_configuration(self, request: ApplyRequest) -> Result[int, Fault]:
+        """Takes a whole configuration if it was made from the present revision; the revision that has it."""
         step, me = "apply", self.settings.name
-        got = check(body["manifest"])
-        if isinstance(got, Err):
-            return Err(Fault(step, me, "\n".join(got.unwrap_err()), BAD))
-        configuration, base = got.unwrap(), body["base"]
+        checked = check(request.configuration)
+        if isinstance(checked, Err):
+            return Err(Fault(step, me, "\n".join(checked.unwrap_err()), BAD))
+        configuration, base = checked.unwrap(), request.base
         async with self.lock:
             if not self.epoch:
                 return await self.take_first_configuration(configuration, base)
@@ -48,14 +62,14 @@
             if state.manifest is not None and dump(state.manifest) == dump(configuration):
                 if not await self.confirm_leadership():
                     return Err(self.unconfirmed(step))
-                return Ok({"edition": state.revision})
+                return Ok(state.revision)
             flaw = await self.configuration_flaw(configuration, base, state)
             if flaw is not None:
                 return Err(flaw)
             return await self.commit_configuration(State(state.revision + 1, configuration, state.losses))
 
-    async def take_first_configuration(self, configuration: Configuration, base: int) -> PeerResponse:
-        """Founds the fleet with its first manifest; refuses if this member only doesn't lead. Holds the lock."""
+    async def take_first_configuration(self, configuration: Configuration, base: int) -> Result[int, Fault]:
+        """Founds the fleet with its first configuration; refuses if this member only doesn't lead. Holds the lock."""
         step, me = "apply", self.settings.name
         if self.known() is not None or base not in (0, -1):
             hint = self.vote_record.replica_set.primary if self.vote_record.replica_set.primary != me else ""
@@ -64,11 +78,11 @@
             return Err(Fault(step, me, f"machines: {me} is not a control machine of this manifest", SHED))
         found = await self.run_election(configuration, ElectionReason(Cause.FOUNDED), State(1, configuration))
         if isinstance(found, Err):
-            return found
-        return Ok({"edition": 1})
+            return Err(found.unwrap_err())
+        return Ok(1)
 
     async def configuration_flaw(self, configuration: Configuration, base: int, state: State) -> Fault | None:
-        """Why a manifest can't follow the state in force, if it can't. Holds the lock."""
+        """Why a configuration can't follow the state in force, if it can't. Holds the lock."""
         step, me = "apply", self.settings.name
         if base != state.revision:
             if not await self.confirm_leadership():
@@ -82,7 +96,7 @@
             return self.unconfirmed(step)
         return Fault(step, me, "\n".join(flaws), BAD)
 
-    async def commit_configuration(self, state: State) -> PeerResponse:
+    async def commit_configuration(self, state: State) -> Result[int, Fault]:
         """Makes a state durable at the replicas; steps down if it can't be told whether it was. Holds the lock."""
         try:
             done = await self.commit(state)
@@ -94,7 +108,7 @@
                 self.epoch = 0
                 self.leader_silent_since = now() - self.settings.bounds.detect
             return Err(Fault("apply", self.settings.name, "not known whether it was taken; ask again", SLOW))
-        return Ok({"edition": state.revision})
+        return Ok(state.revision)
 
     def unconfirmed(self, step: str) -> Fault:
         """What a member says that leads as far as it knows, and couldn't prove it in time."""
@@ -110,11 +124,11 @@
 
     async def apply_source(self, source: Any, base: int) -> PeerResponse:
         """The operator's document as a whole, made on top of version `base`."""
-        return await self.command({"what": "source", "source": source, "base": base})
+        return await self.command(DocumentOrder(source, base, is_patch=False))
 
     async def patch_source(self, change: Any, base: int) -> PeerResponse:
         """A change of the operator's document, made on top of version `base`."""
-        return await self.command({"what": "patch", "source": change, "base": base})
+        return await self.command(DocumentOrder(change, base, is_patch=True))
 
     async def read_source(self) -> PeerResponse:
         """The operator's document in force, with its version."""
@@ -122,61 +136,66 @@
 
     async def evacuate(self, zone: str, away: bool) -> PeerResponse:
         """Takes all traffic from a zone, or lets it come back."""
-        return await self.command({"what": "evacuate" if away else "return", "area": zone})
+        return await self.command(EvacuationOrder(zone, away))
 
     async def retire(self, name: str) -> PeerResponse:
         """Asks that a store be emptied for good."""
-        return await self.command({"what": "retire", "name": name})
+        return await self.command(RetirementOrder(name))
 
     async def retired(self, name: str) -> PeerResponse:
         """Asks whether a store that was to be emptied is so."""
-        return await self.command({"what": "retired", "name": name})
+        return await self.command(RetirementQuery(name))
 
-    async def command(self, body: Body) -> PeerResponse:
+    async def command(self, order: DocumentOrder | EvacuationOrder | RetirementOrder | RetirementQuery) -> PeerResponse:
         """Hands an order to whoever leads."""
-        return await self.forward("order", body, self.settings.bounds.manifest / 2)
+        return await self.forward("order", order.as_json(), self.settings.bounds.manifest / 2)
 
     async def on_order(self, body: Body) -> PeerResponse:
         """Takes an order as the leader, and answers once it is in force, or names those that have not said so in time."""
         if not await self.is_leading():
             return Err(self.not_leader("order"))
-        asked, what = now(), body["what"]
-        if what == "retired":
-            return await self.emptied(body["name"])
-        got = await self.change(self.folding(body), 0.0)
+        asked, order = now(), order_of(body)
+        if isinstance(order, RetirementQuery):
+            return await self.emptied(order.store)
+        got = await self.change(self.edit_of(order), 0.0)
         if isinstance(got, Err):
             return Err(got.unwrap_err())
         revision = got.unwrap()
-        log_events.emit(138, self.settings.name, what=what, revision=revision)
-        waits = await self.in_force(
+        log_events.emit(138, self.settings.name, what=order.kind, revision=revision)
+        unconfirmed = await self.in_force(
             revision, None, self.committed.state.configuration, asked, self.settings.bounds.manifest / 5
         )
-        return Ok({"edition": revision, "waits": waits})
+        return Ok(OrderAnswer(revision, unconfirmed).as_json())
 
-    def folding(self, body: Body) -> Fold:
+    def edit_of(self, order: Change) -> Fold:
         """The change of the state that an order asks for."""
-        what = body["what"]
-        if what == "source":
-            return self.configuration(body["source"], body["base"], is_patch=False)
-        if what == "patch":
-            return self.configuration(body["source"], body["base"], is_patch=True)
-        if what in ("evacuate", "return"):
-            zone = body["area"]
-            if zone not in self.settings.zones:
-                return lambda _: Err(Fault(what, self.settings.name, f"unknown area {zone!r:.60}", LACK))
-            return lambda state: Ok(
-                registry.evacuated(state, zone) if what == "evacuate" else registry.returned(state, zone)
-            )
-        if what == "retire":
-
-            def retire(state: State) -> Result[State, Fault]:
-                flaw = registry.retire_flaw(state, body["name"], self.settings.tolerance)
-                if flaw:
-                    return Err(Fault("retire", self.settings.name, flaw[1], flaw[0]))
-                return Ok(registry.retiring(state, body["name"], self.settings.tolerance))
-
-            return retire
-        return lambda _: Err(Fault("order", self.settings.name, f"unknown order {what!r:.60}", BAD))
+        match order:
+            case DocumentOrder(document, base, is_patch):
+                return self.configuration(document, base, is_patch)
+            case EvacuationOrder():
+                return self.evacuation(order)
+            case RetirementOrder():
+                return self.retirement(order)
+            case UnknownOrder(kind):
+                return lambda _: Err(Fault("order", self.settings.name, f"unknown order {kind!r:.60}", BAD))
+
+    def evacuation(self, order: EvacuationOrder) -> Fold:
+        """Marks a zone as evacuated, or as open again; refused for a zone that the settings don't have."""
+        zone = order.zone
+        if zone not in self.settings.zones:
+            return lambda _: Err(Fault(order.kind, self.settings.name, f"unknown area {zone!r:.60}", LACK))
+        return lambda state: Ok(registry.evacuated(state, zone) if order.away else registry.returned(state, zone))
+
+    def retirement(self, order: RetirementOrder) -> Fold:
+        """Marks a store to be emptied; refused if the others could not bear the tolerated losses without it."""
+
+        def retire(state: State) -> Result[State, Fault]:
+            flaw = registry.retire_flaw(state, order.store, self.settings.tolerance)
+            if flaw:
+                return Err(Fault(order.kind, self.settings.name, flaw[1], flaw[0]))
+            return Ok(registry.retiring(state, order.store, self.settings.tolerance))
+
+        return retire
 
     def configuration(self, sent: Any, base: int, is_patch: bool) -> Fold:
         """The operator's document, whole or as a change of the one of version `base`."""
@@ -184,21 +203,21 @@
         return ConfigurationChange(self.settings.name, self.translator, remembered, sent, base, is_patch)
 
     async def emptied(self, name: str) -> PeerResponse:
-        """Does a store hold nothing any more that counts? Once that is so, it is no machine of the fleet any longer."""
+        """Does a store hold nothing any more that counts? Once that is so, it is removed from the fleet."""
         # Under the lock, so that a change that is being written is not taken for one that is in force.
         async with self.lock:
             state, confirmed = self.committed.state, await self.confirm_leadership()
         if not confirmed:
             return Err(self.unconfirmed("retire"))
         if name in state.retired:
-            return Ok({"done": True})
+            return Ok(RetirementAnswer(True).as_json())
         configuration = state.configuration
         if name not in configuration["machines"]:
             return Err(Fault("retire", self.settings.name, f"no store {name!r:.60}", LACK))
         if not configuration["machines"][name].get("retire") or not await self.holds_nothing(name, configuration):
-            return Ok({"done": False})
+            return Ok(RetirementAnswer(False).as_json())
         got = await self.change(lambda state: Ok(registry.emptied(state, name)), 0.0)
-        return Ok({"done": isinstance(got, Ok)})
+        return Ok(RetirementAnswer(isinstance(got, Ok)).as_json())
 
     async def holds_nothing(self, name: str, configuration: Configuration) -> bool:
         """Every partition has an owner that says, from its covered record, that its members are others, and that all of
--- a/postpass/control/registry.py
+++ b/postpass/control/registry.py
@@ -4,6 +4,7 @@
 
 import asyncio
 from collections.abc import Mapping
+from functools import partial
 
 from result import Err, Ok, Result
 
@@ -12,6 +13,7 @@
 from postpass.control.feed import Feed
 from postpass.control.member import INFINITY
 from postpass.control.messages import HEAR, HeartbeatReport, HeartbeatReportAnswer
+from postpass.control.order_messages import WorkerHeartbeat
 from postpass.membership import registry
 from postpass.membership.registry import Entry, Standing, State
 from postpass.rpc.peer_links import Body, PeerResponse
@@ -20,6 +22,7 @@
 from postpass.runtime.errors import BAD, Fault
 
 MOST_DRAINED = 4096  # workers whose acknowledged leaving a member remembers
+MOST_SEQNOS, SEQNOS_KEPT = 4096, 1024  # workers whose last heartbeat's number a member remembers, and after a trim
 
 
 def recent_ages(heard: Mapping[str, float], clock: float, horizon: float) -> dict[str, float]:
@@ -27,18 +30,25 @@
     return {name: round(clock - at, 3) for name, at in heard.items() if clock - at < horizon}
 
 
+def standing_change(heartbeat: WorkerHeartbeat, state: State) -> Result[State, Fault]:
+    """The state with a worker's standing; the same one if it has that already."""
+    if heartbeat.standing is None:
+        return Ok(registry.ended(state, [heartbeat.worker]))
+    return Ok(registry.stood(state, heartbeat.worker, heartbeat.standing))
+
+
 class Registry(Feed):
     """Keeps the registry of machines and workers."""
 
     async def found_fleet(self) -> None:
         """The seeds of a blank fleet found it: the first of them, or the next if that one doesn't come to it."""
-        b, seeds = self.settings.bounds, sorted(set(self.settings.seeds))
+        bounds, seeds = self.settings.bounds, sorted(set(self.settings.seeds))
         if not self.settings.bootstrap or self.settings.peer not in seeds:
             return
-        await asyncio.sleep(b.detect * seeds.index(self.settings.peer))
+        await asyncio.sleep(bounds.detect * seeds.index(self.settings.peer))
         while self.blank():
             asks = [
-                self.peer_links.call(a, "ping", {"entry": 1}, b.beat if a != self.settings.peer else 0)
+                self.peer_links.call(a, "ping", {"entry": 1}, bounds.beat if a != self.settings.peer else 0)
                 for a in seeds
                 if a != self.settings.peer
             ]
@@ -53,9 +63,10 @@
                 if isinstance(done, Ok):
                     log_events.emit(135, self.settings.name, machines=",".join(e["name"] for e in entries))
                     return
-            await asyncio.sleep(b.beat / 4 * (0.8 + 0.4 * self.environment.chance.random()))
+            await asyncio.sleep(bounds.beat / 4 * (0.8 + 0.4 * self.environment.chance.random()))
 
     async def on_join(self, body: Body) -> PeerResponse:
+        """A machine announces itself: its entry is written, and the revision that has it is told once it is durable."""
         step, entry = "join", body["entry"]
         if not await self.is_leading():
             return Err(self.not_leader(step))
@@ -66,7 +77,7 @@
         if (configuration := self.known()) is not None:
             self.note_newcomers(configuration)
         self.first_heard.setdefault(entry["name"], now())
-        got = await self.change(lambda s: Ok(registry.joined(s, entry)), self.settings.bounds.beat / 4)
+        got = await self.change(lambda state: Ok(registry.joined(state, entry)), self.settings.bounds.beat / 4)
         if isinstance(got, Err):
             return Err(got.unwrap_err())
         log_events.emit(
@@ -120,15 +131,16 @@
 
     async def reconcile(self) -> None:
         """The primary's care: who is gone, and how many copies there can be."""
-        state, t, b = self.committed.state, now(), self.settings.bounds
+        state, clock, bounds = self.committed.state, now(), self.settings.bounds
         if not self.epoch or state.manifest is None:
             return
         configuration = state.manifest
         silent = {
-            n: t - max(self.machine_heartbeats.get(n, -INFINITY), self.leading_since) for n in configuration["machines"]
+            n: clock - max(self.machine_heartbeats.get(n, -INFINITY), self.leading_since)
+            for n in configuration["machines"]
         }
         every = registry.everyone(state)
-        quiet = {w: t - max(self.worker_heartbeats.get(w, -INFINITY), self.leading_since) for w in every}
+        quiet = {w: clock - max(self.worker_heartbeats.get(w, -INFINITY), self.leading_since) for w in every}
         late = [w for w, q in quiet.items() if q > 3.5 * self.settings.beat]
         if 2 * len(late) > max(len(every), 4):
             # So many at once: it may well be the way to here that is cut, and no beat can come.
@@ -136,21 +148,21 @@
         # A holder leaves the replica set first: whoever is dropped can't lead, though it may hold the newest state.
         gone = [
             n
-            for n in registry.replaced(configuration, silent, self.first_heard, t, self.patience)
+            for n in registry.replaced(configuration, silent, self.first_heard, clock, self.patience)
             if n not in self.replicated_state.replica_set
         ]
-        joined = max((self.first_heard.get(n, 0.0) for n in with_duty(configuration, "store")), default=t)
+        joined = max((self.first_heard.get(n, 0.0) for n in with_duty(configuration, "store")), default=clock)
         few = (
-            t - max(joined, self.leading_since) > b.recover / 4
+            clock - max(joined, self.leading_since) > bounds.recover / 4
         )  # longer than the patience, so that `heard` leaves out the gone
         heard = [n for n, q in silent.items() if q <= self.patience]
 
-        def fold(s: State) -> Result[State, Fault]:
+        def fold(state: State) -> Result[State, Fault]:
             if late:
-                s = registry.expired(s, late)
+                state = registry.expired(state, late)
             if gone:
-                s = registry.dropped(s, gone)
-            return Ok(registry.settled(s, self.settings.tolerance, few, heard))
+                state = registry.dropped(state, gone)
+            return Ok(registry.settled(state, self.settings.tolerance, few, heard))
 
         if fold(state).unwrap() is not state:
             got = await self.change(fold, 0.0)
@@ -160,54 +172,58 @@
                 )
 
     async def record_worker_heartbeat(self, who: str, standing: Standing, seqno: int) -> PeerResponse:
-        # Taken, it would make every later manifest a bad one.
+        """A worker's heartbeat came to this member: what changes nothing is noted here, all else goes to the primary.
+
+        `seqno` counts the worker's heartbeats, so that one which comes late changes nothing; 0 if it doesn't count them.
+        """
+        # Taken, it would make every later configuration a bad one.
         flaws = registry.standing_flaws(standing, self.settings.zones)
         if flaws:
             return Err(Fault("beat", self.settings.name, "\n".join(flaws), BAD))
-        leaves = bool(standing.get("leave"))
-        if seqno and seqno < self.worker_seqnos.get(who, 0) and not leaves:
+        heartbeat = WorkerHeartbeat(who, standing, seqno)
+        if self.is_late(heartbeat):
             return Ok({})
-        if seqno:
-            self.worker_seqnos[who] = max(seqno, self.worker_seqnos.get(who, 0))
-        if len(self.worker_seqnos) > 4096:
-            self.worker_seqnos = dict(list(self.worker_seqnos.items())[-1024:])
-        lately = self.epoch > 0 or now() - self.reported_at < 1.5 * self.settings.beat
+        if len(self.worker_seqnos) > MOST_SEQNOS:
+            self.worker_seqnos = dict(list(self.worker_seqnos.items())[-SEQNOS_KEPT:])
+        reported_lately = self.epoch > 0 or now() - self.reported_at < 1.5 * self.settings.beat
         # That a worker leaves is acknowledged by the primary, the first time; after that a heartbeat is one like any other.
-        acknowledged = not leaves or who in self.drained_workers
-        if lately and acknowledged and registry.unchanged(self.configuration_view.manifest, who, standing):
+        acknowledged = not heartbeat.leaves or who in self.drained_workers
+        if reported_lately and acknowledged and registry.unchanged(self.configuration_view.manifest, who, standing):
             self.worker_heartbeats[who] = now()
             return Ok({})
-        got = await self.forward(
-            "beat", {"who": who, "standing": standing, "seqno": seqno}, self.settings.bounds.leave / 3
-        )
-        if leaves and isinstance(got, Ok):
+        got = await self.forward("beat", heartbeat.as_json(), self.settings.bounds.leave / 3)
+        if heartbeat.leaves and isinstance(got, Ok):
             self.drained_workers[who] = now()
             if len(self.drained_workers) > MOST_DRAINED:
                 del self.drained_workers[next(iter(self.drained_workers))]
         return got
 
+    def is_late(self, heartbeat: WorkerHeartbeat) -> bool:
+        """Did a later heartbeat of the worker come before this one? Its number is noted if not. That a worker leaves is
+        never late."""
+        newest = self.worker_seqnos.get(heartbeat.worker, 0)
+        if heartbeat.seqno and heartbeat.seqno < newest and not heartbeat.leaves:
+            return True
+        if heartbeat.seqno:
+            self.worker_seqnos[heartbeat.worker] = max(heartbeat.seqno, newest)
+        return False
+
     async def leave_worker(self, who: str) -> PeerResponse:
-        return await self.forward("beat", {"who": who, "standing": None, "seqno": 0}, self.settings.bounds.leave / 3)
+        """Tells the primary that a worker has ended."""
+        ended = WorkerHeartbeat(who, standing=None, seqno=0)
+        return await self.forward("beat", ended.as_json(), self.settings.bounds.leave / 3)
 
     async def on_beat(self, body: Body) -> PeerResponse:
         """What changes a worker's standing is written; that it leaves is also made known before it is told so."""
         if not await self.is_leading():
             return Err(self.not_leader("beat"))
-        b, who, seqno, asked = self.settings.bounds, body["who"], body["seqno"], now()
-        standing: Standing | None = body["standing"]
-        leaves = standing is None or bool(standing.get("leave"))
-        if seqno and seqno < self.worker_seqnos.get(who, 0) and not leaves:
+        bounds, heartbeat, asked = self.settings.bounds, WorkerHeartbeat.from_json(body), now()
+        if self.is_late(heartbeat):
             return Ok({})
-        if seqno:
-            self.worker_seqnos[who] = max(seqno, self.worker_seqnos.get(who, 0))
-        self.worker_heartbeats[who] = now()
-
-        def fold(s: State) -> Result[State, Fault]:
-            return Ok(registry.ended(s, [who]) if standing is None else registry.stood(s, who, standing))
-
-        got = await self.change(fold, b.leave / 100)
+        self.worker_heartbeats[heartbeat.worker] = now()
+        got = await self.change(partial(standing_change, heartbeat), bounds.leave / 100)
         if isinstance(got, Err):
             return Err(got.unwrap_err())
-        if leaves:
-            await self.in_force(got.unwrap(), None, self.committed.state.configuration, asked, b.leave / 6)
+        if heartbeat.leaves:
+            await self.in_force(got.unwrap(), None, self.committed.state.configuration, asked, bounds.leave / 6)
         return Ok({"edition": got.unwrap()})
--- a/postpass/control/replica.py
+++ b/postpass/control/replica.py
@@ -81,7 +81,7 @@
         return True
 
     def learn_version(self, request: AppendRequest) -> None:
-        """The primary tells the edition in force: publishes it, or fetches it if this member has no copy of it."""
+        """The primary tells the revision in force: publishes it, or fetches it if this member has no copy of it."""
         revision = request.revision
         if revision <= self.configuration_view.revision:
             return
@@ -141,6 +141,7 @@
     async def append_to_backups(
         self, replicated_state: ReplicatedState | None, epoch: int, change: Change | None = None
     ) -> list[Acknowledgement]:
+        """Sends the state, or a heartbeat alone, to all backups of the present replica set; who acknowledged."""
         answers = await asyncio.gather(
             *(self.append_to(replicated_state, epoch, n, change) for n in self.replicated_state.replica_set.backups)
         )
@@ -188,6 +189,7 @@
         return True
 
     def own_acknowledgement(self, epoch: int) -> Acknowledgement:
+        """That this member's own disk has synced what the others are asked for."""
         return Acknowledgement(self.settings.name, self.disk_id, epoch)
 
     async def answers_of_voters(self, epoch: int, replica_set: ReplicaSet) -> list[Acknowledgement]:
@@ -213,6 +215,7 @@
             self.unsettled_epoch = 0
 
     async def notify(self, name: str, epoch: int) -> None:
+        """Sends one member a heartbeat, by which it learns the revision in force."""
         await self.append_to(None, epoch, name)
 
     async def heartbeat(self, epoch: int, configuration: Configuration) -> list[Acknowledgement]:
@@ -229,20 +232,25 @@
     async def ask_all(
         self, verb: str, body: Body, names: list[str], configuration: Configuration, quick: bool = False
     ) -> dict[str, Body]:
-        b = self.settings.bounds
+        """The answers of these members, this one among them, to a request; those that gave none are left out.
+
+        Once most have answered, the others are waited for no longer than a heartbeat. `quick` takes shorter limits, where
+        this member leads and callers wait.
+        """
+        bounds = self.settings.bounds
 
         async def one(name: str) -> PeerResponse:
-            m = configuration["machines"].get(name)
-            if not m or m.get("gone"):
+            machine = configuration["machines"].get(name)
+            if not machine or machine.get("gone"):
                 return Err(Fault(verb, name, "gone"))
             if name == self.settings.name:
                 return await getattr(self, f"on_{verb}")(body)  # type: ignore[no-any-return]
-            return await self.peer_links.call(m["peer"], verb, body, b.beat / 2 if quick else b.promise)
+            return await self.peer_links.call(machine["peer"], verb, body, bounds.beat / 2 if quick else bounds.promise)
 
         def enough(got: dict[str, PeerResponse]) -> bool:
             return 2 * sum(isinstance(g, Ok) for g in got.values()) > len(names)
 
-        got = await hear({n: one(n) for n in names}, enough, b.beat / 8 if quick else b.beat)
+        got = await hear({n: one(n) for n in names}, enough, bounds.beat / 8 if quick else bounds.beat)
         return {n: g.unwrap() for n, g in got.items() if isinstance(g, Ok)}
 
     async def confirmation_round(self) -> list[Acknowledgement]:
--- /dev/null
+++ b/tests/control/test_order_messages.py
@@ -0,0 +1,62 @@
+"""What is sent on to the primary: keys on the wire, in the order of release 0.2.0."""
+
+from __future__ import annotations
+
+import json
+from typing import Any
+
+import pytest
+
+from postpass.control.order_messages import (
+    ApplyRequest,
+    DocumentOrder,
+    EvacuationOrder,
+    OrderAnswer,
+    RetirementAnswer,
+    RetirementOrder,
+    RetirementQuery,
+    UnknownOrder,
+    WorkerHeartbeat,
+    order_of,
+)
+
+
+@pytest.mark.parametrize(
+    ("order", "wire"),
+    [
+        (DocumentOrder({"pool": 1}, 3, is_patch=False), '{"what": "source", "source": {"pool": 1}, "base": 3}'),
+        (DocumentOrder([1], 3, is_patch=True), '{"what": "patch", "source": [1], "base": 3}'),
+        (EvacuationOrder("a", away=True), '{"what": "evacuate", "area": "a"}'),
+        (EvacuationOrder("a", away=False), '{"what": "return", "area": "a"}'),
+        (RetirementOrder("s1"), '{"what": "retire", "name": "s1"}'),
+        (RetirementQuery("s1"), '{"what": "retired", "name": "s1"}'),
+    ],
+)
+def test_an_order_has_the_keys_of_the_wire_and_is_read_from_them(order: Any, wire: str) -> None:
+    assert json.dumps(order.as_json()) == wire
+    assert order_of(json.loads(wire)) == order and order.kind == json.loads(wire)["what"]
+
+
+def test_an_order_of_another_release_is_told_apart() -> None:
+    assert order_of({"what": "later"}) == UnknownOrder("later")
+
+
+@pytest.mark.parametrize(
+    ("message", "wire"),
+    [
+        (ApplyRequest({"name": "x"}, 2), '{"manifest": {"name": "x"}, "base": 2}'),
+        (OrderAnswer(7, ["e1"]), '{"edition": 7, "waits": ["e1"]}'),
+        (WorkerHeartbeat("w1", None, 0), '{"who": "w1", "standing": null, "seqno": 0}'),
+    ],
+)
+def test_a_message_has_the_keys_of_the_wire_and_is_read_from_them(message: Any, wire: str) -> None:
+    assert json.dumps(message.as_json()) == wire
+    assert type(message).from_json(json.loads(wire)) == message
+
+
+def test_the_answer_to_a_retirement() -> None:
+    assert RetirementAnswer(True).as_json() == {"done": True}
+
+
+def test_a_worker_that_ended_leaves() -> None:
+    assert WorkerHeartbeat("w1", None, 0).leaves
