--- a/postpass/control/api.py
+++ b/postpass/control/api.py
@@ -48,7 +48,10 @@
 
 
 class Api(Orders):
-    """Wires verbs, HTTP routes and tasks to what the other modules do."""
+    """Wires verbs, HTTP routes and tasks to what the other classes of the chain do.
+
+    Owns no state. Decides the HTTP status of a fault, and which verbs go to the primary whichever member takes them.
+    """
 
     def handlers(self) -> dict[str, Any]:
         """The verbs of peers, with what answers them."""
--- a/postpass/control/contact.py
+++ b/postpass/control/contact.py
@@ -1,7 +1,7 @@
-"""Contact: whether a member still hears what makes its word worth anything, and what it does without.
+"""Contact: whether a member heard its primary, or as the primary a majority, within the lease; what it does if not.
 
 A member whose last contact is older than the lease can't tell what is in force now. It says so at once, hands out no feed
-and refuses no order for a reason of its own. The lease decides only whom a caller is sent to: no acknowledgement and no
+and refuses no order for a reason of its own. The lease decides only whom a client is sent to: no acknowledgement and no
 confirmed read rests on it.
 """
 
@@ -29,7 +29,12 @@
 
 
 class Contact(ControlMember):
-    """Keeps track of contact, and answers for a member that lost it."""
+    """Tells whether this member is in touch, and answers for one that isn't.
+
+    Owns no state: reads `leader_heard` and `voter_heard`, which `Replica` changes, and `epoch`. Decides between three
+    cases: in touch, which serves the feed and takes requests; out of touch, which sends clients to others; and a primary
+    that takes another replica set, which counts as one for twice the lease.
+    """
 
     def last_contact(self) -> float:
         """When this member last heard its primary or, as the primary, most voters; -INFINITY if it never did."""
@@ -67,7 +72,7 @@
         return Fault(step, self.settings.name, f"out of touch with the primary; ask another: {others}", SHED)
 
     async def forward_without_contact(self, verb: str, body: Body) -> PeerResponse:
-        """A worker's heartbeat may reach the primary through another member; for anything else the caller is sent there."""
+        """A worker's heartbeat may reach the primary through another member; for anything else the client is sent there."""
         if verb != "beat" or body.get("relayed"):
             return Err(self.out_of_touch(verb))
         others = self.other_members()
--- a/postpass/control/election.py
+++ b/postpass/control/election.py
@@ -49,9 +49,9 @@
 class Election(Replica):
     """Runs elections, and renews the replica set of the epoch that this member leads.
 
-    Owns `epoch` while it rises (an election won sets it; `step_down` and each renewal clear it), `unsettled_epoch`,
-    `wiped_backups` and `leading_since`; all are changed with `lock` held, but that a higher epoch may clear `epoch` at any
-    await. Decides through `election_rules` whether this member may lead, from which state, with which backups and voters.
+    Sets `epoch`, `leader`, `leading_since` and `unsettled_epoch` once an election is won, always with `lock` held; a higher
+    epoch that is seen may clear `epoch` at any await, so each step that rests on it looks again.
+    Decides through `election_rules` whether this member may lead, from which state, and with which backups and voters.
     """
 
     def electorate(self, configuration: Configuration) -> list[str]:
--- a/postpass/control/feed.py
+++ b/postpass/control/feed.py
@@ -20,7 +20,12 @@
 
 
 class Feed(Writer):
-    """Serves followers, confirms reads, and asks who runs a version."""
+    """Serves followers, confirms reads, and asks who runs a version.
+
+    Owns `next_confirmation` with `confirmation_lock`: the round of confirmation that the reads which come meanwhile share.
+    Notes in `machine_heartbeats` that a follower was heard. Decides whether a poll is answered or told `Stale`, whether a
+    read is confirmed, and whether a version is in force.
+    """
 
     async def on_ping(self, body: Body) -> PeerResponse:
         """Answers a ping; one that asks for an entry is told of this member and whether its disk is blank."""
@@ -43,7 +48,7 @@
     async def in_force(
         self, revision: int, before: Configuration | None, after: Configuration, asked: float, limit: float = 0.0
     ) -> list[str]:
-        """Who of the old and the new manifest has neither said that it runs this edition nor is shown not to run."""
+        """Who of the old and the new configuration has neither said that it runs this revision nor is shown not to run."""
         bounds, me = self.settings.bounds, self.settings.name
         if after.get("announced"):
             hearing = Hearing(self.machine_heartbeats, self.member_reports, self.leading_since)
@@ -91,7 +96,7 @@
         ]
 
     async def confirmed(self) -> int:
-        """The edition in force, confirmed by a round trip that begins after this call; 0 if that can't be had now.
+        """The revision in force, confirmed by a round trip that begins after this call; 0 if that can't be had now.
         Those who ask meanwhile share the next round."""
 
         async def one_round() -> int:
--- a/postpass/control/in_force.py
+++ b/postpass/control/in_force.py
@@ -14,8 +14,8 @@
 from postpass.rpc.peer_links import PeerLinks, PeerResponse
 from postpass.runtime.environment import hear, now
 
-RELAYS = 3  # other machines through which one is asked whose direct way may be cut
-HEAD_START = 1 / 4  # of a try's time, for the direct way before others are asked
+RELAYS = 3  # other machines through which one is asked whose direct link may be cut
+HEAD_START = 1 / 4  # of a try's time, for the direct link before others are asked
 SENDER_DUTIES = {"edge", "sched"}
 
 
@@ -63,7 +63,7 @@
 class VersionWait:
     """Asks machines for a version until each runs it or is shown not to run, or the time is up.
 
-    A process whose address refuses is not there; one that starts later serves only on fresh news, which are no older than
+    A process whose address refuses is not there; one that starts later serves only by a fresh configuration view, which is no older than
     this version, since it was taken before. Invariant: `waits` holds the machines that are not settled yet.
     """
 
@@ -97,7 +97,7 @@
         return self._settles(await self.lines.call(self.machines[name], "ping", ask, limit))
 
     async def _ask_through_others(self, name: str, limit: float) -> bool:
-        """The way from here may be cut, and another's not."""
+        """Asks others to ask it: the link from here may be cut, and theirs not."""
         await asyncio.sleep(limit * HEAD_START)
         ask = {"reach": self.machines[name], "want": self.version, "at": self.source}
         relays = self._relays(name)
--- a/postpass/control/leadership.py
+++ b/postpass/control/leadership.py
@@ -20,7 +20,12 @@
 
 
 class Leadership(Registry):
-    """Keeps this member a primary, or makes it one when there is none."""
+    """Keeps this member a primary, or makes it one when there is none.
+
+    Changes `epoch` (cleared when a majority is silent, or to hand over) and `leader_silent_since`, from which the watch
+    counts. Decides when an election is due: after a restart, after silence, when a backup or voter is to be replaced, and
+    when this member leaves.
+    """
 
     async def tick(self) -> None:
         """The heartbeat of a primary, or the watch of any other member, at random intervals around a heartbeat's."""
--- a/postpass/control/member.py
+++ b/postpass/control/member.py
@@ -41,8 +41,19 @@
 
 @dataclass(eq=False)
 class ControlMember(Daemon):
-    """One control member. Invariants: writes go one at a time under `lock`; `epoch` > 0 only while this is the primary
-    of it; what `configuration_view` holds was on the disks of all holders."""
+    """One control member: its disk, its votes, and what it knows of the others. The base of the chain of classes below
+    `ControlPlane`; each class of the chain adds decisions, and all of them share the state that is declared here.
+
+    Owns on disk: `vote_record` (changed by `promise` alone, synced before it is told), `journal` with the state that was
+    synced last, and `disk_id`, the identity of this disk.
+    Owns in memory: `replicated_state` (what was synced here, perhaps a proposal; set by elections, commits and appends),
+    `committed` (what all holders synced; set by `publish` alone), `epoch` (the one that is led, else 0; set by elections,
+    cleared by `step_down`, renewals and handing over), `leader` and when it was heard.
+    Decides whether a vote is given: `hears_another_primary`, and the rules of `VoteRecord`.
+
+    Invariants: writes go one at a time under `lock`; `epoch` > 0 only while this is the primary of it; what
+    `configuration_view` holds was on the disks of all holders.
+    """
 
     journal: StateJournal = field(init=False)
     vote_record: VoteRecord = VoteRecord()
--- a/postpass/control/orders.py
+++ b/postpass/control/orders.py
@@ -34,7 +34,11 @@
 
 
 class Orders(Leadership):
-    """Takes the orders of operators."""
+    """Takes the orders of operators.
+
+    Owns no state: an order becomes a change of the state, which `Writer` writes, or a whole configuration, which is
+    committed with `lock` held. Decides whether an order is taken, refused, or not known to have been taken.
+    """
 
     async def on_apply(self, body: Body) -> PeerResponse:
         """Takes a whole configuration, and answers once it is in force, or names those that have not said so in time."""
--- a/postpass/control/registry.py
+++ b/postpass/control/registry.py
@@ -38,7 +38,15 @@
 
 
 class Registry(Feed):
-    """Keeps the registry of machines and workers."""
+    """Keeps the registry of machines and workers.
+
+    Owns what was heard of them, by this machine's clock: `worker_heartbeats`, `machine_heartbeats`, `worker_seqnos`,
+    `drained_workers`, `first_heard`, `member_reports` and `reported_at`. Heartbeats and the reports of other members change
+    these; the first two are reset when another primary leads. Nothing of it is on disk: the registry itself is a part of
+    the state, and is changed by `change` alone.
+    Decides who joins, who is late or gone, and how many copies there can be (`reconcile`, by the rules of
+    `postpass.membership.registry`).
+    """
 
     async def found_fleet(self) -> None:
         """The seeds of a blank fleet found it: the first of them, or the next if that one doesn't come to it."""
@@ -130,7 +138,7 @@
             self.first_heard.setdefault(name, -INFINITY if first else now())
 
     async def reconcile(self) -> None:
-        """The primary's care: who is gone, and how many copies there can be."""
+        """At the primary, after each heartbeat: who is gone, and how many copies there can be."""
         state, clock, bounds = self.committed.state, now(), self.settings.bounds
         if not self.epoch or state.manifest is None:
             return
--- a/postpass/control/replica.py
+++ b/postpass/control/replica.py
@@ -20,7 +20,14 @@
 
 
 class Replica(Contact):
-    """Copies the state to the replicas, and answers as one of them."""
+    """Copies the state to the replicas, and answers as one of them.
+
+    Changes `replicated_state` (a commit here, or an append of another), `committed` and `configuration_view` (once all
+    holders synced), `leader`, `leader_heard` and `leader_silent_since` (by appends of a granted epoch). Owns
+    `backup_heard`, `voter_heard`, `departing_members` and `wiped_backups`, which the answers of others change.
+    Decides whether an append is accepted, whether a state is durable at all holders, and whether this member was still
+    the primary when a request came.
+    """
 
     async def on_copy(self, body: Body) -> PeerResponse:
         """From the primary, or from a candidate to its backups: the state to sync, or just a heartbeat under the epoch.
--- a/postpass/control/writer.py
+++ b/postpass/control/writer.py
@@ -1,4 +1,4 @@
-"""The way of a change to the state: queued, written with others at the primary, answered once durable."""
+"""A change of the state: queued, written with others at the primary, answered once it is durable."""
 
 from __future__ import annotations
 
@@ -18,7 +18,12 @@
 
 
 class Writer(Election):
-    """Writes changes at the primary, and forwards to it from any other member."""
+    """Writes changes at the primary, and forwards to it from any other member.
+
+    Owns the queue `waiting_edits`, the time `write_due` at which it is written, and `write_wakeup`, which is set when that
+    time comes sooner; `change` fills the queue and the task `write` empties it, with `lock` held.
+    Decides which changes share a write, and whether a write that a backup didn't take is tried once more with another.
+    """
 
     async def is_leading(self) -> bool:
         """Is this the primary? While it takes another backup or voter it is for a moment not, and soon again."""
@@ -28,7 +33,7 @@
         return self.epoch > 0
 
     async def change(self, fold: Fold, pause: float) -> Result[int, Fault]:
-        """Writes a change, with others that come within the pause; the edition that has it, once it is durable."""
+        """Writes a change, with others that come within the pause; the revision that has it, once it is durable."""
         if not await self.is_leading():
             return Err(self.not_leader("write"))
         edit = Edit(fold, asyncio.get_running_loop().create_future())
--- a/tests/test_readable_code.py
+++ b/tests/test_readable_code.py
@@ -41,26 +41,15 @@
 }  # fmt: skip
 # Withdrawn words that still stand in names, by module. The users of these names are being worked on.
 STANDING_NAMES: dict[str, set[str]] = {
-    "control/api.py": {"http_manifest: say configuration", "ways: say route"},
-    "control/election.py": {"beats: say heartbeat", "held: say replicated state", "looks: say prepare"},
-    "control/epochs.py": {
-        "Pair: say replica set", "area: say zone", "look: say prepare", "pair: say replica set", "pairs: say replica set",
-        "whole: say state epoch",
-    },
-    "control/feed.py": {"edition: say version"},
-    "control/member.py": {"beats: say heartbeat", "held: say replicated state", "on_look: say prepare"},
-    "control/orders.py": {"area: say zone"},
-    "control/registry.py": {"beat_worker: say heartbeat", "beats: say heartbeat", "on_beat: say heartbeat"},
-    "control/replica.py": {"held: say replicated state"},
-    "control/state.py": {"Held: say replicated state", "pair: say replica set", "whole: say state epoch"},
+    "control/api.py": {"ways: say route"},
+    # Verbs of peers, by which their handlers are found.
+    "control/member.py": {"on_look: say prepare"},
+    "control/registry.py": {"on_beat: say heartbeat"},
     # The older names of fields that plug-ins read; they stay for one release.
     "worker_api/plugins.py": {"area: say zone"},
 }  # fmt: skip
 # How many one-letter names still stand in a module.
-STANDING_LETTERS = {
-    "control/election.py": 4, "control/epochs.py": 1, "control/leadership.py": 7, "control/member.py": 1,
-    "control/registry.py": 11, "control/replica.py": 2,
-}  # fmt: skip
+STANDING_LETTERS: dict[str, int] = {}
 
 
 def moved_modules() -> list[Path]:
