--- a/postpass/control/api.py
+++ b/postpass/control/api.py
@@ -14,6 +14,7 @@
 from postpass.control.member import INFINITY
 from postpass.control.order_messages import ApplyRequest, OrderAnswer
 from postpass.control.orders import Orders
+from postpass.control.read_messages import ConfigurationAnswer, ReadRequest
 from postpass.daemon.process import Task
 from postpass.rpc.peer_links import Body, PeerResponse
 from postpass.runtime.environment import now
@@ -90,13 +91,13 @@
 
     async def http_read(self) -> Response:
         """The configuration in force, confirmed; its revision is the entity tag."""
-        got = await self.forward("read", {})
+        got = await self.forward("read", ReadRequest().as_json())
         if isinstance(got, Err):
             return failed(got.unwrap_err())
-        body = got.unwrap()
-        if body["manifest"] is None:
+        answer = ConfigurationAnswer.from_json(got.unwrap())
+        if answer.configuration is None:
             return refused(404, Fault("read", self.settings.name, "no manifest yet"))
-        return JSONResponse(body["manifest"], headers=entity_tag(body["edition"]))
+        return JSONResponse(answer.configuration, headers=entity_tag(answer.revision))
 
     async def http_apply(self, request: Request) -> Response:
         """Takes a configuration; 202 where machines have not confirmed in time that they run it."""
--- a/postpass/control/feed.py
+++ b/postpass/control/feed.py
@@ -9,6 +9,7 @@
 from postpass.configuration.configuration import Configuration, shape
 from postpass.control.in_force import Hearing, VersionWait, awaited_senders
 from postpass.control.member import INFINITY
+from postpass.control.read_messages import ConfigurationAnswer, ReadRequest, RevisionAnswer, SourceAnswer
 from postpass.control.writer import Writer
 from postpass.feed.messages import Poll
 from postpass.rpc.peer_links import Body, PeerResponse
@@ -110,10 +111,12 @@
                 addr = self.addr(self.leader) if self.leader != self.settings.name else ""
                 if not addr:
                     return 0
-                got = await self.peer_links.call(addr, "read", {"brief": 1}, self.settings.bounds.follow)
+                got = await self.peer_links.call(
+                    addr, "read", ReadRequest(brief=True).as_json(), self.settings.bounds.follow
+                )
                 if isinstance(got, Err):
                     return 0
-                revision = int(got.unwrap()["edition"])
+                revision = RevisionAnswer.from_json(got.unwrap()).revision
                 if revision > self.configuration_view.revision:
                     await self.fetch(addr, self.settings.bounds.follow)
                 return revision
@@ -133,32 +136,33 @@
             led = self.leader_heard_event
             revision = await self.confirmed()
             if revision:
-                return Ok({"edition": revision})
+                return Ok(RevisionAnswer(revision).as_json())
             if not await self.wait_for_leader(led, until):
                 return Err(Fault("read", self.settings.name, "no primary now; ask again", SHED))
 
     async def on_read(self, body: Body) -> PeerResponse:
         """Tells the configuration, or only its version, once this member has proved that it leads."""
-        if "wait" in body:
-            return await self.read_waiting(float(body["wait"]))
-        if body.get("brief") and self.epoch:
+        request = ReadRequest.from_json(body)
+        if request.wait is not None:
+            return await self.read_waiting(request.wait)
+        if request.brief and self.epoch:
             revision = await self.confirmed()
             if not revision:
-                return Err(Fault("read", self.settings.name, "could not be confirmed; ask again", SLOW))
-            return Ok({"edition": revision})
+                return Err(self.unconfirmed("read"))
+            return Ok(RevisionAnswer(revision).as_json())
         if not self.epoch:
-            hint = (
-                self.vote_record.replica_set.primary
-                if self.vote_record.replica_set.primary != self.settings.name
-                else ""
-            )
+            primary = self.vote_record.replica_set.primary
+            hint = primary if primary != self.settings.name else ""
             return Err(Fault("read", self.settings.name, "not the primary", MOVED, hint))
         async with self.lock:
             state = self.committed.state
             if not await self.confirm_leadership():
-                return Err(Fault("read", self.settings.name, "could not be confirmed; ask again", SLOW))
-        if body.get("source"):
-            return Ok(
-                {"edition": state.revision, "source": state.source, "version": state.configuration.get("version", 0)}
-            )
-        return Ok({"edition": state.revision, "manifest": state.manifest, "losses": state.losses})
+                return Err(self.unconfirmed("read"))
+        if request.source:
+            version = state.configuration.get("version", 0)
+            return Ok(SourceAnswer(state.revision, state.source, version).as_json())
+        return Ok(ConfigurationAnswer(state.revision, state.manifest, state.losses).as_json())
+
+    def unconfirmed(self, step: str) -> Fault:
+        """The error of a member that leads as far as it knows, and couldn't prove it in time."""
+        return Fault(step, self.settings.name, "could not be confirmed; ask again", SLOW)
--- a/postpass/control/orders.py
+++ b/postpass/control/orders.py
@@ -25,6 +25,7 @@
     UnknownOrder,
     order_of,
 )
+from postpass.control.read_messages import ReadRequest
 from postpass.membership import registry
 from postpass.membership.registry import State
 from postpass.rpc.peer_links import Body, PeerResponse
@@ -114,10 +115,6 @@
             return Err(Fault("apply", self.settings.name, "not known whether it was taken; ask again", SLOW))
         return Ok(state.revision)
 
-    def unconfirmed(self, step: str) -> Fault:
-        """What a member says that leads as far as it knows, and couldn't prove it in time."""
-        return Fault(step, self.settings.name, "could not be confirmed; ask again", SLOW)
-
     async def configuration_flaws(self, state: State, configuration: Configuration) -> list[str]:
         """What stands against this configuration after the present state."""
         if state.manifest is not None and configuration["parts"] != state.manifest["parts"]:
@@ -136,7 +133,7 @@
 
     async def read_source(self) -> PeerResponse:
         """The operator's document in force, with its version."""
-        return await self.forward("read", {"source": 1}, self.settings.bounds.manifest / 4)
+        return await self.forward("read", ReadRequest(source=True).as_json(), self.settings.bounds.manifest / 4)
 
     async def evacuate(self, zone: str, away: bool) -> PeerResponse:
         """Takes all traffic from a zone, or lets it come back."""
--- a/postpass/control/registry.py
+++ b/postpass/control/registry.py
@@ -14,6 +14,7 @@
 from postpass.control.member import INFINITY
 from postpass.control.messages import HEAR, HeartbeatReport, HeartbeatReportAnswer
 from postpass.control.order_messages import WorkerHeartbeat
+from postpass.control.read_messages import RevisionAnswer
 from postpass.membership import registry
 from postpass.membership.registry import Entry, Standing, State
 from postpass.rpc.peer_links import Body, PeerResponse
@@ -91,7 +92,7 @@
         log_events.emit(
             136, self.settings.name, joins=entry["name"], duties=",".join(entry["duties"]), revision=got.unwrap()
         )
-        return Ok({"edition": got.unwrap()})
+        return Ok(RevisionAnswer(got.unwrap()).as_json())
 
     async def report(self) -> None:
         """Tells the primary whom this machine has heard, so that nobody is missed whose heartbeats go elsewhere."""
@@ -234,4 +235,4 @@
             return Err(got.unwrap_err())
         if heartbeat.leaves:
             await self.in_force(got.unwrap(), None, self.committed.state.configuration, asked, bounds.leave / 6)
-        return Ok({"edition": got.unwrap()})
+        return Ok(RevisionAnswer(got.unwrap()).as_json())
--- a/tests/control/test_order_messages.py
+++ b/tests/control/test_order_messages.py
@@ -19,6 +19,7 @@
     WorkerHeartbeat,
     order_of,
 )
+from postpass.control.read_messages import ConfigurationAnswer, ReadRequest, RevisionAnswer, SourceAnswer
 
 
 @pytest.mark.parametrize(
@@ -46,6 +47,11 @@
     [
         (ApplyRequest({"name": "x"}, 2), '{"manifest": {"name": "x"}, "base": 2}'),
         (OrderAnswer(7, ["e1"]), '{"edition": 7, "waits": ["e1"]}'),
+        (ReadRequest(), "{}"),
+        (ReadRequest(brief=True, wait=0.5), '{"brief": 1, "wait": 0.5}'),
+        (ReadRequest(source=True), '{"source": 1}'),
+        (RevisionAnswer(7), '{"edition": 7}'),
+        (ConfigurationAnswer(7, None, 1), '{"edition": 7, "manifest": null, "losses": 1}'),
         (WorkerHeartbeat("w1", None, 0), '{"who": "w1", "standing": null, "seqno": 0}'),
     ],
 )
@@ -54,7 +60,8 @@
     assert type(message).from_json(json.loads(wire)) == message
 
 
-def test_the_answer_to_a_retirement() -> None:
+def test_answers_that_are_written_alone() -> None:
+    assert json.dumps(SourceAnswer(7, {"a": 1}, 3).as_json()) == '{"edition": 7, "source": {"a": 1}, "version": 3}'
     assert RetirementAnswer(True).as_json() == {"done": True}
 
 
