--- a/postpass/control/feed.py
+++ b/postpass/control/feed.py
@@ -78,8 +78,8 @@
         """How long a machine is not heard before another may take its place."""
         return min(self.settings.bounds.sync or INFINITY, self.settings.bounds.recover / 2) / 2
 
-    async def strangers(self, before: Configuration | None, after: Configuration) -> list[str]:
-        """If keys or plug-ins come that were not used before: which daemons say that they don't know them."""
+    async def daemons_that_reject(self, before: Configuration | None, after: Configuration) -> list[str]:
+        """If keys or plug-ins come that were not used before: which daemons refuse them, as they don't know them."""
         if before is None or shape(after) <= shape(before):
             return []
         names = [n for n, m in after["machines"].items() if n != self.settings.name and not m.get("gone")]
@@ -133,11 +133,11 @@
         while True:
             if self.lost_touch():
                 return Err(self.out_of_touch("read"))
-            led = self.leader_heard_event
+            event = self.leader_heard_event
             revision = await self.confirmed()
             if revision:
                 return Ok(RevisionAnswer(revision).as_json())
-            if not await self.wait_for_leader(led, until):
+            if not await self.wait_for_leader(event, until):
                 return Err(Fault("read", self.settings.name, "no primary now; ask again", SHED))
 
     async def on_read(self, body: Body) -> PeerResponse:
--- a/postpass/control/member.py
+++ b/postpass/control/member.py
@@ -320,10 +320,10 @@
         self.leader_heard_event.set()
         self.leader_heard_event = asyncio.Event()
 
-    async def wait_for_leader(self, led: asyncio.Event, until: float) -> bool:
-        """True once a primary is heard after the try before which `led` was taken."""
+    async def wait_for_leader(self, heard: asyncio.Event, until: float) -> bool:
+        """True once a primary is heard after the try before which `heard` was taken."""
         try:
-            await asyncio.wait_for(led.wait(), max(0.0, until - now()))
+            await asyncio.wait_for(heard.wait(), max(0.0, until - now()))
         except TimeoutError:
             return False
         return True
--- a/postpass/control/orders.py
+++ b/postpass/control/orders.py
@@ -116,12 +116,12 @@
         return Ok(state.revision)
 
     async def configuration_flaws(self, state: State, configuration: Configuration) -> list[str]:
-        """What stands against this configuration after the present state."""
+        """Why this configuration can't follow the present state; empty if it can."""
         if state.manifest is not None and configuration["parts"] != state.manifest["parts"]:
             return [f"parts: stays {state.manifest['parts']}; lots are spread by it"]
         if not set(self.members(configuration)) & set(self.replicated_state.replica_set.holders):
             return ["machines: neither primary nor backup stays a control machine"]
-        return await self.strangers(state.manifest, configuration)
+        return await self.daemons_that_reject(state.manifest, configuration)
 
     async def apply_source(self, source: Any, base: int) -> PeerResponse:
         """The operator's document as a whole, made on top of version `base`."""
--- a/postpass/control/registry.py
+++ b/postpass/control/registry.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping
 from functools import partial
 
 from result import Err, Ok, Result
@@ -23,6 +23,9 @@
 from postpass.runtime.errors import BAD, Fault
 
 MOST_DRAINED = 4096  # workers whose acknowledged leaving a member remembers
+MISSED_HEARTBEATS = 3.5  # periods after which a silent worker is late
+MISSED_WHEN_MANY_ARE_LATE = 10  # the same, where half of the workers would be late
+MOST_LATE_AT_ONCE = 4  # twice as many workers as may be late in a small fleet, whatever their share
 MOST_SEQNOS, SEQNOS_KEPT = 4096, 1024  # workers whose last heartbeat's number a member remembers, and after a trim
 
 
@@ -31,6 +34,20 @@
     return {name: round(clock - at, 3) for name, at in heard.items() if clock - at < horizon}
 
 
+def silences(names: Iterable[str], heard: Mapping[str, float], since: float, clock: float) -> dict[str, float]:
+    """Seconds since each name was heard; at the most since this primary began to listen, at `since`."""
+    return {name: clock - max(heard.get(name, -INFINITY), since) for name in names}
+
+
+def late_workers(workers: Mapping[str, float], period: float) -> list[str]:
+    """The workers that missed their heartbeats, given the seconds since each was heard. Where so many are late at once that
+    it may well be the link to here that is cut, more heartbeats are waited for."""
+    late = [name for name, silence in workers.items() if silence > MISSED_HEARTBEATS * period]
+    if 2 * len(late) > max(len(workers), MOST_LATE_AT_ONCE):
+        return [name for name, silence in workers.items() if silence > MISSED_WHEN_MANY_ARE_LATE * period]
+    return late
+
+
 def standing_change(heartbeat: WorkerHeartbeat, state: State) -> Result[State, Fault]:
     """The state with a worker's standing; the same one if it has that already."""
     if heartbeat.standing is None:
@@ -143,35 +160,27 @@
         state, clock, bounds = self.committed.state, now(), self.settings.bounds
         if not self.epoch or state.manifest is None:
             return
-        configuration = state.manifest
-        silent = {
-            n: clock - max(self.machine_heartbeats.get(n, -INFINITY), self.leading_since)
-            for n in configuration["machines"]
-        }
-        every = registry.everyone(state)
-        quiet = {w: clock - max(self.worker_heartbeats.get(w, -INFINITY), self.leading_since) for w in every}
-        late = [w for w, q in quiet.items() if q > 3.5 * self.settings.beat]
-        if 2 * len(late) > max(len(every), 4):
-            # So many at once: it may well be the way to here that is cut, and no beat can come.
-            late = [w for w, q in quiet.items() if q > 10 * self.settings.beat]
+        configuration, listening_since = state.manifest, self.leading_since
+        machines = silences(configuration["machines"], self.machine_heartbeats, listening_since, clock)
+        workers = silences(registry.everyone(state), self.worker_heartbeats, listening_since, clock)
+        late = late_workers(workers, self.settings.beat)
         # A holder leaves the replica set first: whoever is dropped can't lead, though it may hold the newest state.
         gone = [
             n
-            for n in registry.replaced(configuration, silent, self.first_heard, clock, self.patience)
+            for n in registry.replaced(configuration, machines, self.first_heard, clock, self.patience)
             if n not in self.replicated_state.replica_set
         ]
         joined = max((self.first_heard.get(n, 0.0) for n in with_duty(configuration, "store")), default=clock)
-        few = (
-            clock - max(joined, self.leading_since) > bounds.recover / 4
-        )  # longer than the patience, so that `heard` leaves out the gone
-        heard = [n for n, q in silent.items() if q <= self.patience]
+        # Longer than the patience, so that `heard` leaves out the gone.
+        no_store_is_new = clock - max(joined, listening_since) > bounds.recover / 4
+        heard = [n for n, silence in machines.items() if silence <= self.patience]
 
         def fold(state: State) -> Result[State, Fault]:
             if late:
                 state = registry.expired(state, late)
             if gone:
                 state = registry.dropped(state, gone)
-            return Ok(registry.settled(state, self.settings.tolerance, few, heard))
+            return Ok(registry.settled(state, self.settings.tolerance, no_store_is_new, heard))
 
         if fold(state).unwrap() is not state:
             got = await self.change(fold, 0.0)
--- a/postpass/control/replica.py
+++ b/postpass/control/replica.py
@@ -187,7 +187,7 @@
             return False
         self.publish(replicated_state.state)
         # In force within its bound even if this machine dies now: the backups hand it out as well before the
-        # operator is answered, and the witnesses are told.
+        # operator is answered, and the other voters are told.
         for name in [n for n in self.members(state.manifest) if n not in replicated_state.replica_set]:
             task = asyncio.create_task(self.notify(name, epoch))
             self.fetches.add(task)
@@ -242,7 +242,7 @@
         """The answers of these members, this one among them, to a request; those that gave none are left out.
 
         Once most have answered, the others are waited for no longer than a heartbeat. `quick` takes shorter limits, where
-        this member leads and callers wait.
+        this member leads and clients wait.
         """
         bounds = self.settings.bounds
 
--- a/postpass/control/writer.py
+++ b/postpass/control/writer.py
@@ -108,14 +108,18 @@
             return await self.forward_without_contact(verb, body)
         until = now() + (self.settings.bounds.leave / 4 if self.settings.announce else 0.0)
         while True:
-            led = self.leader_heard_event
+            event = self.leader_heard_event
             got = await self.forward_once(verb, body, limit)
-            none = (
-                isinstance(got, Err) and got.unwrap_err().code == SHED and got.unwrap_err().peer == self.settings.name
-            )
-            if not none or not await self.wait_for_leader(led, until):
+            if not self.found_no_primary(got) or not await self.wait_for_leader(event, until):
                 return got
 
+    def found_no_primary(self, got: PeerResponse) -> bool:
+        """Did this member itself refuse, because it found no primary? An error that the primary answered names another."""
+        if got.is_ok():
+            return False
+        fault = got.unwrap_err()
+        return fault.code == SHED and fault.peer == self.settings.name
+
     async def forward_once(self, verb: str, body: Body, limit: float) -> PeerResponse:
         """Tries this member, then whoever it names as primary, then all others."""
         got: PeerResponse = await getattr(self, f"on_{verb}")(body)
