--- a/bench/control_state.py
+++ b/bench/control_state.py
@@ -85,7 +85,7 @@
             "area": "zone-a",
             "slots": self.count,
         }
-        call = control.beat_worker("measured", standing, self.count)
+        call = control.record_worker_heartbeat("measured", standing, self.count)
         got = await asyncio.get_running_loop().create_task(call, context=box.host.context())
         return got.is_ok() and "edition" in got.unwrap()
 
--- a/postpass/control/feed.py
+++ b/postpass/control/feed.py
@@ -10,6 +10,7 @@
 from postpass.configuration.configuration import Configuration, shape
 from postpass.control.in_force import Hearing, VersionWait, awaited_senders
 from postpass.control.member import INFINITY
+from postpass.control.read_messages import ConfigurationAnswer, ReadRequest, RevisionAnswer, SourceAnswer
 from postpass.control.writer import Writer
 from postpass.feed.messages import Poll
 from postpass.rpc.peer_links import Body, PeerResponse
@@ -21,7 +22,12 @@
 
 
 class Feed(Writer):
-    """Serves followers, confirms reads, and asks who runs a version."""
+    """Serves followers, confirms reads, and asks who runs a version.
+
+    Owns `next_confirmation` with `confirmation_lock`: the round of confirmation that the reads which come meanwhile share.
+    Notes in `machine_heartbeats` that a follower was heard. Decides whether a poll is answered or told `Stale`, whether a
+    read is confirmed, and whether a version is in force.
+    """
 
     async def on_ping(self, body: Body) -> PeerResponse:
         """Answers a ping; one that asks for an entry is told of this member and whether its disk is blank."""
@@ -34,7 +40,7 @@
         poll = Poll.from_json(body)
         if not poll.follower:
             return await super().on_follow(body)
-        self.spoke[poll.follower] = now()
+        self.machine_heartbeats[poll.follower] = now()
         until = now() + poll.hold
         while self.in_touch() and self.configuration_view.revision <= poll.after and now() < until:
             lease_end = self.last_contact() + self.settings.bounds.contact
@@ -47,10 +53,10 @@
     async def in_force(
         self, revision: int, before: Configuration | None, after: Configuration, asked: float, limit: float = 0.0
     ) -> list[str]:
-        """Who of the old and the new manifest has neither said that it runs this edition nor is shown not to run."""
+        """Who of the old and the new configuration has neither said that it runs this revision nor is shown not to run."""
         bounds, me = self.settings.bounds, self.settings.name
         if after.get("announced"):
-            hearing = Hearing(self.spoke, self.reported, self.since)
+            hearing = Hearing(self.machine_heartbeats, self.member_reports, self.leading_since)
             machines = awaited_senders(after, me, hearing, now(), bounds.detect, 4 * self.patience)
         else:
             every = {
@@ -76,8 +82,8 @@
         """How long a machine is not heard before another may take its place."""
         return min(self.settings.bounds.sync or INFINITY, self.settings.bounds.recover / 2) / 2
 
-    async def strangers(self, before: Configuration | None, after: Configuration) -> list[str]:
-        """If keys or plug-ins come that were not used before: which daemons say that they don't know them."""
+    async def daemons_that_reject(self, before: Configuration | None, after: Configuration) -> list[str]:
+        """If keys or plug-ins come that were not used before: which daemons refuse them, as they don't know them."""
         if before is None or shape(after) <= shape(before):
             return []
         names = [n for n, m in after["machines"].items() if n != self.settings.name and not m.get("gone")]
@@ -95,7 +101,7 @@
         ]
 
     async def confirmed(self) -> int:
-        """The edition in force, confirmed by a round trip that begins after this call; 0 if that can't be had now.
+        """The revision in force, confirmed by a round trip that begins after this call; 0 if that can't be had now.
         Those who ask meanwhile share the next round."""
 
         async def one_round() -> int:
@@ -109,10 +115,12 @@
                 addr = self.addr(self.leader) if self.leader != self.settings.name else ""
                 if not addr:
                     return 0
-                got = await self.peer_links.call(addr, "read", {"brief": 1}, self.settings.bounds.follow)
+                got = await self.peer_links.call(
+                    addr, "read", ReadRequest(brief=True).as_json(), self.settings.bounds.follow
+                )
                 if isinstance(got, Err):
                     return 0
-                revision = int(got.unwrap()["edition"])
+                revision = RevisionAnswer.from_json(got.unwrap()).revision
                 if revision > self.configuration_view.revision:
                     await self.follower.fetch(addr, self.settings.bounds.follow)
                 return revision
@@ -129,31 +137,36 @@
         while True:
             if self.lost_touch():
                 return Err(self.out_of_touch("read"))
-            led = self.led_now
+            event = self.leader_heard_event
             revision = await self.confirmed()
             if revision:
-                return Ok({"edition": revision})
-            if not await self.wait_for_leader(led, until):
+                return Ok(RevisionAnswer(revision).as_json())
+            if not await self.wait_for_leader(event, until):
                 return Err(Fault("read", self.settings.name, "no primary now; ask again", SHED))
 
     async def on_read(self, body: Body) -> PeerResponse:
         """Tells the configuration, or only its version, once this member has proved that it leads."""
-        if "wait" in body:
-            return await self.read_waiting(float(body["wait"]))
-        if body.get("brief") and self.epoch:
+        request = ReadRequest.from_json(body)
+        if request.wait is not None:
+            return await self.read_waiting(request.wait)
+        if request.brief and self.epoch:
             revision = await self.confirmed()
             if not revision:
-                return Err(Fault("read", self.settings.name, "could not be confirmed; ask again", SLOW))
-            return Ok({"edition": revision})
+                return Err(self.unconfirmed("read"))
+            return Ok(RevisionAnswer(revision).as_json())
         if not self.epoch:
-            hint = self.witness.pair.primary if self.witness.pair.primary != self.settings.name else ""
+            primary = self.vote_record.replica_set.primary
+            hint = primary if primary != self.settings.name else ""
             return Err(Fault("read", self.settings.name, "not the primary", MOVED, hint))
         async with self.lock:
             state = self.committed.state
             if not await self.confirm_leadership():
-                return Err(Fault("read", self.settings.name, "could not be confirmed; ask again", SLOW))
-        if body.get("source"):
-            return Ok(
-                {"edition": state.revision, "source": state.source, "version": state.configuration.get("version", 0)}
-            )
-        return Ok({"edition": state.revision, "manifest": state.manifest, "losses": state.losses})
+                return Err(self.unconfirmed("read"))
+        if request.source:
+            version = state.configuration.get("version", 0)
+            return Ok(SourceAnswer(state.revision, state.source, version).as_json())
+        return Ok(ConfigurationAnswer(state.revision, state.manifest, state.losses).as_json())
+
+    def unconfirmed(self, step: str) -> Fault:
+        """The error of a member that leads as far as it knows, and couldn't prove it in time."""
+        return Fault(step, self.settings.name, "could not be confirmed; ask again", SLOW)
--- a/postpass/control/registry.py
+++ b/postpass/control/registry.py
@@ -3,12 +3,18 @@
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Iterable, Mapping
+from functools import partial
 
 from result import Err, Ok, Result
 
 from postpass.configuration.configuration import Configuration, with_duty
+from postpass.control.election_rules import Cause, ElectionReason
 from postpass.control.feed import Feed
 from postpass.control.member import INFINITY
+from postpass.control.messages import HEAR, HeartbeatReport, HeartbeatReportAnswer
+from postpass.control.order_messages import WorkerHeartbeat
+from postpass.control.read_messages import RevisionAnswer
 from postpass.membership import machine_registry, worker_registry
 from postpass.membership.registry import MachineAnnouncement, State, WorkerAnnouncement
 from postpass.rpc.peer_links import Body, PeerResponse
@@ -17,20 +23,58 @@
 from postpass.runtime.errors import BAD, Fault
 
 MOST_DRAINED = 4096  # workers whose acknowledged leaving a member remembers
+MISSED_HEARTBEATS = 3.5  # periods after which a silent worker is late
+MISSED_WHEN_MANY_ARE_LATE = 10  # the same, where half of the workers would be late
+MOST_LATE_AT_ONCE = 4  # twice as many workers as may be late in a small fleet, whatever their share
+MOST_SEQNOS, SEQNOS_KEPT = 4096, 1024  # workers whose last heartbeat's number a member remembers, and after a trim
+
+
+def recent_ages(heard: Mapping[str, float], clock: float, horizon: float) -> dict[str, float]:
+    """Seconds since each name was heard, rounded to milliseconds; those that were not heard within `horizon` are left out."""
+    return {name: round(clock - at, 3) for name, at in heard.items() if clock - at < horizon}
+
+
+def silences(names: Iterable[str], heard: Mapping[str, float], since: float, clock: float) -> dict[str, float]:
+    """Seconds since each name was heard; at the most since this primary began to listen, at `since`."""
+    return {name: clock - max(heard.get(name, -INFINITY), since) for name in names}
+
+
+def late_workers(workers: Mapping[str, float], period: float) -> list[str]:
+    """The workers that missed their heartbeats, given the seconds since each was heard. Where so many are late at once that
+    it may well be the link to here that is cut, more heartbeats are waited for."""
+    late = [name for name, silence in workers.items() if silence > MISSED_HEARTBEATS * period]
+    if 2 * len(late) > max(len(workers), MOST_LATE_AT_ONCE):
+        return [name for name, silence in workers.items() if silence > MISSED_WHEN_MANY_ARE_LATE * period]
+    return late
+
+
+def standing_change(heartbeat: WorkerHeartbeat, state: State) -> Result[State, Fault]:
+    """The state with a worker's standing; the same one if it has that already."""
+    if heartbeat.standing is None:
+        return Ok(worker_registry.without_ended(state, [heartbeat.worker]))
+    return Ok(worker_registry.with_worker(state, heartbeat.worker, heartbeat.standing))
 
 
 class Registry(Feed):
-    """Keeps the registry of machines and workers."""
+    """Keeps the registry of machines and workers.
+
+    Owns what was heard of them, by this machine's clock: `worker_heartbeats`, `machine_heartbeats`, `worker_seqnos`,
+    `drained_workers`, `first_heard`, `member_reports` and `reported_at`. Heartbeats and the reports of other members change
+    these; the first two are reset when another primary leads. Nothing of it is on disk: the registry itself is a part of
+    the state, and is changed by `change` alone.
+    Decides who joins, who is late or gone, and how many copies there can be (`reconcile`, by the rules of
+    `postpass.membership.registry`).
+    """
 
     async def found_fleet(self) -> None:
         """The seeds of a blank fleet found it: the first of them, or the next if that one doesn't come to it."""
-        b, seeds = self.settings.bounds, sorted(set(self.settings.seeds))
+        bounds, seeds = self.settings.bounds, sorted(set(self.settings.seeds))
         if not self.settings.bootstrap or self.settings.peer not in seeds:
             return
-        await asyncio.sleep(b.detect * seeds.index(self.settings.peer))
+        await asyncio.sleep(bounds.detect * seeds.index(self.settings.peer))
         while self.blank():
             asks = [
-                self.peer_links.call(a, "ping", {"entry": 1}, b.beat if a != self.settings.peer else 0)
+                self.peer_links.call(a, "ping", {"entry": 1}, bounds.beat if a != self.settings.peer else 0)
                 for a in seeds
                 if a != self.settings.peer
             ]
@@ -44,98 +88,106 @@
                     entries, self.settings.zones, self.settings.disks_lost
                 )
                 async with self.lock:
-                    done = await self.run_election(configuration, "founded", State(1, configuration))
+                    done = await self.run_election(
+                        configuration, ElectionReason(Cause.FOUNDED), State(1, configuration)
+                    )
                 if isinstance(done, Ok):
                     log_events.emit(135, self.settings.name, machines=",".join(e["name"] for e in entries))
                     return
-            await asyncio.sleep(b.beat / 4 * (0.8 + 0.4 * self.environment.chance.random()))
+            await asyncio.sleep(bounds.beat / 4 * (0.8 + 0.4 * self.environment.chance.random()))
 
     async def on_join(self, body: Body) -> PeerResponse:
+        """A machine announces itself: its entry is written, and the revision that has it is told once it is durable."""
         step, entry = "join", body["entry"]
         if not await self.is_leading():
             return Err(self.not_leader(step))
         flaws = machine_registry.announcement_flaws(entry, self.settings.zones)
         if flaws:
             return Err(Fault(step, self.settings.name, "\n".join(flaws), BAD))
-        self.spoke[entry["name"]] = now()
+        self.machine_heartbeats[entry["name"]] = now()
         if (configuration := self.known()) is not None:
             self.note_newcomers(configuration)
-        self.met.setdefault(entry["name"], now())
-        got = await self.change(lambda s: Ok(machine_registry.with_machine(s, entry)), self.settings.bounds.beat / 4)
+        self.first_heard.setdefault(entry["name"], now())
+        got = await self.change(
+            lambda state: Ok(machine_registry.with_machine(state, entry)), self.settings.bounds.beat / 4
+        )
         if isinstance(got, Err):
             return Err(got.unwrap_err())
         log_events.emit(
             136, self.settings.name, joins=entry["name"], duties=",".join(entry["duties"]), revision=got.unwrap()
         )
-        return Ok({"edition": got.unwrap()})
+        return Ok(RevisionAnswer(got.unwrap()).as_json())
 
     async def report(self) -> None:
-        """Tells the primary whom this machine has heard, so that nobody is missed who beats elsewhere."""
-        b, period = self.settings.bounds, self.settings.beat / 2
+        """Tells the primary whom this machine has heard, so that nobody is missed whose heartbeats go elsewhere."""
+        bounds, period = self.settings.bounds, self.settings.beat / 2
         while True:
             await asyncio.sleep(period * (0.8 + 0.4 * self.environment.chance.random()))
             if self.epoch:
-                self.touched = now()
+                self.reported_at = now()
                 continue
             addr = self.addr(self.leader)
             if not addr:
                 continue
-            t = now()
-            ages: Body = {
-                key: {n: round(t - at, 3) for n, at in seen.items() if t - at < 2 * self.settings.beat + period}
-                for key, seen in (("beats", self.beats), ("spoke", self.spoke))
-            }
-            got = await self.peer_links.call(addr, "hear", ages | {"who": self.settings.name}, min(period, b.beat * 2))
-            if isinstance(got, Ok) and got.unwrap()["leads"]:
-                self.touched = t
-            self.beats = {n: at for n, at in self.beats.items() if t - at < 8 * self.settings.beat}
-            self.spoke = {n: at for n, at in self.spoke.items() if t - at < 8 * self.settings.beat}
+            asked = now()
+            horizon = 2 * self.settings.beat + period
+            report = HeartbeatReport(
+                recent_ages(self.worker_heartbeats, asked, horizon),
+                recent_ages(self.machine_heartbeats, asked, horizon),
+                self.settings.name,
+            )
+            got = await self.peer_links.call(addr, HEAR, report.as_json(), min(period, bounds.beat * 2))
+            if isinstance(got, Ok) and HeartbeatReportAnswer.from_json(got.unwrap()).leads:
+                self.reported_at = asked
+            kept = 8 * self.settings.beat
+            self.worker_heartbeats = {n: at for n, at in self.worker_heartbeats.items() if asked - at < kept}
+            self.machine_heartbeats = {n: at for n, at in self.machine_heartbeats.items() if asked - at < kept}
 
     async def on_hear(self, body: Body) -> PeerResponse:
-        if "who" in body:
-            self.reported[body["who"]] = now()
-        for key, seen in (("beats", self.beats), ("spoke", self.spoke)):
-            for name, age in body[key].items():
-                seen[name] = max(seen.get(name, -INFINITY), now() - float(age))
-        return Ok({"leads": self.epoch > 0})
+        """Takes another member's report of whom it heard, into what was heard here."""
+        report = HeartbeatReport.from_json(body)
+        if report.member:
+            self.member_reports[report.member] = now()
+        for ages, heard in (
+            (report.worker_ages, self.worker_heartbeats),
+            (report.machine_ages, self.machine_heartbeats),
+        ):
+            for name, age in ages.items():
+                heard[name] = max(heard.get(name, -INFINITY), now() - float(age))
+        return Ok(HeartbeatReportAnswer(self.epoch > 0).as_json())
 
     def note_newcomers(self, configuration: Configuration) -> None:
         """Remembers when each machine came, as every member sees it: whoever leads next has to know which are new."""
-        first = not self.met
+        first = not self.first_heard
         for name in configuration["machines"]:
-            self.met.setdefault(name, -INFINITY if first else now())
+            self.first_heard.setdefault(name, -INFINITY if first else now())
 
     async def reconcile(self) -> None:
-        """The primary's care: who is gone, and how many copies there can be."""
-        state, t, b = self.committed.state, now(), self.settings.bounds
+        """At the primary, after each heartbeat: who is gone, and how many copies there can be."""
+        state, clock, bounds = self.committed.state, now(), self.settings.bounds
         if not self.epoch or state.manifest is None:
             return
-        configuration = state.manifest
-        silent = {n: t - max(self.spoke.get(n, -INFINITY), self.since) for n in configuration["machines"]}
-        every = worker_registry.all_workers(state)
-        quiet = {w: t - max(self.beats.get(w, -INFINITY), self.since) for w in every}
-        late = [w for w, q in quiet.items() if q > 3.5 * self.settings.beat]
-        if 2 * len(late) > max(len(every), 4):
-            # So many at once: it may well be the way to here that is cut, and no beat can come.
-            late = [w for w, q in quiet.items() if q > 10 * self.settings.beat]
+        configuration, listening_since = state.manifest, self.leading_since
+        machines = silences(configuration["machines"], self.machine_heartbeats, listening_since, clock)
+        workers = silences(worker_registry.all_workers(state), self.worker_heartbeats, listening_since, clock)
+        late = late_workers(workers, self.settings.beat)
         # A holder leaves the replica set first: whoever is dropped can't lead, though it may hold the newest state.
         gone = [
             n
-            for n in machine_registry.machines_to_drop(configuration, silent, self.met, t, self.patience)
-            if n not in self.held.pair
+            for n in machine_registry.machines_to_drop(configuration, machines, self.first_heard, clock, self.patience)
+            if n not in self.replicated_state.replica_set
         ]
-        joined = max((self.met.get(n, 0.0) for n in with_duty(configuration, "store")), default=t)
-        few = (
-            t - max(joined, self.since) > b.recover / 4
-        )  # longer than the patience, so that `heard` leaves out the gone
-        heard = [n for n, q in silent.items() if q <= self.patience]
+        joined = max((self.first_heard.get(n, 0.0) for n in with_duty(configuration, "store")), default=clock)
+        # Longer than the patience, so that `heard` leaves out the gone.
+        no_store_is_new = clock - max(joined, listening_since) > bounds.recover / 4
+        heard = [n for n, silence in machines.items() if silence <= self.patience]
 
-        def fold(s: State) -> Result[State, Fault]:
+        def fold(state: State) -> Result[State, Fault]:
             if late:
-                s = worker_registry.without_silent(s, late)
+                state = worker_registry.without_silent(state, late)
             if gone:
-                s = machine_registry.without_machines(s, gone)
-            return Ok(machine_registry.with_adjusted_copies(s, self.settings.tolerance, few, heard))
+                state = machine_registry.without_machines(state, gone)
+            return Ok(machine_registry.with_adjusted_copies(state, self.settings.tolerance, no_store_is_new, heard))
 
         if fold(state).unwrap() is not state:
             got = await self.change(fold, 0.0)
@@ -144,59 +196,63 @@
                     137, self.settings.name, machines=",".join(gone), workers=",".join(late), revision=got.unwrap()
                 )
 
-    async def beat_worker(self, who: str, standing: WorkerAnnouncement, seqno: int) -> PeerResponse:
-        # Taken, it would make every later manifest a bad one.
+    async def record_worker_heartbeat(self, who: str, standing: WorkerAnnouncement, seqno: int) -> PeerResponse:
+        """A worker's heartbeat came to this member: what changes nothing is noted here, all else goes to the primary.
+
+        `seqno` counts the worker's heartbeats, so that one which comes late changes nothing; 0 if it doesn't count them.
+        """
+        # Taken, it would make every later configuration a bad one.
         flaws = worker_registry.announcement_flaws(standing, self.settings.zones)
         if flaws:
             return Err(Fault("beat", self.settings.name, "\n".join(flaws), BAD))
-        leaves = bool(standing.get("leave"))
-        if seqno and seqno < self.seqnos.get(who, 0) and not leaves:
+        heartbeat = WorkerHeartbeat(who, standing, seqno)
+        if self.is_late(heartbeat):
             return Ok({})
-        if seqno:
-            self.seqnos[who] = max(seqno, self.seqnos.get(who, 0))
-        if len(self.seqnos) > 4096:
-            self.seqnos = dict(list(self.seqnos.items())[-1024:])
-        lately = self.epoch > 0 or now() - self.touched < 1.5 * self.settings.beat
+        if len(self.worker_seqnos) > MOST_SEQNOS:
+            self.worker_seqnos = dict(list(self.worker_seqnos.items())[-SEQNOS_KEPT:])
+        reported_lately = self.epoch > 0 or now() - self.reported_at < 1.5 * self.settings.beat
         # That a worker leaves is acknowledged by the primary, the first time; after that a heartbeat is one like any other.
-        acknowledged = not leaves or who in self.drained
-        if lately and acknowledged and worker_registry.is_current(self.configuration_view.manifest, who, standing):
-            self.beats[who] = now()
+        acknowledged = not heartbeat.leaves or who in self.drained_workers
+        if (
+            reported_lately
+            and acknowledged
+            and worker_registry.is_current(self.configuration_view.manifest, who, standing)
+        ):
+            self.worker_heartbeats[who] = now()
             return Ok({})
-        got = await self.forward(
-            "beat", {"who": who, "standing": standing, "seqno": seqno}, self.settings.bounds.leave / 3
-        )
-        if leaves and isinstance(got, Ok):
-            self.drained[who] = now()
-            if len(self.drained) > MOST_DRAINED:
-                del self.drained[next(iter(self.drained))]
+        got = await self.forward("beat", heartbeat.as_json(), self.settings.bounds.leave / 3)
+        if heartbeat.leaves and isinstance(got, Ok):
+            self.drained_workers[who] = now()
+            if len(self.drained_workers) > MOST_DRAINED:
+                del self.drained_workers[next(iter(self.drained_workers))]
         return got
 
+    def is_late(self, heartbeat: WorkerHeartbeat) -> bool:
+        """Did a later heartbeat of the worker come before this one? Its number is noted if not. That a worker leaves is
+        never late."""
+        newest = self.worker_seqnos.get(heartbeat.worker, 0)
+        if heartbeat.seqno and heartbeat.seqno < newest and not heartbeat.leaves:
+            return True
+        if heartbeat.seqno:
+            self.worker_seqnos[heartbeat.worker] = max(heartbeat.seqno, newest)
+        return False
+
     async def leave_worker(self, who: str) -> PeerResponse:
-        return await self.forward("beat", {"who": who, "standing": None, "seqno": 0}, self.settings.bounds.leave / 3)
+        """Tells the primary that a worker has ended."""
+        ended = WorkerHeartbeat(who, standing=None, seqno=0)
+        return await self.forward("beat", ended.as_json(), self.settings.bounds.leave / 3)
 
     async def on_beat(self, body: Body) -> PeerResponse:
         """What changes a worker's standing is written; that it leaves is also made known before it is told so."""
         if not await self.is_leading():
             return Err(self.not_leader("beat"))
-        b, who, seqno, asked = self.settings.bounds, body["who"], body["seqno"], now()
-        standing: WorkerAnnouncement | None = body["standing"]
-        leaves = standing is None or bool(standing.get("leave"))
-        if seqno and seqno < self.seqnos.get(who, 0) and not leaves:
+        bounds, heartbeat, asked = self.settings.bounds, WorkerHeartbeat.from_json(body), now()
+        if self.is_late(heartbeat):
             return Ok({})
-        if seqno:
-            self.seqnos[who] = max(seqno, self.seqnos.get(who, 0))
-        self.beats[who] = now()
-
-        def fold(s: State) -> Result[State, Fault]:
-            return Ok(
-                worker_registry.without_ended(s, [who])
-                if standing is None
-                else worker_registry.with_worker(s, who, standing)
-            )
-
-        got = await self.change(fold, b.leave / 100)
+        self.worker_heartbeats[heartbeat.worker] = now()
+        got = await self.change(partial(standing_change, heartbeat), bounds.leave / 100)
         if isinstance(got, Err):
             return Err(got.unwrap_err())
-        if leaves:
-            await self.in_force(got.unwrap(), None, self.committed.state.configuration, asked, b.leave / 6)
-        return Ok({"edition": got.unwrap()})
+        if heartbeat.leaves:
+            await self.in_force(got.unwrap(), None, self.committed.state.configuration, asked, bounds.leave / 6)
+        return Ok(RevisionAnswer(got.unwrap()).as_json())
--- a/postpass/control/writer.py
+++ b/postpass/control/writer.py
@@ -1,4 +1,4 @@
-"""The way of a change to the state: queued, written with others at the primary, answered once durable."""
+"""A change of the state: queued, written with others at the primary, answered once it is durable."""
 
 from __future__ import annotations
 
@@ -9,6 +9,7 @@
 
 from postpass.control.changes import Edit, Fold
 from postpass.control.election import Election
+from postpass.control.election_rules import Cause, ElectionReason
 from postpass.control.member import INFINITY
 from postpass.rpc.peer_links import Body, PeerResponse
 from postpass.runtime import log_events
@@ -17,7 +18,12 @@
 
 
 class Writer(Election):
-    """Writes changes at the primary, and forwards to it from any other member."""
+    """Writes changes at the primary, and forwards to it from any other member.
+
+    Owns the queue `waiting_edits`, the time `write_due` at which it is written, and `write_wakeup`, which is set when that
+    time comes sooner; `change` fills the queue and the task `write` empties it, with `lock` held.
+    Decides which changes share a write, and whether a write that a backup didn't take is tried once more with another.
+    """
 
     async def is_leading(self) -> bool:
         """Is this the primary? While it takes another backup or voter it is for a moment not, and soon again."""
@@ -27,30 +33,30 @@
         return self.epoch > 0
 
     async def change(self, fold: Fold, pause: float) -> Result[int, Fault]:
-        """Writes a change, with others that come within the pause; the edition that has it, once it is durable."""
+        """Writes a change, with others that come within the pause; the revision that has it, once it is durable."""
         if not await self.is_leading():
             return Err(self.not_leader("write"))
         edit = Edit(fold, asyncio.get_running_loop().create_future())
-        self.edits.append(edit)
-        if now() + pause < self.due:
-            self.due = now() + pause
-            self.hurry.set()
+        self.waiting_edits.append(edit)
+        if now() + pause < self.write_due:
+            self.write_due = now() + pause
+            self.write_wakeup.set()
         return await edit.done
 
     async def write(self) -> None:
         """Writes what waits, whenever its time has come."""
         while True:
-            if not self.edits:
-                self.due = INFINITY
-            left = self.due - now()
+            if not self.waiting_edits:
+                self.write_due = INFINITY
+            left = self.write_due - now()
             if left > 0:
-                self.hurry.clear()
+                self.write_wakeup.clear()
                 try:
-                    await asyncio.wait_for(self.hurry.wait(), None if left == INFINITY else left)
+                    await asyncio.wait_for(self.write_wakeup.wait(), None if left == INFINITY else left)
                 except TimeoutError:
                     pass
                 continue
-            edits, self.edits, self.due = self.edits, [], INFINITY
+            edits, self.waiting_edits, self.write_due = self.waiting_edits, [], INFINITY
             async with self.lock:
                 try:
                     got = await self.write_edits(edits)
@@ -76,16 +82,24 @@
                 state = replace(state, revision=before.revision + 1)
                 done = await self.commit(state)
             else:
-                done = self.held.pair.confirmed_by(await self.confirmation_round()) and self.epoch == epoch
+                done = (
+                    self.replicated_state.replica_set.confirmed_by(await self.confirmation_round())
+                    and self.epoch == epoch
+                )
             if done:
                 return [Ok(state.revision) if isinstance(g, Ok) else Err(g.unwrap_err()) for g in out]
             if self.epoch == epoch:
                 self.epoch = 0
-                again = await self.run_election(state.configuration, "backup lost")
+                again = await self.run_election(state.configuration, ElectionReason(Cause.BACKUP_LOST))
                 if isinstance(again, Err):
-                    self.heard = now() - bounds.detect
+                    self.leader_silent_since = now() - bounds.detect
                 else:
-                    log_events.emit(132, me, backup=",".join(self.held.pair.backups), why="it did not take a write")
+                    log_events.emit(
+                        132,
+                        me,
+                        backup=",".join(self.replicated_state.replica_set.backups),
+                        why="it did not take a write",
+                    )
         return [Err(Fault("write", me, "not known whether it was taken; ask again", SLOW)) for _ in edits]
 
     async def forward(self, verb: str, body: Body, limit: float = 0.0) -> PeerResponse:
@@ -94,14 +108,18 @@
             return await self.forward_without_contact(verb, body)
         until = now() + (self.settings.bounds.leave / 4 if self.settings.announce else 0.0)
         while True:
-            led = self.led_now
+            event = self.leader_heard_event
             got = await self.forward_once(verb, body, limit)
-            none = (
-                isinstance(got, Err) and got.unwrap_err().code == SHED and got.unwrap_err().peer == self.settings.name
-            )
-            if not none or not await self.wait_for_leader(led, until):
+            if not self.found_no_primary(got) or not await self.wait_for_leader(event, until):
                 return got
 
+    def found_no_primary(self, got: PeerResponse) -> bool:
+        """Did this member itself refuse, because it found no primary? An error that the primary answered names another."""
+        if got.is_ok():
+            return False
+        fault = got.unwrap_err()
+        return fault.code == SHED and fault.peer == self.settings.name
+
     async def forward_once(self, verb: str, body: Body, limit: float) -> PeerResponse:
         """Tries this member, then whoever it names as primary, then all others."""
         got: PeerResponse = await getattr(self, f"on_{verb}")(body)
