--- a/bench/measure.py
+++ b/bench/measure.py
@@ -100,7 +100,7 @@
 
         async def opened() -> None:
             await original()
-            store.log.group = False
+            store.log.group_commit = False
 
         daemon.open = opened  # type: ignore[method-assign]
 
--- a/postpass/control/journal.py
+++ b/postpass/control/journal.py
@@ -194,7 +194,7 @@
             journal = cls(who, disk, log, replay(entries))
         except UnknownFormatError as error:
             raise Stop(Fault("open data folder", who, f"{error}; nothing was touched", BROKE)) from error
-        if journal.image is not None and log.total:
+        if journal.image is not None and log.logged_bytes:
             await journal._make_durable()
         return journal
 
@@ -205,7 +205,7 @@
         except Stop as stop:
             if stop.fault.code != FULL:
                 raise
-            await self._guarded(self.disk.sync(self.log.name))
+            await self._guarded(self.disk.sync(self.log.segment_name))
 
     async def append(self, change: Change) -> Image:
         """Syncs a change of the state held. One that is held already is synced again. Raises BaseMismatchError for another."""
@@ -217,7 +217,7 @@
 
     async def compact_if_due(self) -> bool:
         """Writes a snapshot once the log has outgrown the last one by a ratio, if there is room for it."""
-        if self.image is None or not self.log.heavy():
+        if self.image is None or not self.log.is_compaction_due():
             return False
         await self.compact()
         return True
@@ -252,18 +252,18 @@
 
     async def _write_snapshot(self, image: Image) -> None:
         self._check_trusted()
-        segment = self.log.number
+        segment = self.log.segment_number
         await self._guarded(self.log.compact(iter([snapshot_entry(image)])))
-        if self.log.number == segment:
+        if self.log.segment_number == segment:
             raise Stop(Fault("write snapshot", self.who, "the disk is full", FULL))
 
     def _check_trusted(self) -> None:
-        if self.log.bad:
-            raise Stop(Fault("sync", self.who, self.log.bad, BROKE))
+        if self.log.failure:
+            raise Stop(Fault("sync", self.who, self.log.failure, BROKE))
 
     async def _guarded(self, write: Coroutine[Any, Any, None]) -> None:
         try:
             await write
         except OSError as error:
-            self.log.bad = f"sync failed: {error.strerror}"
-            raise Stop(Fault("sync", self.who, self.log.bad, BROKE)) from error
+            self.log.failure = f"sync failed: {error.strerror}"
+            raise Stop(Fault("sync", self.who, self.log.failure, BROKE)) from error
--- a/postpass/control/member.py
+++ b/postpass/control/member.py
@@ -126,7 +126,13 @@
         """Reads the promises and the state, that of releases up to 0.2.0 too; a damaged file raises ValueError."""
         self.witness, self.held = Witness(), ReplicatedState()
         data_directory = await open_data_directory(
-            self.settings.name, self.disk, self.environment.chance, STATE_SEGMENT, 0, strict=True, reads=STATE_FORMAT
+            self.settings.name,
+            self.disk,
+            self.environment.chance,
+            STATE_SEGMENT,
+            0,
+            strict=True,
+            highest_format=STATE_FORMAT,
         )
         self.disk_id = data_directory.name
         if not data_directory.fresh and "epochs" in self.disk.names():
--- a/postpass/replication/store.py
+++ b/postpass/replication/store.py
@@ -29,7 +29,7 @@
 from postpass.runtime import log_events
 from postpass.runtime.environment import Environment, hear, now
 from postpass.runtime.errors import BAD, BROKE, CLASH, FULL, LACK, MOVED, SHED, SLOW, Fault, Stop
-from postpass.storage.data_directory import DataDirectory, distrust, open_data_directory
+from postpass.storage.data_directory import DataDirectory, open_data_directory, revoke_identity
 
 TURN = 4 * PACKET  # what one partition may send to a mirror before the others' beats and records have their turn
 PIECE = 256 << 10  # of records or of a base, in the answer to one question
@@ -140,7 +140,7 @@
         return self.parts[number]
 
     def tasks(self) -> list[Any]:
-        return [self.log.keep(), self.watch_sync(), self.tick(), self.watch_disk()]
+        return [self.log.sync_forever(), self.watch_sync(), self.tick(), self.watch_disk()]
 
     async def watch_disk(self) -> None:
         """Ends the process once a peer has shown that this disk lost what it had synced."""
@@ -161,7 +161,7 @@
 
     async def watch_sync(self) -> None:
         while True:
-            moved = self.log.moved
+            moved = self.log.sync_done
             await moved.wait()
             self.synced()
 
@@ -211,7 +211,7 @@
                     self.doubt(part)
                 part.trim(self.settings.buffer_bytes // max(len(self.parts), 1))
             self.routed.report()
-            if self.log.heavy():
+            if self.log.is_compaction_due():
                 await self.log.compact(self.snapshot())
                 self.synced()
 
@@ -305,7 +305,7 @@
         epoch = part.promised + 1
         part.promised = epoch
         try:
-            await self.log.wait(self.write(part, [IDL.Entry(part=part.id, op="promise", epoch=epoch)]))
+            await self.log.wait_synced(self.write(part, [IDL.Entry(part=part.id, op="promise", epoch=epoch)]))
         except Stop:
             return
         got = await self.collect_promises(part, epoch, base | {"epoch": epoch, "probe": 0})
@@ -479,7 +479,7 @@
         part.aligned = 0
         part.heard, part.met = now(), True
         try:
-            await self.log.wait(self.write(part, [IDL.Entry(part=part.id, op="promise", epoch=epoch)]))
+            await self.log.wait_synced(self.write(part, [IDL.Entry(part=part.id, op="promise", epoch=epoch)]))
         except Stop as bad:
             return Err(bad.fault)
         if part.promised != epoch:
@@ -832,11 +832,11 @@
         won't take it."""
         if not vital:
             free, _ = self.log.disk.room()
-            if free - len(json.dumps(body)) - len(raw) - 256 < self.log.hold:
+            if free - len(json.dumps(body)) - len(raw) - 256 < self.log.reserved_bytes:
                 log_events.emit(114, self.settings.name, part=part.id)
                 raise Stop(Fault("append", self.settings.name, "the disk is full", FULL))
-        if self.log.bad:
-            raise Stop(Fault("append", self.settings.name, self.log.bad, BROKE))
+        if self.log.failure:
+            raise Stop(Fault("append", self.settings.name, self.log.failure, BROKE))
         rec = part.make(kind, body, raw)
         try:
             self.write(part, [rec.entry(part.id)])
@@ -861,7 +861,7 @@
         if body.get("spoiled"):
             if body["spoiled"] == self.disk_id and epoch == part.promised:
                 why = f"partition {part.id}: {body['who']} holds acknowledgements of more than this log has"
-                self.log.bad = why
+                self.log.failure = why
                 if not self.spoiled.done():
                     self.spoiled.set_result(Fault("read log", self.settings.name, why))
             return Ok(about | {"ok": False})
@@ -875,7 +875,7 @@
                 self.fall(part, epoch)
             part.aligned = 0
             try:
-                await self.log.wait(self.write(part, [IDL.Entry(part=part.id, op="promise", epoch=epoch)]))
+                await self.log.wait_synced(self.write(part, [IDL.Entry(part=part.id, op="promise", epoch=epoch)]))
             except Stop as bad:
                 return Err(bad.fault)
             if part.promised != epoch:
@@ -985,7 +985,7 @@
                 assert link.pump is not None
                 link.pump.add_done_callback(lambda _: self.knock_soon(owner))
             free, _ = self.log.disk.room()
-            link.put("ack", [self.counters(self.parts[n], free < self.log.hold) for n in numbers])
+            link.put("ack", [self.counters(self.parts[n], free < self.log.reserved_bytes) for n in numbers])
             try:
                 await asyncio.wait_for(link.drain(), self.settings.bounds.silent)
             except (TimeoutError, ConnectionError, OSError):
@@ -1323,10 +1323,10 @@
             }
             for p in sorted(self.parts.values(), key=lambda p: p.id)
         ]  # fmt: skip
-        return Ok({"disk": self.disk_id, "free": free, "size": whole, "parts": rows, "bad": self.log.bad,
-                   "held": self.log.hold})  # fmt: skip
+        return Ok({"disk": self.disk_id, "free": free, "size": whole, "parts": rows, "bad": self.log.failure,
+                   "held": self.log.reserved_bytes})  # fmt: skip
 
     def fail(self) -> None:
         """After a failed sync: this folder has no voice any more."""
-        if self.environment.disk is not None and self.log.bad:
-            distrust(self.environment.disk)
+        if self.environment.disk is not None and self.log.failure:
+            revoke_identity(self.environment.disk)
--- a/postpass/storage/data_directory.py
+++ b/postpass/storage/data_directory.py
@@ -1,4 +1,20 @@
-"""A data folder with its identity, made when it is first formatted."""
+"""The data directory of a process: its log, and the identity that says whose bytes these are.
+
+File format
+    The file `identity` is a JSON object: `disk`, the name that the directory got when it was formatted, and `format`,
+    the highest number among the formats of its files (1 if left out). It is replaced as a whole and synced
+    (`Disk.write`), so a crash leaves the old or the new one. The log beside it is described in `segmented_log`; a control
+    member also keeps its promises in `epochs`.
+
+Formats
+    `FORMAT` is written into a new directory. A process raises the number (`raise_format`) before it first writes
+    something that older releases would misread; those refuse the directory and leave it as it was.
+
+Damage
+    A directory whose identity or log can't be read is formatted anew: its files get the prefix `damaged-`, and the new
+    identity has a new name. All others count votes and acknowledgements by that name, so what the old directory had
+    acknowledged is not counted for the new one until it has been refilled from other replicas.
+"""
 
 from __future__ import annotations
 
@@ -10,17 +26,27 @@
 from postpass.runtime import log_events
 from postpass.runtime.disk import Disk
 from postpass.runtime.errors import Fault, Stop
-from postpass.storage.segmented_log import SegmentedLog
+from postpass.storage.segmented_log import SEGMENT_PREFIX, SNAPSHOT_PREFIX, SegmentedLog
 
-MARK = "identity"
-FORMAT = 2  # of the files in a folder that is made now
-STATE_FORMAT = 3  # of a folder of control whose state is a log; releases up to 0.2.0 leave it alone
+IDENTITY_FILE = "identity"
+EPOCHS_FILE_PREFIX = "epochs"
+DAMAGED_PREFIX = "damaged-"
+IDENTITY_BITS = 48  # random part of a directory's name
+FORMAT = 2  # of the files in a directory that is made now
+STATE_FORMAT = 3  # of a control member's whose state is a log; releases up to 0.2.0 leave such a directory alone
 
 
 @dataclass(frozen=True)
 class DataDirectory:
-    """Invariant: `name` names the bytes in the folder, not the machine: a wiped or damaged folder gets
-    another one, and with it loses its vote until it has been refilled."""
+    """An opened data directory.
+
+    Attributes:
+        name: identity of the bytes in the directory, not of the machine: one that was wiped or damaged gets another
+            name, and has no vote under it until it has been refilled.
+        fresh: whether it was formatted just now, and is empty.
+        log: its log, ready for appends.
+        entries: what the log held when it was opened, in order.
+    """
 
     name: str
     fresh: bool
@@ -29,67 +55,77 @@
 
 
 async def open_data_directory(
-    who: str,
+    process: str,
     disk: Disk,
-    chance: random.Random,
-    segment: int,
-    held: int,
+    random_source: random.Random,
+    segment_bytes: int,
+    reserve: int,
     strict: bool = False,
-    reads: int = FORMAT,
+    highest_format: int = FORMAT,
 ) -> DataDirectory:
-    """Opens or formats a data folder. Damaged files are set aside by name and never served from.
+    """Opens a data directory, or formats it if it is new or damaged.
 
-    `strict` is the log's; `reads` is the highest format that the caller reads.
+    Parameters: `process` is the name of the process; `random_source` draws the identity; `segment_bytes`, `reserve` and
+    `strict` are those of `SegmentedLog`; `highest_format` is the highest format that the caller reads.
+
+    Raises `Stop`, and has changed nothing then, if the directory has a higher format.
     """
-    log = SegmentedLog(who, disk, segment, held=held, strict=strict)
+    log = SegmentedLog(process, disk, segment_bytes, reserve=reserve, strict=strict)
     names = disk.names()
-    ident = ""
-    if MARK in names:
-        try:
-            mark = json.loads(disk.read(MARK))
-            ident = str(mark["disk"])
-            if mark.get("format", 1) > reads:
-                why = f"the folder has format {mark['format']}, this release reads up to {reads}; nothing was touched"
-                raise Stop(Fault("open data folder", who, why))
-        except (ValueError, KeyError, TypeError):
-            log_events.emit(112, who, file=MARK, why="unreadable")
-    entries: list[Any] = []
-    if ident:
+    identity = _read_identity(process, disk, highest_format) if IDENTITY_FILE in names else ""
+    if identity:
         try:
-            entries = log.load()
-        except Stop as bad:
-            log_events.emit(112, who, step=bad.fault.step, why=bad.fault.why)
-            ident = ""
-            log = SegmentedLog(who, disk, segment, held=held, strict=strict)
-    if not ident:
-        for name in names:
-            if name.startswith(("log-", "snap-", "epochs")):
-                disk.rename(name, f"damaged-{name}")
-        old = [n for n in disk.names() if n.startswith("damaged-damaged-")]
-        for name in old:
+            return DataDirectory(identity, False, log, log.load())
+        except Stop as stop:
+            log_events.emit(112, process, step=stop.fault.step, why=stop.fault.why)
+            log = SegmentedLog(process, disk, segment_bytes, reserve=reserve, strict=strict)
+    _set_aside(disk, names)
+    identity = f"{process}-{random_source.getrandbits(IDENTITY_BITS):012x}"
+    await write_identity(disk, identity, FORMAT)
+    log_events.emit(110, process, disk=identity)
+    return DataDirectory(identity, True, log, [])
+
+
+def _read_identity(process: str, disk: Disk, highest_format: int) -> str:
+    """The directory's name; empty if the file doesn't tell. Raises `Stop` for a format above the highest one."""
+    identity = ""
+    try:
+        record = json.loads(disk.read(IDENTITY_FILE))
+        identity = str(record["disk"])
+        if record.get("format", 1) > highest_format:
+            why = f"the folder has format {record['format']}, this release reads up to {highest_format}; nothing was touched"
+            raise Stop(Fault("open data folder", process, why))
+    except (ValueError, KeyError, TypeError):
+        log_events.emit(112, process, file=IDENTITY_FILE, why="unreadable")
+    return identity
+
+
+def _set_aside(disk: Disk, names: list[str]) -> None:
+    """Renames what a directory held, so that it is never read again; what was set aside twice is removed."""
+    for name in names:
+        if name.startswith((SEGMENT_PREFIX, SNAPSHOT_PREFIX, EPOCHS_FILE_PREFIX)):
+            disk.rename(name, f"{DAMAGED_PREFIX}{name}")
+    for name in disk.names():
+        if name.startswith(DAMAGED_PREFIX * 2):
             disk.remove(name)
-        ident = f"{who}-{chance.getrandbits(48):012x}"
-        await mark_format(disk, ident, FORMAT)
-        log_events.emit(110, who, disk=ident)
-        return DataDirectory(ident, True, log, [])
-    return DataDirectory(ident, False, log, entries)
 
 
-async def mark_format(disk: Disk, name: str, number: int) -> None:
-    """Writes the folder's identity with the format that its files have from now on."""
-    await disk.write(MARK, json.dumps({"disk": name, "format": number}).encode())
+async def write_identity(disk: Disk, name: str, format_number: int) -> None:
+    """Replaces the directory's identity: its name, and the format that its files have from now on."""
+    await disk.write(IDENTITY_FILE, json.dumps({"disk": name, "format": format_number}).encode())
 
 
-async def raise_format(disk: Disk, number: int) -> None:
-    """Marks an older folder, which releases that don't read the format then leave alone."""
-    mark = json.loads(disk.read(MARK))
-    if mark.get("format", 1) < number:
-        await mark_format(disk, str(mark["disk"]), number)
+async def raise_format(disk: Disk, format_number: int) -> None:
+    """Raises the format of an older directory, which releases that don't read that format then refuse."""
+    record = json.loads(disk.read(IDENTITY_FILE))
+    if record.get("format", 1) < format_number:
+        await write_identity(disk, str(record["disk"]), format_number)
 
 
-def distrust(disk: Disk) -> None:
-    """After a failed sync nothing in the folder may vote again."""
+def revoke_identity(disk: Disk) -> None:
+    """Takes the directory's name away after a failed sync: the next start formats it, so that nothing in it votes."""
     try:
-        disk.remove(MARK)
+        disk.remove(IDENTITY_FILE)
     except OSError:
+        # A disk that can't even remove a file is left as it is; the process ends.
         pass
--- a/postpass/storage/segmented_log.py
+++ b/postpass/storage/segmented_log.py
@@ -1,222 +1,308 @@
-"""On disk: a log in segments with snapshots beside it, one for all the partitions of a store.
+"""An append-only log in numbered segment files, with a snapshot beside it that replaces the older segments.
 
-Each entry is its length, its CRC and a thrift struct. One sync covers whatever was appended before it.
+A store keeps one log for all of its partitions; a control member keeps one for the replicated state.
+
+File format
+    `log-NNNNNNNN` is segment N, `snap-NNNNNNNN` the snapshot that stands for every segment below N. Both are a sequence
+    of frames: payload length and CRC-32 of the payload, each an unsigned 32-bit integer in network order (`HEAD`), and
+    then the payload, a thrift `Entry` (`postpass/rpc/idl/peer.thrift`). The last frame of a snapshot is an entry with
+    the operation `sealed`; a snapshot without it is damaged.
+
+What is synced when
+    `append` writes to the current segment and returns at once; the bytes last only after the next `sync`, which covers
+    all that was appended before it began (group commit). Whoever promises durability waits with `wait_synced` for the
+    offset that `append` returned. A snapshot is written to a temporary file, synced and renamed (`Disk.write`); the files
+    it replaces are removed only after that.
+
+Why a torn write is harmless
+    A loss of power can leave part of the bytes that were appended after the last sync. Nobody was told that those are
+    durable, so `load` cuts the segment at the first frame that is short or does not match its checksum. This is done
+    in the last segment alone, and only if no complete frame follows: anything else is damage to bytes that had been
+    synced, which raises `Stop`, and the data directory is then formatted anew (see `data_directory`).
 """
 
 from __future__ import annotations
 
 import asyncio
+import errno
 import struct
 import zlib
 from collections import deque
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NoReturn
 
 from postpass.rpc.peer_links import IDL, pack, unpack
 from postpass.runtime import log_events
 from postpass.runtime.disk import Disk
 from postpass.runtime.errors import BROKE, FULL, Fault, Stop
 
-HEAD = struct.Struct("!II")
-ENTRY_MOST = 64 << 20
+HEAD = struct.Struct("!II")  # length of the payload, its CRC-32
+MAXIMUM_ENTRY_BYTES = 64 << 20
+DEFAULT_SEGMENT_BYTES = 1 << 20
+SEGMENT_PREFIX = "log-"
+SNAPSHOT_PREFIX = "snap-"
+SEALED = "sealed"  # operation of the entry that ends a snapshot
 
 
 def frame(entry: Any) -> bytes:
-    data = pack(entry)
-    return HEAD.pack(len(data), zlib.crc32(data)) + data
+    """An `IDL.Entry` as it stands in a file: head and payload."""
+    payload = pack(entry)
+    return HEAD.pack(len(payload), zlib.crc32(payload)) + payload
 
 
 def scan(data: bytes) -> tuple[list[Any], int]:
-    """The whole entries from the start on, and where they end."""
-    out: list[Any] = []
-    at = 0
-    while at + HEAD.size <= len(data):
-        size, crc = HEAD.unpack_from(data, at)
-        body = data[at + HEAD.size : at + HEAD.size + size]
+    """The complete entries from the start of a file, and the offset at which the last of them ends."""
+    entries: list[Any] = []
+    offset = 0
+    while offset + HEAD.size <= len(data):
+        size, checksum = HEAD.unpack_from(data, offset)
+        payload = data[offset + HEAD.size : offset + HEAD.size + size]
         # No entry is empty, but zeros, which a file system may leave behind a tail, would pass for one.
-        if size == 0 or size > ENTRY_MOST or len(body) < size or zlib.crc32(body) != crc:
+        if size == 0 or size > MAXIMUM_ENTRY_BYTES or len(payload) < size or zlib.crc32(payload) != checksum:
             break
-        out.append(unpack(IDL.Entry, body))
-        at += HEAD.size + size
-    return out, at
+        entries.append(unpack(IDL.Entry, payload))
+        offset += HEAD.size + size
+    return entries, offset
 
 
-def whole_but_damaged(data: bytes, at: int) -> bool:
-    """Does an entry of full length with a wrong checksum stand there? A torn write leaves a short one, or zeros."""
-    if at + HEAD.size > len(data):
+def is_complete_but_damaged(data: bytes, offset: int) -> bool:
+    """Whether a frame of full length with a wrong checksum stands there. A torn write leaves a short one, or zeros."""
+    if offset + HEAD.size > len(data):
         return False
-    size, crc = HEAD.unpack_from(data, at)
-    body = data[at + HEAD.size : at + HEAD.size + size]
-    return 0 < size == len(body) and any(body) and zlib.crc32(body) != crc
+    size, checksum = HEAD.unpack_from(data, offset)
+    payload = data[offset + HEAD.size : offset + HEAD.size + size]
+    return 0 < size == len(payload) and any(payload) and zlib.crc32(payload) != checksum
 
 
-def any_entry_after(data: bytes, at: int) -> bool:
-    """Does a whole entry stand anywhere behind a broken place? Then it is no torn tail."""
+def has_entry_after(data: bytes, offset: int) -> bool:
+    """Whether a complete frame stands anywhere behind an unreadable one: then that is damage, not a torn tail."""
     return any(
-        0 < size <= len(data) - spot - HEAD.size and zlib.crc32(data[spot + HEAD.size : spot + HEAD.size + size]) == crc
-        for spot in range(at + 1, len(data) - HEAD.size)
-        for size, crc in (HEAD.unpack_from(data, spot),)
+        0 < size <= len(data) - start - HEAD.size
+        and zlib.crc32(data[start + HEAD.size : start + HEAD.size + size]) == checksum
+        for start in range(offset + 1, len(data) - HEAD.size)
+        for size, checksum in (HEAD.unpack_from(data, start),)
     )
 
 
+def _segment_number(name: str) -> int:
+    return int(name.removeprefix(SEGMENT_PREFIX))
+
+
+def _snapshot_number(name: str) -> int:
+    return int(name.removeprefix(SNAPSHOT_PREFIX))
+
+
 @dataclass(eq=False)
 class SegmentedLog:
-    """Invariants: `synced` <= `ends`; entries up to `synced` survive the power; once `bad` is set nothing
-    more is called synced. `held` bytes of room are kept for entries marked vital (ends, results, trims).
-    `strict`: a last entry of full length whose checksum is wrong counts as damage instead of a torn tail."""
+    """The log of one data directory. One process owns it; one task of that process runs `sync_forever`, or the owner
+    calls `sync` itself.
+
+    Offsets count the bytes appended since the process started, over all segments.
+
+    Invariants: `synced` <= `end`; entries up to `synced` survive a loss of power; once `failure` is set, nothing more is
+    called synced and every call raises `Stop`, because a failed sync may have dropped pages that a later one reports as
+    written.
 
-    who: str
+    Attributes:
+        process: name of the process, for events and errors.
+        segment_bytes: a segment that is longer than this (and than half the last snapshot) is due for compaction.
+        end: offset behind the last byte appended.
+        synced: offset up to which everything is durable.
+        segment_number: number of the segment that is appended to; segment_size: its length in bytes.
+        logged_bytes: bytes in all the segments since the last snapshot.
+        snapshot_bytes: length of the last snapshot.
+        failure: why the disk is no longer trusted; empty while it is.
+        reserve: bytes that only vital entries (ends, results, trims) may use.
+        group_commit: False only in measurements, where each append gets a sync of its own.
+        strict: a last frame of full length with a wrong checksum counts as damage instead of a torn tail.
+        unsynced_offsets: without group commit, the ends of the appends that still wait for their sync.
+        unsynced: set while there is something to sync.
+        sync_done: set after each sync, and then replaced by a new event.
+        lock: held while a file is synced or a snapshot written.
+    """
+
+    process: str
     disk: Disk
-    segment: int = 1 << 20
-    ends: int = 0
+    segment_bytes: int = DEFAULT_SEGMENT_BYTES
+    end: int = 0
     synced: int = 0
-    number: int = 0
-    size: int = 0
-    total: int = 0
-    bad: str = ""
-    held: int = 0
-    snap: int = 0  # bytes of the last snapshot
-    group: bool = True  # off only for measurements: a sync for each append
+    segment_number: int = 0
+    segment_size: int = 0
+    logged_bytes: int = 0
+    failure: str = ""
+    reserve: int = 0
+    snapshot_bytes: int = 0
+    group_commit: bool = True
     strict: bool = False
-    marks: deque[int] = field(default_factory=deque)
-    dirty: asyncio.Event = field(default_factory=asyncio.Event)
-    moved: asyncio.Event = field(default_factory=asyncio.Event)
-    busy: asyncio.Lock = field(default_factory=asyncio.Lock)
+    unsynced_offsets: deque[int] = field(default_factory=deque)
+    unsynced: asyncio.Event = field(default_factory=asyncio.Event)
+    sync_done: asyncio.Event = field(default_factory=asyncio.Event)
+    lock: asyncio.Lock = field(default_factory=asyncio.Lock)
 
     @property
-    def name(self) -> str:
-        return f"log-{self.number:08d}"
+    def segment_name(self) -> str:
+        """Name of the file that is appended to."""
+        return f"{SEGMENT_PREFIX}{self.segment_number:08d}"
 
     def load(self) -> list[Any]:
-        """Reads snapshot and segments; raises Stop naming file and place if one is damaged in the middle."""
+        """Reads the last snapshot and the segments after it, cuts a torn tail and removes the files that the snapshot
+        replaces.
+
+        Returns all entries in the order in which they were appended. Raises `Stop`, whose fault names file and offset, if
+        a file is damaged or missing; the files are left as they are then.
+        """
         names = self.disk.names()
-        snaps = [n for n in names if n.startswith("snap-")]
-        logs = [n for n in names if n.startswith("log-")]
-        first = int(snaps[-1][5:]) if snaps else 0
-        out: list[Any] = []
-        if snaps:
-            data = self.disk.read(snaps[-1])
-            entries, at = scan(data)
-            if at != len(data) or not entries or entries[-1].op != "sealed":
-                raise Stop(Fault("read snapshot", self.who, f"{snaps[-1]} is damaged at byte {at}", BROKE))
-            out += entries[:-1]
-            self.snap = len(data)
-        live = [n for n in logs if int(n[4:]) >= first]
-        want = list(range(first, first + len(live)))
-        if [int(n[4:]) for n in live] != want:
-            raise Stop(Fault("read log", self.who, f"a segment is missing: found {live}", BROKE))
-        for i, name in enumerate(live):
-            data = self.disk.read(name)
-            entries, at = scan(data)
-            if at != len(data):
-                damaged = any_entry_after(data, at) or (self.strict and whole_but_damaged(data, at))
-                if i < len(live) - 1 or damaged:
-                    raise Stop(Fault("read log", self.who, f"{name} is damaged at byte {at}", BROKE))
-                log_events.emit(111, self.who, file=name, at=at, bytes=len(data) - at)
-                self.disk.cut(name, at)
-            out += entries
-            self.size = at
-            self.total += at
-        for name in [n for n in logs if int(n[4:]) < first] + snaps[:-1]:
+        snapshots = [n for n in names if n.startswith(SNAPSHOT_PREFIX)]
+        segments = [n for n in names if n.startswith(SEGMENT_PREFIX)]
+        first = _snapshot_number(snapshots[-1]) if snapshots else 0
+        entries = self._load_snapshot(snapshots[-1]) if snapshots else []
+        current = [n for n in segments if _segment_number(n) >= first]
+        if [_segment_number(n) for n in current] != list(range(first, first + len(current))):
+            raise Stop(Fault("read log", self.process, f"a segment is missing: found {current}", BROKE))
+        for name in current:
+            entries += self._load_segment(name, is_last=name == current[-1])
+        for name in [n for n in segments if _segment_number(n) < first] + snapshots[:-1]:
             self.disk.remove(name)
-        self.number = max([first, *(int(n[4:]) for n in live)])
-        return out
+        self.segment_number = max([first, *map(_segment_number, current)])
+        return entries
+
+    def _load_snapshot(self, name: str) -> list[Any]:
+        data = self.disk.read(name)
+        entries, end = scan(data)
+        if end != len(data) or not entries or entries[-1].op != SEALED:
+            raise Stop(Fault("read snapshot", self.process, f"{name} is damaged at byte {end}", BROKE))
+        self.snapshot_bytes = len(data)
+        return entries[:-1]
+
+    def _load_segment(self, name: str, is_last: bool) -> list[Any]:
+        data = self.disk.read(name)
+        entries, end = scan(data)
+        if end != len(data):
+            damaged = has_entry_after(data, end) or (self.strict and is_complete_but_damaged(data, end))
+            if not is_last or damaged:
+                raise Stop(Fault("read log", self.process, f"{name} is damaged at byte {end}", BROKE))
+            log_events.emit(111, self.process, file=name, at=end, bytes=len(data) - end)
+            self.disk.cut(name, end)
+        self.segment_size = end
+        self.logged_bytes += end
+        return entries
 
     def append(self, entries: Iterable[Any], vital: bool = True) -> int:
-        """Appends, unsynced; returns the place to wait for. A full disk raises Stop with code FULL."""
-        if self.bad:
-            raise Stop(Fault("append", self.who, self.bad, BROKE))
+        """Appends entries to the current segment, without a sync; returns the offset to pass to `wait_synced`.
+
+        Entries that aren't `vital` leave `reserved_bytes` free. Raises `Stop`: with code FULL if the disk has no room, with
+        code BROKE if it failed before.
+        """
+        if self.failure:
+            raise self._failure_at("append")
         data = b"".join(map(frame, entries))
         free, _ = self.disk.room()
-        if not vital and free - len(data) < self.hold:
-            raise Stop(Fault("append", self.who, "the disk is full", FULL))
+        if not vital and free - len(data) < self.reserved_bytes:
+            raise Stop(Fault("append", self.process, "the disk is full", FULL))
         try:
-            self.disk.append(self.name, data)
-        except OSError as bad:
-            raise Stop(Fault("append", self.who, f"{self.name}: {bad.strerror}", FULL)) from bad
-        self.ends += len(data)
-        self.size += len(data)
-        self.total += len(data)
-        if not self.group:
-            self.marks.append(self.ends)
-        self.dirty.set()
-        return self.ends
-
-    async def keep(self) -> None:
-        """The task that syncs: whatever came in while the last sync ran goes with the next."""
+            self.disk.append(self.segment_name, data)
+        except OSError as error:
+            raise Stop(Fault("append", self.process, f"{self.segment_name}: {error.strerror}", FULL)) from error
+        self.end += len(data)
+        self.segment_size += len(data)
+        self.logged_bytes += len(data)
+        if not self.group_commit:
+            self.unsynced_offsets.append(self.end)
+        self.unsynced.set()
+        return self.end
+
+    async def sync_forever(self) -> None:
+        """The task that syncs: whatever is appended while one sync runs is covered by the next."""
         while True:
-            await self.dirty.wait()
-            self.dirty.clear()
+            await self.unsynced.wait()
+            self.unsynced.clear()
             await self.sync()
 
     async def sync(self) -> None:
-        async with self.busy:
-            mark = self.ends
-            if not self.group and self.marks:
-                mark = self.marks.popleft()
-                self.dirty.set()
-            if mark == self.synced:
+        """Makes durable what was appended before the call. Raises `Stop` if the disk fails; see `failure`."""
+        async with self.lock:
+            offset = self.end
+            if not self.group_commit and self.unsynced_offsets:
+                offset = self.unsynced_offsets.popleft()
+                self.unsynced.set()
+            if offset == self.synced:
                 return
             try:
-                await self.disk.sync(self.name)
-            except OSError as bad:
-                self.bad = f"sync of {self.name} failed: {bad.strerror}"
-                log_events.emit(113, self.who, why=self.bad)
-                raise Stop(Fault("sync", self.who, self.bad, BROKE)) from bad
-            self.synced = max(self.synced, mark)
-        self.moved.set()
-        self.moved = asyncio.Event()
-
-    async def wait(self, place: int) -> None:
-        while self.synced < place:
-            if self.bad:
-                raise Stop(Fault("sync", self.who, self.bad, BROKE))
-            await self.moved.wait()
-
-    def heavy(self) -> bool:
-        """Is it time for a snapshot, and is there room for one?"""
-        return self.size > max(self.segment, self.snap // 2) and self.disk.room()[0] > self.need
+                await self.disk.sync(self.segment_name)
+            except OSError as error:
+                self._fail("sync", f"sync of {self.segment_name} failed: {error.strerror}", error)
+            self.synced = max(self.synced, offset)
+        self._notify_sync()
+
+    async def wait_synced(self, offset: int) -> None:
+        """Returns once everything below an offset is durable. Raises `Stop` if the disk failed before."""
+        while self.synced < offset:
+            if self.failure:
+                raise self._failure_at("sync")
+            await self.sync_done.wait()
+
+    def is_compaction_due(self) -> bool:
+        """Whether the segment has outgrown the last snapshot, and there is room for another one."""
+        outgrown = self.segment_size > max(self.segment_bytes, self.snapshot_bytes // 2)
+        return outgrown and self.disk.room()[0] > self.next_snapshot_bytes
 
     @property
-    def need(self) -> int:
-        """What the next snapshot can take at the most: the last one and all that was logged since."""
-        return self.snap + self.total
+    def next_snapshot_bytes(self) -> int:
+        """The most that the next snapshot can take: the last one and all that was logged since."""
+        return self.snapshot_bytes + self.logged_bytes
 
     @property
-    def hold(self) -> int:
-        """Room that new lots may not use: ends, results and trims, and the snapshot that frees space."""
-        return self.held + self.need
+    def reserved_bytes(self) -> int:
+        """Free bytes that new jobs may not use: for ends, results and trims, and for the snapshot that frees space."""
+        return self.reserve + self.next_snapshot_bytes
 
     async def compact(self, entries: Iterator[Any]) -> None:
-        """Writes a snapshot of everything and begins a new segment; older files go."""
-        async with self.busy:
-            data = b"".join(map(frame, entries)) + frame(IDL.Entry(part=-1, op="sealed"))
-            # From here on the old segment takes no more: whatever is appended while the snapshot is
-            # written goes to the new one, which is read after it.
-            old, last, fresh, mark, size = self.number, self.name, self.number + 1, self.ends, self.size
-            self.number, self.size = fresh, 0
+        """Writes a snapshot of all entries, begins a new segment and removes the older files.
+
+        If the disk has no room for it, nothing is lost: the segments stay, and event 114 is logged. Raises `Stop` if the
+        disk fails otherwise.
+        """
+        async with self.lock:
+            data = b"".join(map(frame, entries)) + frame(IDL.Entry(part=-1, op=SEALED))
+            # From here on the old segment takes no more: whatever is appended while the snapshot is written goes to
+            # the new one, which is read after it.
+            old_number, old_size, old_name, offset = self.segment_number, self.segment_size, self.segment_name, self.end
+            new_number = old_number + 1
+            self.segment_number, self.segment_size = new_number, 0
             try:
-                await self.disk.sync(last)
-                await self.disk.write(f"snap-{fresh:08d}", data)
-            except OSError as bad:
-                if bad.errno == 28:
-                    # No room for it: the segments so far stay, nothing is lost but the space.
-                    log_events.emit(114, self.who, step="snapshot", bytes=len(data))
-                    if self.size == 0:
-                        # Nothing came meanwhile: without a file of its own the number would be a gap.
-                        self.number, self.size = old, size
-                    return
-                self.bad = f"snapshot failed: {bad.strerror}"
-                log_events.emit(113, self.who, why=self.bad)
-                raise Stop(Fault("snapshot", self.who, self.bad, BROKE)) from bad
-            self.synced = max(self.synced, mark)
-            self.snap = len(data)
-            for name in self.disk.names():
-                if name.startswith("log-") and int(name[4:]) <= old:
-                    self.disk.remove(name)
-                if name.startswith("snap-") and int(name[5:]) < fresh:
-                    self.disk.remove(name)
-            self.total = self.size
-        self.moved.set()
-        self.moved = asyncio.Event()
+                await self.disk.sync(old_name)
+                await self.disk.write(f"{SNAPSHOT_PREFIX}{new_number:08d}", data)
+            except OSError as error:
+                if error.errno != errno.ENOSPC:
+                    self._fail("snapshot", f"snapshot failed: {error.strerror}", error)
+                log_events.emit(114, self.process, step="snapshot", bytes=len(data))
+                if self.segment_size == 0:
+                    # Nothing was appended meanwhile: without a file of its own the number would be a gap.
+                    self.segment_number, self.segment_size = old_number, old_size
+                return
+            self.synced = max(self.synced, offset)
+            self.snapshot_bytes = len(data)
+            self._remove_before(new_number)
+            self.logged_bytes = self.segment_size
+        self._notify_sync()
+
+    def _remove_before(self, number: int) -> None:
+        """Removes the files that the snapshot of this number replaces."""
+        for name in self.disk.names():
+            if name.startswith(SEGMENT_PREFIX) and _segment_number(name) < number:
+                self.disk.remove(name)
+            if name.startswith(SNAPSHOT_PREFIX) and _snapshot_number(name) < number:
+                self.disk.remove(name)
+
+    def _notify_sync(self) -> None:
+        self.sync_done.set()
+        self.sync_done = asyncio.Event()
+
+    def _failure_at(self, step: str) -> Stop:
+        return Stop(Fault(step, self.process, self.failure, BROKE))
+
+    def _fail(self, step: str, failure: str, error: OSError) -> NoReturn:
+        self.failure = failure
+        log_events.emit(113, self.process, why=failure)
+        raise self._failure_at(step) from error
--- a/tests/control/test_journal.py
+++ b/tests/control/test_journal.py
@@ -25,7 +25,13 @@
 )
 from postpass.rpc.peer_links import IDL, pack, unpack
 from postpass.runtime.errors import BROKE, FULL, Stop
-from postpass.storage.data_directory import MARK, STATE_FORMAT, DataDirectory, mark_format, open_data_directory
+from postpass.storage.data_directory import (
+    IDENTITY_FILE,
+    STATE_FORMAT,
+    DataDirectory,
+    open_data_directory,
+    write_identity,
+)
 from postpass.storage.segmented_log import HEAD, SegmentedLog, scan
 from sim.disk import SimDisk
 from sim.loop import SimLoop, run_sim
@@ -48,7 +54,7 @@
 
 async def opened(disk: SimDisk) -> tuple[DataDirectory, StateJournal]:
     data_directory = await open_data_directory(
-        "c1", disk, random.Random(2), SEGMENT, 0, strict=True, reads=STATE_FORMAT
+        "c1", disk, random.Random(2), SEGMENT, 0, strict=True, highest_format=STATE_FORMAT
     )
     return data_directory, await StateJournal.open("c1", disk, data_directory.log, data_directory.entries)
 
@@ -153,10 +159,10 @@
         async def run() -> None:
             disk = SimDisk(random.Random(1))
             data_directory, _ = await opened(disk)
-            await mark_format(disk, data_directory.name, 4)
+            await write_identity(disk, data_directory.name, 4)
             with pytest.raises(Stop, match="format 4, this release reads up to 3; nothing was touched"):
                 await opened(disk)
-            assert json.loads(disk.read(MARK)) == {"disk": data_directory.name, "format": 4}
+            assert json.loads(disk.read(IDENTITY_FILE)) == {"disk": data_directory.name, "format": 4}
 
         asyncio.run(run())
 
@@ -366,7 +372,7 @@
                 await journal.append(advanced(journal.image, version)[0])
                 await journal.compact_if_due()
                 biggest = max(biggest, sum(map(len, disk.files.values())))
-            snapshot = journal.log.snap
+            snapshot = journal.log.snapshot_bytes
             assert biggest < 2 * snapshot + SEGMENT + 1024, (biggest, snapshot)
             assert (await opened(disk))[1].image == journal.image
 
--- a/tests/control/test_state_recovery.py
+++ b/tests/control/test_state_recovery.py
@@ -16,7 +16,7 @@
 from postpass.control.journal import Image, replay
 from postpass.control.state import ReplicatedState
 from postpass.daemon.data_plane import DataPlane
-from postpass.storage.data_directory import MARK, STATE_FORMAT, open_data_directory
+from postpass.storage.data_directory import IDENTITY_FILE, STATE_FORMAT, open_data_directory
 from sim.disk import SimDisk
 from sim.loop import SimLoop, run_sim
 from tests.control.test_announced_control import standing
@@ -446,16 +446,16 @@
 
     async def state() -> ReplicatedState:
         data_directory = await open_data_directory(
-            "any", disk, random.Random(1), 1 << 16, 0, strict=True, reads=STATE_FORMAT
+            "any", disk, random.Random(1), 1 << 16, 0, strict=True, highest_format=STATE_FORMAT
         )
         image = replay(data_directory.entries)
         return ReplicatedState.of(image.tree) if image is not None else ReplicatedState()
 
     held = asyncio.run(state())
-    mark = json.loads(disk.files[MARK])
+    mark = json.loads(disk.files[IDENTITY_FILE])
     for name in [n for n in disk.names() if n.startswith(("log-", "snap-"))]:
         disk.remove(name)
-    disk.files[MARK] = bytearray(json.dumps(mark | {"format": 2}).encode())
+    disk.files[IDENTITY_FILE] = bytearray(json.dumps(mark | {"format": 2}).encode())
     if held.whole:
         disk.files["state"] = bytearray(held.dump())
     disk.kept = {n: bytes(b) for n, b in disk.files.items()}
@@ -486,7 +486,7 @@
             for name in members:
                 disk = fleet.nodes[name].disk
                 assert disk is not None and "state" not in disk.names()
-                assert json.loads(disk.read(MARK))["format"] == STATE_FORMAT
+                assert json.loads(disk.read(IDENTITY_FILE))["format"] == STATE_FORMAT
             all_lose_power(fleet)
             for name in fleet.nodes:
                 fleet.boot(name)
--- a/tests/sim/test_broken_variants.py
+++ b/tests/sim/test_broken_variants.py
@@ -133,10 +133,10 @@
     """Calls synced what was only written."""
 
     async def sync(self: SegmentedLog) -> None:
-        async with self.busy:
-            self.synced = max(self.synced, self.ends)
-        self.moved.set()
-        self.moved = asyncio.Event()
+        async with self.lock:
+            self.synced = max(self.synced, self.end)
+        self.sync_done.set()
+        self.sync_done = asyncio.Event()
 
     mp.setattr(SegmentedLog, "sync", sync)
 
--- a/tests/storage/test_data_directory.py
+++ b/tests/storage/test_data_directory.py
@@ -7,7 +7,7 @@
 import random
 
 from postpass.runtime.errors import Stop
-from postpass.storage.data_directory import FORMAT, MARK, DataDirectory, distrust, open_data_directory
+from postpass.storage.data_directory import FORMAT, IDENTITY_FILE, DataDirectory, open_data_directory, revoke_identity
 
 
 def test_a_damaged_folder_gets_a_new_identity_and_its_files_are_set_aside() -> None:
@@ -28,7 +28,7 @@
     worse = opened()
     assert worse.fresh and worse.name != first.name and worse.entries == []
     assert "damaged-log-00000000" in disk.names()
-    distrust(disk)
+    revoke_identity(disk)
     assert opened().name not in (first.name, worse.name)
 
 
@@ -37,8 +37,8 @@
 
     disk = SimDisk(random.Random(1))
     asyncio.run(open_data_directory("s1", disk, random.Random(2), 1 << 20, 0))
-    later = json.dumps(json.loads(disk.read(MARK)) | {"format": FORMAT + 1}).encode()
-    asyncio.run(disk.write(MARK, later))
+    later = json.dumps(json.loads(disk.read(IDENTITY_FILE)) | {"format": FORMAT + 1}).encode()
+    asyncio.run(disk.write(IDENTITY_FILE, later))
     before = dict(disk.kept)
     try:
         asyncio.run(open_data_directory("s1", disk, random.Random(2), 1 << 20, 0))
--- a/tests/storage/test_segmented_log.py
+++ b/tests/storage/test_segmented_log.py
@@ -44,7 +44,7 @@
     from sim.disk import SimDisk
 
     disk = SimDisk(random.Random(1), cap=2100)
-    log = SegmentedLog("s1", disk, held=1000)
+    log = SegmentedLog("s1", disk, reserve=1000)
     log.append([_entry(n, b"y" * 100) for n in range(1, 4)], vital=False)
     asyncio.run(log.compact(iter([_entry(3)])))
     log.append([_entry(4)])
--- a/tests/support/readable_code.py
+++ b/tests/support/readable_code.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parents[2] / "postpass"
-MOVED = ("control",)
+MOVED = ("control", "storage")
 # Modules of the flat folder that were written in the standard terms from the start.
 STANDARD_MODULES = (
     "gateway/upstream_connection.py", "gateway/relay.py", "gateway/load_balancing.py", "gateway/http_server.py", "batch/item_request.py", "batch/job_service.py", "batch/job_api.py", "batch/quota.py", "configuration/header_names.py",
--- a/tests/test_readable_code.py
+++ b/tests/test_readable_code.py
@@ -19,7 +19,8 @@
     "control": (
         "epochs", "state", "journal", "changes", "configuration", "member", "contact", "replica", "election", "writer",
         "in_force", "feed", "registry", "leadership", "orders", "health", "api", "daemon",
-    )
+    ),
+    "storage": ("segmented_log", "data_directory"),
 }  # fmt: skip
 # Withdrawn words that still stand in names, by module. The users of these names are being worked on.
 STANDING_NAMES: dict[str, set[str]] = {
