--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -41,7 +41,7 @@
 from postpass.membership.registry import PARTS, State
 from postpass.replication.partition import Partition
 from postpass.replication.record_log import Record
-from postpass.rpc import peer_links
+from postpass.rpc import codec
 from sim.announced import AnnouncedFleet, Sizes, module
 from sim.clients import Clients, Kind
 from sim.hollow import hand_in, patient, taken_lot
@@ -182,7 +182,7 @@
 
 @contextmanager
 def metered() -> Iterator[Meter]:
-    meter, run, send, message = Meter(), loop_events.Handle._run, Pipe._send, peer_links._message
+    meter, run, send, message = Meter(), loop_events.Handle._run, Pipe._send, codec.encode_message
 
     def measured(handle: Any) -> Any:
         began = time.thread_time_ns()
@@ -197,8 +197,8 @@
         meter.received[pipe.there.name] += len(data or b"")
         send(pipe, data)
 
-    def told(name: str, kind: int, seq: int, thing: Any) -> bytes:
-        data = message(name, kind, seq, thing)
+    def told(name: str, kind: int, sequence: int, record: Any) -> bytes:
+        data = message(name, kind, sequence, record)
         host = HOST.get()
         if host is not None:
             meter.messages[(host.name, name)] += 1
@@ -207,7 +207,7 @@
 
     loop_events.Handle._run = measured  # type: ignore[assignment,method-assign]
     Pipe._send = sending  # type: ignore[assignment,method-assign]
-    peer_links._message = told
+    codec.encode_message = told
     # Else a collection over all processes of the fleet would be charged to whichever of them happened to cause it.
     gc.collect()
     gc.freeze()
@@ -217,7 +217,7 @@
         gc.unfreeze()
         loop_events.Handle._run = run  # type: ignore[method-assign]
         Pipe._send = send  # type: ignore[method-assign]
-        peer_links._message = message
+        codec.encode_message = message
 
 
 def resident_bytes() -> int:
--- a/bench/measure.py
+++ b/bench/measure.py
@@ -430,7 +430,7 @@
 def size_run(job: tuple[int, int, bool]) -> tuple[int, int, bool, dict[str, float]]:
     """Traffic of a quiet fleet of many daemons and routes, and of one change of the manifest."""
     from postpass.gateway import worker_load
-    from postpass.rpc import peer_links
+    from postpass.rpc import codec
 
     edges, routes, shared = job
     worker_load.FEW = 16 if shared else 10**6
@@ -438,14 +438,14 @@
 
     async def main(loop: SimLoop) -> dict[str, float]:
         sent: dict[str, list[int]] = defaultdict(list)
-        original = peer_links._message
+        original = codec.encode_message
 
-        def message(name: str, kind: int, seq: int, thing: Any) -> bytes:
-            data = original(name, kind, seq, thing)
+        def message(name: str, kind: int, sequence: int, record: Any) -> bytes:
+            data = original(name, kind, sequence, record)
             sent[name].append(len(data))
             return data
 
-        peer_links._message = message
+        codec.encode_message = message
         try:
             stores = 4 if edges < 100 else 8
             configuration = manifest(edges=edges, stores=stores, scheds=2, workers=4, parts=8)
@@ -476,7 +476,7 @@
                 "change": sum(sent.get("follow", [])) / many, "copy": sum(sent.get("copy", [])),
             }  # fmt: skip
         finally:
-            peer_links._message = original
+            codec.encode_message = original
 
     return edges, routes, shared, run_sim(main, 1)
 
--- a/postpass/batch/item_request.py
+++ b/postpass/batch/item_request.py
@@ -9,7 +9,7 @@
 
 from postpass.configuration.header_names import Dialect
 from postpass.gateway.response_check import AnswerNames, Proof, verdict
-from postpass.rpc.peer_links import Body
+from postpass.rpc.codec import Body
 from postpass.runtime.errors import BROKE, SHED, Fault, Stop
 
 LEAST_URGENT = b"9"
--- a/postpass/batch/job_api.py
+++ b/postpass/batch/job_api.py
@@ -14,7 +14,7 @@
 from postpass.configuration.configuration import Route, part_of
 from postpass.configuration.schema import flaws
 from postpass.gateway.live_requests import NAME, Gateway
-from postpass.rpc.peer_links import Body
+from postpass.rpc.codec import Body
 from postpass.runtime.environment import now
 from postpass.runtime.errors import CLASH, CROWD, FULL, LACK, SHED
 
--- a/postpass/batch/job_service.py
+++ b/postpass/batch/job_service.py
@@ -15,7 +15,7 @@
 from postpass.batch.quota import Budget
 from postpass.configuration.configuration import part_of
 from postpass.replication.partition import Partition
-from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime.environment import now
 from postpass.runtime.errors import CLASH, CROWD, FULL, LACK, MOVED, SLOW, Fault, Stop
 
--- a/postpass/batch/scheduler.py
+++ b/postpass/batch/scheduler.py
@@ -23,7 +23,8 @@
 from postpass.configuration.settings import Settings
 from postpass.feed.configuration_view import ConfigurationView
 from postpass.gateway.worker_load import WorkerLoad, share_of
-from postpass.rpc.peer_links import Body, PeerLinks
+from postpass.rpc.codec import Body
+from postpass.rpc.peer_links import PeerLinks
 from postpass.runtime import log_events
 from postpass.runtime.environment import Environment, now
 from postpass.runtime.errors import CLASH, MOVED, Fault, Stop
--- a/postpass/control/api.py
+++ b/postpass/control/api.py
@@ -14,7 +14,7 @@
 from postpass.control.member import INFINITY
 from postpass.control.orders import Orders
 from postpass.daemon.process import Task
-from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime.environment import now
 from postpass.runtime.errors import BAD, BROKE, CLASH, MOVED, OLD, SHED, SLOW, Fault
 
--- a/postpass/control/contact.py
+++ b/postpass/control/contact.py
@@ -14,7 +14,7 @@
 from postpass.control.epochs import Voters
 from postpass.control.member import INFINITY, ControlMember
 from postpass.feed.messages import Stale
-from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime.environment import hear, now
 from postpass.runtime.errors import SHED, Fault
 
--- a/postpass/control/election.py
+++ b/postpass/control/election.py
@@ -25,7 +25,7 @@
 from postpass.control.state import ReplicatedState
 from postpass.membership.registry import State, recovered
 from postpass.membership.safe_change import Topology, next_voters
-from postpass.rpc.peer_links import Body
+from postpass.rpc.codec import Body
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
 from postpass.runtime.errors import SLOW, Fault
--- a/postpass/control/feed.py
+++ b/postpass/control/feed.py
@@ -11,7 +11,7 @@
 from postpass.control.member import INFINITY
 from postpass.control.writer import Writer
 from postpass.feed.messages import Poll
-from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
 from postpass.runtime.errors import MOVED, SHED, SLOW, Fault
--- a/postpass/control/in_force.py
+++ b/postpass/control/in_force.py
@@ -11,7 +11,8 @@
 
 from postpass.configuration.configuration import Configuration, with_duty
 from postpass.configuration.settings import Bounds
-from postpass.rpc.peer_links import PeerLinks, PeerResponse
+from postpass.rpc.codec import PeerResponse
+from postpass.rpc.peer_links import PeerLinks
 from postpass.runtime.environment import hear, now
 
 RELAYS = 3  # other machines through which one is asked whose direct way may be cut
--- a/postpass/control/journal.py
+++ b/postpass/control/journal.py
@@ -14,7 +14,7 @@
 
 from postpass.configuration.json_delta import Delta, delta, patch
 from postpass.feed.configuration_view import mass, shift
-from postpass.rpc.peer_links import IDL, pack, unpack
+from postpass.rpc.codec import IDL, pack, unpack
 from postpass.runtime.disk import Disk
 from postpass.runtime.errors import BROKE, FULL, Fault, Stop
 from postpass.storage.segmented_log import SegmentedLog
--- a/postpass/control/leadership.py
+++ b/postpass/control/leadership.py
@@ -11,7 +11,7 @@
 from postpass.control.member import INFINITY
 from postpass.control.registry import Registry
 from postpass.membership.safe_change import gives_up_vote
-from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
 from postpass.runtime.errors import Stop
--- a/postpass/control/member.py
+++ b/postpass/control/member.py
@@ -18,7 +18,7 @@
 from postpass.control.state import Committed, ReplicatedState
 from postpass.daemon.process import Daemon
 from postpass.membership.registry import State, Translator
-from postpass.rpc.peer_links import RELEASE, Body, PeerResponse
+from postpass.rpc.codec import RELEASE, Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.disk import Disk
 from postpass.runtime.environment import Environment, now
--- a/postpass/control/orders.py
+++ b/postpass/control/orders.py
@@ -14,7 +14,7 @@
 from postpass.control.leadership import Leadership
 from postpass.membership import registry
 from postpass.membership.registry import State
-from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
 from postpass.runtime.errors import BAD, LACK, MOVED, OLD, SHED, SLOW, Fault, Stop
--- a/postpass/control/registry.py
+++ b/postpass/control/registry.py
@@ -11,7 +11,7 @@
 from postpass.control.member import INFINITY
 from postpass.membership import registry
 from postpass.membership.registry import Entry, Standing, State
-from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
 from postpass.runtime.errors import BAD, Fault
--- a/postpass/control/replica.py
+++ b/postpass/control/replica.py
@@ -12,7 +12,7 @@
 from postpass.control.journal import Change, Image, JournalError
 from postpass.control.state import ReplicatedState
 from postpass.membership.registry import State
-from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.environment import hear, now
 from postpass.runtime.errors import Fault, Stop
--- a/postpass/control/state.py
+++ b/postpass/control/state.py
@@ -8,7 +8,7 @@
 
 from postpass.control.epochs import ReplicaSet
 from postpass.membership.registry import State
-from postpass.rpc.peer_links import Body
+from postpass.rpc.codec import Body
 
 # Keys on disk and between members that differ from the field's name: they are those of release 0.2.0.
 STATE_KEYS = {"revision": "edition"}
--- a/postpass/control/writer.py
+++ b/postpass/control/writer.py
@@ -10,7 +10,7 @@
 from postpass.control.changes import Edit, Fold
 from postpass.control.election import Election
 from postpass.control.member import INFINITY
-from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
 from postpass.runtime.errors import MOVED, SHED, SLOW, Fault, Stop
--- a/postpass/daemon/data_plane.py
+++ b/postpass/daemon/data_plane.py
@@ -23,7 +23,7 @@
 from postpass.gateway.worker_load import WorkerLoad
 from postpass.replication.partition import Partition
 from postpass.replication.store import Store
-from postpass.rpc.peer_links import RELEASE, Body
+from postpass.rpc.codec import RELEASE, Body
 from postpass.runtime.environment import Environment
 from postpass.runtime.errors import Fault
 
--- a/postpass/daemon/process.py
+++ b/postpass/daemon/process.py
@@ -22,7 +22,9 @@
 from postpass.feed.messages import Poll, Rotation, Stale
 from postpass.membership.partial_view import MemberRecord, PartialView
 from postpass.membership.registry import Entry, placed
-from postpass.rpc.peer_links import RELEASE, Body, PeerLinks, PeerServer
+from postpass.rpc.codec import RELEASE, Body
+from postpass.rpc.peer_links import PeerLinks
+from postpass.rpc.peer_server import PeerServer
 from postpass.runtime import log_events
 from postpass.runtime.environment import Environment, hear, now, serve_http
 from postpass.runtime.errors import SHED, Fault, Stop
--- a/postpass/gateway/live_requests.py
+++ b/postpass/gateway/live_requests.py
@@ -27,7 +27,8 @@
 from postpass.gateway.admission import AdmissionQueue, Waiter
 from postpass.gateway.attempts import AttemptLog, next_move
 from postpass.gateway.worker_load import DEAF, OVER, WorkerLoad
-from postpass.rpc.peer_links import Body, PeerLinks
+from postpass.rpc.codec import Body
+from postpass.rpc.peer_links import PeerLinks
 from postpass.runtime import log_events
 from postpass.runtime.environment import Environment, now
 from postpass.runtime.errors import BROKE, CLASH, CROWD, FULL, LACK, MOVED, SHED, SLOW, Fault, Stop
--- a/postpass/replication/partition.py
+++ b/postpass/replication/partition.py
@@ -12,7 +12,7 @@
 from postpass.replication.acknowledgements import Acknowledgements
 from postpass.replication.record_log import Record, RecordLog
 from postpass.replication.stability import DEFAULT, Count, Scene, build, confirm_suffice, covers, promises_suffice
-from postpass.rpc.peer_links import PACKET
+from postpass.rpc.codec import PACKET
 
 Crew = dict[str, str]
 
--- a/postpass/replication/record_log.py
+++ b/postpass/replication/record_log.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from postpass.rpc.peer_links import IDL
+from postpass.rpc.codec import IDL
 
 
 @dataclass(frozen=True)
--- a/postpass/replication/store.py
+++ b/postpass/replication/store.py
@@ -25,7 +25,9 @@
 from postpass.membership.safe_change import Situation, Topology, next_change
 from postpass.replication.partition import Follow, Partition, Sending, fresh_tape, head
 from postpass.replication.record_log import Record, RecordLog, match
-from postpass.rpc.peer_links import IDL, PACKET, Body, Link, PeerLinks, PeerResponse
+from postpass.rpc.codec import IDL, PACKET, Body, PeerResponse
+from postpass.rpc.connection import Link
+from postpass.rpc.peer_links import PeerLinks
 from postpass.runtime import log_events
 from postpass.runtime.environment import Environment, hear, now
 from postpass.runtime.errors import BAD, BROKE, CLASH, FULL, LACK, MOVED, SHED, SLOW, Fault, Stop
@@ -530,7 +532,7 @@
                     link = None
                 await self.nap(name, b.beat)
                 continue
-            if link is None or link.closed or link.addr != addr:
+            if link is None or link.closed or link.address != addr:
                 got = await Link.open(addr, b.silent / 2)
                 if isinstance(got, Err):
                     for part in owned:
@@ -976,14 +978,14 @@
             if link is not None and owner in self.fresh:
                 link.close("the owner connected anew")
             self.fresh.discard(owner)
-            if link is None or link.closed or link.addr != addr:
+            if link is None or link.closed or link.address != addr:
                 got = await Link.open(addr, self.settings.bounds.silent)
                 if isinstance(got, Err):
                     await asyncio.sleep(self.settings.bounds.beat)
                     continue
                 link = got.unwrap()
-                assert link.pump is not None
-                link.pump.add_done_callback(lambda _: self.knock_soon(owner))
+                assert link.reader_task is not None
+                link.reader_task.add_done_callback(lambda _: self.knock_soon(owner))
             free, _ = self.log.disk.room()
             link.put("ack", [self.counters(self.parts[n], free < self.log.reserved_bytes) for n in numbers])
             try:
--- a/postpass/rpc/idl/__init__.py
+++ b/postpass/rpc/idl/__init__.py
@@ -0,0 +1,1 @@
+"""The interface definition of messages between processes: `peer.thrift`."""
--- /dev/null
+++ b/postpass/rpc/peer_server.py
@@ -0,0 +1,157 @@
+"""The side of a link that takes messages from peers and hands them to the handlers of this process."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass, field
+from typing import Any
+
+from result import Err, Ok
+from thriftpy2.protocol import TBinaryProtocol
+from thriftpy2.thrift import TMessageType
+from thriftpy2.transport import TMemoryBuffer
+
+from postpass.configuration.settings import split
+from postpass.rpc import codec
+from postpass.rpc.codec import (
+    HANDSHAKE,
+    IDL,
+    RELEASE,
+    WIRE_VERSIONS,
+    HandshakeRequiredError,
+    MissingArgumentError,
+    PeerResponse,
+    UnknownMessageError,
+)
+from postpass.rpc.framing import FRAME_HEAD, STREAM_BUFFER_BYTES, BoundedFrames, Stream
+from postpass.runtime import log_events
+from postpass.runtime.errors import BROKE, Fault
+from postpass.runtime.ordered_set import OrderedSet
+
+# Takes the body of a request and returns a `PeerResponse`, or takes the argument of a oneway message.
+Handler = Callable[[Any], Awaitable[Any]]
+
+
+@dataclass(eq=False)
+class PeerServer:
+    """Takes links from peers. Invariant: oneway messages of a link are handled in order, one at a time.
+
+    Requests of a link are handled at the same time, each in a task of its own.
+
+    Attributes:
+        process: name of this process, for events and faults.
+        handlers: what handles a message, by its name; a request without a handler is refused.
+        tasks: requests that are being handled.
+        links: connections that are open.
+    """
+
+    process: str
+    handlers: dict[str, Handler]
+    server: asyncio.AbstractServer | None = None
+    tasks: OrderedSet[asyncio.Task[None]] = field(default_factory=OrderedSet)
+    links: OrderedSet[asyncio.StreamWriter] = field(default_factory=OrderedSet)
+
+    async def listen(self, address: str) -> None:
+        """Takes links at IP:PORT from now on. Raises OSError if the address can't be had."""
+        host, port = split(address)
+        self.server = await asyncio.start_server(self._serve, host, port, limit=STREAM_BUFFER_BYTES)
+
+    async def close(self) -> None:
+        """Closes all links and ends the handlers that run."""
+        if self.server is not None:
+            self.server.close()
+        for writer in list(self.links):
+            writer.close()
+        for task in list(self.tasks):
+            task.cancel()
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serves one link until it is closed, by either side; foreign bytes close it too."""
+        peer = _peer_name(writer)
+        self.links.add(writer)
+        try:
+            await self._read_messages(BoundedFrames(Stream(reader, writer)), writer)
+        except (asyncio.IncompleteReadError, ConnectionError, EOFError, asyncio.CancelledError):
+            pass
+        except Exception as error:
+            log_events.emit(102, self.process, step="read message", peer=peer, why=f"{error!r:.120}")
+        finally:
+            self.links.discard(writer)
+            writer.close()
+
+    async def _read_messages(self, frames: BoundedFrames, writer: asyncio.StreamWriter) -> None:
+        """Reads messages for ever; raises ProtocolError for one that is not of the protocol."""
+        agreed = False
+        while True:
+            data = await frames.next()
+            protocol = TBinaryProtocol(TMemoryBuffer(data))
+            name, _, sequence = protocol.read_message_begin()
+            if name not in IDL.Peer.thrift_services:
+                raise UnknownMessageError(f"unknown message {name!r:.40}")
+            record = getattr(IDL.Peer, name + "_args")()
+            protocol.read_struct(record)
+            argument = getattr(record, record.thrift_spec[1][1])
+            if argument is None:
+                raise MissingArgumentError(f"{name} without its argument")
+            if name == HANDSHAKE:
+                agreed = self._answer_handshake(argument, sequence, writer)
+                continue
+            if not agreed:
+                why = f"{name} before any wire number was agreed on: another release, or no postpass"
+                raise HandshakeRequiredError(why)
+            if codec.is_oneway(name):
+                if name in self.handlers:
+                    await self.handlers[name](argument)
+            else:
+                task = asyncio.create_task(self._respond(name, sequence, argument, writer))
+                self.tasks.add(task)
+                task.add_done_callback(self.tasks.discard)
+
+    def _answer_handshake(self, offer: Any, sequence: int, writer: asyncio.StreamWriter) -> bool:
+        """Responds to the first message; False if there is no wire version that both sides speak."""
+        (low, high), result = WIRE_VERSIONS, IDL.Peer.hi_result()
+        if offer.low is not None and offer.high is not None and offer.low <= high and offer.high >= low:
+            result.success = IDL.Hi(low=low, high=high, release=RELEASE)
+        else:
+            why = (
+                f"this is release {RELEASE} with wire numbers {low} to {high}; "
+                f"the other is {offer.release} with {offer.low} to {offer.high}"
+            )
+            result.fault = codec.encode_fault(Fault(HANDSHAKE, self.process, why, BROKE))
+            log_events.emit(106, self.process, step=HANDSHAKE, peer=_peer_name(writer), why=why)
+        data = codec.encode_message(HANDSHAKE, TMessageType.REPLY, sequence, result)
+        writer.write(FRAME_HEAD.pack(len(data)) + data)
+        return result.fault is None
+
+    async def _respond(self, name: str, sequence: int, argument: str, writer: asyncio.StreamWriter) -> None:
+        """Handles a request and sends the response, which is lost if the link is gone by then."""
+        result = getattr(IDL.Peer, name + "_result")()
+        try:
+            handler = self.handlers.get(name)
+            if handler is None:
+                response: PeerResponse = Err(Fault(name, self.process, "no such duty here", BROKE))
+            else:
+                body = json.loads(argument)
+                if not isinstance(body, dict):
+                    raise ValueError("not an object")
+                response = await handler(body)
+        except (KeyError, TypeError, ValueError) as error:
+            response = Err(Fault(name, self.process, f"{error!r:.160}", BROKE))
+            log_events.emit(104, self.process, step=name, peer=_peer_name(writer), why=f"{error!r:.160}")
+        if isinstance(response, Ok):
+            result.success = codec.encode_body(response.unwrap())
+        else:
+            result.fault = codec.encode_fault(response.unwrap_err())
+        try:
+            data = codec.encode_message(name, TMessageType.REPLY, sequence, result)
+            writer.write(FRAME_HEAD.pack(len(data)) + data)
+            await writer.drain()
+        except (ConnectionError, RuntimeError):
+            pass
+
+
+def _peer_name(writer: asyncio.StreamWriter) -> str:
+    """Where a link comes from, for events."""
+    return str(writer.get_extra_info("peername"))
--- a/postpass/storage/segmented_log.py
+++ b/postpass/storage/segmented_log.py
@@ -32,7 +32,7 @@
 from dataclasses import dataclass, field
 from typing import Any, NoReturn
 
-from postpass.rpc.peer_links import IDL, pack, unpack
+from postpass.rpc.codec import IDL, pack, unpack
 from postpass.runtime import log_events
 from postpass.runtime.disk import Disk
 from postpass.runtime.errors import BROKE, FULL, Fault, Stop
--- a/sim/points.py
+++ b/sim/points.py
@@ -24,12 +24,12 @@
 
 from postpass.batch import scheduler
 from postpass.gateway import live_requests
-from postpass.rpc import peer_links
+from postpass.rpc import codec, connection, peer_server
 from postpass.runtime import log_events
 from postpass.worker_api import openai
 from sim.loop import HOST, SimLoop
 
-VERBS = frozenset(peer_links.IDL.Peer.thrift_services)
+VERBS = frozenset(codec.IDL.Peer.thrift_services)
 FILES = frozenset({"log", "snap", "state", "epochs", "identity"})
 OTHERS = frozenset(
     {"places", "gate.open", "gate.shut", "took", "kept", "shed", "unknown", "ended", "paged", "reach", "evac"}
@@ -96,38 +96,40 @@
 
 def _tap() -> None:
     put, call, answer, emit, plain = (
-        peer_links.Link.put,
-        peer_links.Link.call,
-        peer_links.PeerServer._respond,
+        connection.Link.put,
+        connection.Link.call,
+        peer_server.PeerServer._respond,
         log_events.emit,
         openai.complete,
     )
-    init = peer_links.PeerServer.__init__
+    init = peer_server.PeerServer.__init__
 
-    def tapped_put(self: peer_links.Link, name: str, *vals: Any) -> int:
-        hit(f"sends.{name}", self.addr)
-        return put(self, name, *vals)
+    def tapped_put(self: connection.Link, name: str, *arguments: Any) -> int:
+        hit(f"sends.{name}", self.address)
+        return put(self, name, *arguments)
 
-    async def tapped_call(self: peer_links.Link, name: str, body: Any, wait: float) -> Any:
-        got = await call(self, name, body, wait)
+    async def tapped_call(self: connection.Link, name: str, body: Any, limit: float) -> Any:
+        got = await call(self, name, body, limit)
         if got.is_ok():
-            hit(f"hears.{name}", self.addr)
+            hit(f"hears.{name}", self.address)
         return got
 
-    async def tapped_respond(self: peer_links.PeerServer, name: str, seq: int, val: Any, writer: Any) -> None:
+    async def tapped_respond(
+        self: peer_server.PeerServer, name: str, sequence: int, argument: Any, writer: Any
+    ) -> None:
         hit(f"takes.{name}")
-        await answer(self, name, seq, val, writer)
+        await answer(self, name, sequence, argument, writer)
 
     def tapped_emit(number: int, who: str, **more: object) -> None:
         emit(number, who, **more)
         hit(f"E{number}")
 
-    def tapped_init(self: peer_links.PeerServer, *args: Any, **more: Any) -> None:
+    def tapped_init(self: peer_server.PeerServer, *args: Any, **more: Any) -> None:
         init(self, *args, **more)
 
-        def around(name: str, handler: peer_links.Handler) -> peer_links.Handler:
+        def around(name: str, handler: peer_server.Handler) -> peer_server.Handler:
             async def run(val: Any) -> Any:
-                if peer_links._oneway(name):
+                if codec.is_oneway(name):
                     hit(f"takes.{name}")
                     return await handler(val)
                 got = await handler(val)
@@ -149,8 +151,8 @@
         hit("places", there)
         return plain(session, url, model, prompt, asked, *rest)
 
-    peer_links.Link.put, peer_links.Link.call, peer_links.PeerServer._respond = tapped_put, tapped_call, tapped_respond  # type: ignore[method-assign]
-    peer_links.PeerServer.__init__ = tapped_init  # type: ignore[method-assign]
+    connection.Link.put, connection.Link.call, peer_server.PeerServer._respond = tapped_put, tapped_call, tapped_respond  # type: ignore[method-assign]
+    peer_server.PeerServer.__init__ = tapped_init  # type: ignore[method-assign]
     log_events.emit = tapped_emit
     for module in (live_requests, scheduler):
         setattr(module, "complete", tapped_complete)  # noqa: B010
--- a/tests/bench/test_capacity.py
+++ b/tests/bench/test_capacity.py
@@ -23,7 +23,7 @@
     table,
     verdict,
 )
-from postpass.rpc import peer_links
+from postpass.rpc import codec
 from sim.loop import Pipe
 
 
@@ -107,10 +107,10 @@
 
 
 def test_the_meter_leaves_no_trace() -> None:
-    before = (Pipe._send, peer_links._message, events.Handle._run)
+    before = (Pipe._send, codec.encode_message, events.Handle._run)
     with capacity.metered():
-        assert Pipe._send is not before[0] and peer_links._message is not before[1]
-    assert (Pipe._send, peer_links._message, events.Handle._run) == before
+        assert Pipe._send is not before[0] and codec.encode_message is not before[1]
+    assert (Pipe._send, codec.encode_message, events.Handle._run) == before
 
 
 def test_more_routes_have_places_of_their_own() -> None:
--- a/tests/control/test_feed.py
+++ b/tests/control/test_feed.py
@@ -131,11 +131,11 @@
             polls: list[tuple[float, float, str, bool]] = []
             real = edge.peer_links.call
 
-            async def watch(addr: str, name: str, body: Any, wait: float) -> Any:
+            async def watch(address: str, name: str, body: Any, limit: float) -> Any:
                 began = f.loop.clock
-                got = await real(addr, name, body, wait)
+                got = await real(address, name, body, limit)
                 if name == "follow" and "who" in body:
-                    polls.append((began, f.loop.clock, addr, got.is_ok() and bool(got.unwrap().get("stale"))))
+                    polls.append((began, f.loop.clock, address, got.is_ok() and bool(got.unwrap().get("stale"))))
                 return got
 
             edge.peer_links.call = watch  # type: ignore[method-assign]
--- a/tests/control/test_in_force.py
+++ b/tests/control/test_in_force.py
@@ -10,7 +10,8 @@
 from postpass.configuration.settings import Bounds
 from postpass.control.contact import last_majority
 from postpass.control.in_force import Hearing, VersionWait, awaited_senders
-from postpass.rpc.peer_links import PeerLinks, PeerResponse
+from postpass.rpc.codec import PeerResponse
+from postpass.rpc.peer_links import PeerLinks
 from postpass.runtime.errors import Fault
 
 
--- a/tests/control/test_journal.py
+++ b/tests/control/test_journal.py
@@ -23,7 +23,7 @@
     replay,
     snapshot_entry,
 )
-from postpass.rpc.peer_links import IDL, pack, unpack
+from postpass.rpc.codec import IDL, pack, unpack
 from postpass.runtime.errors import BROKE, FULL, Stop
 from postpass.storage.data_directory import (
     IDENTITY_FILE,
--- a/tests/control/test_voters.py
+++ b/tests/control/test_voters.py
@@ -10,7 +10,7 @@
 from postpass.configuration.configuration import Configuration
 from postpass.control.daemon import ControlPlane
 from postpass.control.epochs import ReplicaSet
-from postpass.rpc.peer_links import Body
+from postpass.rpc.codec import Body
 from tests.control.test_leadership import (
     DETECTION_TIME,
     RECOVERY_TIME,
--- a/tests/rpc/test_peer_links.py
+++ b/tests/rpc/test_peer_links.py
@@ -9,7 +9,10 @@
 from result import Err, Ok, Result
 from thriftpy2.thrift import TMessageType
 
-from postpass.rpc.peer_links import IDL, SPEAKS, Body, Link, PeerLinks, PeerServer, _message
+from postpass.rpc.codec import IDL, WIRE_VERSIONS, Body, encode_message
+from postpass.rpc.connection import Link
+from postpass.rpc.peer_links import PeerLinks
+from postpass.rpc.peer_server import PeerServer
 from postpass.runtime.errors import SLOW, Fault
 
 
@@ -27,12 +30,14 @@
             await PeerServer("two", {"carry": carry}).listen("2:7")
 
         async def call() -> list[Any]:
-            good = (await Link.open("2:7", 1, (SPEAKS[1], SPEAKS[1] + 5))).unwrap()
+            good = (await Link.open("2:7", 1, (WIRE_VERSIONS[1], WIRE_VERSIONS[1] + 5))).unwrap()
             good.put("carry", IDL.Packet(part=0, seq=1))
-            bad = (await Link.open("2:7", 1, (SPEAKS[1] + 1, SPEAKS[1] + 2))).unwrap_err()
+            bad = (await Link.open("2:7", 1, (WIRE_VERSIONS[1] + 1, WIRE_VERSIONS[1] + 2))).unwrap_err()
             # One that speaks first without a wire number, as releases before 0.2.0 did, is cut off.
             reader, writer = await asyncio.open_connection("2", 7)
-            data = _message("carry", TMessageType.ONEWAY, 1, IDL.Peer.carry_args(packet=IDL.Packet(part=0, seq=2)))
+            data = encode_message(
+                "carry", TMessageType.ONEWAY, 1, IDL.Peer.carry_args(packet=IDL.Packet(part=0, seq=2))
+            )
             writer.write(struct.pack("!i", len(data)) + data)
             return [
                 bad.step,
--- a/tests/storage/test_data_directory.py
+++ b/tests/storage/test_data_directory.py
@@ -11,7 +11,7 @@
 
 
 def test_a_damaged_folder_gets_a_new_identity_and_its_files_are_set_aside() -> None:
-    from postpass.rpc.peer_links import IDL
+    from postpass.rpc.codec import IDL
     from sim.disk import SimDisk
 
     disk, chance = SimDisk(random.Random(1)), random.Random(2)
--- a/tests/storage/test_segmented_log.py
+++ b/tests/storage/test_segmented_log.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Any
 
-from postpass.rpc.peer_links import IDL
+from postpass.rpc.codec import IDL
 from postpass.runtime.errors import FULL, Stop
 from postpass.storage.segmented_log import SegmentedLog
 
--- a/tests/support/item_answers.py
+++ b/tests/support/item_answers.py
@@ -22,7 +22,7 @@
 from postpass.configuration.settings import Settings
 from postpass.feed.configuration_view import ConfigurationView
 from postpass.gateway.upstream_connection import WorkerLinks
-from postpass.rpc.peer_links import Body
+from postpass.rpc.codec import Body
 from postpass.runtime.environment import Environment
 from postpass.worker_api.openai import Prompt
 from sim.loop import Host, SimLoop, run_sim
