--- a/postpass/rpc/connection.py
+++ b/postpass/rpc/connection.py
@@ -18,7 +18,7 @@
 
 from postpass.configuration.settings import split
 from postpass.rpc import codec
-from postpass.rpc.codec import HANDSHAKE, IDL, RELEASE, WIRE_VERSIONS, Body, PeerResponse
+from postpass.rpc.codec import HANDSHAKE, IDL, WIRE_VERSIONS, Body, PeerResponse
 from postpass.rpc.framing import FRAME_HEAD, STREAM_BUFFER_BYTES, BoundedFrames, Stream
 from postpass.runtime import log_events
 from postpass.runtime.errors import SLOW, Fault
@@ -77,7 +77,7 @@
         """Says which wire versions this side speaks; None if the peer speaks one of them. Else the link is closed."""
         low, high = wire_versions
         future: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        self.pending[self.put(HANDSHAKE, IDL.Hi(low=low, high=high, release=RELEASE))] = future
+        self.pending[self.put(HANDSHAKE, IDL.Hi(low=low, high=high, release=codec.RELEASE))] = future
         try:
             result = await asyncio.wait_for(future, limit)
         except TimeoutError:
--- a/postpass/rpc/peer_server.py
+++ b/postpass/rpc/peer_server.py
@@ -18,7 +18,6 @@
 from postpass.rpc.codec import (
     HANDSHAKE,
     IDL,
-    RELEASE,
     WIRE_VERSIONS,
     HandshakeRequiredError,
     MissingArgumentError,
@@ -113,10 +112,10 @@
         """Responds to the first message; False if there is no wire version that both sides speak."""
         (low, high), result = WIRE_VERSIONS, IDL.Peer.hi_result()
         if offer.low is not None and offer.high is not None and offer.low <= high and offer.high >= low:
-            result.success = IDL.Hi(low=low, high=high, release=RELEASE)
+            result.success = IDL.Hi(low=low, high=high, release=codec.RELEASE)
         else:
             why = (
-                f"this is release {RELEASE} with wire numbers {low} to {high}; "
+                f"this is release {codec.RELEASE} with wire numbers {low} to {high}; "
                 f"the other is {offer.release} with {offer.low} to {offer.high}"
             )
             result.fault = codec.encode_fault(Fault(HANDSHAKE, self.process, why, BROKE))
--- a/tests/support/peer_frames.py
+++ b/tests/support/peer_frames.py
@@ -15,7 +15,7 @@
 from thriftpy2.thrift import TMessageType
 from thriftpy2.transport import TMemoryBuffer
 
-from postpass.rpc.peer_links import IDL
+from postpass.rpc.codec import IDL
 from sim.announced import PORTS
 from sim.loop import Pipe
 
--- a/tests/support/release_keys.py
+++ b/tests/support/release_keys.py
@@ -10,7 +10,7 @@
 from postpass.control.epochs import Witness
 from postpass.control.state import ReplicatedState
 from postpass.membership.registry import Entry, Standing
-from postpass.rpc.peer_links import IDL
+from postpass.rpc.codec import IDL
 from sim.announced import module
 from tests.support.data_directories import as_json
 
--- a/tests/test_release_compatibility.py
+++ b/tests/test_release_compatibility.py
@@ -22,8 +22,10 @@
 from postpass.control.state import ReplicatedState
 from postpass.feed.messages import Poll, Stale
 from postpass.membership.registry import entry_flaws
-from postpass.rpc import peer_links
-from postpass.rpc.peer_links import IDL, Link, PeerServer
+from postpass.rpc import codec
+from postpass.rpc.codec import IDL
+from postpass.rpc.connection import Link
+from postpass.rpc.peer_server import PeerServer
 from postpass.runtime.errors import Fault
 from postpass.storage.segmented_log import frame, scan
 from sim.loop import Host, SimLoop, run_sim
@@ -67,7 +69,7 @@
 @pytest.fixture(autouse=True)
 def named_as_the_release(monkeypatch: pytest.MonkeyPatch) -> None:
     """A release may call itself what it likes: the name in the handshake is the recorded one here."""
-    monkeypatch.setattr(peer_links, "RELEASE", frames_of(CALL, "hi")[0].body["release"])
+    monkeypatch.setattr(codec, "RELEASE", frames_of(CALL, "hi")[0].body["release"])
 
 
 # --- data directories
@@ -230,7 +232,7 @@
         link = (await Link.open(ADDRESS, WAIT_S)).unwrap()
         if sent.verb == "hi":
             return
-        link.seq = sent.number - 1
+        link.sequence = sent.number - 1
         if sent.direction == ONEWAY:
             link.put(sent.verb, arguments_of(sent))
         else:
@@ -245,7 +247,7 @@
 def test_a_link_reads_a_reply_of_the_release(reply: Frame) -> None:
     async def ask() -> Result[Json, Fault]:
         link = (await Link.open(ADDRESS, WAIT_S)).unwrap()
-        link.seq = reply.number - 1
+        link.sequence = reply.number - 1
         return await link.call(reply.verb, {}, WAIT_S)
 
     assert play(ReleasePeer(reply).serve, ask) == answer_of(reply)
