--- a/postpass/rpc/connection.py
+++ b/postpass/rpc/connection.py
@@ -22,6 +22,7 @@
 from postpass.rpc.framing import FRAME_HEAD, STREAM_BUFFER_BYTES, BoundedFrames, Stream
 from postpass.runtime import log_events
 from postpass.runtime.errors import SLOW, Fault
+from postpass.runtime.log_events import Event
 
 MAXIMUM_SEQUENCE = 0x7FFFFFFF
 # Parts of the time limit that the tries to connect may take, one after the other; they add up to all of it. The system
@@ -89,7 +90,7 @@
         if refusal is None and getattr(result, "success", None) is not None:
             return None
         why = refusal.why if refusal is not None else str(getattr(result, "message", "it knows no wire numbers"))
-        log_events.emit(106, self.address, step=HANDSHAKE, why=why)
+        log_events.emit(Event.WIRE_VERSION_MISMATCH, self.address, step=HANDSHAKE, why=why)
         self.close(why)
         return Fault(HANDSHAKE, self.address, why, unsent=True)
 
@@ -114,7 +115,7 @@
             pass
         except Exception as error:  # foreign bytes: the link is closed, the daemon goes on
             why = f"unreadable answer: {error!r:.80}"
-            log_events.emit(102, self.address, step="read answer", why=why)
+            log_events.emit(Event.LINK_CLOSED, self.address, step="read answer", why=why)
         self.close(why)
 
     def close(self, why: str = "closed here") -> None:
--- a/postpass/rpc/peer_server.py
+++ b/postpass/rpc/peer_server.py
@@ -27,6 +27,7 @@
 from postpass.rpc.framing import FRAME_HEAD, STREAM_BUFFER_BYTES, BoundedFrames, Stream
 from postpass.runtime import log_events
 from postpass.runtime.errors import BROKE, Fault
+from postpass.runtime.log_events import Event
 from postpass.runtime.ordered_set import OrderedSet
 
 # Takes the body of a request and returns a `PeerResponse`, or takes the argument of a oneway message.
@@ -75,7 +76,7 @@
         except (asyncio.IncompleteReadError, ConnectionError, EOFError, asyncio.CancelledError):
             pass
         except Exception as error:
-            log_events.emit(102, self.process, step="read message", peer=peer, why=f"{error!r:.120}")
+            log_events.emit(Event.LINK_CLOSED, self.process, step="read message", peer=peer, why=f"{error!r:.120}")
         finally:
             self.links.discard(writer)
             writer.close()
@@ -119,7 +120,7 @@
                 f"the other is {offer.release} with {offer.low} to {offer.high}"
             )
             result.fault = codec.encode_fault(Fault(HANDSHAKE, self.process, why, BROKE))
-            log_events.emit(106, self.process, step=HANDSHAKE, peer=_peer_name(writer), why=why)
+            log_events.emit(Event.WIRE_VERSION_MISMATCH, self.process, step=HANDSHAKE, peer=_peer_name(writer), why=why)
         data = codec.encode_message(HANDSHAKE, TMessageType.REPLY, sequence, result)
         writer.write(FRAME_HEAD.pack(len(data)) + data)
         return result.fault is None
@@ -138,7 +139,9 @@
                 response = await handler(body)
         except (KeyError, TypeError, ValueError) as error:
             response = Err(Fault(name, self.process, f"{error!r:.160}", BROKE))
-            log_events.emit(104, self.process, step=name, peer=_peer_name(writer), why=f"{error!r:.160}")
+            log_events.emit(
+                Event.HANDLER_FAILED, self.process, step=name, peer=_peer_name(writer), why=f"{error!r:.160}"
+            )
         if isinstance(response, Ok):
             result.success = codec.encode_body(response.unwrap())
         else:
--- a/postpass/runtime/log_events.py
+++ b/postpass/runtime/log_events.py
@@ -1,87 +1,207 @@
-"""Numbered events: each line of a log carries the number of its kind; docs/events.md is the catalogue."""
+"""Numbered events of the logs: each line that tells of one begins with the number of its kind.
+
+To add an event: give it a number that was never used, as a member of `Event` at its place, and its text in
+`DESCRIPTIONS`; then write the page `docs/events.md` anew with `python -m postpass.runtime.log_events`. A test holds the
+page and this module together. Numbers never change; a name that changes stays in `FORMER_NAMES`.
+"""
 
 from __future__ import annotations
 
 from collections import Counter, deque
+from dataclasses import dataclass
+from enum import IntEnum, unique
 from pathlib import Path
 
 from absl import logging
 
-CATALOGUE: dict[int, tuple[str, str]] = {
-    100: ("started", "A daemon serves; its duties and addresses follow."),
-    101: ("stopping", "SIGTERM or SIGINT was taken; open calls come to their end, then the process leaves."),
-    105: ("handing-over", "This daemon leaves: what it owns, schedules or leads goes to another before it stops."),
-    102: ("link-closed", "An internal link was closed; step and peer follow. Foreign or oversized bytes end here too."),
-    103: ("task-failed", "A task of the daemon ended with an error it did not expect; it is started again."),
-    104: ("handler-failed", "A message of a peer met an error in its handler; step and peer follow, the peer is told."),
-    106: ("wire-unmet", "A peer speaks no wire number that this release speaks; nothing else is said on that link."),
-    107: ("seeds", "The settings name other seeds, which are used from now on."),
-    108: ("settings-bad", "The settings were read again and can't be used; the process goes on with what it had."),
-    110: ("disk-new", "A data folder was formatted; the disk has a new identity and votes only once refilled."),
-    111: ("disk-torn", "A torn tail was cut from the last segment; nothing in it had been called synced."),
-    112: ("disk-damaged", "A file is damaged in the middle; it is set aside, nothing is served from it, peers refill."),
-    113: ("disk-failed", "A sync failed; the data is not trusted again and the process leaves."),
-    114: ("disk-full", "The disk is full, but for the room held back for ends, results and trims."),
-    120: ("owner", "This store became a partition's owner under a new epoch."),
-    121: ("owner-lost", "This store is no longer a partition's owner: a higher epoch was seen."),
-    122: ("mirror-silent", "A mirror has not acknowledged for the silent bound; it left the memory stream."),
-    123: ("mirror-refill", "A mirror is refilled from a snapshot."),
-    124: ("members", "A partition's members changed; the record that says so is covered under both."),
-    125: ("loss", "More was lost than is tolerated: the partition resumes with the best log there is."),
-    126: ("handed-on", "An owner handed its partition to the one that stands before it in the agreed order."),
-    130: ("primary", "This control machine is the primary of a new epoch."),
-    131: ("primary-lost", "This control machine is no longer the primary: a higher epoch was seen."),
-    132: ("backup", "The primary took another backup, under a new epoch."),
-    133: ("control-loss", "Primary and backup lost their state: rebuilt from the newest edition that daemons hold."),
-    134: ("voter", "A control machine with a new disk was admitted to vote."),
-    135: ("founded", "The seeds have founded an announced fleet; its first control machines follow."),
-    136: ("joined", "A machine that announced itself is known to control."),
-    137: (
-        "dropped",
-        "Machines or workers that are not heard any more were dropped, or the number of copies was settled.",
+RECENT_EVENTS = 400
+
+
+@unique
+class Event(IntEnum):
+    """The kinds of events, by area: 100 process and links, 110 disk, 120 partitions, 130 control, 140 configuration,
+    150 scheduling and workers, 160 live requests, 170 proxied requests."""
+
+    STARTED = 100
+    STOPPING = 101
+    LINK_CLOSED = 102
+    TASK_FAILED = 103
+    HANDLER_FAILED = 104
+    HANDING_OVER = 105
+    WIRE_VERSION_MISMATCH = 106
+    SEEDS_CHANGED = 107
+    SETTINGS_REJECTED = 108
+    DISK_FORMATTED = 110
+    DISK_TORN_TAIL = 111
+    DISK_DAMAGED = 112
+    DISK_FAILED = 113
+    DISK_FULL = 114
+    OWNER_ELECTED = 120
+    OWNER_STEPPED_DOWN = 121
+    MIRROR_SILENT = 122
+    MIRROR_REFILLED = 123
+    MEMBERS_CHANGED = 124
+    PARTITION_DATA_LOSS = 125
+    OWNERSHIP_HANDED_OVER = 126
+    PRIMARY_ELECTED = 130
+    PRIMARY_STEPPED_DOWN = 131
+    BACKUP_CHANGED = 132
+    CONTROL_DATA_LOSS = 133
+    VOTER_ADMITTED = 134
+    FLEET_FOUNDED = 135
+    MACHINE_JOINED = 136
+    MACHINE_DROPPED = 137
+    ORDER_ACCEPTED = 138
+    CONFIGURATION_CHANGED = 140
+    CONFIGURATION_REJECTED = 141
+    CONFIGURATION_VIEW_FRESH = 142
+    ISOLATED = 143
+    REVISION_IN_FORCE = 144
+    CHANGE_MISMATCH = 145
+    SCHEDULER_STARTED = 150
+    SCHEDULER_STOPPED = 151
+    CAPACITY_RECLAIMED = 152
+    WORKER_STATE_CHANGED = 153
+    PLUGIN_FAILED = 154
+    REQUEST_BROKEN = 160
+    REQUEST_CLAIMED = 161
+    PROXY_BROKEN = 170
+    WORKER_AVOIDED = 171
+    PROXY_LATE = 172
+    PROXY_REJECTED = 173
+
+
+DESCRIPTIONS: dict[Event, str] = {
+    Event.STARTED: "A daemon serves; its duties and addresses follow.",
+    Event.STOPPING: "SIGTERM or SIGINT was taken; open requests come to their end, then the process leaves.",
+    Event.LINK_CLOSED: "An internal link was closed; step and peer follow. Foreign or oversized bytes end here too.",
+    Event.TASK_FAILED: "A task of the daemon ended with an error it did not expect; it is started again.",
+    Event.HANDLER_FAILED: "A message of a peer met an error in its handler; step and peer follow, the peer is told.",
+    Event.HANDING_OVER: "This daemon leaves: what it owns, schedules or leads goes to another before it stops.",
+    Event.WIRE_VERSION_MISMATCH: "A peer speaks no wire version that this release speaks; the link is closed.",
+    Event.SEEDS_CHANGED: "The settings name other seeds, which are used from now on.",
+    Event.SETTINGS_REJECTED: "The settings were read again and can't be used; the process goes on with what it had.",
+    Event.DISK_FORMATTED: "A data folder was formatted; the disk has a new identity and votes only once refilled.",
+    Event.DISK_TORN_TAIL: "A torn tail was cut from the last segment; nothing in it had been called synced.",
+    Event.DISK_DAMAGED: "A file is damaged in the middle; it is set aside, nothing is served from it, peers refill.",
+    Event.DISK_FAILED: "A sync failed; the data is not trusted again and the process leaves.",
+    Event.DISK_FULL: "The disk is full, but for the space reserved for ends, results and trims.",
+    Event.OWNER_ELECTED: "This store became a partition's owner under a new epoch.",
+    Event.OWNER_STEPPED_DOWN: "This store is no longer a partition's owner: a higher epoch was seen.",
+    Event.MIRROR_SILENT: "A mirror has not acknowledged for the silent bound; it left the memory stream.",
+    Event.MIRROR_REFILLED: "A mirror is refilled from a snapshot.",
+    Event.MEMBERS_CHANGED: "A partition's members changed; the record that says so is covered under both.",
+    Event.PARTITION_DATA_LOSS: "More was lost than is tolerated: the partition resumes with the best log there is.",
+    Event.OWNERSHIP_HANDED_OVER: "An owner handed its partition to the one that stands before it in the agreed order.",
+    Event.PRIMARY_ELECTED: "This control machine is the primary of a new epoch.",
+    Event.PRIMARY_STEPPED_DOWN: "This control machine is no longer the primary: a higher epoch was seen.",
+    Event.BACKUP_CHANGED: "The primary took another backup, under a new epoch.",
+    Event.CONTROL_DATA_LOSS: "Primary and backup lost their state: rebuilt from the newest revision that daemons hold.",
+    Event.VOTER_ADMITTED: "A control machine with a new disk was admitted to vote.",
+    Event.FLEET_FOUNDED: "The seeds have founded an announced fleet; its first control machines follow.",
+    Event.MACHINE_JOINED: "A machine that announced itself is known to control.",
+    Event.MACHINE_DROPPED: "Machines or workers not heard any more were dropped, or the number of copies was settled.",
+    Event.ORDER_ACCEPTED: "An order of the operator was taken and is durable.",
+    Event.CONFIGURATION_CHANGED: "A newer revision of the configuration is in force here.",
+    Event.CONFIGURATION_REJECTED: "A configuration was rejected; the validation errors follow.",
+    Event.CONFIGURATION_VIEW_FRESH: (
+        "A started daemon's configuration view is proved fresh; only now does it take or place any work."
+    ),
+    Event.ISOLATED: "This daemon hears neither control nor any other daemon and gives no new work, or hears one again.",
+    Event.REVISION_IN_FORCE: (
+        "All that serve have said that they run a new revision, or some have not within the bound."
+    ),
+    Event.CHANGE_MISMATCH: (
+        "A change of the control state did not fit the state replicated here; the complete state is asked for."
     ),
-    138: ("ordered", "An order of the operator was taken and is durable."),
-    140: ("manifest", "A newer edition of the manifest is in force here."),
-    141: ("manifest-shed", "A manifest was refused; the flaws follow."),
-    142: ("fresh", "A started daemon has news that are proved fresh; only now does it take or place any work."),
-    143: ("deaf", "This daemon hears neither control nor any other daemon and gives no new work, or hears one again."),
-    144: ("in-force", "All that serve have said that they run a new edition, or some have not within the bound."),
-    145: (
-        "change-unfit",
-        "A change of the control state did not fit the state held here; the whole state is asked for.",
+    Event.SCHEDULER_STARTED: "This daemon schedules jobs from now on.",
+    Event.SCHEDULER_STOPPED: ("This daemon schedules no longer: one before it in the order is back, or it is fenced."),
+    Event.CAPACITY_RECLAIMED: "Batch items were cancelled at a worker to hand capacity back to live requests.",
+    Event.WORKER_STATE_CHANGED: "A worker's state as seen here changed: up, down, leaving, odd weights, ramping.",
+    Event.PLUGIN_FAILED: "A plug-in raised or answered nonsense; the default was taken.",
+    Event.REQUEST_BROKEN: "A live request's stream ended with an explicit error; step and peer follow.",
+    Event.REQUEST_CLAIMED: "A request that may not be repeated was claimed, or refused because it had been.",
+    Event.PROXY_BROKEN: "A proxied request may have run and got no complete answer; route, worker and cause follow.",
+    Event.WORKER_AVOIDED: "A worker refused or broke a connection, or is another one; it is avoided for a moment.",
+    Event.PROXY_LATE: "A proxied request was answered after its target, or with a longer pause than its route's gap.",
+    Event.PROXY_REJECTED: (
+        "Proxied requests were rejected, none of which ran; their number by cause since the last such line."
     ),
-    150: ("sched-on", "This daemon schedules lots from now on."),
-    151: ("sched-off", "This daemon schedules no longer: one before it in the order is back, or it is fenced."),
-    152: ("loan-back", "Batch items were cancelled at a worker to hand room back to live callers."),
-    153: ("worker", "A worker's state as seen here changed: up, down, leaving, odd weights, ramping."),
-    154: ("plug-failed", "A plug-in raised or answered nonsense; the default was taken."),
-    160: ("call-broken", "A live call's stream ended with an explicit error; step and peer follow."),
-    161: ("claim", "A call that may not be repeated was claimed, or refused because it had been."),
-    170: ("relay-broken", "A relayed request may have run and got no whole answer; route, worker and cause follow."),
-    171: ("worker-avoided", "A worker refused or broke a connection, or is another one; it is avoided for a moment."),
-    172: ("relay-late", "A relayed request was answered after its aim, or with a longer pause than its route's gap."),
-    173: ("relay-refused", "Requests were refused, none of which ran; their number by cause since the last such line."),
 }
 
-# Bounded: the newest events, for `pp status`, tests and the doctor.
-RECENT: deque[tuple[int, str]] = deque(maxlen=400)
+# Names up to release 0.2.0, for those who search older logs.
+FORMER_NAMES: dict[Event, str] = {
+    Event.WIRE_VERSION_MISMATCH: "wire-unmet", Event.SEEDS_CHANGED: "seeds", Event.SETTINGS_REJECTED: "settings-bad",
+    Event.DISK_FORMATTED: "disk-new", Event.DISK_TORN_TAIL: "disk-torn", Event.OWNER_ELECTED: "owner",
+    Event.OWNER_STEPPED_DOWN: "owner-lost", Event.MIRROR_REFILLED: "mirror-refill", Event.MEMBERS_CHANGED: "members",
+    Event.PARTITION_DATA_LOSS: "loss", Event.OWNERSHIP_HANDED_OVER: "handed-on", Event.PRIMARY_ELECTED: "primary",
+    Event.PRIMARY_STEPPED_DOWN: "primary-lost", Event.BACKUP_CHANGED: "backup", Event.CONTROL_DATA_LOSS: "control-loss",
+    Event.VOTER_ADMITTED: "voter", Event.FLEET_FOUNDED: "founded", Event.MACHINE_JOINED: "joined",
+    Event.MACHINE_DROPPED: "dropped", Event.ORDER_ACCEPTED: "ordered", Event.CONFIGURATION_CHANGED: "manifest",
+    Event.CONFIGURATION_REJECTED: "manifest-shed", Event.CONFIGURATION_VIEW_FRESH: "fresh", Event.ISOLATED: "deaf",
+    Event.REVISION_IN_FORCE: "in-force", Event.CHANGE_MISMATCH: "change-unfit", Event.SCHEDULER_STARTED: "sched-on",
+    Event.SCHEDULER_STOPPED: "sched-off", Event.CAPACITY_RECLAIMED: "loan-back", Event.WORKER_STATE_CHANGED: "worker",
+    Event.PLUGIN_FAILED: "plug-failed", Event.REQUEST_BROKEN: "call-broken", Event.REQUEST_CLAIMED: "claim",
+    Event.PROXY_BROKEN: "relay-broken", Event.PROXY_LATE: "relay-late", Event.PROXY_REJECTED: "relay-refused",
+}  # fmt: skip
+
+# Told as warnings: someone has to look at these.
+WARNINGS = frozenset(
+    {
+        Event.TASK_FAILED,
+        Event.DISK_DAMAGED,
+        Event.DISK_FAILED,
+        Event.PARTITION_DATA_LOSS,
+        Event.CONTROL_DATA_LOSS,
+    }
+)
+
+
+@dataclass(frozen=True)
+class CatalogueEntry:
+    """A kind of event as the page lists it. `former_name` is the present one if it never changed."""
+
+    name: str
+    former_name: str
+    description: str
+
+
+def _name_of(event: Event) -> str:
+    return event.name.lower().replace("_", "-")
+
+
+CATALOGUE: dict[int, CatalogueEntry] = {
+    int(event): CatalogueEntry(_name_of(event), FORMER_NAMES.get(event, _name_of(event)), DESCRIPTIONS[event])
+    for event in Event
+}
+# The newest events with their text, oldest first, and how many of each kind there were; of this process.
+RECENT: deque[tuple[int, str]] = deque(maxlen=RECENT_EVENTS)
 COUNTS: Counter[int] = Counter()
 
 
-def emit(number: int, who: str, **more: object) -> None:
-    name, _ = CATALOGUE[number]
-    tail = " ".join(f"{k}={v}" for k, v in more.items())
+def emit(number: int, process: str, /, **details: object) -> None:
+    """Logs an event.
+
+    Parameters: `number` is its kind, a member of `Event`; `process` the name of the process it concerns, or the address
+    of the peer; `details` follow in the line as `key=value`. Raises KeyError for a number that is not in the catalogue.
+    """
+    name = CATALOGUE[number].name
+    tail = " ".join(f"{key}={value}" for key, value in details.items())
     COUNTS[number] += 1
-    RECENT.append((number, f"{who} {tail}"))
-    bad = number in (103, 112, 113, 125, 133)
-    (logging.warning if bad else logging.info)("E%03d %s %s %s", number, name, who, tail)
+    RECENT.append((number, f"{process} {tail}"))
+    (logging.warning if number in WARNINGS else logging.info)("E%03d %s %s %s", number, name, process, tail)
 
 
 def catalogue() -> str:
-    rows = "\n".join(f"| E{n:03d} | {name} | {text} |" for n, (name, text) in sorted(CATALOGUE.items()))
+    """The page `docs/events.md`."""
+    rows = "\n".join(
+        f"| E{number:03d} | {entry.name} | {entry.former_name} | {entry.description} |"
+        for number, entry in sorted(CATALOGUE.items())
+    )
     return (
         "# Events\n\nEach line of a daemon's log that tells of an event begins with its number.\n\n"
-        f"| number | name | what it says |\n|---|---|---|\n{rows}\n"
+        "The third column is the name in the logs of releases up to 0.2.0.\n\n"
+        f"| number | name | name up to 0.2.0 | what it says |\n|---|---|---|---|\n{rows}\n"
     )
 
 
--- a/postpass/storage/data_directory.py
+++ b/postpass/storage/data_directory.py
@@ -26,6 +26,7 @@
 from postpass.runtime import log_events
 from postpass.runtime.disk import Disk
 from postpass.runtime.errors import Fault, Stop
+from postpass.runtime.log_events import Event
 from postpass.storage.segmented_log import SEGMENT_PREFIX, SNAPSHOT_PREFIX, SegmentedLog
 
 IDENTITY_FILE = "identity"
@@ -77,12 +78,12 @@
         try:
             return DataDirectory(identity, False, log, log.load())
         except Stop as stop:
-            log_events.emit(112, process, step=stop.fault.step, why=stop.fault.why)
+            log_events.emit(Event.DISK_DAMAGED, process, step=stop.fault.step, why=stop.fault.why)
             log = SegmentedLog(process, disk, segment_bytes, reserve=reserve, strict=strict)
     _set_aside(disk, names)
     identity = f"{process}-{random_source.getrandbits(IDENTITY_BITS):012x}"
     await write_identity(disk, identity, FORMAT)
-    log_events.emit(110, process, disk=identity)
+    log_events.emit(Event.DISK_FORMATTED, process, disk=identity)
     return DataDirectory(identity, True, log, [])
 
 
@@ -96,7 +97,7 @@
             why = f"the folder has format {record['format']}, this release reads up to {highest_format}; nothing was touched"
             raise Stop(Fault("open data folder", process, why))
     except (ValueError, KeyError, TypeError):
-        log_events.emit(112, process, file=IDENTITY_FILE, why="unreadable")
+        log_events.emit(Event.DISK_DAMAGED, process, file=IDENTITY_FILE, why="unreadable")
     return identity
 
 
--- a/postpass/storage/segmented_log.py
+++ b/postpass/storage/segmented_log.py
@@ -36,6 +36,7 @@
 from postpass.runtime import log_events
 from postpass.runtime.disk import Disk
 from postpass.runtime.errors import BROKE, FULL, Fault, Stop
+from postpass.runtime.log_events import Event
 
 HEAD = struct.Struct("!II")  # length of the payload, its CRC-32
 MAXIMUM_ENTRY_BYTES = 64 << 20
@@ -182,7 +183,7 @@
             damaged = has_entry_after(data, end) or (self.strict and is_complete_but_damaged(data, end))
             if not is_last or damaged:
                 raise Stop(Fault("read log", self.process, f"{name} is damaged at byte {end}", BROKE))
-            log_events.emit(111, self.process, file=name, at=end, bytes=len(data) - end)
+            log_events.emit(Event.DISK_TORN_TAIL, self.process, file=name, at=end, bytes=len(data) - end)
             self.disk.cut(name, end)
         self.segment_size = end
         self.logged_bytes += end
@@ -276,7 +277,7 @@
             except OSError as error:
                 if error.errno != errno.ENOSPC:
                     self._fail("snapshot", f"snapshot failed: {error.strerror}", error)
-                log_events.emit(114, self.process, step="snapshot", bytes=len(data))
+                log_events.emit(Event.DISK_FULL, self.process, step="snapshot", bytes=len(data))
                 if self.segment_size == 0:
                     # Nothing was appended meanwhile: without a file of its own the number would be a gap.
                     self.segment_number, self.segment_size = old_number, old_size
@@ -304,5 +305,5 @@
 
     def _fail(self, step: str, failure: str, error: OSError) -> NoReturn:
         self.failure = failure
-        log_events.emit(113, self.process, why=failure)
+        log_events.emit(Event.DISK_FAILED, self.process, why=failure)
         raise self._failure_at(step) from error
--- a/sim/points.py
+++ b/sim/points.py
@@ -120,8 +120,8 @@
         hit(f"takes.{name}")
         await answer(self, name, sequence, argument, writer)
 
-    def tapped_emit(number: int, who: str, **more: object) -> None:
-        emit(number, who, **more)
+    def tapped_emit(number: int, process: str, /, **details: object) -> None:
+        emit(number, process, **details)
         hit(f"E{number}")
 
     def tapped_init(self: peer_server.PeerServer, *args: Any, **more: Any) -> None:
