--- a/bench/brittle.py
+++ b/bench/brittle.py
@@ -39,7 +39,7 @@
 
     def append(self, name: str, data: bytes) -> None:
         spare = self.spare()
-        if (spare is not None and len(data) > spare) or (self.cap and self.used + len(data) > self.cap):
+        if (spare is not None and len(data) > spare) or (self.capacity and self.used + len(data) > self.capacity):
             raise OSError(28, "No space left on this disk")
         self.tails.setdefault(name, bytearray()).extend(data)
         self.used += len(data)
@@ -53,11 +53,11 @@
 
     async def sync(self, name: str) -> None:
         self._settle(name)
-        await asyncio.to_thread(os.fsync, self._handle(name))
+        await asyncio.to_thread(os.fsync, self._descriptor(name))
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
         self._settle(name)
-        super().cut(name, size)
+        super().truncate(name, size)
 
     def remove(self, name: str) -> None:
         self._settle(name)
@@ -67,7 +67,7 @@
         self._settle(name)
         super().rename(name, new)
 
-    def room(self) -> tuple[int, int]:
+    def space(self) -> tuple[int, int]:
         spare = self.spare()
-        free, whole = super().room()
+        free, whole = super().space()
         return (free, whole) if spare is None else (max(spare, 0), self.used + max(spare, 0))
--- a/postpass/control/contact.py
+++ b/postpass/control/contact.py
@@ -15,7 +15,7 @@
 from postpass.control.member import INFINITY, ControlMember
 from postpass.feed.messages import Stale
 from postpass.rpc.codec import Body, PeerResponse
-from postpass.runtime.environment import hear, now
+from postpass.runtime.environment import gather_until, now
 from postpass.runtime.errors import SHED, Fault
 
 RENEWAL = 2  # times the lease, for which a primary that takes another replica set still counts as one
@@ -74,5 +74,5 @@
         relays = self.environment.chance.sample(others, min(RELAYS, len(others)))
         limit = self.settings.bounds.leave / 4
         asks = {addr: self.peer_links.call(addr, verb, body | {"relayed": 1}, limit) for addr in relays}
-        heard = await hear(asks, lambda got: any(g.is_ok() for g in got.values()), 0.0)
+        heard = await gather_until(asks, lambda got: any(g.is_ok() for g in got.values()), 0.0)
         return next((got for got in heard.values() if got.is_ok()), Err(self.out_of_touch(verb)))
--- a/postpass/control/in_force.py
+++ b/postpass/control/in_force.py
@@ -13,7 +13,7 @@
 from postpass.configuration.settings import Bounds
 from postpass.rpc.codec import PeerResponse
 from postpass.rpc.peer_links import PeerLinks
-from postpass.runtime.environment import hear, now
+from postpass.runtime.environment import gather_until, now
 
 RELAYS = 3  # other machines through which one is asked whose direct way may be cut
 HEAD_START = 1 / 4  # of a try's time, for the direct way before others are asked
@@ -87,7 +87,7 @@
         while name in self.waits and (left := self.until - now()) > 0:
             limit = min(left, self.bounds.follow)
             asks = {"direct": self._ask(name, limit), "relayed": self._ask_through_others(name, limit)}
-            heard = await hear(asks, lambda got: any(got.values()), 0.0)
+            heard = await gather_until(asks, lambda got: any(got.values()), 0.0)
             if any(heard.values()):
                 self.waits.pop(name, None)
                 return
@@ -103,7 +103,7 @@
         ask = {"reach": self.machines[name], "want": self.version, "at": self.source}
         relays = self._relays(name)
         asks = {r: self.lines.call(self.machines[r], "ping", ask, limit * (1 - HEAD_START)) for r in relays}
-        heard = await hear(asks, lambda got: any(map(self._settles_relayed, got.values())), 0.0)
+        heard = await gather_until(asks, lambda got: any(map(self._settles_relayed, got.values())), 0.0)
         return any(map(self._settles_relayed, heard.values()))
 
     def _relays(self, name: str) -> list[str]:
--- a/postpass/control/replica.py
+++ b/postpass/control/replica.py
@@ -14,7 +14,7 @@
 from postpass.membership.registry import State
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime import log_events
-from postpass.runtime.environment import hear, now
+from postpass.runtime.environment import gather_until, now
 from postpass.runtime.errors import Fault, Stop
 
 
@@ -199,7 +199,7 @@
         if enough({}):
             return []
         asks = {n: self.append_to(None, epoch, n) for n in replica_set.voters if n not in replica_set}
-        got = await hear(asks, enough, 0.0)
+        got = await gather_until(asks, enough, 0.0)
         return [a for a in got.values() if a is not None]
 
     async def settle(self) -> None:
@@ -222,7 +222,7 @@
             return 2 * (1 + sum(a is not None for a in got.values())) > len(others) + 1
 
         asks = {n: self.append_to(None, epoch, n) for n in others}
-        got = await hear(asks, enough, self.settings.bounds.promise / 2)
+        got = await gather_until(asks, enough, self.settings.bounds.promise / 2)
         return [a for a in got.values() if a is not None]
 
     async def ask_all(
@@ -241,7 +241,7 @@
         def enough(got: dict[str, PeerResponse]) -> bool:
             return 2 * sum(isinstance(g, Ok) for g in got.values()) > len(names)
 
-        got = await hear({n: one(n) for n in names}, enough, b.beat / 8 if quick else b.beat)
+        got = await gather_until({n: one(n) for n in names}, enough, b.beat / 8 if quick else b.beat)
         return {n: g.unwrap() for n, g in got.items() if isinstance(g, Ok)}
 
     async def confirmation_round(self) -> list[Acknowledgement]:
@@ -253,5 +253,5 @@
             return pair.confirmed_by([mine, *(a for a in got.values() if a is not None)])
 
         asks = {n: self.append_to(None, epoch, n) for n in {*pair.voters, *pair.backups} - {self.settings.name}}
-        got = await hear(dict(sorted(asks.items())), enough, 0.0)
+        got = await gather_until(dict(sorted(asks.items())), enough, 0.0)
         return [mine, *(a for a in got.values() if a is not None)]
--- a/postpass/daemon/data_plane.py
+++ b/postpass/daemon/data_plane.py
@@ -76,7 +76,7 @@
             "Memory of records not yet folded away",
             lambda: sum(p.record_log.size for p in store.parts.values()),
         )
-        gauge("disk_free_bytes", "Room left for the data folder", lambda: store.log.disk.room()[0])
+        gauge("disk_free_bytes", "Room left for the data folder", lambda: store.log.disk.space()[0])
         gauge("takeovers", "Partitions taken over since the start", lambda: store.counts["takeovers"])
         gauge("refills", "Snapshots sent to mirrors since the start", lambda: store.counts["refills"])
 
--- a/postpass/daemon/process.py
+++ b/postpass/daemon/process.py
@@ -26,7 +26,7 @@
 from postpass.rpc.peer_links import PeerLinks
 from postpass.rpc.peer_server import PeerServer
 from postpass.runtime import log_events
-from postpass.runtime.environment import Environment, hear, now, serve_http
+from postpass.runtime.environment import Environment, gather_until, now, serve_http
 from postpass.runtime.errors import SHED, Fault, Stop
 
 Task = Coroutine[Any, Any, None]
@@ -285,7 +285,7 @@
                 a: self.peer_links.call(a, "join", {"entry": self.entry()}, b.follow * 2)
                 for a in self.environment.chance.sample(near, min(2, len(near)))
             }
-            heard = await hear(asks, lambda got: any(isinstance(g, Ok) for g in got.values()), 0.0)
+            heard = await gather_until(asks, lambda got: any(isinstance(g, Ok) for g in got.values()), 0.0)
             for addr, got in heard.items():
                 if isinstance(got, Err) and got.unwrap_err().peer == addr:
                     self.missed[addr] = now()
@@ -534,7 +534,7 @@
             near = self.environment.chance.sample(sources, min(3, len(sources)))
             ask = {"brief": 1, "wait": b.follow}
             asks = {a: self.peer_links.call(a, "read", ask, b.follow * 1.5) for a in near}
-            heard = await hear(asks, lambda got: any(isinstance(g, Ok) for g in got.values()), 0.0)
+            heard = await gather_until(asks, lambda got: any(isinstance(g, Ok) for g in got.values()), 0.0)
             for addr, got in heard.items():
                 if isinstance(got, Ok):
                     revision = got.unwrap()["edition"]
--- a/postpass/replication/store.py
+++ b/postpass/replication/store.py
@@ -29,7 +29,7 @@
 from postpass.rpc.connection import Link
 from postpass.rpc.peer_links import PeerLinks
 from postpass.runtime import log_events
-from postpass.runtime.environment import Environment, hear, now
+from postpass.runtime.environment import Environment, gather_until, now
 from postpass.runtime.errors import BAD, BROKE, CLASH, FULL, LACK, MOVED, SHED, SLOW, Fault, Stop
 from postpass.storage.data_directory import DataDirectory, open_data_directory, revoke_identity
 
@@ -262,7 +262,9 @@
             voters = {n: str(g.unwrap()["disk"]) for n, g in got.items() if isinstance(g, Ok) and g.unwrap()["ok"]}
             return part.may_lead(view, (have or {}) | voters | {self.settings.name: self.disk_id})
 
-        got = await hear({n: self.ask(n, "promise", body) for n in names}, enough, self.settings.bounds.beat / 2)
+        got = await gather_until(
+            {n: self.ask(n, "promise", body) for n in names}, enough, self.settings.bounds.beat / 2
+        )
         return {n: g.unwrap() for n, g in got.items() if isinstance(g, Ok)}
 
     async def collect_promises(self, part: Partition, epoch: int, body: Body) -> Promises | None:
@@ -833,7 +835,7 @@
         """Sequences one record and streams it at once. Raises Stop, with nothing sequenced, if the disk
         won't take it."""
         if not vital:
-            free, _ = self.log.disk.room()
+            free, _ = self.log.disk.space()
             if free - len(json.dumps(body)) - len(raw) - 256 < self.log.reserved_bytes:
                 log_events.emit(114, self.settings.name, part=part.id)
                 raise Stop(Fault("append", self.settings.name, "the disk is full", FULL))
@@ -986,7 +988,7 @@
                 link = got.unwrap()
                 assert link.reader_task is not None
                 link.reader_task.add_done_callback(lambda _: self.knock_soon(owner))
-            free, _ = self.log.disk.room()
+            free, _ = self.log.disk.space()
             link.put("ack", [self.counters(self.parts[n], free < self.log.reserved_bytes) for n in numbers])
             try:
                 await asyncio.wait_for(link.drain(), self.settings.bounds.silent)
@@ -1311,7 +1313,7 @@
 
     # --- for operators
     async def status(self, _body: Body) -> PeerResponse:
-        free, whole = self.log.disk.room()
+        free, whole = self.log.disk.space()
         rows = [
             {
                 "part": p.id, "owner": p.owner, "epoch": max(p.epoch, p.aligned), "last": p.record_log.last, "covered": p.covered,
--- a/postpass/runtime/disk.py
+++ b/postpass/runtime/disk.py
@@ -1,119 +1,168 @@
-"""Files under one data folder, which last only once they are synced."""
+"""Files of one data directory, which last only once they are synced.
+
+`Disk` is what daemons use; `RealDisk` is the file system, and the simulator has one that fails on purpose. Appends and
+reads block the event loop; syncs and replacements run in a thread.
+"""
 
 from __future__ import annotations
 
 import asyncio
+import errno
 import os
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Protocol
 
+TEMPORARY_SUFFIX = ".new"  # of a file that is being written; a crash may leave it behind, and nobody reads it
+
 
 class Disk(Protocol):
-    """What the daemons ask of a disk. Invariant: bytes count as kept only after `sync` has returned."""
+    """What the daemons ask of a disk; all of it raises OSError, with ENOSPC if there is no space.
+
+    Invariant: appended bytes are durable only after `sync` has returned.
+    """
 
-    def names(self) -> list[str]: ...
-    def read(self, name: str) -> bytes: ...
-    def append(self, name: str, data: bytes) -> None: ...
-    async def sync(self, name: str) -> None: ...
-    async def write(self, name: str, data: bytes) -> None: ...
-    def cut(self, name: str, size: int) -> None: ...
-    def remove(self, name: str) -> None: ...
-    def rename(self, name: str, new: str) -> None: ...
-    def room(self) -> tuple[int, int]: ...
+    def names(self) -> list[str]:
+        """The files, sorted; without those that are being written."""
+        ...
+
+    def read(self, name: str) -> bytes:
+        """A whole file, durable or not."""
+        ...
+
+    def append(self, name: str, data: bytes) -> None:
+        """Adds bytes to a file, which is made if need be: all of them or, if it raises, none."""
+
+    async def sync(self, name: str) -> None:
+        """Makes durable what was appended to a file before the call."""
+
+    async def write(self, name: str, data: bytes) -> None:
+        """Replaces a file, durably: after a crash the old one is there or the new one, either complete."""
+
+    def truncate(self, name: str, size: int) -> None:
+        """Shortens a file to `size` bytes."""
+
+    def remove(self, name: str) -> None:
+        """Deletes a file."""
+
+    def rename(self, name: str, new: str) -> None:
+        """Gives a file another name."""
+
+    def space(self) -> tuple[int, int]:
+        """Bytes free, and in all."""
+        ...
 
 
 @dataclass
 class RealDisk:
-    """Plain files. Invariant: `root` exists; file handles are opened for append and kept."""
+    """Plain files. Invariant: `root` exists; files are opened for append and stay open.
+
+    Attributes:
+        root: the directory; it is made if need be.
+        capacity: the most bytes that the files may take together; 0 for what the file system has.
+        descriptors: open files by name.
+        used: bytes that the files take now.
+    """
 
     root: Path
-    cap: int = 0
+    capacity: int = 0
 
     def __post_init__(self) -> None:
         self.root.mkdir(parents=True, exist_ok=True)
-        self.open: dict[str, int] = {}
-        self.used = sum(f.stat().st_size for f in self.root.iterdir() if f.is_file())
+        self.descriptors: dict[str, int] = {}
+        self.used = self._measure()
+
+    def _measure(self) -> int:
+        return sum(f.stat().st_size for f in self.root.iterdir() if f.is_file())
 
     def names(self) -> list[str]:
-        return sorted(f.name for f in self.root.iterdir() if f.is_file() and not f.name.endswith(".new"))
+        """The files, sorted; without those that are being written."""
+        return sorted(f.name for f in self.root.iterdir() if f.is_file() and not f.name.endswith(TEMPORARY_SUFFIX))
 
     def read(self, name: str) -> bytes:
+        """A whole file, durable or not."""
         return (self.root / name).read_bytes()
 
-    def _handle(self, name: str) -> int:
-        if name not in self.open:
-            fresh = not (self.root / name).exists()
-            self.open[name] = os.open(self.root / name, os.O_CREAT | os.O_WRONLY | os.O_APPEND, 0o644)
-            if fresh:
-                self._sync_folder()
-        return self.open[name]
-
-    def _sync_folder(self) -> None:
-        folder = os.open(self.root, os.O_RDONLY)
+    def _descriptor(self, name: str) -> int:
+        if name not in self.descriptors:
+            is_new = not (self.root / name).exists()
+            self.descriptors[name] = os.open(self.root / name, os.O_CREAT | os.O_WRONLY | os.O_APPEND, 0o644)
+            if is_new:
+                self._sync_directory()
+        return self.descriptors[name]
+
+    def _sync_directory(self) -> None:
+        """Makes new and changed names durable."""
+        directory = os.open(self.root, os.O_RDONLY)
         try:
-            os.fsync(folder)
+            os.fsync(directory)
         finally:
-            os.close(folder)
+            os.close(directory)
 
     def append(self, name: str, data: bytes) -> None:
-        if self.cap and self.used + len(data) > self.cap:
-            raise OSError(28, "No space left under the configured disk_bytes")
-        fd = self._handle(name)
-        size = os.fstat(fd).st_size
+        """Adds bytes to a file. What was written before an error is taken off again."""
+        if self.capacity and self.used + len(data) > self.capacity:
+            raise OSError(errno.ENOSPC, "No space left under the configured disk_bytes")
+        descriptor = self._descriptor(name)
+        size = os.fstat(descriptor).st_size
         done = 0
         try:
             while done < len(data):
-                done += os.write(fd, data[done:])
+                done += os.write(descriptor, data[done:])
         except OSError:
-            os.ftruncate(fd, size)
+            os.ftruncate(descriptor, size)
             raise
         self.used += len(data)
 
     async def sync(self, name: str) -> None:
-        await asyncio.to_thread(os.fsync, self._handle(name))
+        """Syncs a file, in a thread."""
+        await asyncio.to_thread(os.fsync, self._descriptor(name))
 
     async def write(self, name: str, data: bytes) -> None:
+        """Replaces a file, in a thread: a temporary file is written, synced and renamed, then the directory is synced."""
         await asyncio.to_thread(self._replace, name, data)
-        self.used = sum(f.stat().st_size for f in self.root.iterdir() if f.is_file())
+        self.used = self._measure()
 
     def _replace(self, name: str, data: bytes) -> None:
-        temp = self.root / f"{name}.new"
+        temporary = self.root / f"{name}{TEMPORARY_SUFFIX}"
         try:
-            if self.cap and self.used + len(data) > self.cap:
-                raise OSError(28, "No space left under the configured disk_bytes")
-            with temp.open("wb") as file:
+            if self.capacity and self.used + len(data) > self.capacity:
+                raise OSError(errno.ENOSPC, "No space left under the configured disk_bytes")
+            with temporary.open("wb") as file:
                 file.write(data)
                 file.flush()
                 os.fsync(file.fileno())
         except OSError:
-            temp.unlink(missing_ok=True)
+            temporary.unlink(missing_ok=True)
             raise
-        temp.replace(self.root / name)
-        self._sync_folder()
+        temporary.replace(self.root / name)
+        self._sync_directory()
 
-    def _drop(self, name: str) -> None:
-        fd = self.open.pop(name, None)
-        if fd is not None:
-            os.close(fd)
+    def _close(self, name: str) -> None:
+        descriptor = self.descriptors.pop(name, None)
+        if descriptor is not None:
+            os.close(descriptor)
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
+        """Shortens a file to `size` bytes."""
         self.used -= (self.root / name).stat().st_size - size
         os.truncate(self.root / name, size)
 
     def remove(self, name: str) -> None:
-        self._drop(name)
+        """Deletes a file."""
+        self._close(name)
         self.used -= (self.root / name).stat().st_size
         (self.root / name).unlink()
 
     def rename(self, name: str, new: str) -> None:
-        self._drop(name)
+        """Renames a file and syncs the directory."""
+        self._close(name)
         (self.root / name).rename(self.root / new)
-        self._sync_folder()
+        self._sync_directory()
 
-    def room(self) -> tuple[int, int]:
-        """Bytes free and in all."""
-        if self.cap:
-            return max(self.cap - self.used, 0), self.cap
+    def space(self) -> tuple[int, int]:
+        """Bytes free, and in all: of the configured capacity, or else of the file system."""
+        if self.capacity:
+            return max(self.capacity - self.used, 0), self.capacity
         stat = os.statvfs(self.root)
         return stat.f_bavail * stat.f_frsize, stat.f_blocks * stat.f_frsize
--- a/postpass/runtime/environment.py
+++ b/postpass/runtime/environment.py
@@ -1,7 +1,7 @@
-"""What a daemon has of the world beside its event loop: disk, chance, the wall clock, HTTP out.
+"""What a daemon has of the world beside its event loop: disk, random numbers, the wall clock, HTTP in and out.
 
 Time and the network come through the running asyncio loop, which the simulator replaces by one with
-virtual time and links of its own; so the daemons say `asyncio.sleep` and `open_connection` as usual.
+virtual time and links of its own; so the daemons use `asyncio.sleep` and `open_connection` as usual.
 """
 
 from __future__ import annotations
@@ -22,22 +22,37 @@
 from postpass.runtime.disk import Disk
 from postpass.runtime.ordered_set import OrderedSet
 
-T = TypeVar("T")
+Answer = TypeVar("Answer")
+
+CONNECT_LIMIT_S = 1.0  # for a TCP connection to a worker
+KEEPALIVE_S = 2.0  # how long an idle HTTP connection stays open
 
 
 @dataclass(frozen=True)
 class Environment:
+    """What differs between a real process, a simulated one and a test. One is made for each process.
+
+    Attributes:
+        disk: the data directory; None for a process that keeps nothing.
+        chance: the source of random numbers; a simulation seeds it.
+        wall: the time of day in seconds, for people and for what outlives the process; leases and timers use `now`.
+        connector: makes the connector of an HTTP session.
+    """
+
     disk: Disk | None = None
     chance: random.Random = field(default_factory=random.Random)
     wall: Callable[[], float] = time.time
-    connector: Callable[[], aiohttp.BaseConnector] = lambda: aiohttp.TCPConnector(limit=0, keepalive_timeout=2.0)
+    connector: Callable[[], aiohttp.BaseConnector] = lambda: aiohttp.TCPConnector(
+        limit=0, keepalive_timeout=KEEPALIVE_S
+    )
 
     def session(self) -> aiohttp.ClientSession:
+        """An HTTP session, closed by whoever asked for it. It hands bodies on as they came and keeps no cookies."""
         return aiohttp.ClientSession(
             connector=self.connector(),
             auto_decompress=False,
             cookie_jar=aiohttp.DummyCookieJar(),
-            timeout=aiohttp.ClientTimeout(total=None, sock_connect=1.0),
+            timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_LIMIT_S),
         )
 
 
@@ -46,62 +61,70 @@
     return asyncio.get_running_loop().time()
 
 
-class _Quiet(uvicorn.Server):
+class _Server(uvicorn.Server):
+    """A server that leaves signals to the daemon."""
+
     @contextlib.contextmanager
     def capture_signals(self) -> Generator[None, None, None]:
         yield
 
 
-async def hear(
-    asks: Mapping[str, Coroutine[Any, Any, T]], enough: Callable[[dict[str, T]], bool], grace: float
-) -> dict[str, T]:
-    """Asks many at once; once what was heard is enough, waits no longer than `grace` for the rest."""
-    got: dict[str, T] = {}
-    fresh = asyncio.Event()
+async def gather_until(
+    requests: Mapping[str, Coroutine[Any, Any, Answer]], enough: Callable[[dict[str, Answer]], bool], grace: float
+) -> dict[str, Answer]:
+    """Runs requests at the same time until there are enough answers.
+
+    Once `enough` holds for the answers so far, the rest are waited for at most `grace` seconds and then cancelled.
+    Returns the answers by the names of their requests, in the order of the requests. The loop
+    looks at the answers and clears the event without giving way in between, so no answer is missed.
+    """
+    answers: dict[str, Answer] = {}
+    arrived = asyncio.Event()
 
-    async def one(name: str, ask: Coroutine[Any, Any, T]) -> None:
-        got[name] = await ask
-        fresh.set()
+    async def run(name: str, request: Coroutine[Any, Any, Answer]) -> None:
+        answers[name] = await request
+        arrived.set()
 
-    tasks = [asyncio.create_task(one(n, a)) for n, a in asks.items()]
-    until: float | None = None
+    tasks = [asyncio.create_task(run(name, request)) for name, request in requests.items()]
+    deadline: float | None = None
     try:
-        while len(got) < len(tasks):
-            if until is None and enough(got):
-                until = now() + grace
-            left = None if until is None else until - now()
+        while len(answers) < len(tasks):
+            if deadline is None and enough(answers):
+                deadline = now() + grace
+            left = None if deadline is None else deadline - now()
             if left is not None and left <= 0:
                 break
-            fresh.clear()
+            arrived.clear()
             try:
-                await asyncio.wait_for(fresh.wait(), left)
+                await asyncio.wait_for(arrived.wait(), left)
             except TimeoutError:
                 break
     finally:
         for task in tasks:
             task.cancel()
-    return {n: got[n] for n in asks if n in got}
+    return {name: answers[name] for name in requests if name in answers}
 
 
 async def serve_http(
     app: ASGIApp, host: str, port: int, stop: asyncio.Event, drain: float = 2.0, protocol: Any = "httptools"
 ) -> None:
-    """Serves until `stop`, then lets open calls come to their end for as long as `drain`."""
+    """Serves an app at `host` and `port` until `stop` is set, then lets open requests come to their end for as long as
+    `drain`, in seconds. `protocol` is uvicorn's name or class of an HTTP protocol. Raises OSError if it can't listen."""
     settings = uvicorn.Config(
         app, host=host, port=port, http=protocol, ws="none", lifespan="off", loop="none",
         log_config=None, access_log=False, timeout_graceful_shutdown=math.ceil(drain), server_header=False, date_header=False,
     )  # fmt: skip
-    server = _Quiet(settings)
+    server = _Server(settings)
     server.server_state.connections = OrderedSet()  # type: ignore[assignment]  # closed in the order they were opened
 
-    async def watch() -> None:
+    async def exit_on_stop() -> None:
         await stop.wait()
         server.should_exit = True
 
-    task = asyncio.create_task(watch())
+    task = asyncio.create_task(exit_on_stop())
     try:
         await server.serve()
-    except SystemExit as bad:
-        raise OSError(f"cannot listen at {host}:{port}") from bad
+    except SystemExit as error:
+        raise OSError(f"cannot listen at {host}:{port}") from error
     finally:
         task.cancel()
--- a/postpass/storage/segmented_log.py
+++ b/postpass/storage/segmented_log.py
@@ -184,7 +184,7 @@
             if not is_last or damaged:
                 raise Stop(Fault("read log", self.process, f"{name} is damaged at byte {end}", BROKE))
             log_events.emit(Event.DISK_TORN_TAIL, self.process, file=name, at=end, bytes=len(data) - end)
-            self.disk.cut(name, end)
+            self.disk.truncate(name, end)
         self.segment_size = end
         self.logged_bytes += end
         return entries
@@ -198,7 +198,7 @@
         if self.failure:
             raise self._failure_at("append")
         data = b"".join(map(frame, entries))
-        free, _ = self.disk.room()
+        free, _ = self.disk.space()
         if not vital and free - len(data) < self.reserved_bytes:
             raise Stop(Fault("append", self.process, "the disk is full", FULL))
         try:
@@ -246,7 +246,7 @@
     def is_compaction_due(self) -> bool:
         """Whether the segment has outgrown the last snapshot, and there is room for another one."""
         outgrown = self.segment_size > max(self.segment_bytes, self.snapshot_bytes // 2)
-        return outgrown and self.disk.room()[0] > self.next_snapshot_bytes
+        return outgrown and self.disk.space()[0] > self.next_snapshot_bytes
 
     @property
     def next_snapshot_bytes(self) -> int:
--- a/sim/disk.py
+++ b/sim/disk.py
@@ -70,7 +70,7 @@
         self.kept[name] = bytes(data)
         self._told("synced", name)
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
         self._alive()
         del self.files[name][size:]
         self.kept[name] = self.kept.get(name, b"")[:size]
@@ -85,7 +85,7 @@
         self.files[new] = self.files.pop(name)
         self.kept[new] = self.kept.pop(name, b"")
 
-    def room(self) -> tuple[int, int]:
+    def space(self) -> tuple[int, int]:
         return max(self.cap - sum(map(len, self.files.values())), 0), self.cap
 
     # --- faults
--- a/tests/bench/test_brittle.py
+++ b/tests/bench/test_brittle.py
@@ -20,6 +20,6 @@
     try:
         disk.append("log", b"5")
     except OSError as bad:
-        assert bad.errno == 28 and disk.room()[0] == 0
+        assert bad.errno == 28 and disk.space()[0] == 0
     else:
         raise AssertionError("a full disk took more")
