--- a/postpass/cli/main.py
+++ b/postpass/cli/main.py
@@ -17,7 +17,7 @@
 from result import Err, Ok, Result
 
 from postpass.cli.doctor import diagnose
-from postpass.configuration.configuration import check
+from postpass.configuration.configuration_check import check
 from postpass.configuration.json_delta import delta
 from postpass.control.health import health_lines
 
--- a/postpass/configuration/configuration.py
+++ b/postpass/configuration/configuration.py
@@ -7,11 +7,7 @@
 from importlib.metadata import entry_points
 from typing import Any, Literal, NotRequired, TypedDict, cast
 
-from result import Err, Ok, Result
-
-from postpass.configuration.schema import flaws
-from postpass.configuration.settings import addr_flaws
-from postpass.replication.stability import DEFAULT, Scene, build, covers, loss_flaw
+from postpass.replication.stability import Scene
 
 
 class Machine(TypedDict):
@@ -168,156 +164,6 @@
     return {e.name for e in entry_points(group=f"postpass.{kind}")}
 
 
-def deep_flaws(configuration: Configuration) -> list[str]:
-    """What the shapes can't say."""
-    out: list[str] = []
-    zones, machines, pools = configuration["areas"], configuration["machines"], configuration["pools"]
-    if not zones:
-        out.append("areas: want at least one")
-    for name, m in machines.items():
-        path = f"machines.{name}"
-        out += addr_flaws(f"{path}.peer", m["peer"]) + addr_flaws(f"{path}.http", m["http"])
-        if m["area"] not in zones:
-            out.append(f"{path}.area: unknown area {m['area']}")
-    seen: dict[str, str] = {}
-    for name, m in machines.items():
-        for key in ("peer", "http"):
-            addr = m[key]  # type: ignore[literal-required]
-            if addr in seen and not m.get("gone"):
-                out.append(f"machines.{name}.{key}: {addr} is also {seen[addr]}")
-            elif not m.get("gone"):
-                seen[addr] = f"machines.{name}.{key}"
-    evacuated = configuration.get("evacuated", [])
-    out += [f"evacuated[{i}]: unknown area {a}" for i, a in enumerate(evacuated) if a not in zones]
-    if zones and set(zones) <= set(evacuated) and not configuration.get("announced"):
-        out.append("evacuated: the last area can't be evacuated; nothing would serve")
-    for name, pool in pools.items():
-        for who, s in pool["servers"].items():
-            path = f"pools.{name}.servers.{who}"
-            if s["area"] not in zones:
-                out.append(f"{path}.area: unknown area {s['area']}")
-            if s["slots"] < 1:
-                out.append(f"{path}.slots: want at least 1, got {s['slots']}")
-            host = s["url"].removeprefix("http://")
-            if not s["url"].startswith("http://") or addr_flaws("", host):
-                out.append(f"{path}.url: want http://IP:PORT, got {s['url']!r:.60}")
-        live = [s for s in pool["servers"].values() if not s.get("leave") and s["area"] not in evacuated]
-        if pool["servers"] and not live and not configuration.get("announced"):
-            out.append(f"pools.{name}: every server leaves or stands in an evacuated area")
-    shares: dict[str, float] = {}
-    for name, c in configuration["classes"].items():
-        path = f"classes.{name}"
-        if c["pool"] not in pools:
-            out.append(f"{path}.pool: unknown pool {c['pool']}")
-        elif (pools[c["pool"]]["kind"] == "plain") != (c["kind"] == "plain"):
-            out.append(f"{path}.pool: a {c['kind']} class can't use the {pools[c['pool']]['kind']} pool {c['pool']}")
-        if not 0 <= c["share"] <= 1:
-            out.append(f"{path}.share: want 0 to 1, got {c['share']}")
-        shares[c["pool"]] = shares.get(c["pool"], 0) + c["share"]
-        for i, other in enumerate(c.get("borrows", [])):
-            lender = configuration["classes"].get(other)
-            if lender is None:
-                out.append(f"{path}.borrows[{i}]: unknown class {other}")
-            elif not lender.get("lends"):
-                out.append(f"{path}.borrows[{i}]: class {other} does not lend")
-            elif lender["pool"] != c["pool"]:
-                out.append(f"{path}.borrows[{i}]: class {other} is in pool {lender['pool']}, not {c['pool']}")
-        room = [configuration["classes"][o]["share"] for o in c.get("borrows", []) if o in configuration["classes"]]
-        if c["share"] == 0 and c["kind"] != "plain" and not any(room):
-            out.append(f"{path}.share: 0, and no class that it borrows from has a share: it would never run")
-        for key, low in (("deadline", 0), ("handback", 0), ("backlog", 0), ("reserve", -1e-9)):
-            if key in c and not cast(float, c[key]) > low:  # type: ignore[literal-required]
-                out.append(f"{path}.{key}: want more than {max(low, 0)}, got {c[key]}")  # type: ignore[literal-required]
-        if c.get("once") and c["kind"] != "live":
-            out.append(f"{path}.once: only a live class can promise it; items of lots may run more than once")
-        for kind in ("place", "prefix"):
-            if kind in c and c[kind] not in plugs(kind):  # type: ignore[literal-required]
-                out.append(f"{path}.{kind}: no plug-in {c[kind]!r} is installed; there are {sorted(plugs(kind))}")  # type: ignore[literal-required]
-    out += [f"classes: shares of pool {p} add up to {s:g}, above 1" for p, s in shares.items() if s > 1 + 1e-9]
-    for path, name in configuration["ways"].items():
-        if not path.startswith("/"):
-            out.append(f"ways.{path}: want a path that begins with /")
-        if path.startswith("/v1/") or path in ("/health", "/ready", "/metrics"):
-            out.append(f"ways.{path}: this path is postpass's own")
-        if name not in configuration["classes"] or configuration["classes"][name]["kind"] != "plain":
-            out.append(f"ways.{path}: want a plain class, got {name}")
-    if "retention" in configuration and not configuration["retention"] > 0:
-        out.append(f"retention: want more than 0, got {configuration['retention']}")
-    if "ramp" in configuration and not configuration["ramp"] >= 0:
-        out.append(f"ramp: want 0 or more, got {configuration['ramp']}")
-    out += [
-        f"limits.{k}: want at least 1, got {v}" for k, v in configuration.get("limits", {}).items() if cast(int, v) < 1
-    ]
-    for name, route in configuration.get("routes", {}).items():
-        out += route_flaws(f"routes.{name}", route, configuration)
-    taken: dict[tuple[str, str], str] = {}
-    for name, route in configuration.get("routes", {}).items():
-        other = taken.setdefault((route["host"].lower(), route["prefix"]), name)
-        if other != name:
-            out.append(f"routes.{name}.prefix: {route['host']}{route['prefix']} is also that of {other}")
-    return out + ([] if configuration.get("announced") else store_flaws(configuration))
-
-
-def route_flaws(path: str, route: Route, configuration: Configuration) -> list[str]:
-    out = [
-        f"{path}.split[{i}].pool: unknown pool {s['pool']}"
-        for i, s in enumerate(route["split"])
-        if s["pool"] not in configuration["pools"]
-    ]
-    if any(s["weight"] < 0 for s in route["split"]) or sum(s["weight"] for s in route["split"]) <= 0:
-        out.append(f"{path}.split: want weights of 0 or more that add up to more than 0")
-    if not route["timeout"] > 0:
-        out.append(f"{path}.timeout: want more than 0, got {route['timeout']}")
-    if not (route["prefix"].startswith("/") and route["prefix"].endswith("/")):
-        out.append(f"{path}.prefix: want a path that begins and ends with a slash, got {route['prefix']!r:.60}")
-    if not route["host"]:
-        out.append(f"{path}.host: want a host, got an empty string")
-    return out
-
-
-def store_flaws(configuration: Configuration) -> list[str]:
-    """Promises of the copies: the predicates must survive one disk or one area."""
-    if not any(c["kind"] == "batch" or c.get("once") for c in configuration["classes"].values()):
-        return []
-    stores = [n for n in with_duty(configuration, "store") if not configuration["machines"][n].get("retire")]
-    if not 1 <= configuration["parts"] <= 1024:
-        return [f"parts: want 1 to 1024, got {configuration['parts']}"]
-    if not 1 <= configuration["copies"] <= 7:
-        return [f"copies: want 1 to 7, got {configuration['copies']}"]
-    if len(stores) < configuration["copies"]:
-        return [f"copies: {configuration['copies']} copies can't be held by {len(stores)} stores that stay"]
-    main = configuration.get("predicate", DEFAULT)
-    texts = {"predicate": main} | {
-        f"classes.{n}.predicate": c["predicate"] for n, c in configuration["classes"].items() if "predicate" in c
-    }
-    out: dict[str, str] = {}  # the first flaw of each path
-    for part in range(min(configuration["parts"], 64)):
-        crew = members(configuration, part)
-        for path, text in texts.items():
-            for me in crew:
-                place = scene(configuration, crew, me)
-                flaw = loss_flaw(text, place)
-                if flaw:
-                    out.setdefault(path, flaw)
-                    break
-                base = build(main, place)
-                if path != "predicate" and isinstance(base, Ok) and weaker(text, main, place):
-                    out.setdefault(path, "weaker than the default predicate; a class may only ask for more")
-                    break
-    return [f"{path}: {flaw}" for path, flaw in out.items()]
-
-
-def weaker(text: str, main: str, place: Scene) -> bool:
-    import itertools
-
-    one, two = build(text, place).unwrap(), build(main, place).unwrap()
-    return any(
-        covers(one, c) and not covers(two, c)
-        for n in range(len(place.nodes) + 1)
-        for c in itertools.combinations(place.nodes, n)
-    )
-
-
 def shape(configuration: Configuration) -> set[str]:
     """The keys that a manifest uses, and the plug-ins: what an older daemon may not know."""
     groups: list[tuple[str, Any]] = [
@@ -328,15 +174,6 @@
     return {f"{name}{key}" for name, things in groups for thing in things for key in thing} | plugged
 
 
-def check(raw: Any) -> Result[Configuration, list[str]]:
-    seen = flaws(Configuration, raw)
-    if seen:
-        return Err(seen)
-    configuration = cast(Configuration, raw)
-    seen = deep_flaws(configuration)
-    return Err(seen) if seen else Ok(configuration)
-
-
 def dump(configuration: Configuration) -> str:
     return json.dumps(configuration, separators=(",", ":"), ensure_ascii=False)
 
--- /dev/null
+++ b/postpass/configuration/configuration_check.py
@@ -0,0 +1,255 @@
+"""Validation of a fleet's configuration: each error is one line, the path of a key and what is wanted there.
+
+Two steps: the shape of the document against the types in `configuration`, and then, if that fits, what types can't say,
+one function for each part of the document. To add a key: give it to its type in `configuration`, with a comment that
+names its unit; if not every value of that type will do, add a check to the function of its part here, and a case to
+`tests/configuration/test_configuration.py`. Settings of a single process are checked in `settings`.
+"""
+
+from __future__ import annotations
+
+from itertools import combinations
+from typing import Any, cast
+
+from result import Err, Ok, Result
+
+from postpass.configuration.configuration import Class, Configuration, Pool, Route, members, plugs, scene, with_duty
+from postpass.configuration.schema import flaws
+from postpass.configuration.settings import addr_flaws
+from postpass.replication.stability import DEFAULT, Scene, build, covers, loss_flaw
+
+SHARE_TOLERANCE = 1e-9  # shares are sums of fractions
+MAXIMUM_PARTITIONS = 1024
+MAXIMUM_COPIES = 7
+CHECKED_PARTITIONS = 64  # placements repeat themselves; more are not looked at
+OWN_PREFIX = "/v1/"
+OWN_PATHS = ("/health", "/ready", "/metrics")
+# Keys of a class, and what their values have to be above.
+CLASS_MINIMA = (("deadline", 0), ("handback", 0), ("backlog", 0), ("reserve", -SHARE_TOLERANCE))
+
+
+def check(raw: Any) -> Result[Configuration, list[str]]:
+    """The configuration that a JSON document holds, or all errors of the first step that finds any."""
+    errors = flaws(Configuration, raw)
+    if errors:
+        return Err(errors)
+    configuration = cast(Configuration, raw)
+    errors = semantic_errors(configuration)
+    return Err(errors) if errors else Ok(configuration)
+
+
+def semantic_errors(configuration: Configuration) -> list[str]:
+    """What is wrong with a configuration of the right shape; empty if it may come into force."""
+    return [
+        *([] if configuration["areas"] else ["areas: want at least one"]),
+        *_machine_errors(configuration),
+        *_duplicate_addresses(configuration),
+        *_evacuation_errors(configuration),
+        *(e for name, pool in configuration["pools"].items() for e in _pool_errors(name, pool, configuration)),
+        *(e for name, spec in configuration["classes"].items() for e in _class_errors(name, spec, configuration)),
+        *_share_sum_errors(configuration),
+        *_path_errors(configuration),
+        *_number_errors(configuration),
+        *(
+            e
+            for name, route in configuration.get("routes", {}).items()
+            for e in _route_errors(f"routes.{name}", route, configuration)
+        ),
+        *_duplicate_routes(configuration),
+        *([] if configuration.get("announced") else _store_errors(configuration)),
+    ]
+
+
+def _machine_errors(configuration: Configuration) -> list[str]:
+    errors: list[str] = []
+    for name, machine in configuration["machines"].items():
+        path = f"machines.{name}"
+        errors += addr_flaws(f"{path}.peer", machine["peer"]) + addr_flaws(f"{path}.http", machine["http"])
+        if machine["area"] not in configuration["areas"]:
+            errors.append(f"{path}.area: unknown area {machine['area']}")
+    return errors
+
+
+def _duplicate_addresses(configuration: Configuration) -> list[str]:
+    """Addresses that two machines have; one that was lost for good keeps none."""
+    errors: list[str] = []
+    taken: dict[str, str] = {}
+    for name, machine in configuration["machines"].items():
+        if machine.get("gone"):
+            continue
+        for key, address in (("peer", machine["peer"]), ("http", machine["http"])):
+            path = f"machines.{name}.{key}"
+            if address in taken:
+                errors.append(f"{path}: {address} is also {taken[address]}")
+            else:
+                taken[address] = path
+    return errors
+
+
+def _evacuation_errors(configuration: Configuration) -> list[str]:
+    zones, evacuated = configuration["areas"], configuration.get("evacuated", [])
+    errors = [f"evacuated[{i}]: unknown area {zone}" for i, zone in enumerate(evacuated) if zone not in zones]
+    if zones and set(zones) <= set(evacuated) and not configuration.get("announced"):
+        errors.append("evacuated: the last area can't be evacuated; nothing would serve")
+    return errors
+
+
+def _pool_errors(name: str, pool: Pool, configuration: Configuration) -> list[str]:
+    errors: list[str] = []
+    for worker, server in pool["servers"].items():
+        path = f"pools.{name}.servers.{worker}"
+        if server["area"] not in configuration["areas"]:
+            errors.append(f"{path}.area: unknown area {server['area']}")
+        if server["slots"] < 1:
+            errors.append(f"{path}.slots: want at least 1, got {server['slots']}")
+        host = server["url"].removeprefix("http://")
+        if not server["url"].startswith("http://") or addr_flaws("", host):
+            errors.append(f"{path}.url: want http://IP:PORT, got {server['url']!r:.60}")
+    evacuated = configuration.get("evacuated", [])
+    staying = [s for s in pool["servers"].values() if not s.get("leave") and s["area"] not in evacuated]
+    if pool["servers"] and not staying and not configuration.get("announced"):
+        errors.append(f"pools.{name}: every server leaves or stands in an evacuated area")
+    return errors
+
+
+def _class_errors(name: str, spec: Class, configuration: Configuration) -> list[str]:
+    path, pools = f"classes.{name}", configuration["pools"]
+    errors: list[str] = []
+    if spec["pool"] not in pools:
+        errors.append(f"{path}.pool: unknown pool {spec['pool']}")
+    elif (pools[spec["pool"]]["kind"] == "plain") != (spec["kind"] == "plain"):
+        pool_kind = pools[spec["pool"]]["kind"]
+        errors.append(f"{path}.pool: a {spec['kind']} class can't use the {pool_kind} pool {spec['pool']}")
+    if not 0 <= spec["share"] <= 1:
+        errors.append(f"{path}.share: want 0 to 1, got {spec['share']}")
+    errors += _borrowing_errors(path, spec, configuration)
+    values = cast(dict[str, Any], spec)
+    for key, minimum in CLASS_MINIMA:
+        if key in values and not values[key] > minimum:
+            errors.append(f"{path}.{key}: want more than {max(minimum, 0)}, got {values[key]}")
+    if spec.get("once") and spec["kind"] != "live":
+        errors.append(f"{path}.once: only a live class can promise it; items of lots may run more than once")
+    for kind in ("place", "prefix"):
+        if kind in values and values[kind] not in plugs(kind):
+            errors.append(f"{path}.{kind}: no plug-in {values[kind]!r} is installed; there are {sorted(plugs(kind))}")
+    return errors
+
+
+def _borrowing_errors(path: str, spec: Class, configuration: Configuration) -> list[str]:
+    errors: list[str] = []
+    classes, borrows = configuration["classes"], spec.get("borrows", [])
+    for i, other in enumerate(borrows):
+        lender = classes.get(other)
+        if lender is None:
+            errors.append(f"{path}.borrows[{i}]: unknown class {other}")
+        elif not lender.get("lends"):
+            errors.append(f"{path}.borrows[{i}]: class {other} does not lend")
+        elif lender["pool"] != spec["pool"]:
+            errors.append(f"{path}.borrows[{i}]: class {other} is in pool {lender['pool']}, not {spec['pool']}")
+    can_borrow = any(classes[other]["share"] for other in borrows if other in classes)
+    if spec["share"] == 0 and spec["kind"] != "plain" and not can_borrow:
+        errors.append(f"{path}.share: 0, and no class that it borrows from has a share: it would never run")
+    return errors
+
+
+def _share_sum_errors(configuration: Configuration) -> list[str]:
+    shares: dict[str, float] = {}
+    for spec in configuration["classes"].values():
+        shares[spec["pool"]] = shares.get(spec["pool"], 0) + spec["share"]
+    return [
+        f"classes: shares of pool {pool} add up to {share:g}, above 1"
+        for pool, share in shares.items()
+        if share > 1 + SHARE_TOLERANCE
+    ]
+
+
+def _path_errors(configuration: Configuration) -> list[str]:
+    """Errors of path prefixes that are passed on to plain back ends."""
+    errors: list[str] = []
+    for path, name in configuration["ways"].items():
+        if not path.startswith("/"):
+            errors.append(f"ways.{path}: want a path that begins with /")
+        if path.startswith(OWN_PREFIX) or path in OWN_PATHS:
+            errors.append(f"ways.{path}: this path is postpass's own")
+        if name not in configuration["classes"] or configuration["classes"][name]["kind"] != "plain":
+            errors.append(f"ways.{path}: want a plain class, got {name}")
+    return errors
+
+
+def _number_errors(configuration: Configuration) -> list[str]:
+    errors: list[str] = []
+    if "retention" in configuration and not configuration["retention"] > 0:
+        errors.append(f"retention: want more than 0, got {configuration['retention']}")
+    if "ramp" in configuration and not configuration["ramp"] >= 0:
+        errors.append(f"ramp: want 0 or more, got {configuration['ramp']}")
+    limits = cast(dict[str, int], configuration.get("limits", {}))
+    return errors + [f"limits.{key}: want at least 1, got {value}" for key, value in limits.items() if value < 1]
+
+
+def _duplicate_routes(configuration: Configuration) -> list[str]:
+    errors: list[str] = []
+    taken: dict[tuple[str, str], str] = {}
+    for name, route in configuration.get("routes", {}).items():
+        other = taken.setdefault((route["host"].lower(), route["prefix"]), name)
+        if other != name:
+            errors.append(f"routes.{name}.prefix: {route['host']}{route['prefix']} is also that of {other}")
+    return errors
+
+
+def _route_errors(path: str, route: Route, configuration: Configuration) -> list[str]:
+    errors = [
+        f"{path}.split[{i}].pool: unknown pool {s['pool']}"
+        for i, s in enumerate(route["split"])
+        if s["pool"] not in configuration["pools"]
+    ]
+    if any(s["weight"] < 0 for s in route["split"]) or sum(s["weight"] for s in route["split"]) <= 0:
+        errors.append(f"{path}.split: want weights of 0 or more that add up to more than 0")
+    if not route["timeout"] > 0:
+        errors.append(f"{path}.timeout: want more than 0, got {route['timeout']}")
+    if not (route["prefix"].startswith("/") and route["prefix"].endswith("/")):
+        errors.append(f"{path}.prefix: want a path that begins and ends with a slash, got {route['prefix']!r:.60}")
+    if not route["host"]:
+        errors.append(f"{path}.host: want a host, got an empty string")
+    return errors
+
+
+def _store_errors(configuration: Configuration) -> list[str]:
+    """Errors of stores, copies and predicates: each predicate must survive the loss of one disk or one zone."""
+    if not any(c["kind"] == "batch" or c.get("once") for c in configuration["classes"].values()):
+        return []
+    stores = [n for n in with_duty(configuration, "store") if not configuration["machines"][n].get("retire")]
+    if not 1 <= configuration["parts"] <= MAXIMUM_PARTITIONS:
+        return [f"parts: want 1 to {MAXIMUM_PARTITIONS}, got {configuration['parts']}"]
+    if not 1 <= configuration["copies"] <= MAXIMUM_COPIES:
+        return [f"copies: want 1 to {MAXIMUM_COPIES}, got {configuration['copies']}"]
+    if len(stores) < configuration["copies"]:
+        return [f"copies: {configuration['copies']} copies can't be held by {len(stores)} stores that stay"]
+    main = configuration.get("predicate", DEFAULT)
+    texts = {"predicate": main} | {
+        f"classes.{n}.predicate": c["predicate"] for n, c in configuration["classes"].items() if "predicate" in c
+    }
+    errors: dict[str, str] = {}  # the first of each path
+    for part in range(min(configuration["parts"], CHECKED_PARTITIONS)):
+        replicas = members(configuration, part)
+        for path, text in texts.items():
+            for me in replicas:
+                place = scene(configuration, replicas, me)
+                error = loss_flaw(text, place)
+                if error:
+                    errors.setdefault(path, error)
+                    break
+                base = build(main, place)
+                if path != "predicate" and isinstance(base, Ok) and _is_weaker(text, main, place):
+                    errors.setdefault(path, "weaker than the default predicate; a class may only ask for more")
+                    break
+    return [f"{path}: {error}" for path, error in errors.items()]
+
+
+def _is_weaker(text: str, default: str, place: Scene) -> bool:
+    """Whether some set of copies satisfies a predicate, but not the default one."""
+    own, least = build(text, place).unwrap(), build(default, place).unwrap()
+    return any(
+        covers(own, copies) and not covers(least, copies)
+        for size in range(len(place.nodes) + 1)
+        for copies in combinations(place.nodes, size)
+    )
--- a/postpass/control/configuration.py
+++ b/postpass/control/configuration.py
@@ -10,7 +10,7 @@
 
 from postpass.configuration import accepted_orders
 from postpass.configuration.accepted_orders import ConfigurationOrder, Recollection
-from postpass.configuration.configuration import deep_flaws
+from postpass.configuration.configuration_check import semantic_errors
 from postpass.membership import registry
 from postpass.membership.registry import State, Translator
 from postpass.runtime.errors import BAD, OLD, SLOW, Fault
@@ -72,7 +72,7 @@
             return self._refuse(f"version: want more than {self.base}, got {terms['version']}")
         orders = accepted_orders.remember(state.orders, self.order, self.remembered)
         new = registry.configured(state, terms, source, orders)
-        flaws = deep_flaws(new.configuration)
+        flaws = semantic_errors(new.configuration)
         return self._refuse(*flaws) if flaws else Ok(new)
 
     def _refuse(self, *flaws: str) -> Result[State, Fault]:
--- a/postpass/control/election.py
+++ b/postpass/control/election.py
@@ -7,7 +7,8 @@
 
 from result import Err, Ok, Result
 
-from postpass.configuration.configuration import Configuration, check
+from postpass.configuration.configuration import Configuration
+from postpass.configuration.configuration_check import check
 from postpass.control.epochs import (
     Acknowledgement,
     PreVote,
--- a/postpass/control/orders.py
+++ b/postpass/control/orders.py
@@ -8,7 +8,8 @@
 from result import Err, Ok, Result
 
 from postpass.configuration import accepted_orders
-from postpass.configuration.configuration import Configuration, check, dump, members, with_duty
+from postpass.configuration.configuration import Configuration, dump, members, with_duty
+from postpass.configuration.configuration_check import check
 from postpass.control.changes import Fold
 from postpass.control.configuration import ConfigurationChange
 from postpass.control.leadership import Leadership
--- a/postpass/daemon/process.py
+++ b/postpass/daemon/process.py
@@ -16,7 +16,7 @@
 from starlette.responses import JSONResponse, PlainTextResponse, Response
 from starlette.routing import Route
 
-from postpass.configuration.configuration import check
+from postpass.configuration.configuration_check import check
 from postpass.configuration.settings import Settings, split
 from postpass.feed.configuration_view import ConfigurationView
 from postpass.feed.messages import Poll, Rotation, Stale
--- a/postpass/feed/configuration_view.py
+++ b/postpass/feed/configuration_view.py
@@ -11,7 +11,8 @@
 
 from result import Ok
 
-from postpass.configuration.configuration import Configuration, Machine, check, dump, limit, members, with_duty
+from postpass.configuration.configuration import Configuration, Machine, dump, limit, members, with_duty
+from postpass.configuration.configuration_check import check
 from postpass.configuration.json_delta import Delta, delta, patch
 from postpass.runtime import log_events
 
--- a/tests/bench/test_deploy.py
+++ b/tests/bench/test_deploy.py
@@ -6,7 +6,7 @@
 
 
 def test_the_examples_are_these_and_are_good_manifests() -> None:
-    from postpass.configuration.configuration import check
+    from postpass.configuration.configuration_check import check
 
     for d in DEPLOYMENTS.values():
         assert check(d.manifest).is_ok(), check(d.manifest)
--- a/tests/bench/test_plan.py
+++ b/tests/bench/test_plan.py
@@ -6,7 +6,7 @@
 
 
 def test_the_small_fleet_is_a_good_manifest_and_its_configs_too() -> None:
-    from postpass.configuration.configuration import check
+    from postpass.configuration.configuration_check import check
     from postpass.configuration.settings import parse
 
     configuration = manifest()
--- a/tests/configuration/test_configuration.py
+++ b/tests/configuration/test_configuration.py
@@ -5,7 +5,8 @@
 import json
 from typing import Any, cast
 
-from postpass.configuration.configuration import check, dump, members, small
+from postpass.configuration.configuration import dump, members, small
+from postpass.configuration.configuration_check import check
 
 
 def test_a_bad_manifest_is_refused_whole_with_paths() -> None:
--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -9,7 +9,8 @@
 
 from prometheus_client import CollectorRegistry
 
-from postpass.configuration.configuration import Configuration, Route, check
+from postpass.configuration.configuration import Configuration, Route
+from postpass.configuration.configuration_check import check
 from postpass.configuration.header_names import Dialect
 from postpass.configuration.settings import Bounds, Settings
 from postpass.daemon.data_plane import DataPlane
--- a/tests/sim/test_broken_variants.py
+++ b/tests/sim/test_broken_variants.py
@@ -194,7 +194,7 @@
 
 def takes_invalid(mp: pytest.MonkeyPatch) -> None:
     mp.setattr(module("configuration"), "line_flaws", lambda *_: [])
-    mp.setattr("postpass.control.configuration.deep_flaws", lambda *_: [])
+    mp.setattr("postpass.control.configuration.semantic_errors", lambda *_: [])
 
 
 def reads_old(mp: pytest.MonkeyPatch) -> None:
