--- a/postpass/configuration/configuration.py
+++ b/postpass/configuration/configuration.py
@@ -1,4 +1,7 @@
-"""The whole desired state, in one file, applied as a whole: typed dictionaries and their checks."""
+"""The desired state of a fleet, in one document that is applied as a whole: its types, and what follows from it alone.
+
+The fields of the typed dictionaries are the keys of the document. `configuration_check` validates it.
+"""
 
 from __future__ import annotations
 
@@ -11,6 +14,8 @@
 
 
 class Machine(TypedDict):
+    """A machine with its zone (`area`), its addresses (IP:PORT) and its duties."""
+
     area: str
     peer: str
     http: str
@@ -24,6 +29,8 @@
 
 
 class Server(TypedDict):
+    """A worker: `slots` requests at a time at `url`, http://IP:PORT."""
+
     url: str
     area: str
     slots: int
@@ -34,6 +41,8 @@
 
 
 class Pool(TypedDict):
+    """Workers that can stand in for each other."""
+
     kind: Literal["model", "plain"]
     servers: dict[str, Server]
     weights: NotRequired[str]
@@ -47,6 +56,8 @@
 
 
 class Split(TypedDict):
+    """A part of a route's requests, by weight."""
+
     pool: str
     weight: int
 
@@ -71,6 +82,8 @@
 
 
 class Class(TypedDict):
+    """A kind of requests or batch items: its pool, its share of it, and its own bounds, in seconds where they are times."""
+
     kind: Literal["live", "batch", "plain"]
     pool: str
     share: float
@@ -88,6 +101,8 @@
 
 
 class Limits(TypedDict, total=False):
+    """The most that clients may send; `LIMITS` has the defaults. Bytes, numbers, or milliseconds (`_ms`)."""
+
     body_bytes: int
     item_bytes: int
     lot_items: int
@@ -100,6 +115,8 @@
 
 
 class Configuration(TypedDict):
+    """The desired state of a fleet. The names of the keys are those of the file and of links."""
+
     name: str
     areas: list[str]
     machines: dict[str, Machine]
@@ -126,6 +143,7 @@
 
 
 def limit(configuration: Configuration, name: str) -> int:
+    """A limit by its name, or its default."""
     return int(cast(dict[str, int], configuration.get("limits", {})).get(name, LIMITS[name]))
 
 
@@ -152,15 +170,18 @@
 
 
 def scene(configuration: Configuration, names: tuple[str, ...], me: str) -> Scene:
+    """The replicas of a partition with their zones, as predicates see them from one of them."""
     zones = tuple((n, configuration["machines"][n]["area"] if n in configuration["machines"] else "") for n in names)
     return Scene(names, zones, me)
 
 
 def part_of(lot: str, parts: int) -> int:
+    """The partition that keeps a job."""
     return int.from_bytes(hashlib.sha256(lot.encode()).digest()[:8], "big") % parts
 
 
 def plugs(kind: str) -> set[str]:
+    """Names of the plug-ins of a kind that are installed."""
     return {e.name for e in entry_points(group=f"postpass.{kind}")}
 
 
@@ -175,6 +196,7 @@
 
 
 def dump(configuration: Configuration) -> str:
+    """The configuration as JSON text."""
     return json.dumps(configuration, separators=(",", ":"), ensure_ascii=False)
 
 
--- a/postpass/configuration/configuration_check.py
+++ b/postpass/configuration/configuration_check.py
@@ -15,7 +15,7 @@
 
 from postpass.configuration.configuration import Class, Configuration, Pool, Route, members, plugs, scene, with_duty
 from postpass.configuration.schema import flaws
-from postpass.configuration.settings import addr_flaws
+from postpass.configuration.settings import address_errors
 from postpass.replication.stability import DEFAULT, Scene, build, covers, loss_flaw
 
 SHARE_TOLERANCE = 1e-9  # shares are sums of fractions
@@ -64,7 +64,7 @@
     errors: list[str] = []
     for name, machine in configuration["machines"].items():
         path = f"machines.{name}"
-        errors += addr_flaws(f"{path}.peer", machine["peer"]) + addr_flaws(f"{path}.http", machine["http"])
+        errors += address_errors(f"{path}.peer", machine["peer"]) + address_errors(f"{path}.http", machine["http"])
         if machine["area"] not in configuration["areas"]:
             errors.append(f"{path}.area: unknown area {machine['area']}")
     return errors
@@ -103,7 +103,7 @@
         if server["slots"] < 1:
             errors.append(f"{path}.slots: want at least 1, got {server['slots']}")
         host = server["url"].removeprefix("http://")
-        if not server["url"].startswith("http://") or addr_flaws("", host):
+        if not server["url"].startswith("http://") or address_errors("", host):
             errors.append(f"{path}.url: want http://IP:PORT, got {server['url']!r:.60}")
     evacuated = configuration.get("evacuated", [])
     staying = [s for s in pool["servers"].values() if not s.get("leave") and s["area"] not in evacuated]
--- a/postpass/configuration/json_delta.py
+++ b/postpass/configuration/json_delta.py
@@ -35,6 +35,7 @@
 
 
 def patch(old: Any, changes: Delta) -> Any:
+    """The value that the changes lead to from `old`, which stays as it is; the two share what did not change."""
     for change in changes:
         old = _put(old, change[0], change[1:])
     return old
--- a/postpass/configuration/nginx_import.py
+++ b/postpass/configuration/nginx_import.py
@@ -7,7 +7,7 @@
 import crossplane
 from result import Err, Ok, Result
 
-from postpass.configuration.settings import addr_flaws
+from postpass.configuration.settings import address_errors
 
 Parts = dict[str, Any]
 
@@ -34,7 +34,7 @@
                 skip(file, b, "placing is postpass's own")
                 continue
             addr = addr if ":" in addr else f"{addr}:80"
-            if addr_flaws("", addr):
+            if address_errors("", addr):
                 skip(file, b, "servers are named by IP number and port")
                 continue
             extra = [a for a in b["args"][1:] if a != "down"]
@@ -82,7 +82,7 @@
         if name in pools:
             continue
         addr = name if ":" in name else f"{name}:80"
-        if addr_flaws("", addr):
+        if address_errors("", addr):
             left.append(f"{path}: way {way}: no upstream {name}")
             del ways[way]
         else:
--- a/postpass/configuration/schema.py
+++ b/postpass/configuration/schema.py
@@ -3,12 +3,13 @@
 from __future__ import annotations
 
 import types
-from typing import Any, Literal, NotRequired, Required, TypedDict, Union, get_args, get_origin, get_type_hints
+from typing import Any, Literal, NotRequired, Required, Union, get_args, get_origin, get_type_hints
 
 from typing_extensions import is_typeddict
 
 
 def name_of(kind: Any) -> str:
+    """What an error says is wanted of a type."""
     names = {str: "a string", int: "a whole number", float: "a number", bool: "true or false"}
     if get_origin(kind) is Literal:
         return "one of " + ", ".join(map(str, get_args(kind)))
@@ -63,14 +64,3 @@
     odd = [f"{join(k)}: unknown key; known are {', '.join(sorted(hints))}" for k in value if k not in hints]
     deep = [f for k, v in value.items() if k in hints for f in flaws(hints[k], v, join(k))]
     return lack + odd + deep
-
-
-class Leaf(TypedDict):
-    size: int
-    mode: Literal["a", "b"]
-    note: NotRequired[str]
-
-
-class Tree(TypedDict):
-    leaves: dict[str, Leaf]
-    rate: float
--- a/postpass/configuration/settings.py
+++ b/postpass/configuration/settings.py
@@ -1,4 +1,12 @@
-"""How one process is placed: a checked file, with flags laid over it."""
+"""Settings of one process: a JSON file, with command-line flags laid over it.
+
+To add a setting: give its key and type to `SettingsFile`, and its default and unit to the field of the same name in
+`Settings` (or `Bounds`, for a promise in seconds); `parse` hands it over by that name. `schema.flaws` then rejects other
+types and unknown keys; if not every value of the type will do, add a check to `parse` and a case to
+`tests/configuration/test_settings.py`. A key that has another name here (`area`, `areas`, `tolerate`) is mapped at the
+end of `parse`. Operators read about it in `docs/operators.md`. What the whole fleet shares is not a setting but part of
+the configuration (see `configuration_check`).
+"""
 
 from __future__ import annotations
 
@@ -13,6 +21,8 @@
 
 
 class BoundsFile(TypedDict, total=False):
+    """Promises in seconds, all above 0; what is left out has the default of `Bounds`."""
+
     end: float
     leave: float
     evacuate: float
@@ -33,6 +43,8 @@
 
 
 class SettingsFile(TypedDict):
+    """The file as it stands on disk. Addresses are IP:PORT."""
+
     name: str
     area: str
     peer: str
@@ -56,7 +68,7 @@
 class Bounds:
     """The promises in seconds. Every timer is a ratio of one of them.
 
-    Invariants, checked by a test below:
+    Invariants, checked in `tests/configuration/test_settings.py`:
     - beat * 3 <= detect: three beats are missed before a live owner is doubted.
     - beat * 5 / 2 + promise / 2 <= contact < detect * 9 / 10: one late word of a primary costs no member its contact, and
       a member without contact says so before it would back another primary.
@@ -82,10 +94,12 @@
 
     @property
     def beat(self) -> float:
+        """Seconds between two heartbeats of the owner of a partition or the primary of control."""
         return self.recover / 40
 
     @property
     def detect(self) -> float:
+        """Seconds of silence after which an owner or primary is suspected."""
         return self.recover / 8
 
     @property
@@ -100,6 +114,7 @@
 
     @property
     def stagger(self) -> float:
+        """Seconds that each later candidate of the agreed order waits longer before it runs for election."""
         return self.recover / 24
 
     @property
@@ -109,10 +124,12 @@
 
     @property
     def hand(self) -> float:
+        """Seconds that a leaving daemon without proxied routes leaves to others to notice it, before it stops."""
         return self.leave / 2
 
     @property
     def promise(self) -> float:
+        """Time limit of a request between peers that ends with a sync."""
         return self.recover / 12
 
     @property
@@ -122,26 +139,32 @@
 
     @property
     def refill(self) -> float:
+        """Seconds that `recover` leaves for an owner to fetch what it lacks."""
         return self.recover / 3
 
     @property
     def lease(self) -> float:
+        """Seconds for which a scheduler may run the items of a partition, from when it asked the owner for them."""
         return self.end / 3
 
     @property
     def deaf(self) -> float:
+        """Seconds after which a daemon that hears no other counts as isolated."""
         return self.leave * 3 / 4
 
     @property
     def poll(self) -> float:
+        """The longest pause, in seconds, between two rounds of a scheduler."""
         return self.end / 12
 
     @property
     def follow(self) -> float:
+        """Seconds between two polls of the configuration feed, and the time limit of a quick request."""
         return self.manifest / 4
 
     @property
     def probe(self) -> float:
+        """Seconds between two probes of a worker."""
         return self.leave / 4
 
 
@@ -179,11 +202,13 @@
 
 
 def split(addr: str) -> tuple[str, int]:
+    """Host and port of an address."""
     host, _, port = addr.rpartition(":")
     return host, int(port)
 
 
-def addr_flaws(key: str, addr: str) -> list[str]:
+def address_errors(key: str, addr: str) -> list[str]:
+    """What is wrong with an address, as a line that begins with its key; empty for IP:PORT by number."""
     host, _, port = addr.rpartition(":")
     good = host.count(".") == 3 and all(p.isdigit() and int(p) < 256 for p in host.split("."))
     good = good and port.isdigit() and 0 < int(port) < 65536
@@ -191,15 +216,16 @@
 
 
 def parse(raw: Any, want_data: bool = False) -> Result[Settings, list[str]]:
+    """The settings that a JSON document holds, or all errors. `want_data` asks for a data directory in any case."""
     seen = flaws(SettingsFile, raw)
     if seen:
         return Err(seen)
     file = cast(SettingsFile, raw)
     seen = [
-        *addr_flaws("peer", file["peer"]),
-        *addr_flaws("http", file["http"]),
-        *(addr_flaws("ready", file["ready"]) if file.get("ready") else []),
-        *(f for i, s in enumerate(file["seeds"]) for f in addr_flaws(f"seeds[{i}]", s)),
+        *address_errors("peer", file["peer"]),
+        *address_errors("http", file["http"]),
+        *(address_errors("ready", file["ready"]) if file.get("ready") else []),
+        *(f for i, s in enumerate(file["seeds"]) for f in address_errors(f"seeds[{i}]", s)),
     ]
     if len(file["seeds"]) != 3 and not file.get("announce"):
         seen.append(f"seeds: want three addresses, got {len(file['seeds'])}")
@@ -252,9 +278,3 @@
     if isinstance(raw, dict):
         raw = raw | {k: v for k, v in flags.items() if v is not None}
     return parse(raw, want_data).map_err(lambda seen: [f"{path or 'flags'}: {s}" for s in seen])
-
-
-GOOD: dict[str, Any] = {
-    "name": "s1", "area": "a", "peer": "127.1.0.1:7000", "http": "127.1.0.1:8000",
-    "seeds": ["127.1.0.1:7000", "127.1.0.2:7000", "127.1.0.3:7000"],
-}  # fmt: skip
--- a/postpass/membership/registry.py
+++ b/postpass/membership/registry.py
@@ -11,7 +11,7 @@
 
 from postpass.configuration import accepted_orders
 from postpass.configuration.configuration import Configuration, Limits, Machine, Pool, Route, Server, with_duty
-from postpass.configuration.settings import addr_flaws
+from postpass.configuration.settings import address_errors
 from postpass.membership.safe_change import Presence, Tolerance, copies_bear_loss, machine_to_drop, safe_copies
 
 LEAST_CONTROL = 3  # control machines that stay when one that is silent is dropped
@@ -98,7 +98,7 @@
 def entry_flaws(entry: Any, zones: Iterable[str]) -> list[str]:
     if not isinstance(entry, dict) or set(entry) != set(Entry.__annotations__):
         return [f"entry: want {', '.join(Entry.__annotations__)}, got {entry!r:.80}"]
-    out = addr_flaws("peer", str(entry["peer"])) + addr_flaws("http", str(entry["http"]))
+    out = address_errors("peer", str(entry["peer"])) + address_errors("http", str(entry["http"]))
     if not entry["name"] or not isinstance(entry["name"], str):
         out.append(f"name: want a name, got {entry['name']!r:.40}")
     if entry["area"] not in zones:
@@ -264,7 +264,7 @@
     """What the manifest could not take of a worker's word, each with its path. No areas: they aren't known."""
     host = standing["url"].removeprefix("http://")
     out = [] if standing["url"].startswith("http://") else [f"url: want http://IP:PORT, got {standing['url']!r:.60}"]
-    out += addr_flaws("url", host)
+    out += address_errors("url", host)
     if zones and standing["area"] not in zones:
         out.append(f"area: unknown area {standing['area']!r:.60}")
     if standing["slots"] < 1:
--- a/tests/configuration/test_schema.py
+++ b/tests/configuration/test_schema.py
@@ -2,7 +2,20 @@
 
 from __future__ import annotations
 
-from postpass.configuration.schema import Tree, flaws
+from typing import Literal, NotRequired, TypedDict
+
+from postpass.configuration.schema import flaws
+
+
+class Leaf(TypedDict):
+    size: int
+    mode: Literal["a", "b"]
+    note: NotRequired[str]
+
+
+class Tree(TypedDict):
+    leaves: dict[str, Leaf]
+    rate: float
 
 
 def test_every_flaw_is_listed_with_its_path() -> None:
--- a/tests/configuration/test_settings.py
+++ b/tests/configuration/test_settings.py
@@ -2,7 +2,14 @@
 
 from __future__ import annotations
 
-from postpass.configuration.settings import GOOD, Bounds, load, parse
+from typing import Any
+
+from postpass.configuration.settings import Bounds, load, parse
+
+GOOD: dict[str, Any] = {
+    "name": "s1", "area": "a", "peer": "127.1.0.1:7000", "http": "127.1.0.1:8000",
+    "seeds": ["127.1.0.1:7000", "127.1.0.2:7000", "127.1.0.3:7000"],
+}  # fmt: skip
 
 
 def test_bounds_keep_their_invariants() -> None:
