--- a/postpass/batch/item_run.py
+++ b/postpass/batch/item_run.py
@@ -61,7 +61,7 @@
         flaw = self.lease_gate(item)
         if flaw:
             return flaw
-        if now() - self.configuration_view.heard > self.settings.bounds.deaf:
+        if now() - self.configuration_view.last_contact > self.settings.bounds.deaf:
             return "no news for too long"
         if self.configuration_view.revision < item.since:
             return "the configuration known here is older than its lot"
--- a/postpass/gateway/worker_load.py
+++ b/postpass/gateway/worker_load.py
@@ -249,7 +249,7 @@
         server = configuration["pools"].get(pool, {"servers": {}})["servers"].get(name) if configuration else None  # type: ignore[call-overload]
         if configuration is None or server is None:
             return "not in the manifest"
-        if now() - self.configuration_view.heard > self.isolated_after:
+        if now() - self.configuration_view.last_contact > self.isolated_after:
             return ISOLATED
         if server.get("leave"):
             return "leaving"
--- a/sim/broken.py
+++ b/sim/broken.py
@@ -15,8 +15,8 @@
 from postpass.batch.job_records import JobRecords
 from postpass.batch.leases import Leases
 from postpass.control.daemon import ControlPlane
-from postpass.daemon.process import Daemon
 from postpass.feed.configuration_view import ConfigurationView
+from postpass.feed.follower import Follower
 from postpass.gateway import attempts, live_requests
 from postpass.gateway.attempts import Action, Decision
 from postpass.gateway.worker_load import WorkerLoad
@@ -128,16 +128,16 @@
         return []
 
     mp.setattr(ControlPlane, "in_force", in_force)
-    plain = Daemon.fetch
+    plain = Follower.fetch
 
-    async def fetch(self: Daemon, addr: str, limit: float = 0.0) -> None:
+    async def fetch(self: Follower, addr: str, limit: float = 0.0) -> None:
         if self.configuration_view.revision == 0 or not self.settings.name.startswith("e"):
             await plain(self, addr, limit)
 
-    mp.setattr(Daemon, "fetch", fetch)
-    sources = Daemon.sources
+    mp.setattr(Follower, "fetch", fetch)
+    sources = Follower.sources
     mp.setattr(
-        Daemon,
+        Follower,
         "sources",
         lambda self: [] if self.configuration_view.revision and self.settings.name == "e1" else sources(self),
     )
@@ -145,7 +145,7 @@
 
 def never_deaf(mp: pytest.MonkeyPatch) -> None:
     """A daemon that goes on placing work though it hears nobody."""
-    mp.setattr(ConfigurationView, "heard", property(lambda self: 1e18, lambda self, at: None), raising=False)
+    mp.setattr(ConfigurationView, "last_contact", property(lambda self: 1e18, lambda self, at: None), raising=False)
 
 
 def last_writer_wins(mp: pytest.MonkeyPatch) -> None:
