--- a/postpass/batch/job_api.py
+++ b/postpass/batch/job_api.py
@@ -16,7 +16,7 @@
 from postpass.configuration.schema import flaws
 from postpass.gateway.gateway import Gateway
 from postpass.gateway.request_bodies import IDENTIFIER
-from postpass.rpc.peer_links import Body
+from postpass.rpc.codec import Body
 from postpass.runtime.environment import now
 from postpass.runtime.errors import CLASH, CROWD, FULL, LACK, SHED, Fault
 
--- a/postpass/batch/job_records.py
+++ b/postpass/batch/job_records.py
@@ -12,7 +12,7 @@
 from postpass.replication.owner import PartitionOwner
 from postpass.replication.partition import Partition
 from postpass.replication.partition_table import PartitionTable
-from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime.errors import CLASH, FULL, LACK, SHED, SLOW, Fault, Stop
 
 DEFAULT_SUBMIT_S = 5.0  # seconds that an edge waits for a job to be kept, or to be ended
--- a/postpass/batch/job_service.py
+++ b/postpass/batch/job_service.py
@@ -15,7 +15,7 @@
 from postpass.batch.partition_access import PartitionAccess
 from postpass.batch.quota_service import QuotaService
 from postpass.replication.partition import Partition
-from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime.environment import now
 from postpass.runtime.errors import CLASH, FULL, LACK, MOVED, SLOW, Fault, Stop
 
--- a/postpass/batch/leases.py
+++ b/postpass/batch/leases.py
@@ -15,7 +15,7 @@
 from postpass.replication.owner import PartitionOwner
 from postpass.replication.partition import Partition
 from postpass.replication.partition_table import PartitionTable
-from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime.environment import now
 from postpass.runtime.errors import BAD, CLASH, SLOW, Fault, Stop
 from postpass.worker_api.openai import Prompt
--- a/postpass/batch/messages.py
+++ b/postpass/batch/messages.py
@@ -11,7 +11,7 @@
 from enum import StrEnum
 from typing import NamedTuple, TypedDict
 
-from postpass.rpc.peer_links import Body
+from postpass.rpc.codec import Body
 from postpass.worker_api.openai import Prompt
 
 NO_PROMPT = Prompt((), "")
--- a/postpass/batch/owner_client.py
+++ b/postpass/batch/owner_client.py
@@ -8,7 +8,8 @@
 
 from postpass.configuration.settings import Settings
 from postpass.feed.configuration_view import ConfigurationView
-from postpass.rpc.peer_links import Body, PeerLinks, PeerResponse
+from postpass.rpc.codec import Body, PeerResponse
+from postpass.rpc.peer_links import PeerLinks
 from postpass.runtime.errors import CLASH, MOVED, Fault
 
 ASKED_AT_MOST = 2  # machines that one request goes to
--- a/postpass/batch/partition_access.py
+++ b/postpass/batch/partition_access.py
@@ -13,7 +13,8 @@
 from postpass.feed.configuration_view import ConfigurationView
 from postpass.replication.partition import Partition
 from postpass.replication.record_log import Record
-from postpass.rpc.peer_links import Body, PeerLinks, PeerResponse
+from postpass.rpc.codec import Body, PeerResponse
+from postpass.rpc.peer_links import PeerLinks
 from postpass.runtime.environment import Environment
 from postpass.runtime.errors import Fault
 
--- a/postpass/batch/partition_client.py
+++ b/postpass/batch/partition_client.py
@@ -8,7 +8,7 @@
 from result import Err, Ok
 
 from postpass.batch.partition_access import PartitionAccess
-from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime.environment import now
 from postpass.runtime.errors import BROKE, LACK, MOVED, SLOW, Fault
 
--- a/postpass/batch/quota_service.py
+++ b/postpass/batch/quota_service.py
@@ -20,7 +20,7 @@
 from postpass.batch.quota import Budget
 from postpass.configuration.configuration import Configuration, Route, part_of
 from postpass.replication.partition import Partition
-from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime.errors import CROWD, FULL, SLOW, Fault
 
 
--- a/postpass/batch/scheduler.py
+++ b/postpass/batch/scheduler.py
@@ -26,7 +26,8 @@
 from postpass.configuration.settings import Settings
 from postpass.feed.configuration_view import ConfigurationView
 from postpass.gateway.worker_load import WorkerLoad
-from postpass.rpc.peer_links import Body, PeerLinks, PeerResponse
+from postpass.rpc.codec import Body, PeerResponse
+from postpass.rpc.peer_links import PeerLinks
 from postpass.runtime.environment import Environment
 
 
--- a/postpass/batch/scheduler_election.py
+++ b/postpass/batch/scheduler_election.py
@@ -15,7 +15,8 @@
 
 from postpass.configuration.settings import Settings
 from postpass.feed.configuration_view import ConfigurationView
-from postpass.rpc.peer_links import PeerLinks, PeerResponse
+from postpass.rpc.codec import PeerResponse
+from postpass.rpc.peer_links import PeerLinks
 from postpass.runtime import log_events
 from postpass.runtime.environment import Environment
 
--- a/postpass/cli/main.py
+++ b/postpass/cli/main.py
@@ -17,7 +17,7 @@
 from postpass.cli.fleet_client import Answer, CommandError, ExitCode, control_addresses, edge_addresses
 from postpass.cli.status import overview
 from postpass.cli.status_page import FleetStatus
-from postpass.configuration.configuration import check
+from postpass.configuration.configuration_check import check
 from postpass.configuration.json_delta import delta
 from postpass.control.health import health_lines
 
--- a/postpass/control/api.py
+++ b/postpass/control/api.py
@@ -16,7 +16,7 @@
 from postpass.control.orders import Orders
 from postpass.control.read_messages import ConfigurationAnswer, ReadRequest
 from postpass.daemon.process import Task
-from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime.environment import now
 from postpass.runtime.errors import BAD, BROKE, CLASH, MOVED, OLD, SHED, SLOW, Fault
 
--- a/postpass/control/election.py
+++ b/postpass/control/election.py
@@ -8,7 +8,8 @@
 
 from result import Err, Ok, Result
 
-from postpass.configuration.configuration import Configuration, check
+from postpass.configuration.configuration import Configuration
+from postpass.configuration.configuration_check import check
 from postpass.control import election_rules
 from postpass.control.election_rules import Basis, Campaign, Cause, ElectionReason, Found, Placement, Rebuild, Refused
 from postpass.control.epochs import Acknowledgement, ReplicaSet, Voters, unheard_holders, votes
@@ -25,10 +26,11 @@
 from postpass.control.state import ReplicatedState
 from postpass.membership.registry import State, recovered
 from postpass.membership.safe_change import Topology, next_voters
-from postpass.rpc.peer_links import Body
+from postpass.rpc.codec import Body
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
 from postpass.runtime.errors import SLOW, Fault
+from postpass.runtime.log_events import Event
 
 STEP = "stand"  # of the faults that an election ends with, as operators see it
 DEPOSED = "a higher epoch was promised"
@@ -244,7 +246,7 @@
     ) -> None:
         """Logs the epoch that was won, whether state was lost for it, and which disks got a vote by it."""
         log_events.emit(
-            133 if isinstance(basis, Rebuild) else 130,
+            Event.CONTROL_DATA_LOSS if isinstance(basis, Rebuild) else 130,
             self.settings.name,
             epoch=replica_set.epoch,
             backup=",".join(replica_set.backups),
@@ -253,7 +255,7 @@
         )
         before = campaign.own.replica_set.voters
         for name in sorted(n for n, disk in replica_set.voters.items() if before.get(n) != disk):
-            log_events.emit(134, self.settings.name, joins=name)
+            log_events.emit(Event.VOTER_ADMITTED, self.settings.name, joins=name)
 
     async def announce_epoch(self, epoch: int, configuration: Configuration) -> None:
         """One heartbeat at once, so that all members hear of a granted epoch."""
@@ -289,7 +291,10 @@
         got = await self.run_election(configuration, reason, prevotes=prevotes, change_voters=not quick)
         if isinstance(got, Ok):
             log_events.emit(
-                132, self.settings.name, backup=",".join(self.replicated_state.replica_set.backups), why=reason
+                Event.BACKUP_CHANGED,
+                self.settings.name,
+                backup=",".join(self.replicated_state.replica_set.backups),
+                why=reason,
             )
         else:
             self.leader_silent_since = now() - self.settings.bounds.detect
--- a/postpass/control/feed.py
+++ b/postpass/control/feed.py
@@ -13,10 +13,11 @@
 from postpass.control.read_messages import ConfigurationAnswer, ReadRequest, RevisionAnswer, SourceAnswer
 from postpass.control.writer import Writer
 from postpass.feed.messages import Poll
-from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
 from postpass.runtime.errors import MOVED, SHED, SLOW, Fault
+from postpass.runtime.log_events import Event
 
 SHORTEST_WAIT_S = 0.001
 
@@ -74,7 +75,7 @@
             machines,
         )
         waits = await wait.run()
-        log_events.emit(144, me, revision=revision, waits=",".join(waits) or "for nobody")
+        log_events.emit(Event.REVISION_IN_FORCE, me, revision=revision, waits=",".join(waits) or "for nobody")
         return waits
 
     @property
--- a/postpass/control/leadership.py
+++ b/postpass/control/leadership.py
@@ -13,10 +13,11 @@
 from postpass.control.messages import ADOPT, AdoptAnswer, AdoptRequest, VoteAnswer
 from postpass.control.registry import Registry
 from postpass.membership.safe_change import gives_up_vote
-from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
 from postpass.runtime.errors import Stop
+from postpass.runtime.log_events import Event
 
 
 class Leadership(Registry):
@@ -43,7 +44,7 @@
                     # One that holds the state may be the only one that can lead, also while it leaves.
                     await self.watch_for_leader(configuration)
             except Stop as bad:
-                log_events.emit(103, self.settings.name, step=bad.fault.step, why=bad.fault.why)
+                log_events.emit(Event.TASK_FAILED, self.settings.name, step=bad.fault.step, why=bad.fault.why)
 
     async def lead_heartbeat(self, configuration: Configuration) -> None:
         """The primary's heartbeat to all members; steps down without a majority, and mends the replica set."""
@@ -200,7 +201,7 @@
             if not epoch or not addrs:
                 return False
             self.epoch = 0
-            log_events.emit(131, self.settings.name, epoch=epoch, seen="handed over")
+            log_events.emit(Event.PRIMARY_STEPPED_DOWN, self.settings.name, epoch=epoch, seen="handed over")
         for addr in addrs:
             request = AdoptRequest(epoch)
             got = await self.peer_links.call(addr, ADOPT, request.as_json(), self.settings.bounds.promise)
--- a/postpass/control/member.py
+++ b/postpass/control/member.py
@@ -19,11 +19,12 @@
 from postpass.control.state import Committed, ReplicatedState
 from postpass.daemon.process import Daemon
 from postpass.membership.registry import State, Translator
-from postpass.rpc.peer_links import RELEASE, Body, PeerResponse
+from postpass.rpc.codec import RELEASE, Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.disk import Disk
 from postpass.runtime.environment import Environment, now
 from postpass.runtime.errors import FULL, MOVED, Fault, Stop
+from postpass.runtime.log_events import Event
 from postpass.storage.data_directory import STATE_FORMAT, open_data_directory, raise_format
 
 INFINITY = float("inf")
@@ -128,7 +129,7 @@
         try:
             await self.read_folder()
         except (ValueError, KeyError, TypeError) as bad:
-            log_events.emit(112, self.settings.name, why=repr(bad))
+            log_events.emit(Event.DISK_DAMAGED, self.settings.name, why=repr(bad))
             for name in ("identity", "epochs", STATE_FILE):
                 if name in self.disk.names():
                     self.disk.rename(name, f"damaged-{name}")
@@ -145,7 +146,13 @@
         """Reads the promises and the state, that of releases up to 0.2.0 too; a damaged file raises ValueError."""
         self.vote_record, self.replicated_state = VoteRecord(), ReplicatedState()
         data_directory = await open_data_directory(
-            self.settings.name, self.disk, self.environment.chance, STATE_SEGMENT, 0, strict=True, reads=STATE_FORMAT
+            self.settings.name,
+            self.disk,
+            self.environment.chance,
+            STATE_SEGMENT,
+            0,
+            strict=True,
+            highest_format=STATE_FORMAT,
         )
         self.disk_id = data_directory.name
         if not data_directory.fresh and "epochs" in self.disk.names():
@@ -223,7 +230,7 @@
     def fail_disk(self, why: str) -> Fault:
         """A write failed: nothing more is written or answered by this process, which ends."""
         self.disk_failure = why
-        log_events.emit(113, self.settings.name, why=why)
+        log_events.emit(Event.DISK_FAILED, self.settings.name, why=why)
         self.failed = Fault("sync", self.settings.name, why)
         self.stop.set()
         self.closed.set()
@@ -290,7 +297,7 @@
     def step_down(self, seen: int | str) -> None:
         """Leads no more: a higher epoch was seen, or what else the event tells."""
         if self.epoch:
-            log_events.emit(131, self.settings.name, epoch=self.epoch, seen=seen)
+            log_events.emit(Event.PRIMARY_STEPPED_DOWN, self.settings.name, epoch=self.epoch, seen=seen)
         self.epoch = 0
         self.leader_silent_since = now()
 
--- a/postpass/control/messages.py
+++ b/postpass/control/messages.py
@@ -13,7 +13,7 @@
 from postpass.control.epochs import Acknowledgement, PreVote, ReplicaSet
 from postpass.control.journal import Change, JournalError, Position
 from postpass.control.state import ReplicatedState
-from postpass.rpc.peer_links import Body
+from postpass.rpc.codec import Body
 
 # Verbs between members, as they stand on the wire. A handler is the method `on_<verb>`.
 PREPARE = "look"
--- a/postpass/control/order_messages.py
+++ b/postpass/control/order_messages.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from postpass.membership.registry import WorkerAnnouncement
-from postpass.rpc.peer_links import Body
+from postpass.rpc.codec import Body
 
 
 # --- orders
--- a/postpass/control/orders.py
+++ b/postpass/control/orders.py
@@ -8,7 +8,8 @@
 from result import Err, Ok, Result
 
 from postpass.configuration import accepted_orders
-from postpass.configuration.configuration import Configuration, check, dump, members, with_duty
+from postpass.configuration.configuration import Configuration, dump, members, with_duty
+from postpass.configuration.configuration_check import check
 from postpass.control.changes import Fold
 from postpass.control.configuration import ConfigurationChange
 from postpass.control.election_rules import Cause, ElectionReason
@@ -28,10 +29,11 @@
 from postpass.control.read_messages import ReadRequest
 from postpass.membership import operator_changes
 from postpass.membership.registry import State
-from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
 from postpass.runtime.errors import BAD, LACK, MOVED, OLD, SHED, SLOW, Fault, Stop
+from postpass.runtime.log_events import Event
 
 
 class Orders(Leadership):
@@ -162,7 +164,7 @@
         if isinstance(got, Err):
             return Err(got.unwrap_err())
         revision = got.unwrap()
-        log_events.emit(138, self.settings.name, what=order.kind, revision=revision)
+        log_events.emit(Event.ORDER_ACCEPTED, self.settings.name, what=order.kind, revision=revision)
         unconfirmed = await self.in_force(
             revision, None, self.committed.state.configuration, asked, self.settings.bounds.manifest / 5
         )
--- a/postpass/control/read_messages.py
+++ b/postpass/control/read_messages.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from postpass.configuration.configuration import Configuration
-from postpass.rpc.peer_links import Body
+from postpass.rpc.codec import Body
 
 
 @dataclass(frozen=True)
--- a/postpass/control/registry.py
+++ b/postpass/control/registry.py
@@ -17,10 +17,11 @@
 from postpass.control.read_messages import RevisionAnswer
 from postpass.membership import machine_registry, worker_registry
 from postpass.membership.registry import MachineAnnouncement, State, WorkerAnnouncement
-from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
 from postpass.runtime.errors import BAD, Fault
+from postpass.runtime.log_events import Event
 
 MOST_DRAINED = 4096  # workers whose acknowledged leaving a member remembers
 MISSED_HEARTBEATS = 3.5  # periods after which a silent worker is late
@@ -92,7 +93,9 @@
                         configuration, ElectionReason(Cause.FOUNDED), State(1, configuration)
                     )
                 if isinstance(done, Ok):
-                    log_events.emit(135, self.settings.name, machines=",".join(e["name"] for e in entries))
+                    log_events.emit(
+                        Event.FLEET_FOUNDED, self.settings.name, machines=",".join(e["name"] for e in entries)
+                    )
                     return
             await asyncio.sleep(bounds.beat / 4 * (0.8 + 0.4 * self.environment.chance.random()))
 
@@ -114,7 +117,11 @@
         if isinstance(got, Err):
             return Err(got.unwrap_err())
         log_events.emit(
-            136, self.settings.name, joins=entry["name"], duties=",".join(entry["duties"]), revision=got.unwrap()
+            Event.MACHINE_JOINED,
+            self.settings.name,
+            joins=entry["name"],
+            duties=",".join(entry["duties"]),
+            revision=got.unwrap(),
         )
         return Ok(RevisionAnswer(got.unwrap()).as_json())
 
@@ -193,7 +200,11 @@
             got = await self.change(fold, 0.0)
             if isinstance(got, Ok):
                 log_events.emit(
-                    137, self.settings.name, machines=",".join(gone), workers=",".join(late), revision=got.unwrap()
+                    Event.MACHINE_DROPPED,
+                    self.settings.name,
+                    machines=",".join(gone),
+                    workers=",".join(late),
+                    revision=got.unwrap(),
                 )
 
     async def record_worker_heartbeat(self, who: str, standing: WorkerAnnouncement, seqno: int) -> PeerResponse:
--- a/postpass/control/writer.py
+++ b/postpass/control/writer.py
@@ -11,10 +11,11 @@
 from postpass.control.election import Election
 from postpass.control.election_rules import Cause, ElectionReason
 from postpass.control.member import INFINITY
-from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
 from postpass.runtime.errors import MOVED, SHED, SLOW, Fault, Stop
+from postpass.runtime.log_events import Event
 
 
 class Writer(Election):
@@ -95,7 +96,7 @@
                     self.leader_silent_since = now() - bounds.detect
                 else:
                     log_events.emit(
-                        132,
+                        Event.BACKUP_CHANGED,
                         me,
                         backup=",".join(self.replicated_state.replica_set.backups),
                         why="it did not take a write",
--- a/postpass/daemon/announcer.py
+++ b/postpass/daemon/announcer.py
@@ -12,8 +12,9 @@
 from postpass.membership.machine_registry import is_registered
 from postpass.membership.partial_view import PartialView
 from postpass.membership.registry import MachineAnnouncement
-from postpass.rpc.peer_links import Body, PeerLinks, PeerResponse
-from postpass.runtime.environment import Environment, hear, now
+from postpass.rpc.codec import Body, PeerResponse
+from postpass.rpc.peer_links import PeerLinks
+from postpass.runtime.environment import Environment, gather_until, now
 from postpass.runtime.errors import SHED, Fault
 
 ASKED_AT_ONCE = 2  # one may be gone, and its silence must not hold this machine up
@@ -81,7 +82,7 @@
             addr: self.peer_links.call(addr, "join", {"entry": self.announcement()}, bounds.follow * 2)
             for addr in addrs
         }
-        answers = await hear(asks, any_answered, 0.0)
+        answers = await gather_until(asks, any_answered, 0.0)
         for addr, answer in answers.items():
             if isinstance(answer, Err) and answer.unwrap_err().peer == addr:
                 self.follower.missed[addr] = now()
--- a/postpass/daemon/data_plane.py
+++ b/postpass/daemon/data_plane.py
@@ -22,7 +22,8 @@
 from postpass.gateway.relay import Relay
 from postpass.gateway.worker_load import WorkerLoad
 from postpass.replication.store import Store
-from postpass.rpc.peer_links import RELEASE, Body, PeerLinks, PeerResponse
+from postpass.rpc.codec import RELEASE, Body, PeerResponse
+from postpass.rpc.peer_links import PeerLinks
 from postpass.runtime.environment import Environment
 
 LEAVE_NOTICED = 2.5  # seconds until nobody passes new connections to an edge that says that it isn't ready
--- a/postpass/daemon/data_plane_status.py
+++ b/postpass/daemon/data_plane_status.py
@@ -10,7 +10,7 @@
 from postpass.gateway.gateway import Gateway
 from postpass.replication.partition import Partition
 from postpass.replication.store import Store
-from postpass.rpc.peer_links import Body
+from postpass.rpc.codec import Body
 
 
 def owned_partitions(store: Store) -> list[Partition]:
@@ -61,7 +61,7 @@
         "Memory of records not yet folded away",
         lambda: sum(partition.record_log.size for partition in store.partitions.values()),
     )
-    gauge("disk_free_bytes", "Room left for the data folder", lambda: store.log.disk.room()[0])
+    gauge("disk_free_bytes", "Room left for the data folder", lambda: store.log.disk.space()[0])
     gauge("takeovers", "Partitions taken over since the start", lambda: store.counts["takeovers"])
     gauge("refills", "Snapshots sent to mirrors since the start", lambda: store.counts["refills"])
 
--- a/postpass/daemon/gossip.py
+++ b/postpass/daemon/gossip.py
@@ -17,7 +17,8 @@
 from postpass.configuration.settings import Settings
 from postpass.feed.follower import Follower
 from postpass.membership.partial_view import MemberRecord, Neighbour, PartialView
-from postpass.rpc.peer_links import Body, PeerLinks, PeerResponse
+from postpass.rpc.codec import Body, PeerResponse
+from postpass.rpc.peer_links import PeerLinks
 from postpass.runtime.environment import Environment, now
 
 HELPERS_ASKED = 2  # neighbours through which a daemon that doesn't answer is asked for
--- a/postpass/daemon/health_endpoints.py
+++ b/postpass/daemon/health_endpoints.py
@@ -15,7 +15,7 @@
 from postpass.configuration.settings import Settings
 from postpass.feed.configuration_view import ConfigurationView
 from postpass.membership.partial_view import PartialView
-from postpass.rpc.peer_links import Body
+from postpass.rpc.codec import Body
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
 
--- a/postpass/daemon/process.py
+++ b/postpass/daemon/process.py
@@ -17,7 +17,7 @@
 from result import Err, Ok, Result
 from starlette.routing import BaseRoute
 
-from postpass.configuration.configuration import check
+from postpass.configuration.configuration_check import check
 from postpass.configuration.settings import Settings, split
 from postpass.daemon.announcer import Announcer
 from postpass.daemon.gossip import Gossip
@@ -26,10 +26,13 @@
 from postpass.feed.follower import Follower
 from postpass.feed.messages import Poll
 from postpass.membership.partial_view import MemberRecord, PartialView
-from postpass.rpc.peer_links import RELEASE, Body, PeerLinks, PeerResponse, PeerServer
+from postpass.rpc.codec import RELEASE, Body, PeerResponse
+from postpass.rpc.peer_links import PeerLinks
+from postpass.rpc.peer_server import PeerServer
 from postpass.runtime import log_events
 from postpass.runtime.environment import Environment, now, serve_http
 from postpass.runtime.errors import Fault, Stop
+from postpass.runtime.log_events import Event
 
 Task = Coroutine[Any, Any, None]
 
@@ -153,13 +156,13 @@
             return
         got = self.read_config()
         if isinstance(got, Err):
-            log_events.emit(108, self.settings.name, flaws=got.unwrap_err()[:3])
+            log_events.emit(Event.SETTINGS_REJECTED, self.settings.name, flaws=got.unwrap_err()[:3])
             return
         seeds = got.unwrap().seeds
         if seeds != self.settings.seeds:
             self.settings = replace(self.settings, seeds=seeds)
             self.follower.settings = self.gossip.settings = self.announcer.settings = self.settings
-            log_events.emit(107, self.settings.name, seeds=",".join(seeds))
+            log_events.emit(Event.SEEDS_CHANGED, self.settings.name, seeds=",".join(seeds))
 
     async def watch_config(self) -> None:
         """Reads the settings again once in a while: the file may change without any signal."""
@@ -180,7 +183,7 @@
         host, number = split(self.settings.http)
         tasks = [asyncio.create_task(self.guard(name, task)) for name, task in self._named_tasks()]
         log_events.emit(
-            100,
+            Event.STARTED,
             self.settings.name,
             duties=",".join(self.settings.duties) or "control",
             peer=self.settings.peer,
@@ -212,7 +215,7 @@
         await self.stop.wait()
         if self.failed is None:
             self.leaving = True
-            log_events.emit(105, self.settings.name)
+            log_events.emit(Event.HANDING_OVER, self.settings.name)
             try:
                 await asyncio.wait_for(self.depart(), self.leave_limit)
             except (TimeoutError, Stop):
@@ -227,10 +230,12 @@
             raise
         except Stop as stop:
             fault = stop.fault
-            log_events.emit(103, self.settings.name, task=name, step=fault.step, peer=fault.peer, why=fault.why)
+            log_events.emit(
+                Event.TASK_FAILED, self.settings.name, task=name, step=fault.step, peer=fault.peer, why=fault.why
+            )
             self._fail(fault)
         except Exception as error:
-            log_events.emit(103, self.settings.name, task=name, why=repr(error))
+            log_events.emit(Event.TASK_FAILED, self.settings.name, task=name, why=repr(error))
             logging.exception("task %s", name)
             self._fail(Fault(name, self.settings.name, repr(error)))
 
@@ -323,7 +328,7 @@
         loop = asyncio.get_running_loop()
 
         def leave(name: str) -> None:
-            log_events.emit(101, daemon.settings.name, signal=name)
+            log_events.emit(Event.STOPPING, daemon.settings.name, signal=name)
             daemon.stop.set()
 
         for sig in (signal.SIGTERM, signal.SIGINT):
--- a/postpass/feed/configuration_view.py
+++ b/postpass/feed/configuration_view.py
@@ -9,12 +9,14 @@
 
 from result import Ok
 
-from postpass.configuration.configuration import Configuration, Machine, check, limit, members, with_duty
+from postpass.configuration.configuration import Configuration, Machine, limit, members, with_duty
+from postpass.configuration.configuration_check import check
 from postpass.configuration.json_delta import Delta, delta, patch
 from postpass.feed.checksum import checksum, parts_sum, parts_sum_difference
 from postpass.feed.messages import ChangeBody, FeedAnswer
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
+from postpass.runtime.log_events import Event
 
 MAX_CHANGES = 64  # changes a daemon can hand on before it must hand on a snapshot
 NEVER = -1e9
@@ -70,7 +72,9 @@
         if not is_announced(raw):
             checked = check(raw)
             if not isinstance(checked, Ok):
-                log_events.emit(141, self.owner, revision=revision, flaws=checked.unwrap_err()[:3])
+                log_events.emit(
+                    Event.CONFIGURATION_REJECTED, self.owner, revision=revision, flaws=checked.unwrap_err()[:3]
+                )
                 return False
         elif total is None:
             total = self._total_of(raw)
@@ -78,7 +82,7 @@
             change = delta(self.manifest, raw) if change is None else change
             self.changes.append(Change(revision, self.revision, change, checksum(raw, total)))
         self.manifest, self.revision, self.total = raw, revision, total or 0
-        log_events.emit(140, self.owner, revision=revision)
+        log_events.emit(Event.CONFIGURATION_CHANGED, self.owner, revision=revision)
         self.changed.set()
         self.changed = asyncio.Event()
         return True
--- a/postpass/feed/follower.py
+++ b/postpass/feed/follower.py
@@ -18,10 +18,12 @@
 from postpass.feed.configuration_view import NEVER, ConfigurationView
 from postpass.feed.messages import FeedAnswer, Poll, Rotation, Stale
 from postpass.membership.partial_view import PartialView
-from postpass.rpc.peer_links import Body, PeerLinks
+from postpass.rpc.codec import Body
+from postpass.rpc.peer_links import PeerLinks
 from postpass.runtime import log_events
-from postpass.runtime.environment import Environment, hear, now
+from postpass.runtime.environment import Environment, gather_until, now
 from postpass.runtime.errors import Fault
+from postpass.runtime.log_events import Event
 
 MAX_ASKED_AROUND = 16  # machines that are asked at once when nobody is heard
 SOURCES_ASKED_FOR_PROOF = 3  # sources that are asked at once which revision is in force
@@ -153,7 +155,7 @@
             isolated = view.is_isolated(limit)
             if isolated != logged:
                 logged = isolated
-                log_events.emit(143, self.settings.name, hears="nobody" if isolated else "others")
+                log_events.emit(Event.ISOLATED, self.settings.name, hears="nobody" if isolated else "others")
 
     async def prove_fresh(self) -> None:
         """Before a started daemon serves: what it knows must be no older than what was in force at its start.
@@ -171,7 +173,9 @@
             if view.manifest is not None and not view.fresh and now() - began > bounds.manifest:
                 others, revision = view.addresses_of_others(), view.revision
                 view.fresh = 2 * await self.ask_around(others) > len(others) and revision == view.revision
-        log_events.emit(142, self.settings.name, revision=view.revision, after=f"{now() - began:.2f}")
+        log_events.emit(
+            Event.CONFIGURATION_VIEW_FRESH, self.settings.name, revision=view.revision, after=f"{now() - began:.2f}"
+        )
 
     async def _ask_control_for_proof(self) -> None:
         """Asks a few sources at once, which hold the question until there is a primary that confirms a revision."""
@@ -180,7 +184,7 @@
         asked = self.environment.chance.sample(sources, min(SOURCES_ASKED_FOR_PROOF, len(sources)))
         question: dict[str, Any] = {"brief": 1, "wait": interval}
         asks = {addr: self.peer_links.call(addr, "read", question, interval * 1.5) for addr in asked}
-        answers = await hear(asks, any_answered, 0.0)
+        answers = await gather_until(asks, any_answered, 0.0)
         for addr, answer in answers.items():
             if isinstance(answer, Ok):
                 revision = answer.unwrap()["edition"]
--- a/postpass/gateway/job_routes.py
+++ b/postpass/gateway/job_routes.py
@@ -12,7 +12,7 @@
 from postpass.gateway.edge_state import EdgeState
 from postpass.gateway.http_errors import EVACUATED, LEAVING, fault_response
 from postpass.gateway.request_bodies import IDENTIFIER, IDENTIFIER_WANTED, JobRequestBody, client_of, read_json
-from postpass.rpc.peer_links import Body
+from postpass.rpc.codec import Body
 from postpass.runtime.environment import now
 from postpass.runtime.errors import BROKE, CLASH, CROWD, FULL, LACK, SHED, SLOW, Fault
 
--- a/postpass/gateway/live_requests.py
+++ b/postpass/gateway/live_requests.py
@@ -20,10 +20,11 @@
 from postpass.gateway.http_errors import fault_response
 from postpass.gateway.request_bodies import IDENTIFIER, IDENTIFIER_WANTED, LiveRequestBody, client_of, read_json
 from postpass.gateway.worker_load import WorkerState
-from postpass.rpc.peer_links import Body
+from postpass.rpc.codec import Body
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
 from postpass.runtime.errors import SLOW, Fault, Stop
+from postpass.runtime.log_events import Event
 from postpass.worker_api.openai import Prompt, complete
 
 MAX_ATTEMPTS = 3
@@ -261,7 +262,7 @@
             await request.connection.end(data)
             return
         log_events.emit(
-            160, edge.settings.name, kind=request.class_name, end=str(decision.action), step=last.step, peer=last.peer,
+            Event.REQUEST_BROKEN, edge.settings.name, kind=request.class_name, end=str(decision.action), step=last.step, peer=last.peer,
             why=decision.why, tries=len(request.attempt_log.attempts),
         )  # fmt: skip
         fault = Fault(last.step, last.peer, decision.why or last.why)
--- a/postpass/gateway/owner_client.py
+++ b/postpass/gateway/owner_client.py
@@ -10,10 +10,12 @@
 from postpass.configuration.configuration import part_of
 from postpass.configuration.settings import Settings
 from postpass.feed.configuration_view import ConfigurationView
-from postpass.rpc.peer_links import Body, PeerLinks
+from postpass.rpc.codec import Body
+from postpass.rpc.peer_links import PeerLinks
 from postpass.runtime import log_events
 from postpass.runtime.environment import Environment, now
 from postpass.runtime.errors import BROKE, MOVED, SLOW, Fault
+from postpass.runtime.log_events import Event
 
 LEAST_WAIT = 0.05  # seconds that an answer is waited for at the least
 OWNER_PART = 0.9  # of the wait for an answer that the owner itself may use
@@ -94,5 +96,5 @@
         if isinstance(answer, Err):
             return answer
         won = answer.unwrap()["won"]
-        log_events.emit(161, self.settings.name, key=key, won=won)
+        log_events.emit(Event.REQUEST_CLAIMED, self.settings.name, key=key, won=won)
         return Ok(bool(won))
--- a/postpass/gateway/proxied_routes.py
+++ b/postpass/gateway/proxied_routes.py
@@ -18,6 +18,7 @@
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
 from postpass.runtime.errors import BROKE, SHED, SLOW, Fault, Stop
+from postpass.runtime.log_events import Event
 from postpass.worker_api.openai import Prompt
 
 PROXIED_METHODS = ["GET", "HEAD", "POST", "PUT", "DELETE"]
@@ -183,7 +184,14 @@
         fault = request.last_fault = Fault("pass", worker, repr(error)[:120], code)
         if started:
             edge.requests_total.labels(request.class_name, "broken").inc()
-            log_events.emit(160, edge.settings.name, kind=request.class_name, step="pass", peer=worker, why=fault.why)
+            log_events.emit(
+                Event.REQUEST_BROKEN,
+                edge.settings.name,
+                kind=request.class_name,
+                step="pass",
+                peer=worker,
+                why=fault.why,
+            )
             raise ConnectionError(str(fault)) from error
         unsent = isinstance(error, aiohttp.ClientConnectorError)
         if unsent:
--- a/postpass/gateway/relay.py
+++ b/postpass/gateway/relay.py
@@ -32,6 +32,7 @@
 from postpass.runtime import log_events
 from postpass.runtime.environment import Environment, now
 from postpass.runtime.errors import CROWD, SLOW, Fault, Stop
+from postpass.runtime.log_events import Event
 
 JobHandler = Callable[[str, Route, Scope, Receive, Send], Awaitable[None]]
 
@@ -137,7 +138,7 @@
         if now() >= self.next_rejection_line:
             # At most one line a second, so that a flood costs nothing more.
             self.next_rejection_line = now() + REJECTION_LINES_S
-            log_events.emit(173, self.settings.name, why=self.rejected)
+            log_events.emit(Event.PROXY_REJECTED, self.settings.name, why=self.rejected)
             self.rejected = {}
         await self.answer(send, 503, self.retry_after(wait))
 
@@ -197,7 +198,7 @@
         if decision.action is Action.DONE:
             if request.late:
                 log_events.emit(
-                    172, self.settings.name, route=request.route_name, worker=worker, first=f"{request.first_delay:.3f}",
+                    Event.PROXY_LATE, self.settings.name, route=request.route_name, worker=worker, first=f"{request.first_delay:.3f}",
                     pause=f"{request.longest_pause:.3f}", tokens=request.tokens.decode(), shared=request.prefix.tokens,
                     tries=len(request.attempt_log.attempts),
                 )  # fmt: skip
@@ -206,7 +207,9 @@
             wait = max(LEAST_RETRY_AFTER, request.route["target"] * REASK_SHARE)
             await self.reject(request.send, wait, decision.why)
             return
-        log_events.emit(170, self.settings.name, route=request.route_name, worker=worker, why=decision.why)
+        log_events.emit(
+            Event.PROXY_BROKEN, self.settings.name, route=request.route_name, worker=worker, why=decision.why
+        )
         if not request.begun:
             await self.answer(request.send, 504 if now() >= request.until else 502)
         # Otherwise nothing more is said, and the server closes the connection in the middle of the answer.
@@ -309,7 +312,7 @@
 
     def _avoid(self, name: str, health: WorkerHealth, why: str, silent: bool = False) -> None:
         if health.failed(now(), silent):
-            log_events.emit(171, self.settings.name, worker=name, why=why)
+            log_events.emit(Event.WORKER_AVOIDED, self.settings.name, worker=name, why=why)
 
     async def read_refusal(self, exchange: Exchange) -> None:
         """Reads the body of a refusal, so that its connection can be kept. Its head stands if the rest is late or cut;
--- a/postpass/gateway/worker_load.py
+++ b/postpass/gateway/worker_load.py
@@ -22,6 +22,7 @@
 from postpass.runtime import log_events
 from postpass.runtime.environment import Environment, now
 from postpass.runtime.errors import Fault, Stop
+from postpass.runtime.log_events import Event
 from postpass.worker_api.openai import Report, report
 
 MAX_CACHE_USE = 0.95  # a worker whose KV cache is fuller than this gets nothing new
@@ -233,7 +234,9 @@
             state.unusable = str(error) or repr(error)
         if state.unusable != state.logged:
             state.logged = state.unusable
-            log_events.emit(153, self.who, pool=worker.pool, server=worker.name, state=state.unusable or "up")
+            log_events.emit(
+                Event.WORKER_STATE_CHANGED, self.who, pool=worker.pool, server=worker.name, state=state.unusable or "up"
+            )
         self.signal()
 
     async def _check_health(self, url: str, limit: float) -> None:
--- a/postpass/membership/machine_registry.py
+++ b/postpass/membership/machine_registry.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from postpass.configuration.configuration import Configuration, Machine, with_duty
-from postpass.configuration.settings import addr_flaws
+from postpass.configuration.settings import address_errors
 from postpass.membership.registry import MachineAnnouncement, State, with_parts
 from postpass.membership.safe_change import Presence, Tolerance, machine_to_drop, safe_copies
 
@@ -26,7 +26,7 @@
     fields = MachineAnnouncement.__annotations__
     if not isinstance(announcement, dict) or set(announcement) != set(fields):
         return [f"entry: want {', '.join(fields)}, got {announcement!r:.80}"]
-    out = addr_flaws("peer", str(announcement["peer"])) + addr_flaws("http", str(announcement["http"]))
+    out = address_errors("peer", str(announcement["peer"])) + address_errors("http", str(announcement["http"]))
     if not announcement["name"] or not isinstance(announcement["name"], str):
         out.append(f"name: want a name, got {announcement['name']!r:.40}")
     if announcement["area"] not in zones:
--- a/postpass/membership/worker_registry.py
+++ b/postpass/membership/worker_registry.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, replace
 
 from postpass.configuration.configuration import Configuration, Pool, Server
-from postpass.configuration.settings import addr_flaws
+from postpass.configuration.settings import address_errors
 from postpass.membership.registry import State, WorkerAnnouncement, with_parts
 
 MAX_ENDED_WORKERS = 512  # lives of workers that are known to have ended, so that a late message doesn't bring them back
@@ -63,7 +63,7 @@
     worker's zone is not checked, since none is known."""
     url, zone = announcement["url"], announcement["area"]
     out = [] if url.startswith("http://") else [f"url: want http://IP:PORT, got {url!r:.60}"]
-    out += addr_flaws("url", url.removeprefix("http://"))
+    out += address_errors("url", url.removeprefix("http://"))
     if zones and zone not in zones:
         out.append(f"area: unknown area {zone!r:.60}")
     if announcement["slots"] < 1:
--- a/postpass/replication/acknowledger.py
+++ b/postpass/replication/acknowledger.py
@@ -11,7 +11,8 @@
 from postpass.replication.election import Election
 from postpass.replication.partition import Partition
 from postpass.replication.partition_table import PartitionTable
-from postpass.rpc.peer_links import IDL, Link
+from postpass.rpc.codec import IDL
+from postpass.rpc.connection import Link
 from postpass.runtime.environment import now
 
 
@@ -56,17 +57,18 @@
             if link is not None and owner in self.reconnected:
                 link.close("the owner connected anew")
             self.reconnected.discard(owner)
-            if link is None or link.closed or link.addr != addr:
+            if link is None or link.closed or link.address != addr:
                 got = await Link.open(addr, self.table.settings.bounds.silent)
                 if isinstance(got, Err):
                     await asyncio.sleep(self.table.settings.bounds.beat)
                     continue
                 link = got.unwrap()
-                assert link.pump is not None
-                link.pump.add_done_callback(lambda _: self.probe_soon(owner))
-            free, _ = self.table.log.disk.room()
+                assert link.reader_task is not None
+                link.reader_task.add_done_callback(lambda _: self.probe_soon(owner))
+            free, _ = self.table.log.disk.space()
             link.put(
-                "ack", [self.acknowledgement(self.table.partitions[n], free < self.table.log.hold) for n in numbers]
+                "ack",
+                [self.acknowledgement(self.table.partitions[n], free < self.table.log.reserved_bytes) for n in numbers],
             )
             try:
                 await asyncio.wait_for(link.drain(), self.table.settings.bounds.silent)
--- a/postpass/replication/catch_up.py
+++ b/postpass/replication/catch_up.py
@@ -12,7 +12,7 @@
 from postpass.replication.partition import Partition, empty_log
 from postpass.replication.partition_table import PartitionTable
 from postpass.replication.record_log import Record, RecordLog, match
-from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime.errors import MOVED, Fault
 
 PIECE = 256 << 10  # of records or of a base, in the answer to one question
--- a/postpass/replication/election.py
+++ b/postpass/replication/election.py
@@ -17,8 +17,8 @@
 from postpass.replication.partition import Partition, latest_view
 from postpass.replication.partition_table import PartitionTable
 from postpass.replication.record_log import RecordLog
-from postpass.rpc.peer_links import Body, PeerResponse
-from postpass.runtime.environment import hear, now
+from postpass.rpc.codec import Body, PeerResponse
+from postpass.runtime.environment import gather_until, now
 from postpass.runtime.errors import Stop
 
 
@@ -96,7 +96,7 @@
             return partition.may_lead(view, (have or {}) | voters | self.table.own_vote)
 
         body = request.encode()
-        answers = await hear(
+        answers = await gather_until(
             {n: self.table.ask(n, "promise", body) for n in names}, enough, self.table.settings.bounds.beat / 2
         )
         return {n: PromiseAnswer.decode(a.unwrap()) for n, a in answers.items() if isinstance(a, Ok)}
@@ -143,7 +143,7 @@
         epoch = partition.promised + 1
         partition.promised = epoch
         try:
-            await self.table.log.wait(self.write_promise(partition, epoch))
+            await self.table.log.wait_synced(self.write_promise(partition, epoch))
         except Stop:
             return
         request = PromiseRequest(partition.id, self.table.settings.name, handed_epoch, epoch, probe=False)
@@ -221,7 +221,7 @@
         partition.aligned = 0
         partition.heard, partition.contacted = now(), True
         try:
-            await self.table.log.wait(self.write_promise(partition, epoch))
+            await self.table.log.wait_synced(self.write_promise(partition, epoch))
         except Stop as bad:
             return Err(bad.fault)
         if partition.promised != epoch:
--- a/postpass/replication/handover.py
+++ b/postpass/replication/handover.py
@@ -10,6 +10,7 @@
 from postpass.replication.partition_table import PartitionTable
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
+from postpass.runtime.log_events import Event
 
 
 @dataclass(eq=False)
@@ -43,7 +44,9 @@
 
     def hand_over(self, partition: Partition, name: str) -> None:
         """Steps down and tells a member that it may run for owner at once."""
-        log_events.emit(126, self.table.settings.name, part=partition.id, to=name, epoch=partition.epoch)
+        log_events.emit(
+            Event.OWNERSHIP_HANDED_OVER, self.table.settings.name, part=partition.id, to=name, epoch=partition.epoch
+        )
         epoch = partition.epoch
         partition.step_down()
         partition.aligned, partition.heard = epoch, now()
--- a/postpass/replication/log_entries.py
+++ b/postpass/replication/log_entries.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from postpass.rpc.peer_links import IDL
+from postpass.rpc.codec import IDL
 
 PROMISE = "promise"
 BASE = "base"
--- a/postpass/replication/messages.py
+++ b/postpass/replication/messages.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from postpass.replication.record_log import Record
-from postpass.rpc.peer_links import Body
+from postpass.rpc.codec import Body
 
 # Kinds of messages in an owner's stream (`Packet.kind`).
 HEARTBEAT = "beat"  # the owner is there; carries what is covered
--- a/postpass/replication/mirror.py
+++ b/postpass/replication/mirror.py
@@ -16,10 +16,11 @@
 from postpass.replication.partition import Partition
 from postpass.replication.partition_table import PartitionTable
 from postpass.replication.record_log import Record, RecordLog
-from postpass.rpc.peer_links import Body, PeerResponse
+from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
 from postpass.runtime.errors import FULL, Fault, Stop
+from postpass.runtime.log_events import Event
 
 
 @dataclass(eq=False)
@@ -56,7 +57,7 @@
                 self.table.step_down(partition, epoch)
             partition.aligned = 0
             try:
-                await self.table.log.wait(self.election.write_promise(partition, epoch))
+                await self.table.log.wait_synced(self.election.write_promise(partition, epoch))
             except Stop as bad:
                 return Err(bad.fault)
             if partition.promised != epoch:
@@ -79,7 +80,7 @@
         if hello.failed_disk != self.table.disk_id or hello.epoch != partition.promised:
             return
         why = f"partition {partition.id}: {hello.owner} holds acknowledgements of more than this log has"
-        self.table.log.bad = why
+        self.table.log.failure = why
         if not self.disk_failed.done():
             self.disk_failed.set_result(Fault("read log", self.table.settings.name, why))
 
@@ -100,7 +101,7 @@
             partition.aligned = partition.handshake_epoch = 0
             if bad.fault.code != FULL:
                 raise
-            log_events.emit(114, self.table.settings.name, part=partition.id)
+            log_events.emit(Event.DISK_FULL, self.table.settings.name, part=partition.id)
         partition.covered = (
             max(partition.covered, min(packet.covered, partition.record_log.last))
             if partition.aligned == packet.epoch
--- a/postpass/replication/owner.py
+++ b/postpass/replication/owner.py
@@ -13,10 +13,11 @@
 from postpass.replication.partition_table import PartitionTable
 from postpass.replication.record_log import Record
 from postpass.replication.streaming import MirrorStreams
-from postpass.rpc.peer_links import Body
+from postpass.rpc.codec import Body
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
 from postpass.runtime.errors import BROKE, FULL, SLOW, Fault, Stop
+from postpass.runtime.log_events import Event
 
 
 @dataclass(eq=False)
@@ -52,7 +53,7 @@
         elif step is Step.LEAD_AFTER_LOSS:
             records.append(partition.make("loss", {"crew": voters, "edition": losses + 1, "lots": lost}))
             log_events.emit(
-                125,
+                Event.PARTITION_DATA_LOSS,
                 self.table.settings.name,
                 part=partition.id,
                 revision=losses + 1,
@@ -69,7 +70,13 @@
             raise
         self.announce_epochs({str(partition.id): epoch})
         self.table.counts["takeovers"] += 1
-        log_events.emit(120, self.table.settings.name, part=partition.id, epoch=epoch, last=partition.record_log.last)
+        log_events.emit(
+            Event.OWNER_ELECTED,
+            self.table.settings.name,
+            part=partition.id,
+            epoch=epoch,
+            last=partition.record_log.last,
+        )
         self.streams.wake_all(partition)
 
     def advance(self, partition: Partition) -> None:
@@ -90,12 +97,12 @@
         """Sequences one record and streams it at once. Raises Stop, with nothing sequenced, if the disk
         won't take it."""
         if not vital:
-            free, _ = self.table.log.disk.room()
-            if free - len(json.dumps(body)) - len(raw) - 256 < self.table.log.hold:
-                log_events.emit(114, self.table.settings.name, part=partition.id)
+            free, _ = self.table.log.disk.space()
+            if free - len(json.dumps(body)) - len(raw) - 256 < self.table.log.reserved_bytes:
+                log_events.emit(Event.DISK_FULL, self.table.settings.name, part=partition.id)
                 raise Stop(Fault("append", self.table.settings.name, "the disk is full", FULL))
-        if self.table.log.bad:
-            raise Stop(Fault("append", self.table.settings.name, self.table.log.bad, BROKE))
+        if self.table.log.failure:
+            raise Stop(Fault("append", self.table.settings.name, self.table.log.failure, BROKE))
         record = partition.make(kind, body, raw)
         try:
             self.table.write(partition, [record.entry(partition.id)])
--- a/postpass/replication/partition.py
+++ b/postpass/replication/partition.py
@@ -20,7 +20,7 @@
     covers,
     promises_suffice,
 )
-from postpass.rpc.peer_links import PACKET
+from postpass.rpc.codec import PACKET
 
 Members = dict[str, str]
 
--- a/postpass/replication/partition_table.py
+++ b/postpass/replication/partition_table.py
@@ -16,10 +16,12 @@
 from postpass.replication.log_entries import BASE, CUT, PROMISE, RECORD, base_entry, promise_entry
 from postpass.replication.partition import Partition
 from postpass.replication.record_log import Record, RecordLog
-from postpass.rpc.peer_links import Body, PeerLinks, PeerResponse
+from postpass.rpc.codec import Body, PeerResponse
+from postpass.rpc.peer_links import PeerLinks
 from postpass.runtime import log_events
 from postpass.runtime.environment import Environment, now
 from postpass.runtime.errors import LACK, Fault
+from postpass.runtime.log_events import Event
 from postpass.storage.data_directory import DataDirectory, open_data_directory
 from postpass.storage.segmented_log import SegmentedLog
 
@@ -99,7 +101,9 @@
     def step_down(self, partition: Partition, epoch: int) -> None:
         """Ends an ownership, if there is one, since an epoch was seen; the next election waits for the full timeout."""
         if partition.owning:
-            log_events.emit(121, self.settings.name, part=partition.id, epoch=partition.epoch, seen=epoch)
+            log_events.emit(
+                Event.OWNER_STEPPED_DOWN, self.settings.name, part=partition.id, epoch=partition.epoch, seen=epoch
+            )
             partition.step_down()
         partition.promised = max(partition.promised, epoch)
         partition.heard = now()
--- a/postpass/replication/reconfiguration.py
+++ b/postpass/replication/reconfiguration.py
@@ -10,6 +10,7 @@
 from postpass.replication.partition_table import PartitionTable
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
+from postpass.runtime.log_events import Event
 
 
 @dataclass(eq=False)
@@ -33,7 +34,7 @@
         if change is not None:
             self.owner.append(partition, "crew", {"crew": change.members})
             log_events.emit(
-                124,
+                Event.MEMBERS_CHANGED,
                 self.table.settings.name,
                 part=partition.id,
                 joins=",".join(change.joins),
--- a/postpass/replication/store.py
+++ b/postpass/replication/store.py
@@ -38,10 +38,11 @@
 from postpass.replication.reconfiguration import Reconfiguration
 from postpass.replication.record_log import Record
 from postpass.replication.streaming import MirrorStreams
-from postpass.rpc.peer_links import Body, PeerLinks, PeerResponse
+from postpass.rpc.codec import Body, PeerResponse
+from postpass.rpc.peer_links import PeerLinks
 from postpass.runtime.environment import Environment, now
 from postpass.runtime.errors import Fault
-from postpass.storage.data_directory import distrust
+from postpass.storage.data_directory import revoke_identity
 from postpass.storage.segmented_log import SegmentedLog
 
 
@@ -149,7 +150,7 @@
 
     def tasks(self) -> list[Any]:
         """What runs as long as the process does."""
-        return [self.table.log.keep(), self.watch_sync(), self.tick(), self.mirror.watch_disk()]
+        return [self.table.log.sync_forever(), self.watch_sync(), self.tick(), self.mirror.watch_disk()]
 
     def handlers(self) -> dict[str, Any]:
         """The verbs of peers and who answers them."""
@@ -162,7 +163,7 @@
     async def watch_sync(self) -> None:
         """Counts what the disk has synced, each time that it has."""
         while True:
-            moved = self.table.log.moved
+            moved = self.table.log.sync_done
             await moved.wait()
             self.synced()
 
@@ -203,13 +204,13 @@
                     self.election.run_if_silent(partition)
                 partition.trim(self.table.settings.buffer_bytes // max(len(self.table.partitions), 1))
             self.job_service.report()
-            if self.table.log.heavy():
+            if self.table.log.is_compaction_due():
                 await self.table.log.compact(self.table.snapshot())
                 self.synced()
 
     async def on_parts(self, _body: Body) -> PeerResponse:
         """The partitions and the disk of this store, for operators."""
-        free, whole = self.table.log.disk.room()
+        free, whole = self.table.log.disk.space()
         rows = [
             {
                 "part": p.id, "owner": p.owner, "epoch": max(p.epoch, p.aligned), "last": p.record_log.last, "covered": p.covered,
@@ -223,10 +224,10 @@
             }
             for p in sorted(self.table.partitions.values(), key=lambda partition: partition.id)
         ]  # fmt: skip
-        return Ok({"disk": self.table.disk_id, "free": free, "size": whole, "parts": rows, "bad": self.table.log.bad,
-                   "held": self.table.log.hold})  # fmt: skip
+        return Ok({"disk": self.table.disk_id, "free": free, "size": whole, "parts": rows, "bad": self.table.log.failure,
+                   "held": self.table.log.reserved_bytes})  # fmt: skip
 
     def fail(self) -> None:
         """After a failed sync: nothing this folder says counts any more."""
-        if self.table.environment.disk is not None and self.table.log.bad:
-            distrust(self.table.environment.disk)
+        if self.table.environment.disk is not None and self.table.log.failure:
+            revoke_identity(self.table.environment.disk)
--- a/postpass/replication/streaming.py
+++ b/postpass/replication/streaming.py
@@ -11,9 +11,11 @@
 from postpass.replication.partition import MirrorProgress, OutgoingMessage, Partition
 from postpass.replication.partition_table import PartitionTable
 from postpass.replication.record_log import match
-from postpass.rpc.peer_links import IDL, PACKET, Link
+from postpass.rpc.codec import IDL, PACKET
+from postpass.rpc.connection import Link
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
+from postpass.runtime.log_events import Event
 
 TURN = 4 * PACKET  # what one partition may send to a mirror before the others' heartbeats and records have their turn
 
@@ -52,7 +54,7 @@
                     link = None
                 await self.back_off(name, bounds.beat)
                 continue
-            if link is None or link.closed or link.addr != addr:
+            if link is None or link.closed or link.address != addr:
                 got = await Link.open(addr, bounds.silent / 2)
                 if isinstance(got, Err):
                     for partition in owned:
@@ -116,7 +118,7 @@
         if not mirror.silent and now() - mirror.heard > self.table.settings.bounds.silent:
             mirror.silent = True
             mirror.link = None
-            log_events.emit(122, self.table.settings.name, part=partition.id, mirror=name)
+            log_events.emit(Event.MIRROR_SILENT, self.table.settings.name, part=partition.id, mirror=name)
 
     def send(self, link: Link, partition: Partition, kind: str, seq: int, born: int, prior: int, body: bytes) -> None:
         """Sends a whole message, packet by packet."""
@@ -192,7 +194,9 @@
         """Tells a mirror that it acknowledged more under this very epoch: its disk lost what it had synced, which is no
         torn tail."""
         me = self.table.settings.name
-        log_events.emit(112, me, part=partition.id, mirror=name, last=answer.last, acknowledged=acknowledged)
+        log_events.emit(
+            Event.DISK_DAMAGED, me, part=partition.id, mirror=name, last=answer.last, acknowledged=acknowledged
+        )
         hello = Hello(partition.id, partition.epoch, me, failed_disk=answer.disk)
         await link.call("hello", hello.encode(), self.table.settings.bounds.promise)
         link.close("its disk lost what it had acknowledged")
@@ -200,7 +204,9 @@
     def begin_snapshot(self, partition: Partition, name: str, mirror: MirrorProgress) -> None:
         """The logs have nothing in common that both still hold: the mirror's is replaced by base and records."""
         record_log = partition.record_log
-        log_events.emit(123, self.table.settings.name, part=partition.id, mirror=name, base=record_log.base_seq)
+        log_events.emit(
+            Event.MIRROR_REFILLED, self.table.settings.name, part=partition.id, mirror=name, base=record_log.base_seq
+        )
         self.table.counts["refills"] += 1
         mirror.outgoing = OutgoingMessage(
             SNAPSHOT, record_log.base_seq, record_log.base_epoch, 0, record_log.base.dump()
--- a/postpass/worker_api/plugins.py
+++ b/postpass/worker_api/plugins.py
@@ -15,6 +15,7 @@
 from typing import Any
 
 from postpass.runtime import log_events
+from postpass.runtime.log_events import Event
 
 AFFINITY_MARGIN = 0.25  # of its slots by which the preferred worker may be more loaded than the least loaded one
 
@@ -95,9 +96,9 @@
             chosen = find("place", name)(request, candidates)
             if chosen in {c.name for c in candidates}:
                 return str(chosen)
-            log_events.emit(154, who, plug=name, why=f"answered {chosen!r:.40}")
+            log_events.emit(Event.PLUGIN_FAILED, who, plug=name, why=f"answered {chosen!r:.40}")
         except Exception as error:
-            log_events.emit(154, who, plug=name, why=repr(error)[:120])
+            log_events.emit(Event.PLUGIN_FAILED, who, plug=name, why=repr(error)[:120])
     return least_loaded(request, candidates)
 
 
@@ -108,9 +109,9 @@
             key = find("prefix", name)(request)
             if isinstance(key, str):
                 return key
-            log_events.emit(154, who, plug=name, why=f"answered {key!r:.40}")
+            log_events.emit(Event.PLUGIN_FAILED, who, plug=name, why=f"answered {key!r:.40}")
         except Exception as error:
-            log_events.emit(154, who, plug=name, why=repr(error)[:120])
+            log_events.emit(Event.PLUGIN_FAILED, who, plug=name, why=repr(error)[:120])
     return first_part_key(request)
 
 
--- a/tests/control/test_release_messages.py
+++ b/tests/control/test_release_messages.py
@@ -20,7 +20,7 @@
 )
 from postpass.control.order_messages import OrderAnswer, WorkerHeartbeat, order_of
 from postpass.control.read_messages import ReadRequest, RevisionAnswer, SourceAnswer
-from postpass.rpc.peer_links import Body
+from postpass.rpc.codec import Body
 from tests.support.peer_frames import CALL, REPLY, Frame
 
 RECORDED = Path(__file__).parents[1] / "data" / "ce9bbc7" / "frames.json"
--- a/tests/control/test_voters.py
+++ b/tests/control/test_voters.py
@@ -12,7 +12,7 @@
 from postpass.control.daemon import ControlPlane
 from postpass.control.election_rules import Cause, ElectionReason
 from postpass.control.epochs import ReplicaSet
-from postpass.rpc.peer_links import Body
+from postpass.rpc.codec import Body
 from tests.control.test_leadership import (
     DETECTION_TIME,
     RECOVERY_TIME,
--- a/tests/replication/test_messages.py
+++ b/tests/replication/test_messages.py
@@ -17,7 +17,7 @@
     PromiseRequest,
 )
 from postpass.replication.record_log import Record
-from postpass.rpc.peer_links import Body
+from postpass.rpc.codec import Body
 
 Message = PromiseRequest | PromiseAnswer | Hello | HelloAnswer | FetchRequest | FetchAnswer
 WIRE: list[tuple[Message, str]] = [
--- a/tests/sim/test_broken_variants.py
+++ b/tests/sim/test_broken_variants.py
@@ -143,10 +143,10 @@
     """Calls synced what was only written."""
 
     async def sync(self: SegmentedLog) -> None:
-        async with self.busy:
-            self.synced = max(self.synced, self.ends)
-        self.moved.set()
-        self.moved = asyncio.Event()
+        async with self.lock:
+            self.synced = max(self.synced, self.end)
+        self.sync_done.set()
+        self.sync_done = asyncio.Event()
 
     mp.setattr(SegmentedLog, "sync", sync)
 
@@ -206,7 +206,7 @@
 
 def takes_invalid(mp: pytest.MonkeyPatch) -> None:
     mp.setattr(module("configuration"), "line_flaws", lambda *_: [])
-    mp.setattr("postpass.control.configuration.deep_flaws", lambda *_: [])
+    mp.setattr("postpass.control.configuration.semantic_errors", lambda *_: [])
 
 
 def reads_old(mp: pytest.MonkeyPatch) -> None:
--- a/tests/test_readable_code.py
+++ b/tests/test_readable_code.py
@@ -46,6 +46,7 @@
         "gossip", "announcer", "health_endpoints", "process", "data_plane_status", "data_plane", "commands",
     ),
     "cli": ("fleet_client", "status_page", "status", "doctor", "main", "renamed_commands"),
+    "storage": ("segmented_log", "data_directory"),
 }  # fmt: skip
 # Withdrawn words that still stand in names, by module. The users of these names are being worked on.
 STANDING_NAMES: dict[str, set[str]] = {
