--- a/postpass/control/replica.py
+++ b/postpass/control/replica.py
@@ -252,6 +252,6 @@
         def enough(got: dict[str, Acknowledgement | None]) -> bool:
             return pair.confirmed_by([mine, *(a for a in got.values() if a is not None)])
 
-        asks = {n: self.append_to(None, epoch, n) for n in {*pair.voters, *pair.backups} - {self.settings.name}}
-        got = await hear(dict(sorted(asks.items())), enough, 0.0)
+        names = sorted({*pair.voters, *pair.backups} - {self.settings.name})
+        got = await hear({n: self.append_to(None, epoch, n) for n in names}, enough, 0.0)
         return [mine, *(a for a in got.values() if a is not None)]
