--- a/postpass/rpc/peer_links.py
+++ b/postpass/rpc/peer_links.py
@@ -257,17 +257,23 @@
             return Ok(link)
         task = self.opening.get(addr)
         if task is None or task.done():
-            task = asyncio.create_task(Link.open(addr, wait))
+            task = asyncio.create_task(self._open(addr, wait))
             self.opening[addr] = task
         try:
             got = await asyncio.wait_for(asyncio.shield(task), wait)
         except TimeoutError:
             return Err(Fault("connect", addr, "no answer in time", unsent=True))
+        self.opening.pop(addr, None)
+        return got
+
+    async def _open(self, addr: str, wait: float) -> Result[Link, Fault]:
+        """Opening takes up to twice `wait`, so whoever asked may have given up: the link is kept for the next one. One
+        that nobody held would live until the garbage collector found it, a moment that differs from run to run."""
+        got = await Link.open(addr, wait)
         if isinstance(got, Ok):
             old = self.links.get(addr)
             if old is None or old.closed:
                 self.links[addr] = got.unwrap()
-        self.opening.pop(addr, None)
         return got
 
     async def call(self, addr: str, name: str, body: Body, wait: float) -> Result[Body, Fault]:
--- a/tests/rpc/test_peer_links.py
+++ b/tests/rpc/test_peer_links.py
@@ -86,3 +86,32 @@
     assert run_sim(main) == [
         Ok({"t": 1}), Ok({"t": 2}), b"", Err(Fault("show", "2", "late", 504)), SLOW, "no such duty here", [1, 2, 3],
     ]  # fmt: skip
+
+
+def test_a_link_that_opens_after_its_caller_gave_up_is_kept_for_the_next() -> None:
+    """Held by nobody, it would be closed whenever the garbage collector came by, which differs from run to run."""
+    from sim.loop import Host, SimLoop, run_sim
+
+    async def main(loop: SimLoop) -> None:
+        one, two = (loop.add(Host(n, (n,), "a")) for n in ("1", "2"))
+        loop.net.near = 0.25
+
+        async def serve() -> None:
+            async def show(_body: Body) -> Result[Body, Fault]:
+                return Ok({})
+
+            await PeerServer("two", {"show": show}).listen("2:7")
+
+        async def call() -> None:
+            links = PeerLinks()
+            late = await links.call("2:7", "show", {}, 1.0)
+            assert isinstance(late, Err) and late.unwrap_err().unsent
+            await asyncio.sleep(2.0)
+            kept = links.links["2:7"]
+            assert not kept.closed
+            assert await links.call("2:7", "show", {}, 1.0) == Ok({}) and links.links["2:7"] is kept
+
+        await loop.create_task(serve(), context=two.context())
+        await loop.create_task(call(), context=one.context())
+
+    run_sim(main)
