--- a/postpass/gateway/connection_pool.py
+++ b/postpass/gateway/connection_pool.py
@@ -18,12 +18,12 @@
 @dataclass(eq=False)
 class ConnectionPool:
     """Owner: an edge's relay, or a scheduler. Invariants: `idle` connections have no exchange, the last used last;
-    `opened` counts every connection of an address that is open or being opened, idle ones too."""
+    `opened` has every connection of an address that is open or being opened, idle ones too, the newest last."""
 
     connect: float = 0.5  # seconds until a connection attempt is given up
     silence: float = 3.0  # seconds until a peer that doesn't acknowledge is believed gone
     idle: dict[str, list[UpstreamConnection]] = field(default_factory=dict)
-    opened: dict[str, set[UpstreamConnection]] = field(default_factory=dict)
+    opened: dict[str, list[UpstreamConnection]] = field(default_factory=dict)
     made: int = 0  # connections ever opened
     sent: int = 0  # requests ever written
     usual_seconds: float = 0.0  # that a connection takes to open: the longest lately; 0 before the first
@@ -70,7 +70,7 @@
         """A new connection within `limit` seconds. Raises Stop; nothing was sent."""
         host, port = split(addr)
         connection = UpstreamConnection(addr, self)
-        self.opened.setdefault(addr, set()).add(connection)
+        self.opened.setdefault(addr, []).append(connection)
         self.made += 1
         loop = asyncio.get_running_loop()
         began = loop.time()
--- a/tests/gateway/test_upstream_connection.py
+++ b/tests/gateway/test_upstream_connection.py
@@ -299,3 +299,27 @@
         assert 0.15 < await took() < 0.25
 
     run(well, main)
+
+
+def test_connections_are_closed_in_the_order_in_which_they_were_opened() -> None:
+    """Not in that of their addresses in memory, which differs from run to run."""
+
+    async def silent(_c: int, _n: int, _head: bytes, _writer: asyncio.StreamWriter) -> None:
+        return None
+
+    async def main(links: ConnectionPool, _loop: SimLoop, _worker: Worker) -> None:
+        closed: list[int] = []
+
+        async def one(number: int) -> None:
+            assert await ask(links) == ("close", False)
+            closed.append(number)
+
+        others = [object() for _ in range(1000)]  # holes between them are where connections may come to stand
+        del others[::3]
+        tasks = [asyncio.create_task(one(number)) for number in range(40)]
+        await asyncio.sleep(0.5)
+        links.close()
+        await asyncio.gather(*tasks)
+        assert closed == list(range(40))
+
+    run(silent, main)
