--- a/postpass/replication/partition.py
+++ b/postpass/replication/partition.py
@@ -209,7 +209,7 @@
 
     def _wake(self) -> None:
         """Resolves the waiters whose record is covered."""
-        far = {t: self.reach(t) for t in {t for _, t, _ in self.waiters if t}}
+        far = {t: self.reach(t) for t in dict.fromkeys([t for _, t, _ in self.waiters if t])}
         left = []
         for seq, text, future in self.waiters:
             if future.done():
