--- a/postpass/control/replica.py
+++ b/postpass/control/replica.py
@@ -269,9 +269,6 @@
         def enough(got: dict[str, Acknowledgement | None]) -> bool:
             return replica_set.confirmed_by([mine, *(a for a in got.values() if a is not None)])
 
-        asks = {
-            n: self.append_to(None, epoch, n)
-            for n in {*replica_set.voters, *replica_set.backups} - {self.settings.name}
-        }
-        got = await gather_until(dict(sorted(asks.items())), enough, 0.0)
+        names = sorted({*replica_set.voters, *replica_set.backups} - {self.settings.name})
+        got = await gather_until({name: self.append_to(None, epoch, name) for name in names}, enough, 0.0)
         return [mine, *(a for a in got.values() if a is not None)]
--- a/postpass/rpc/peer_links.py
+++ b/postpass/rpc/peer_links.py
@@ -34,17 +34,26 @@
             return Ok(link)
         task = self.opening.get(address)
         if task is None or task.done():
-            task = asyncio.create_task(Link.open(address, limit))
+            task = asyncio.create_task(self._open(address, limit))
             self.opening[address] = task
         try:
             opened = await asyncio.wait_for(asyncio.shield(task), limit)
         except TimeoutError:
             return Err(Fault("connect", address, "no answer in time", unsent=True))
+        self.opening.pop(address, None)
+        return opened
+
+    async def _open(self, address: str, limit: float) -> Result[Link, Fault]:
+        """Opens a link and keeps it for the next request, even if whoever asked for it has given up.
+
+        Opening takes up to twice `limit`. A link that nobody held would live until the garbage collector found it, a
+        moment that differs from run to run.
+        """
+        opened = await Link.open(address, limit)
         if isinstance(opened, Ok):
             present = self.links.get(address)
             if present is None or present.closed:
                 self.links[address] = opened.unwrap()
-        self.opening.pop(address, None)
         return opened
 
     async def call(self, address: str, name: str, body: Body, limit: float) -> PeerResponse:
