--- a/postpass/daemon/data_plane.py
+++ b/postpass/daemon/data_plane.py
@@ -43,21 +43,20 @@
     store: Store | None = None
     session: aiohttp.ClientSession | None = None
     relay: Relay | None = None
-    worker_links: ConnectionPool | None = None
+    connection_pool: ConnectionPool | None = None
 
     def __init__(
         self, settings: Settings, environment: Environment, release: str = "", dialect: Dialect | None = None
     ) -> None:
         super().__init__(settings, environment, release or RELEASE)
         self.dialect = dialect or Dialect()
-        self.edge = self.scheduler = self.store = self.session = self.relay = self.worker_links = None
+        self.edge = self.scheduler = self.store = self.session = self.relay = self.connection_pool = None
         if "store" in settings.duties:
             self.store = Store(settings, environment, self.configuration_view, self.peer_links)
             self.store.owner.announce_epochs = self.gossip.raise_epochs
-            election = self.store.election
-            election.ask_kept_jobs = self.ask_kept_jobs
-            election.ask_epochs = self.gossip.ask_epochs
-            election.known_epochs = self.gossip.partition_epochs
+            self.store.election.ask_kept_jobs = self.ask_kept_jobs
+            self.store.election.ask_epochs = self.gossip.ask_epochs
+            self.store.election.known_epochs = self.gossip.partition_epochs
 
     async def open(self) -> None:
         """Reads the store's disk, and makes what the other duties need."""
@@ -104,7 +103,7 @@
             self.registry, dialect=self.dialect,
         )  # fmt: skip
         if self.settings.announce:
-            self.scheduler.runner.workers = self.worker_links = ConnectionPool()
+            self.scheduler.runner.workers = self.connection_pool = ConnectionPool()
 
     def handlers(self) -> dict[str, Any]:
         """The verbs of peers that the duties answer."""
@@ -136,11 +135,9 @@
 
     def kept_jobs(self, part: int) -> list[str]:
         """Names of jobs of a partition that this edge has lately told a client to be accepted."""
-        return (
-            self.edge.remembered_jobs(part)
-            if self.edge is not None and self.configuration_view.manifest is not None
-            else []
-        )
+        if self.edge is None or self.configuration_view.manifest is None:
+            return []
+        return self.edge.remembered_jobs(part)
 
     def ready(self) -> str:
         """Empty if ready to serve; else what is lacking."""
@@ -221,8 +218,8 @@
                 await self.session.close()
             if self.relay is not None:
                 self.relay.close()
-            if self.worker_links is not None:
-                self.worker_links.close()
+            if self.connection_pool is not None:
+                self.connection_pool.close()
 
     async def more_status(self) -> Body:
         """What the duties add to the status page."""
--- a/postpass/daemon/data_plane_status.py
+++ b/postpass/daemon/data_plane_status.py
@@ -83,10 +83,10 @@
     return {
         f"{pool}/{name}": {
             "barred": edge.worker_load.barred(pool, name, edge.admission.report_max_age),
-            "mine": spot.in_flight.total(),
-            "weights": spot.report.weights if spot.report else "",
-            "running": spot.report.running if spot.report else 0,
-            "waiting": spot.report.waiting if spot.report else 0,
+            "mine": worker.in_flight.total(),
+            "weights": worker.report.weights if worker.report else "",
+            "running": worker.report.running if worker.report else 0,
+            "waiting": worker.report.waiting if worker.report else 0,
         }
-        for (pool, name), spot in sorted(edge.worker_load.workers.items())
+        for (pool, name), worker in sorted(edge.worker_load.workers.items())
     }
--- a/tests/test_readable_code.py
+++ b/tests/test_readable_code.py
@@ -50,7 +50,6 @@
 }  # fmt: skip
 # Withdrawn words that still stand in names, by module. The users of these names are being worked on.
 STANDING_NAMES: dict[str, set[str]] = {
-    "control/api.py": {"ways: say route"},
     # Verbs of peers, by which their handlers are found.
     "control/member.py": {"on_look: say prepare"},
     "control/registry.py": {"on_beat: say heartbeat"},
