--- a/postpass/daemon/data_plane.py
+++ b/postpass/daemon/data_plane.py
@@ -141,18 +141,17 @@
 
     def ready(self) -> str:
         """Empty if ready to serve; else what is lacking."""
-        if self.leaving:
-            return "it is leaving"
+        return "it is leaving" if self.leaving else self.unready()
+
+    def unready(self) -> str:
+        """What is lacking to answer clients. One that leaves still answers them, unless it never came so far: without a
+        proved configuration it can't tell a request that no route fits from one that it doesn't know yet."""
         lack = super().ready() or ("" if self.configuration_view.fresh else "no fresh news yet")
         configuration = self.configuration_view.manifest
         if not lack and self.relay is not None and configuration is not None and not configuration.get("routes"):
             lack = "no routes yet"
         return lack
 
-    def unready(self) -> str:
-        """What is lacking to answer clients: one that leaves still does."""
-        return "" if self.leaving else self.ready()
-
     def app(self) -> Any:
         """The ASGI application; in an announced fleet the relay stands before it."""
         inner = super().app()
--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -7,6 +7,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
+import pytest
 from prometheus_client import CollectorRegistry
 
 from postpass.configuration.configuration import Configuration, Route
@@ -765,6 +766,34 @@
     run_sim(world)
 
 
+@pytest.mark.parametrize("known", [False, True], ids=["no configuration", "not fresh"])
+def test_an_edge_told_to_end_before_it_is_ready_sends_clients_elsewhere(known: bool) -> None:
+    async def world(loop: SimLoop) -> None:
+        here = loop.add(Host("e", ("127.0.0.1",), "a"))
+        settings = Settings(
+            "e", "a", "127.0.0.1:1", "127.0.0.1:2", ("127.0.0.8:1",), ("edge",), announce=True, bounds=Bounds(grace=8.0)
+        )
+        data = DataPlane(settings, Environment())
+        if known:
+            data.configuration_view.accept(1, manifest(["w1"]))
+        task = loop.create_task(data.run(), context=here.context())
+
+        async def main() -> None:
+            await asyncio.sleep(0.1)
+            data.stop.set()
+            await asyncio.sleep(0.1)
+            reader, writer = await asyncio.open_connection("127.0.0.1", 2)
+            writer.write(b"GET /i/x HTTP/1.1\r\nhost: shop.example\r\nx-call-id: c1\r\n\r\n")
+            status, heads, _, _ = await read_answer(reader)
+            writer.close()
+            assert status == 503 and "retry-after" in heads
+            await asyncio.wait_for(task, 6)
+
+        await loop.create_task(main(), context=here.context())
+
+    run_sim(world)
+
+
 def test_a_stream_is_taken_up_elsewhere_when_its_worker_goes_dark_and_not_when_it_only_stalls() -> None:
     async def long(_w: Worker, _n: int, head: bytes, writer: asyncio.StreamWriter) -> None:
         at = int(word(head, "last-event-id") or -1) + 1
