--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -33,7 +33,7 @@
 from postpass.batch import job_api
 from postpass.batch.job import Job, JobView, job_digest, pack_items
 from postpass.batch.job_service import JobService
-from postpass.configuration.configuration import part_of
+from postpass.configuration.configuration import partition_of
 from postpass.control.daemon import ControlPlane
 from postpass.control.epochs import ReplicaSet
 from postpass.control.state import ReplicatedState
@@ -370,7 +370,7 @@
         owned = {p.id: n for n, s in fleet.stores() for p in s.partitions.values() if p.owning}
         while True:  # one whose owner doesn't schedule, so that both are told apart
             lot = clients.make_lot(kind, items)
-            if owned[part_of(lot.id, INITIAL_PARTITIONS)] not in active:
+            if owned[partition_of(lot.id, INITIAL_PARTITIONS)] not in active:
                 break
         with metered() as meter:
             await asyncio.sleep(4.0)
@@ -405,7 +405,7 @@
             n
             for n, s in fleet.stores()
             for p in s.partitions.values()
-            if not p.owning and p.id == part_of(lot.id, INITIAL_PARTITIONS) and n not in active
+            if not p.owning and p.id == partition_of(lot.id, INITIAL_PARTITIONS) and n not in active
         ]
         stores = [m.name for m in fleet.of("store")]
 
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -29,7 +29,7 @@
 from bench.clients import Callers, Load
 from bench.deploy import DEPLOYMENTS, Deployment
 from bench.plan import changed, config
-from postpass.configuration.configuration import part_of
+from postpass.configuration.configuration import partition_of
 from sim.check import CHECKS, Bounds, History, breaches
 
 Event = dict[str, Any]
@@ -353,7 +353,7 @@
         parts: dict[int, float] = {}
         for e in fleet.events:
             if e["ev"] == "lot" and e["answer"] == "kept" and e["t"] > at:
-                parts.setdefault(part_of(e["id"], fleet.configuration["parts"]), e["t"] - at)
+                parts.setdefault(partition_of(e["id"], fleet.configuration["parts"]), e["t"] - at)
         self.note(f"lots were kept again {min(kept, default=at + 99) - at:.1f} s after the loss, in the last of "
                   f"{len(parts)} partitions after {max(parts.values(), default=99):.1f} s")  # fmt: skip
 
--- a/postpass/batch/job_api.py
+++ b/postpass/batch/job_api.py
@@ -12,8 +12,8 @@
 from result import Err, Result
 
 from postpass.batch.messages import Item, ResultsRequest
-from postpass.configuration.configuration import Route, part_of
-from postpass.configuration.schema import flaws
+from postpass.configuration.configuration import Route, partition_of
+from postpass.configuration.schema import validation_errors
 from postpass.gateway.gateway import Gateway
 from postpass.gateway.request_bodies import IDENTIFIER
 from postpass.rpc.codec import Body
@@ -42,7 +42,7 @@
 
 def job_flaw(body: Any, most: int = MAX_ITEMS) -> str:
     """The first flaw of a job's body, with its path; empty if there is none. A job has `most` items at the most."""
-    found = flaws(Items, body)
+    found = validation_errors(Items, body)
     if found:
         return found[0]
     items = body["items"]
@@ -119,7 +119,7 @@
         if flaw:
             return JobAnswer(400, {"error": flaw})
         job = self.job_body(name, route, job_id, body["items"])
-        partition = part_of(job_id, edge.configuration["parts"])
+        partition = partition_of(job_id, edge.configuration["parts"])
         answer = await edge.owners.ask(partition, "accept", {"lot": job}, now() + self.patience())
         if isinstance(answer, Err):
             return self.not_accepted(answer.unwrap_err())
@@ -158,7 +158,7 @@
             return Err(503)
         if not IDENTIFIER.fullmatch(job_id):
             return Err(404)
-        partition = part_of(job_id, edge.configuration["parts"])
+        partition = partition_of(job_id, edge.configuration["parts"])
         answer = await edge.owners.ask(partition, verb, body | {"id": job_id}, now() + wait)
         return answer.map_err(lambda fault: 404 if fault.code == LACK else 503)
 
--- a/postpass/batch/quota_service.py
+++ b/postpass/batch/quota_service.py
@@ -18,7 +18,7 @@
 from postpass.batch.partition_access import PartitionAccess
 from postpass.batch.partition_client import PartitionClient
 from postpass.batch.quota import Budget
-from postpass.configuration.configuration import Configuration, Route, part_of
+from postpass.configuration.configuration import Configuration, Route, partition_of
 from postpass.replication.partition import Partition
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime.errors import CROWD, FULL, SLOW, Fault
@@ -99,7 +99,7 @@
 
     async def ask_holder(self, partition: Partition, name: str, count: int, wanted: int, limit: float) -> Fault | None:
         """Tells the holder of a budget what waits here, and asks for more; None if that is granted."""
-        holder = part_of(f"route:{name}", self.configuration()["parts"])
+        holder = partition_of(f"route:{name}", self.configuration()["parts"])
         self.numbers[partition.id] += 1
         request = ReserveRequest(name, partition.id, partition.epoch, self.numbers[partition.id], count, wanted)
         answer = await self.client.ask(holder, "reserve", request.as_json(holder), limit)
--- a/postpass/configuration/configuration.py
+++ b/postpass/configuration/configuration.py
@@ -169,23 +169,23 @@
     return tuple(kept[turn:] + kept[:turn])
 
 
-def scene(configuration: Configuration, names: tuple[str, ...], me: str) -> PredicateScope:
+def predicate_scope(configuration: Configuration, names: tuple[str, ...], me: str) -> PredicateScope:
     """The replicas of a partition with their zones, as predicates see them from one of them."""
     zones = tuple((n, configuration["machines"][n]["area"] if n in configuration["machines"] else "") for n in names)
     return PredicateScope(names, zones, me)
 
 
-def part_of(lot: str, parts: int) -> int:
+def partition_of(lot: str, parts: int) -> int:
     """The partition that keeps a job."""
     return int.from_bytes(hashlib.sha256(lot.encode()).digest()[:8], "big") % parts
 
 
-def plugs(kind: str) -> set[str]:
+def installed_plugins(kind: str) -> set[str]:
     """Names of the plug-ins of a kind that are installed."""
     return {e.name for e in entry_points(group=f"postpass.{kind}")}
 
 
-def shape(configuration: Configuration) -> set[str]:
+def used_keys(configuration: Configuration) -> set[str]:
     """The keys that a manifest uses, and the plug-ins: what an older daemon may not know."""
     groups: list[tuple[str, Any]] = [
         ("", [configuration]), ("machines.", configuration["machines"].values()), ("pools.", configuration["pools"].values()), ("limits.", [configuration.get("limits", {})]),
@@ -198,24 +198,3 @@
 def dump(configuration: Configuration) -> str:
     """The configuration as JSON text."""
     return json.dumps(configuration, separators=(",", ":"), ensure_ascii=False)
-
-
-def small() -> Configuration:
-    """A whole manifest for tests."""
-    zones = ["a", "b", "c", "d"]
-    machines: dict[str, Machine] = {
-        f"s{i}": {"area": zones[i - 1], "peer": f"127.{i}.0.1:7000", "http": f"127.{i}.0.1:8000", "duties": ["store"]}
-        for i in range(1, 5)
-    }
-    return {
-        "name": "small", "areas": zones, "machines": machines, "parts": 4, "copies": 4, "ways": {"/view": "view"},
-        "classes": {
-            "ask": {"kind": "live", "pool": "gpu", "share": 0.75, "lends": True},
-            "lot": {"kind": "batch", "pool": "gpu", "share": 0.25, "borrows": ["ask"]},
-            "view": {"kind": "plain", "pool": "app", "share": 1},
-        },
-        "pools": {
-            "gpu": {"kind": "model", "servers": {"w1": {"url": "http://127.1.1.1:9000", "area": "a", "slots": 4}}},
-            "app": {"kind": "plain", "servers": {"p1": {"url": "http://127.1.1.2:9000", "area": "a", "slots": 4}}},
-        },
-    }  # fmt: skip
--- a/postpass/configuration/configuration_check.py
+++ b/postpass/configuration/configuration_check.py
@@ -13,8 +13,17 @@
 
 from result import Err, Ok, Result
 
-from postpass.configuration.configuration import Class, Configuration, Pool, Route, members, plugs, scene, with_duty
-from postpass.configuration.schema import flaws
+from postpass.configuration.configuration import (
+    Class,
+    Configuration,
+    Pool,
+    Route,
+    installed_plugins,
+    members,
+    predicate_scope,
+    with_duty,
+)
+from postpass.configuration.schema import validation_errors
 from postpass.configuration.settings import address_errors
 from postpass.replication.stability import DEFAULT, PredicateScope, build, covers, loss_flaw
 
@@ -30,7 +39,7 @@
 
 def check(raw: Any) -> Result[Configuration, list[str]]:
     """The configuration that a JSON document holds, or all errors of the first step that finds any."""
-    errors = flaws(Configuration, raw)
+    errors = validation_errors(Configuration, raw)
     if errors:
         return Err(errors)
     configuration = cast(Configuration, raw)
@@ -130,8 +139,10 @@
     if spec.get("once") and spec["kind"] != "live":
         errors.append(f"{path}.once: only a live class can promise it; items of lots may run more than once")
     for kind in ("place", "prefix"):
-        if kind in values and values[kind] not in plugs(kind):
-            errors.append(f"{path}.{kind}: no plug-in {values[kind]!r} is installed; there are {sorted(plugs(kind))}")
+        if kind in values and values[kind] not in installed_plugins(kind):
+            errors.append(
+                f"{path}.{kind}: no plug-in {values[kind]!r} is installed; there are {sorted(installed_plugins(kind))}"
+            )
     return errors
 
 
@@ -233,7 +244,7 @@
         replicas = members(configuration, part)
         for path, text in texts.items():
             for me in replicas:
-                place = scene(configuration, replicas, me)
+                place = predicate_scope(configuration, replicas, me)
                 error = loss_flaw(text, place)
                 if error:
                     errors.setdefault(path, error)
--- a/postpass/configuration/schema.py
+++ b/postpass/configuration/schema.py
@@ -8,7 +8,7 @@
 from typing_extensions import is_typeddict
 
 
-def name_of(kind: Any) -> str:
+def type_description(kind: Any) -> str:
     """What an error says is wanted of a type."""
     names = {str: "a string", int: "a whole number", float: "a number", bool: "true or false"}
     if get_origin(kind) is Literal:
@@ -18,31 +18,31 @@
     return names.get(kind, "an object")
 
 
-def flaws(kind: Any, value: Any, path: str = "") -> list[str]:
+def validation_errors(kind: Any, value: Any, path: str = "") -> list[str]:
     """Every way in which `value` is not a `kind`; an empty list means that it is one."""
     here = path or "(top)"
     root = get_origin(kind)
     if kind is Any:
         return []
     if root in (NotRequired, Required):
-        return flaws(get_args(kind)[0], value, path)
+        return validation_errors(get_args(kind)[0], value, path)
     if root in (Union, types.UnionType):
-        trials = [flaws(k, value, path) for k in get_args(kind)]
+        trials = [validation_errors(k, value, path) for k in get_args(kind)]
         return [] if any(not t for t in trials) else min(trials, key=len)
     if root is Literal:
-        return [] if value in get_args(kind) else [f"{here}: want {name_of(kind)}, got {value!r:.40}"]
+        return [] if value in get_args(kind) else [f"{here}: want {type_description(kind)}, got {value!r:.40}"]
     if root is list:
         if not isinstance(value, list):
             return [f"{here}: want a list, got {value!r:.40}"]
         part = get_args(kind)[0]
-        return [f for i, v in enumerate(value) for f in flaws(part, v, f"{path}[{i}]")]
+        return [f for i, v in enumerate(value) for f in validation_errors(part, v, f"{path}[{i}]")]
     if root is dict:
         if not isinstance(value, dict):
             return [f"{here}: want an object, got {value!r:.40}"]
         part = get_args(kind)[1]
-        return [f for k, v in value.items() for f in flaws(part, v, f"{path}.{k}" if path else str(k))]
+        return [f for k, v in value.items() for f in validation_errors(part, v, f"{path}.{k}" if path else str(k))]
     if is_typeddict(kind):
-        return _dict_flaws(kind, value, path)
+        return _object_errors(kind, value, path)
     if kind is float:
         good = isinstance(value, (int, float)) and not isinstance(value, bool)
         good = good and value == value and abs(value) != float("inf")
@@ -50,17 +50,17 @@
         good = isinstance(value, int) and not isinstance(value, bool)
     else:
         good = isinstance(value, kind)
-    return [] if good else [f"{here}: want {name_of(kind)}, got {value!r:.40}"]
+    return [] if good else [f"{here}: want {type_description(kind)}, got {value!r:.40}"]
 
 
-def _dict_flaws(kind: Any, value: Any, path: str) -> list[str]:
+def _object_errors(kind: Any, value: Any, path: str) -> list[str]:
     if not isinstance(value, dict):
         return [f"{path or '(top)'}: want an object, got {value!r:.40}"]
     hints = get_type_hints(kind, include_extras=True)
     join = (lambda k: f"{path}.{k}") if path else str
     # Annotations are strings here, so the class itself can't tell which keys may be left out.
     must = [k for k, h in hints.items() if kind.__total__ and get_origin(h) is not NotRequired]
-    lack = [f"{join(k)}: missing, want {name_of(hints[k])}" for k in must if k not in value]
+    lack = [f"{join(k)}: missing, want {type_description(hints[k])}" for k in must if k not in value]
     odd = [f"{join(k)}: unknown key; known are {', '.join(sorted(hints))}" for k in value if k not in hints]
-    deep = [f for k, v in value.items() if k in hints for f in flaws(hints[k], v, join(k))]
+    deep = [f for k, v in value.items() if k in hints for f in validation_errors(hints[k], v, join(k))]
     return lack + odd + deep
--- a/postpass/configuration/settings.py
+++ b/postpass/configuration/settings.py
@@ -1,7 +1,7 @@
 """Settings of one process: a JSON file, with command-line flags laid over it.
 
 To add a setting: give its key and type to `SettingsFile`, and its default and unit to the field of the same name in
-`Settings` (or `Bounds`, for a promise in seconds); `parse` hands it over by that name. `schema.flaws` then rejects other
+`Settings` (or `Bounds`, for a promise in seconds); `parse` hands it over by that name. `schema.validation_errors` then rejects other
 types and unknown keys; if not every value of the type will do, add a check to `parse` and a case to
 `tests/configuration/test_settings.py`. A key that has another name here (`area`, `areas`, `tolerate`) is mapped at the
 end of `parse`. Operators read about it in `docs/operators.md`. What the whole fleet shares is not a setting but part of
@@ -16,7 +16,7 @@
 
 from result import Err, Ok, Result
 
-from postpass.configuration.schema import flaws
+from postpass.configuration.schema import validation_errors
 from postpass.membership.safe_change import Tolerance
 
 
@@ -217,7 +217,7 @@
 
 def parse(raw: Any, want_data: bool = False) -> Result[Settings, list[str]]:
     """The settings that a JSON document holds, or all errors. `want_data` asks for a data directory in any case."""
-    seen = flaws(SettingsFile, raw)
+    seen = validation_errors(SettingsFile, raw)
     if seen:
         return Err(seen)
     file = cast(SettingsFile, raw)
--- a/postpass/control/feed.py
+++ b/postpass/control/feed.py
@@ -7,7 +7,7 @@
 
 from result import Err, Ok
 
-from postpass.configuration.configuration import Configuration, shape
+from postpass.configuration.configuration import Configuration, used_keys
 from postpass.control.in_force import Hearing, VersionWait, awaited_senders
 from postpass.control.member import INFINITY
 from postpass.control.read_messages import ConfigurationAnswer, ReadRequest, RevisionAnswer, SourceAnswer
@@ -85,7 +85,7 @@
 
     async def daemons_that_reject(self, before: Configuration | None, after: Configuration) -> list[str]:
         """If keys or plug-ins come that were not used before: which daemons refuse them, as they don't know them."""
-        if before is None or shape(after) <= shape(before):
+        if before is None or used_keys(after) <= used_keys(before):
             return []
         names = [n for n, m in after["machines"].items() if n != self.settings.name and not m.get("gone")]
         got = await asyncio.gather(
--- a/postpass/gateway/edge_state.py
+++ b/postpass/gateway/edge_state.py
@@ -11,7 +11,7 @@
 from result import Err, Ok, Result
 from starlette.responses import JSONResponse
 
-from postpass.configuration.configuration import Class, Configuration, part_of
+from postpass.configuration.configuration import Class, Configuration, partition_of
 from postpass.configuration.settings import Settings
 from postpass.feed.configuration_view import ConfigurationView
 from postpass.gateway.admission_control import AdmissionControl
@@ -104,9 +104,11 @@
         oldest = now() - self.configuration.get("retention", 3600.0)
         parts = self.configuration["parts"]
         return [
-            j.job_id for j in self.accepted_jobs if j.accepted_at > oldest and part_of(j.job_id, parts) == partition
+            j.job_id
+            for j in self.accepted_jobs
+            if j.accepted_at > oldest and partition_of(j.job_id, parts) == partition
         ]
 
     def to_partition(self, name: str) -> int:
         """The partition that a job's id or a request's key falls to."""
-        return part_of(name, self.configuration["parts"])
+        return partition_of(name, self.configuration["parts"])
--- a/postpass/gateway/owner_client.py
+++ b/postpass/gateway/owner_client.py
@@ -7,7 +7,7 @@
 
 from result import Err, Ok, Result
 
-from postpass.configuration.configuration import part_of
+from postpass.configuration.configuration import partition_of
 from postpass.configuration.settings import Settings
 from postpass.feed.configuration_view import ConfigurationView
 from postpass.rpc.codec import Body
@@ -91,7 +91,7 @@
         nonce = f"{self.settings.name}-{self.environment.chance.getrandbits(64):016x}"
         configuration = self.configuration_view.manifest
         assert configuration is not None
-        partition = part_of(key, configuration["parts"])
+        partition = partition_of(key, configuration["parts"])
         answer = await self.ask(partition, "claim", {"key": key, "nonce": nonce, "edge": self.settings.name}, until)
         if isinstance(answer, Err):
             return answer
--- a/postpass/gateway/request_bodies.py
+++ b/postpass/gateway/request_bodies.py
@@ -10,7 +10,7 @@
 from starlette.requests import Request
 from starlette.responses import JSONResponse
 
-from postpass.configuration.schema import flaws
+from postpass.configuration.schema import validation_errors
 from postpass.gateway.http_errors import fault_response
 from postpass.runtime.errors import Fault
 
@@ -66,7 +66,7 @@
         raw = json.loads(data)
     except (ValueError, RecursionError) as error:
         return Err(fault_response(Fault("read body", edge, f"(top): not JSON: {error}"), 400))
-    found = flaws(schema, raw)
+    found = validation_errors(schema, raw)
     if found:
         return Err(fault_response(Fault("read body", edge, found[0]), 400, flaws=found))
     return Ok(raw)
--- a/sim/fleet.py
+++ b/sim/fleet.py
@@ -16,7 +16,7 @@
 from bench.clients import Callers, Load
 from bench.plan import config
 from bench.worker import PlainServer, Worker
-from postpass.configuration.configuration import part_of
+from postpass.configuration.configuration import partition_of
 from postpass.configuration.settings import parse, split
 from postpass.control.daemon import ControlPlane
 from postpass.daemon.data_plane import DataPlane
@@ -376,7 +376,7 @@
             self.copies.append(sum(any(name in data for data in d.kept.values()) for d in disks))
         word = {"lot": event.get("answer", ""), "ended": "ended", "page": "paged"}.get(event["ev"], "")
         if word in ("kept", "shed", "unknown", "ended", "paged"):
-            part = part_of(event["id"], self.configuration["parts"])
+            part = partition_of(event["id"], self.configuration["parts"])
             self.points.hit(word, self.owner(part) if self.points.watchers else "")
 
     def make_clients(self, what: Load, session: aiohttp.ClientSession, salt: str = "") -> Callers:
--- a/tests/configuration/test_schema.py
+++ b/tests/configuration/test_schema.py
@@ -4,7 +4,7 @@
 
 from typing import Literal, NotRequired, TypedDict
 
-from postpass.configuration.schema import flaws
+from postpass.configuration.schema import validation_errors
 
 
 class Leaf(TypedDict):
@@ -20,9 +20,9 @@
 
 def test_every_flaw_is_listed_with_its_path() -> None:
     good = {"leaves": {"x": {"size": 1, "mode": "a"}}, "rate": 2}
-    assert flaws(Tree, good) == []
+    assert validation_errors(Tree, good) == []
     bad = {"leaves": {"x": {"size": True, "mode": "c", "odd": 1}}, "rate": float("nan")}
-    seen = flaws(Tree, bad)
+    seen = validation_errors(Tree, bad)
     assert [f.split(":")[0] for f in seen] == ["leaves.x.odd", "leaves.x.size", "leaves.x.mode", "rate"]
-    assert flaws(Tree, []) == ["(top): want an object, got []"]
-    assert flaws(Tree, {"leaves": {}})[0].startswith("rate: missing")
+    assert validation_errors(Tree, []) == ["(top): want an object, got []"]
+    assert validation_errors(Tree, {"leaves": {}})[0].startswith("rate: missing")
--- a/tests/gateway/test_request_bodies.py
+++ b/tests/gateway/test_request_bodies.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from postpass.configuration.schema import flaws
+from postpass.configuration.schema import validation_errors
 from postpass.gateway.request_bodies import JobRequestBody, LiveRequestBody
 
 
 def test_bodies_are_checked_by_field() -> None:
-    assert flaws(LiveRequestBody, {"class": "ask", "own": "x"}) == []
-    assert flaws(LiveRequestBody, {"own": "x"}) == ["class: missing, want a string"]
-    assert [f.split(":")[0] for f in flaws(JobRequestBody, {"class": "lot", "items": [1], "odd": 2})] == [
+    assert validation_errors(LiveRequestBody, {"class": "ask", "own": "x"}) == []
+    assert validation_errors(LiveRequestBody, {"own": "x"}) == ["class: missing, want a string"]
+    assert [f.split(":")[0] for f in validation_errors(JobRequestBody, {"class": "lot", "items": [1], "odd": 2})] == [
         "odd",
         "items[0]",
     ]
--- a/tests/gateway/test_worker_load.py
+++ b/tests/gateway/test_worker_load.py
@@ -28,12 +28,12 @@
 
 
 def test_a_fresh_worker_has_little_room_and_a_barred_one_none() -> None:
-    from postpass.configuration.configuration import small
+    from tests.support.sample_configuration import small_configuration
 
     async def run() -> None:
         clock = [1000.0]
         configuration_view = ConfigurationView("e1")
-        configuration = small()
+        configuration = small_configuration()
         configuration["ramp"] = 10.0
         configuration["pools"]["gpu"]["servers"]["w1"]["slots"] = 8
         configuration_view.accept(1, configuration)
