--- a/postpass/batch/job_service.py
+++ b/postpass/batch/job_service.py
@@ -136,7 +136,7 @@
         if address:
             spawn(
                 store.background_tasks,
-                store.peer_links.call(address, "wake", {"part": partition.id}, store.settings.bounds.beat),
+                store.peer_links.request(address, "wake", {"part": partition.id}, store.settings.bounds.beat),
             )
 
     # --- reading
--- a/postpass/batch/owner_client.py
+++ b/postpass/batch/owner_client.py
@@ -37,7 +37,7 @@
             if not address:
                 self.owners.pop(partition, None)
                 return answer
-            answer = await self.peer_links.call(address, verb, body | {"part": partition}, wait)
+            answer = await self.peer_links.request(address, verb, body | {"part": partition}, wait)
             if isinstance(answer, Ok):
                 self.owners[partition] = name
                 return answer
--- a/postpass/batch/scheduler_election.py
+++ b/postpass/batch/scheduler_election.py
@@ -53,7 +53,7 @@
                 continue
             before = order[: order.index(self.settings.name)]
             answers = await asyncio.gather(
-                *(self.peer_links.call(self.configuration_view.addr(name), "ping", {}, heartbeat) for name in before)
+                *(self.peer_links.request(self.configuration_view.addr(name), "ping", {}, heartbeat) for name in before)
             )
             for name, answer in zip(before, answers, strict=True):
                 self.count_answer(name, answer)
--- a/postpass/control/contact.py
+++ b/postpass/control/contact.py
@@ -78,6 +78,6 @@
         others = self.other_members()
         relays = self.environment.chance.sample(others, min(RELAYS, len(others)))
         limit = self.settings.bounds.leave / 4
-        asks = {addr: self.peer_links.call(addr, verb, body | {"relayed": 1}, limit) for addr in relays}
+        asks = {addr: self.peer_links.request(addr, verb, body | {"relayed": 1}, limit) for addr in relays}
         heard = await gather_until(asks, lambda got: any(g.is_ok() for g in got.values()), 0.0)
         return next((got for got in heard.values() if got.is_ok()), Err(self.out_of_touch(verb)))
--- a/postpass/control/election.py
+++ b/postpass/control/election.py
@@ -334,7 +334,7 @@
         names = [n for n, m in configuration["machines"].items() if not m.get("gone") and n != self.settings.name]
         poll = {"after": 0, "wait": 0}
         got = await asyncio.gather(*(
-            self.peer_links.call(configuration["machines"][n]["peer"], "follow", poll, self.settings.bounds.promise)
+            self.peer_links.request(configuration["machines"][n]["peer"], "follow", poll, self.settings.bounds.promise)
             for n in names
         ))  # fmt: skip
         answers = [g.unwrap() for g in got if isinstance(g, Ok)]
--- a/postpass/control/feed.py
+++ b/postpass/control/feed.py
@@ -90,7 +90,9 @@
         names = [n for n, m in after["machines"].items() if n != self.settings.name and not m.get("gone")]
         got = await asyncio.gather(
             *(
-                self.peer_links.call(after["machines"][n]["peer"], "ping", {"fits": after}, self.settings.bounds.follow)
+                self.peer_links.request(
+                    after["machines"][n]["peer"], "ping", {"fits": after}, self.settings.bounds.follow
+                )
                 for n in names
             )
         )
@@ -116,7 +118,7 @@
                 addr = self.addr(self.leader) if self.leader != self.settings.name else ""
                 if not addr:
                     return 0
-                got = await self.peer_links.call(
+                got = await self.peer_links.request(
                     addr, "read", ReadRequest(brief=True).as_json(), self.settings.bounds.follow
                 )
                 if isinstance(got, Err):
--- a/postpass/control/in_force.py
+++ b/postpass/control/in_force.py
@@ -95,14 +95,14 @@
 
     async def _ask(self, name: str, limit: float) -> bool:
         ask = {"want": self.version, "at": self.source, "wait": limit * 0.9}
-        return self._settles(await self.lines.call(self.machines[name], "ping", ask, limit))
+        return self._settles(await self.lines.request(self.machines[name], "ping", ask, limit))
 
     async def _ask_through_others(self, name: str, limit: float) -> bool:
         """Asks others to ask it: the link from here may be cut, and theirs not."""
         await asyncio.sleep(limit * HEAD_START)
         ask = {"reach": self.machines[name], "want": self.version, "at": self.source}
         relays = self._relays(name)
-        asks = {r: self.lines.call(self.machines[r], "ping", ask, limit * (1 - HEAD_START)) for r in relays}
+        asks = {r: self.lines.request(self.machines[r], "ping", ask, limit * (1 - HEAD_START)) for r in relays}
         heard = await gather_until(asks, lambda got: any(map(self._settles_relayed, got.values())), 0.0)
         return any(map(self._settles_relayed, heard.values()))
 
--- a/postpass/control/leadership.py
+++ b/postpass/control/leadership.py
@@ -204,7 +204,7 @@
             log_events.emit(Event.PRIMARY_STEPPED_DOWN, self.settings.name, epoch=epoch, seen="handed over")
         for addr in addrs:
             request = AdoptRequest(epoch)
-            got = await self.peer_links.call(addr, ADOPT, request.as_json(), self.settings.bounds.promise)
+            got = await self.peer_links.request(addr, ADOPT, request.as_json(), self.settings.bounds.promise)
             if isinstance(got, Ok) and AdoptAnswer.from_json(got.unwrap()).accepted:
                 return True
         return False
--- a/postpass/control/orders.py
+++ b/postpass/control/orders.py
@@ -232,7 +232,7 @@
         stores = [n for n in with_duty(configuration, "store") if n != name]
         got = await asyncio.gather(
             *(
-                self.peer_links.call(configuration["machines"][n]["peer"], "parts", {}, self.settings.bounds.follow)
+                self.peer_links.request(configuration["machines"][n]["peer"], "parts", {}, self.settings.bounds.follow)
                 for n in stores
             )
         )
--- a/postpass/control/registry.py
+++ b/postpass/control/registry.py
@@ -75,7 +75,7 @@
         await asyncio.sleep(bounds.detect * seeds.index(self.settings.peer))
         while self.blank():
             asks = [
-                self.peer_links.call(a, "ping", {"entry": 1}, bounds.beat if a != self.settings.peer else 0)
+                self.peer_links.request(a, "ping", {"entry": 1}, bounds.beat if a != self.settings.peer else 0)
                 for a in seeds
                 if a != self.settings.peer
             ]
@@ -143,7 +143,7 @@
                 recent_ages(self.machine_heartbeats, asked, horizon),
                 self.settings.name,
             )
-            got = await self.peer_links.call(addr, HEAR, report.as_json(), min(period, bounds.beat * 2))
+            got = await self.peer_links.request(addr, HEAR, report.as_json(), min(period, bounds.beat * 2))
             if isinstance(got, Ok) and HeartbeatReportAnswer.from_json(got.unwrap()).leads:
                 self.reported_at = asked
             kept = 8 * self.settings.beat
--- a/postpass/control/replica.py
+++ b/postpass/control/replica.py
@@ -125,7 +125,7 @@
         )
         # Where machines announce themselves another backup is soon found; an order doesn't wait long for this one.
         wait = self.settings.bounds.promise / (2 if self.settings.announce else 1)
-        got = await self.peer_links.call(addr, APPEND, request.as_json(), wait)
+        got = await self.peer_links.request(addr, APPEND, request.as_json(), wait)
         if isinstance(got, Err):
             return None
         answer, replica_set = AppendAnswer.from_json(got.unwrap(), epoch), self.replicated_state.replica_set
@@ -253,7 +253,9 @@
                 return Err(Fault(verb, name, "gone"))
             if name == self.settings.name:
                 return await getattr(self, f"on_{verb}")(body)  # type: ignore[no-any-return]
-            return await self.peer_links.call(machine["peer"], verb, body, bounds.beat / 2 if quick else bounds.promise)
+            return await self.peer_links.request(
+                machine["peer"], verb, body, bounds.beat / 2 if quick else bounds.promise
+            )
 
         def enough(got: dict[str, PeerResponse]) -> bool:
             return 2 * sum(isinstance(g, Ok) for g in got.values()) > len(names)
--- a/postpass/control/writer.py
+++ b/postpass/control/writer.py
@@ -137,7 +137,7 @@
                 continue
             # An apply may use the whole bound, and more for the disks before it.
             limit = limit or self.settings.bounds.manifest * (2 if verb == "apply" else 1)
-            there = await self.peer_links.call(addr, verb, body | {"passed": 1}, limit)
+            there = await self.peer_links.request(addr, verb, body | {"passed": 1}, limit)
             if isinstance(there, Err) and there.unwrap_err().unsent:
                 got = Err(Fault(verb, todo[0], there.unwrap_err().why, MOVED))
             else:
--- a/postpass/daemon/announcer.py
+++ b/postpass/daemon/announcer.py
@@ -79,7 +79,7 @@
         """Announces this start at several daemons at once; fetches the revision that has it from whoever answers."""
         bounds, view = self.settings.bounds, self.follower.configuration_view
         asks = {
-            addr: self.peer_links.call(addr, "join", {"entry": self.announcement()}, bounds.follow * 2)
+            addr: self.peer_links.request(addr, "join", {"entry": self.announcement()}, bounds.follow * 2)
             for addr in addrs
         }
         answers = await gather_until(asks, any_answered, 0.0)
@@ -97,4 +97,4 @@
         addr = next((source for source in self.follower.sources() if source != self.settings.peer), "")
         if not addr or body.get("hop"):
             return Err(Fault("join", self.settings.name, "no control machine is known here", SHED))
-        return await self.peer_links.call(addr, "join", body | {"hop": 1}, self.settings.bounds.follow)
+        return await self.peer_links.request(addr, "join", body | {"hop": 1}, self.settings.bounds.follow)
--- a/postpass/daemon/gossip.py
+++ b/postpass/daemon/gossip.py
@@ -63,7 +63,7 @@
     async def _greet_namesake(self, addr: str) -> None:
         """Tells a process of the same name of this one, and hears of it in turn."""
         body: Body = {"cards": [self.partial_view.own_record]}
-        got = await self.peer_links.call(addr, "shuffle", body, self.settings.bounds.follow)
+        got = await self.peer_links.request(addr, "shuffle", body, self.settings.bounds.follow)
         if isinstance(got, Ok):
             self.note_name_clash(got.unwrap()["cards"])
 
@@ -75,7 +75,7 @@
             return
         asked = now()
         body: Body = {"cards": offer, "heights": self.partition_epochs}
-        got = await self.peer_links.call(addr, "shuffle", body, self.settings.bounds.follow)
+        got = await self.peer_links.request(addr, "shuffle", body, self.settings.bounds.follow)
         self.shuffles.labels("ok" if isinstance(got, Ok) else "failed").inc()
         if isinstance(got, Err):
             if neighbour is not None:
@@ -119,7 +119,7 @@
         helpers = self.environment.chance.sample(others, min(HELPERS_ASKED, len(others)))
         wait = self.settings.bounds.beat * 2
         answers = await asyncio.gather(
-            *(self.peer_links.call(helper, "ping", {"reach": addr}, wait) for helper in helpers)
+            *(self.peer_links.request(helper, "ping", {"reach": addr}, wait) for helper in helpers)
         )
         if not any(isinstance(answer, Ok) and answer.unwrap().get("reached") for answer in answers):
             self.partial_view.remove_dead(name)
@@ -135,7 +135,7 @@
         """Asks all machines for the epochs that they know; returns how many answered."""
         addrs, wait = self.follower.configuration_view.addresses_of_others(), self.settings.bounds.beat
         answers = await asyncio.gather(
-            *(self.peer_links.call(addr, "ping", {"heights": 1}, wait) for addr in addrs if addr)
+            *(self.peer_links.request(addr, "ping", {"heights": 1}, wait) for addr in addrs if addr)
         )
         for answer in answers:
             if isinstance(answer, Ok):
--- a/postpass/daemon/process.py
+++ b/postpass/daemon/process.py
@@ -289,7 +289,7 @@
             # Whom it reaches will fetch the revision from here.
             await self.follower.fetch(body["at"], limit)
         ask = {"want": body.get("want", 0), "at": self.settings.peer, "wait": limit * 0.9}
-        got = await self.peer_links.call(body["reach"], "ping", ask, limit)
+        got = await self.peer_links.request(body["reach"], "ping", ask, limit)
         if isinstance(got, Err):
             return Ok({"reached": False, "refused": got.unwrap_err().hint == "refused"})
         return Ok({"reached": True, "edition": got.unwrap()["edition"]})
@@ -308,7 +308,7 @@
         """All jobs of a partition that any machine knows to have been accepted lately; asked only after a loss."""
         addrs, wait = self.configuration_view.addresses_of_others(), self.settings.bounds.beat
         answers = await asyncio.gather(
-            *(self.peer_links.call(addr, "ping", {"kept": part}, wait) for addr in addrs if addr)
+            *(self.peer_links.request(addr, "ping", {"kept": part}, wait) for addr in addrs if addr)
         )
         return sorted({
             name for answer in answers if isinstance(answer, Ok) for name in answer.unwrap().get("lots", [])
--- a/postpass/feed/follower.py
+++ b/postpass/feed/follower.py
@@ -91,7 +91,7 @@
     async def poll(self, addr: str, poll: Poll, rotation: Rotation) -> bool:
         """One poll of the feed; True if the source is in touch and what it gave was accepted."""
         asked = now()
-        got = await self.peer_links.call(addr, "follow", poll.as_json(), poll.hold + self.settings.bounds.follow)
+        got = await self.peer_links.request(addr, "follow", poll.as_json(), poll.hold + self.settings.bounds.follow)
         if isinstance(got, Err):
             self.missed[addr] = now()
             self.polls.labels("failed").inc()
@@ -116,9 +116,9 @@
         daemon that doesn't answer changes nothing.
         """
         limit = limit or self.settings.bounds.manifest
-        got = await self.peer_links.call(addr, "follow", Poll(self.configuration_view.revision).as_json(), limit)
+        got = await self.peer_links.request(addr, "follow", Poll(self.configuration_view.revision).as_json(), limit)
         if isinstance(got, Ok) and not self.configuration_view.apply_answer(cast(FeedAnswer, got.unwrap())):
-            again = await self.peer_links.call(addr, "follow", Poll(0).as_json(), self.settings.bounds.manifest)
+            again = await self.peer_links.request(addr, "follow", Poll(0).as_json(), self.settings.bounds.manifest)
             if isinstance(again, Ok):
                 self.configuration_view.apply_answer(cast(FeedAnswer, again.unwrap()))
 
@@ -132,7 +132,7 @@
         """Asks many daemons which revision they run, and fetches the newest; returns how many answered."""
         asked = now()
         wait = self.settings.bounds.follow
-        got = await asyncio.gather(*(self.peer_links.call(addr, "ping", {}, wait) for addr in addrs))
+        got = await asyncio.gather(*(self.peer_links.request(addr, "ping", {}, wait) for addr in addrs))
         answers = zip(addrs, got, strict=True)
         seen = {addr: answer.unwrap()["edition"] for addr, answer in answers if isinstance(answer, Ok)}
         best = max(seen, key=lambda addr: seen[addr], default="")
@@ -183,7 +183,7 @@
         sources = self.sources()
         asked = self.environment.chance.sample(sources, min(SOURCES_ASKED_FOR_PROOF, len(sources)))
         question: dict[str, Any] = {"brief": 1, "wait": interval}
-        asks = {addr: self.peer_links.call(addr, "read", question, interval * 1.5) for addr in asked}
+        asks = {addr: self.peer_links.request(addr, "read", question, interval * 1.5) for addr in asked}
         answers = await gather_until(asks, any_answered, 0.0)
         for addr, answer in answers.items():
             if isinstance(answer, Ok):
--- a/postpass/gateway/owner_client.py
+++ b/postpass/gateway/owner_client.py
@@ -53,7 +53,7 @@
                 continue
             wait = min(max(LEAST_WAIT, until - now()), bounds.detect * 2)
             again = {"again": True} if unsure else {}
-            answer = await self.peer_links.call(addr, verb, body | {"wait": wait * OWNER_PART} | again, wait)
+            answer = await self.peer_links.request(addr, verb, body | {"wait": wait * OWNER_PART} | again, wait)
             if isinstance(answer, Ok):
                 self.known_owners[partition] = name
                 return answer
--- a/postpass/gateway/worker_load.py
+++ b/postpass/gateway/worker_load.py
@@ -147,7 +147,7 @@
         for name in self.polling_edges():
             addr = self.configuration_view.addr(name)
             asked = now()
-            answer = await self.peer_links.call(addr, "floor", {}, limit) if addr else None
+            answer = await self.peer_links.request(addr, "floor", {}, limit) if addr else None
             if not isinstance(answer, Ok):
                 continue
             for row in answer.unwrap()["spots"]:
--- a/postpass/replication/partition_table.py
+++ b/postpass/replication/partition_table.py
@@ -96,7 +96,7 @@
         addr = self.configuration_view.addr(name)
         if not addr:
             return Err(Fault(verb, name, "gone or unknown", LACK))
-        return await self.peer_links.call(addr, verb, body, self.settings.bounds.promise)
+        return await self.peer_links.request(addr, verb, body, self.settings.bounds.promise)
 
     def step_down(self, partition: Partition, epoch: int) -> None:
         """Ends an ownership, if there is one, since an epoch was seen; the next election waits for the full timeout."""
--- a/postpass/replication/streaming.py
+++ b/postpass/replication/streaming.py
@@ -163,7 +163,7 @@
         """Learns where a mirror's log meets this one and begins its stream there, or with a snapshot."""
         epoch = partition.epoch
         hello = Hello(partition.id, epoch, self.table.settings.name)
-        response = await link.call("hello", hello.encode(), self.table.settings.bounds.promise)
+        response = await link.request("hello", hello.encode(), self.table.settings.bounds.promise)
         if isinstance(response, Err):
             link.close(str(response.unwrap_err()))
             return False
@@ -198,7 +198,7 @@
             Event.DISK_DAMAGED, me, part=partition.id, mirror=name, last=answer.last, acknowledged=acknowledged
         )
         hello = Hello(partition.id, partition.epoch, me, failed_disk=answer.disk)
-        await link.call("hello", hello.encode(), self.table.settings.bounds.promise)
+        await link.request("hello", hello.encode(), self.table.settings.bounds.promise)
         link.close("its disk lost what it had acknowledged")
 
     def begin_snapshot(self, partition: Partition, name: str, mirror: MirrorProgress) -> None:
--- a/postpass/rpc/connection.py
+++ b/postpass/rpc/connection.py
@@ -145,7 +145,7 @@
         """Waits until the connection takes more; raises ConnectionError if it is lost."""
         await self.writer.drain()
 
-    async def call(self, name: str, body: Body, limit: float) -> PeerResponse:
+    async def request(self, name: str, body: Body, limit: float) -> PeerResponse:
         """Sends a request and waits for its response, at most `limit` seconds.
 
         The fault is the peer's own if it responded with one; `unsent` if the link was closed already; it has the code
--- a/postpass/rpc/peer_links.py
+++ b/postpass/rpc/peer_links.py
@@ -56,13 +56,13 @@
                 self.links[address] = opened.unwrap()
         return opened
 
-    async def call(self, address: str, name: str, body: Body, limit: float) -> PeerResponse:
+    async def request(self, address: str, name: str, body: Body, limit: float) -> PeerResponse:
         """Sends a request to an address; `limit`, in seconds, holds for the link and then for the response. Faults are
-        those of `link` and of `Link.call`."""
+        those of `link` and of `Link.request`."""
         opened = await self.link(address, limit)
         if isinstance(opened, Err):
             return opened
-        return await opened.unwrap().call(name, body, limit)
+        return await opened.unwrap().request(name, body, limit)
 
     def drop(self, address: str) -> None:
         """Closes the link to an address, if there is one."""
--- a/sim/points.py
+++ b/sim/points.py
@@ -95,9 +95,9 @@
 
 
 def _tap() -> None:
-    put, call, answer, emit, plain = (
+    put, request, answer, emit, plain = (
         connection.Link.put,
-        connection.Link.call,
+        connection.Link.request,
         peer_server.PeerServer._respond,
         log_events.emit,
         openai.complete,
@@ -108,8 +108,8 @@
         hit(f"sends.{name}", self.address)
         return put(self, name, *arguments)
 
-    async def tapped_call(self: connection.Link, name: str, body: Any, limit: float) -> Any:
-        got = await call(self, name, body, limit)
+    async def tapped_request(self: connection.Link, name: str, body: Any, limit: float) -> Any:
+        got = await request(self, name, body, limit)
         if got.is_ok():
             hit(f"hears.{name}", self.address)
         return got
@@ -151,7 +151,8 @@
         hit("places", there)
         return plain(session, url, model, prompt, asked, *rest)
 
-    connection.Link.put, connection.Link.call, peer_server.PeerServer._respond = tapped_put, tapped_call, tapped_respond  # type: ignore[method-assign]
+    connection.Link.put, connection.Link.request = tapped_put, tapped_request  # type: ignore[method-assign]
+    peer_server.PeerServer._respond = tapped_respond  # type: ignore[method-assign]
     peer_server.PeerServer.__init__ = tapped_init  # type: ignore[method-assign]
     log_events.emit = tapped_emit
     for module in (live_requests, item_run):
--- a/tests/control/test_feed.py
+++ b/tests/control/test_feed.py
@@ -133,7 +133,7 @@
             edge = f.nodes["e1"].daemon
             assert isinstance(edge, DataPlane)
             polls: list[tuple[float, float, str, bool]] = []
-            real = edge.peer_links.call
+            real = edge.peer_links.request
 
             async def watch(address: str, name: str, body: Any, limit: float) -> Any:
                 began = f.loop.clock
@@ -142,7 +142,7 @@
                     polls.append((began, f.loop.clock, address, got.is_ok() and bool(got.unwrap().get("stale"))))
                 return got
 
-            edge.peer_links.call = watch  # type: ignore[method-assign]
+            edge.peer_links.request = watch  # type: ignore[method-assign]
             cut(f, lost.settings.name, [n for n in names(f.controls()) if n != lost.settings.name])
             await asyncio.sleep(10)
             stale = [i for i, (_, _, _, s) in enumerate(polls) if s and i + 1 < len(polls)]
--- a/tests/rpc/test_peer_links.py
+++ b/tests/rpc/test_peer_links.py
@@ -73,16 +73,16 @@
 
         async def call() -> list[Any]:
             lines = PeerLinks()
-            slow, fast = asyncio.create_task(lines.call("2:7", "show", {"t": 2}, 9)), None
-            fast = await lines.call("2:7", "show", {"t": 1}, 9)
+            slow, fast = asyncio.create_task(lines.request("2:7", "show", {"t": 2}, 9)), None
+            fast = await lines.request("2:7", "show", {"t": 1}, 9)
             link = lines.links["2:7"]
             [link.put("carry", IDL.Packet(part=0, seq=n)) for n in (1, 2, 3)]
             reader, writer = await asyncio.open_connection("2", 7)
             writer.write(b"GET / HTTP/1.1\r\n\r\n")
             foreign = await reader.read()
-            late = await lines.call("2:7", "show", {"t": 3}, 9)
-            over = await lines.call("2:7", "show", {"t": 2}, 1)
-            lack = await lines.call("2:7", "grant", {}, 1)
+            late = await lines.request("2:7", "show", {"t": 3}, 9)
+            over = await lines.request("2:7", "show", {"t": 2}, 1)
+            lack = await lines.request("2:7", "grant", {}, 1)
             return [fast, await slow, foreign, late, over.unwrap_err().code, lack.unwrap_err().why, cast]
 
         await loop.create_task(serve(), context=two.context())
@@ -109,12 +109,12 @@
 
         async def call() -> None:
             links = PeerLinks()
-            late = await links.call("2:7", "show", {}, 1.0)
+            late = await links.request("2:7", "show", {}, 1.0)
             assert isinstance(late, Err) and late.unwrap_err().unsent
             await asyncio.sleep(2.0)
             kept = links.links["2:7"]
             assert not kept.closed
-            assert await links.call("2:7", "show", {}, 1.0) == Ok({}) and links.links["2:7"] is kept
+            assert await links.request("2:7", "show", {}, 1.0) == Ok({}) and links.links["2:7"] is kept
 
         await loop.create_task(serve(), context=two.context())
         await loop.create_task(call(), context=one.context())
--- a/tests/support/readable_code.py
+++ b/tests/support/readable_code.py
@@ -14,7 +14,7 @@
 ROOT = Path(__file__).parents[2] / "postpass"
 MOVED = (
     "control", "replication", "batch", "gateway", "worker_api", "membership", "feed", "daemon", "cli", "storage",
-    "configuration",
+    "configuration", "rpc",
 )  # fmt: skip
 # Modules of the flat folder that were written in the standard terms from the start.
 STANDARD_MODULES = ("runtime/ordered_set.py",)
--- a/tests/test_readable_code.py
+++ b/tests/test_readable_code.py
@@ -51,6 +51,7 @@
         "header_names", "json_delta", "schema", "settings", "accepted_orders", "nginx_import", "configuration",
         "configuration_check",
     ),
+    "rpc": ("idl", "codec", "framing", "connection", "peer_links", "peer_server"),
 }  # fmt: skip
 # Withdrawn words that still stand in names, by module. The users of these names are being worked on.
 STANDING_NAMES: dict[str, set[str]] = {
--- a/tests/test_release_compatibility.py
+++ b/tests/test_release_compatibility.py
@@ -236,7 +236,7 @@
         if sent.direction == ONEWAY:
             link.put(sent.verb, arguments_of(sent))
         else:
-            await link.call(sent.verb, sent.body["json"], WAIT_S)
+            await link.request(sent.verb, sent.body["json"], WAIT_S)
         await asyncio.sleep(WAIT_S)
 
     play(peer.serve, send)
@@ -248,7 +248,7 @@
     async def ask() -> Result[Json, Fault]:
         link = (await Link.open(ADDRESS, WAIT_S)).unwrap()
         link.sequence = reply.number - 1
-        return await link.call(reply.verb, {}, WAIT_S)
+        return await link.request(reply.verb, {}, WAIT_S)
 
     assert play(ReleasePeer(reply).serve, ask) == answer_of(reply)
 
