--- a/postpass/batch/item_request.py
+++ b/postpass/batch/item_request.py
@@ -11,7 +11,7 @@
 from postpass.batch.messages import Item
 from postpass.configuration.header_names import Dialect
 from postpass.gateway.response_check import Proof, ResponseHeaderNames, check_response
-from postpass.runtime.errors import BROKE, SHED, Fault, Stop
+from postpass.runtime.errors import BROKE, REJECTED, Fault, FaultError
 
 LEAST_URGENT = b"9"
 MAX_LINE = 1 << 20  # bytes of one line of an answer
@@ -44,7 +44,7 @@
     headers: list[tuple[bytes, bytes]]
 
     def chunks(self) -> AsyncIterator[bytes]:
-        """The body of the answer as it comes; raises Stop if it is cut."""
+        """The body of the answer as it comes; raises FaultError if it is cut."""
         ...
 
     def close(self) -> None:
@@ -62,7 +62,7 @@
         """Sends a request and returns it with the head of its answer.
 
         `admission_check` is asked right before the bytes go out, and tells why they may not. `limit` is in seconds. An answer
-        without the header `expect` is another request's, and is not returned. Raises Stop if there is no answer, with
+        without the header `expect` is another request's, and is not returned. Raises FaultError if there is no answer, with
         `unsent` if it is sure that nothing went out.
         """
         ...
@@ -95,36 +95,36 @@
     data: list[str] = field(default_factory=list)
 
     def feed(self, chunk: bytes) -> None:
-        """Raises Stop at bytes that are no events, and at an event that doesn't follow."""
+        """Raises FaultError at bytes that are no events, and at an event that doesn't follow."""
         *lines, self.rest = (self.rest + chunk).split(b"\n")
         if len(self.rest) > MAX_LINE:
-            raise Stop(Fault("read event", "", "a line without an end"))
+            raise FaultError(Fault("read event", "", "a line without an end"))
         for line in lines:
             self.line(line.removesuffix(b"\r"))
 
     def line(self, line: bytes) -> None:
-        """Takes one line; raises Stop as `feed` does."""
+        """Takes one line; raises FaultError as `feed` does."""
         name, _, value = line.partition(b":")
         value = value.removeprefix(b" ")
         if name == b"id":
             if not value.isdigit():
-                raise Stop(Fault("read event", "", f"an id that is no number: {value!r:.40}"))
+                raise FaultError(Fault("read event", "", f"an id that is no number: {value!r:.40}"))
             self.number = int(value)
         elif name == b"data":
             try:
                 self.data.append(value.decode())
             except UnicodeDecodeError as bad:
-                raise Stop(Fault("read event", "", "data that is not UTF-8")) from bad
+                raise FaultError(Fault("read event", "", "data that is not UTF-8")) from bad
         elif not line:
             if self.data:
                 self.event()
             self.data, self.number = [], -1
 
     def event(self) -> None:
-        """Adds the event that has ended to the text; raises Stop if it doesn't follow the one before."""
+        """Adds the event that has ended to the text; raises FaultError if it doesn't follow the one before."""
         first = self.text.last < 0
         if self.number < 0 or (self.number > 1 if first else self.number != self.text.last + 1):
-            raise Stop(Fault("read event", "", f"event {self.number} after {self.text.last}"))
+            raise FaultError(Fault("read event", "", f"event {self.number} after {self.text.last}"))
         self.text.pieces.append("\n".join(self.data))
         self.text.last = self.number
 
@@ -160,12 +160,12 @@
 
 
 async def read_to_the_end(exchange: Exchange, worker: str) -> None:
-    """Passes over a body; raises Stop if it is cut, since a failure that isn't whole ends no item."""
+    """Passes over a body; raises FaultError if it is cut, since a failure that isn't whole ends no item."""
     size = 0
     async for chunk in exchange.chunks():
         size += len(chunk)
         if size > MAX_FAILURE:
-            raise Stop(Fault("run item", worker, f"a failure of more than {MAX_FAILURE} bytes", BROKE))
+            raise FaultError(Fault("run item", worker, f"a failure of more than {MAX_FAILURE} bytes", BROKE))
 
 
 async def run_item(
@@ -174,7 +174,7 @@
 ) -> RunEnd:  # fmt: skip
     """Runs an item at a worker, on from what there is of its text, for `limit` seconds at the longest.
 
-    Returns how it ended: done, failed or never. Raises Stop otherwise: with `unsent`, or the hint that it was rejected,
+    Returns how it ended: done, failed or never. Raises FaultError otherwise: with `unsent`, or the hint that it was rejected,
     if the worker did not run it; what came of the text stays in any case.
     """
     exchange = await workers.request(
@@ -188,7 +188,7 @@
             await read_to_the_end(exchange, worker)
             return FINAL[exchange.status]
         if exchange.status != 200:
-            raise Stop(Fault("run item", worker, f"status {exchange.status}", BROKE))
+            raise FaultError(Fault("run item", worker, f"status {exchange.status}", BROKE))
         await read_text(exchange, text, worker)
         return RunEnd.DONE
     finally:
@@ -196,18 +196,18 @@
 
 
 def check_head(exchange: Exchange, dialect: Dialect, worker: str) -> None:
-    """Raises Stop unless the head proves that it is the worker's own answer to a request that it ran."""
+    """Raises FaultError unless the head proves that it is the worker's own answer to a request that it ran."""
     judged = check_response(exchange.status, exchange.headers, ResponseHeaderNames.of(dialect))
     if judged.proof in (Proof.NOT_RUN, Proof.OTHER_WORKER):
-        raise Stop(Fault("run item", worker, f"status {exchange.status}: not run", SHED, REJECTED_HINT))
+        raise FaultError(Fault("run item", worker, f"status {exchange.status}: not run", REJECTED, REJECTED_HINT))
     if judged.proof is Proof.NONE:
-        raise Stop(Fault("run item", worker, judged.why, BROKE))
+        raise FaultError(Fault("run item", worker, judged.why, BROKE))
 
 
 async def read_text(exchange: Exchange, text: Text, worker: str) -> None:
-    """Reads the events of an answer into a text; raises Stop if they are cut, or none came."""
+    """Reads the events of an answer into a text; raises FaultError if they are cut, or none came."""
     events = Events(text)
     async for chunk in exchange.chunks():
         events.feed(chunk)
     if not events.complete or text.last < 0:
-        raise Stop(Fault("run item", worker, "the answer ended within an event", BROKE))
+        raise FaultError(Fault("run item", worker, "the answer ended within an event", BROKE))
--- a/postpass/batch/item_run.py
+++ b/postpass/batch/item_run.py
@@ -21,7 +21,7 @@
 from postpass.feed.configuration_view import ConfigurationView
 from postpass.gateway.worker_load import WorkerLoad
 from postpass.runtime.environment import now
-from postpass.runtime.errors import MOVED, Fault, Stop
+from postpass.runtime.errors import MOVED, Fault, FaultError
 from postpass.worker_api.openai import complete
 
 ROUTE_STATUS = {RunEnd.DONE: ItemStatus.DONE, RunEnd.FAILED: ItemStatus.FAILED, RunEnd.NEVER: ItemStatus.ABANDONED}
@@ -88,7 +88,7 @@
         try:
             end = await self.send_request(configuration, route, item)
             limit.completed(slots)
-        except Stop as stop:
+        except FaultError as stop:
             poll = self.settings.bounds.poll
             if not_run(stop.fault):
                 limit.rejected(poll)
@@ -111,7 +111,7 @@
         await self.finish(item, ItemResult(ROUTE_STATUS[end], text, item.tries, output_checksum(text)))
 
     async def send_request(self, configuration: Configuration, route: Route, item: LeasedItem) -> RunEnd:
-        """Sends an item to its worker and reads the answer; raises Stop if that is not a whole one."""
+        """Sends an item to its worker and reads the answer; raises FaultError if that is not a whole one."""
         assert self.workers is not None
         assert item.request is not None
         pool, worker = item.pool, item.worker
@@ -134,7 +134,7 @@
         try:
             output = await self.send_prompt(configuration, pool, item)
             end, result = RunEnd.DONE, ItemResult(ItemStatus.DONE, output, checksum=output_checksum(output))
-        except Stop as stop:
+        except FaultError as stop:
             end = RunEnd.NOT_RUN if not_run(stop.fault) else RunEnd.BROKEN
             result = ItemResult(ItemStatus.FAILED, str(stop.fault))
             if stop.fault.unsent:
@@ -148,7 +148,7 @@
         await self.finish(item, result if end != RunEnd.NOT_RUN else None)
 
     async def send_prompt(self, configuration: Configuration, pool: str, item: LeasedItem) -> str:
-        """Sends a prompt to its worker and returns the whole output; raises Stop if there is none."""
+        """Sends a prompt to its worker and returns the whole output; raises FaultError if there is none."""
         terms, seen = configuration["pools"][pool], self.worker_load.state_of(pool, item.worker).report
         model = seen.weights if seen else ""
         output: list[str] = []
--- a/postpass/batch/job_api.py
+++ b/postpass/batch/job_api.py
@@ -18,7 +18,7 @@
 from postpass.gateway.request_bodies import IDENTIFIER
 from postpass.rpc.codec import Body
 from postpass.runtime.environment import now
-from postpass.runtime.errors import CLASH, CROWD, FULL, LACK, SHED, Fault
+from postpass.runtime.errors import CLASH, CROWD, FULL, LACK, REJECTED, Fault
 
 MAX_ITEMS = 200
 HEADER_NAME = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
@@ -145,7 +145,7 @@
         counter = self.edge.jobs_total
         if fault.code == CLASH:
             return JobAnswer(409, {"error": fault.why})
-        if (fault.code in (CROWD, SHED, FULL) and not fault.unsure) or fault.unsent:
+        if (fault.code in (CROWD, REJECTED, FULL) and not fault.unsure) or fault.unsent:
             counter.labels("shed").inc()
             return JobAnswer(429 if fault.code == CROWD else 503, {"error": fault.why})
         counter.labels("unknown").inc()
--- a/postpass/batch/job_records.py
+++ b/postpass/batch/job_records.py
@@ -13,7 +13,7 @@
 from postpass.replication.partition import Partition
 from postpass.replication.partition_table import PartitionTable
 from postpass.rpc.codec import Body, PeerResponse
-from postpass.runtime.errors import CLASH, FULL, LACK, SHED, SLOW, Fault, Stop
+from postpass.runtime.errors import CLASH, FULL, LACK, REJECTED, SLOW, Fault, FaultError
 
 DEFAULT_SUBMIT_S = 5.0  # seconds that an edge waits for a job to be kept, or to be ended
 DEFAULT_CLAIM_S = 3.0  # seconds that an edge waits for a claim
@@ -57,7 +57,7 @@
             try:
                 if flaw is None:
                     self.owner.append(partition, "lot", job, vital=False)
-            except Stop as stop:
+            except FaultError as stop:
                 if stop.fault.code != FULL:
                     return Err(stop.fault)
                 flaw = stop.fault
@@ -77,11 +77,11 @@
         name = self.table.settings.name
         opened = sum(1 for job in partition.view.jobs.values() if job.state == JobState.OPEN and not job.complete)
         if opened >= self.table.configuration_view.limit("open_lots"):
-            return Fault("submit", name, f"{opened} lots are open in this partition", SHED)
+            return Fault("submit", name, f"{opened} lots are open in this partition", REJECTED)
         first = max(partition.covered, partition.record_log.base_seq)
         uncovered = sum(len(record.body) for record in partition.record_log.after(first))
         if uncovered > self.table.settings.buffer_bytes // 2:
-            return Fault("submit", name, "too much is not covered yet", SHED)
+            return Fault("submit", name, "too much is not covered yet", REJECTED)
         mirrors = partition.mirrors
         writable = {mirror for mirror, state in mirrors.items() if not state.full and not state.silent} | {name}
         if not partition.can_cover(writable) and any(state.full for state in mirrors.values()):
@@ -94,7 +94,7 @@
             return Err(flaw)
         try:
             record = self.owner.append(partition, "shed", {"id": body["lot"]["id"]})
-        except Stop:
+        except FaultError:
             return self.failed("submit", "not known yet", SLOW)
         if not await partition.wait(record.seq, "", limit):
             return self.failed("submit", "not known yet", SLOW)
@@ -104,7 +104,7 @@
     async def rejected(self, partition: Partition, job_id: str, limit: float) -> PeerResponse:
         """The answer for a job that was refused for good before."""
         if await partition.wait(partition.view.rejected[job_id], "", limit):
-            return self.failed("submit", "this lot was refused; send it under another id", SHED)
+            return self.failed("submit", "this lot was refused; send it under another id", REJECTED)
         return self.failed("submit", "not known yet", SLOW)
 
     # --- reading
@@ -112,7 +112,7 @@
         """A covered job of the client that asks, after ownership was confirmed.
 
         Returns:
-            The partition and the job; or LACK (unknown, lost, or of another client), SHED (refused), or SLOW (not known
+            The partition and the job; or LACK (unknown, lost, or of another client), REJECTED (refused), or SLOW (not known
             yet).
         """
         got = self.leadership.owned_partition(body["part"], step)
@@ -124,7 +124,7 @@
         view, job_id = partition.view, body["id"]
         job = view.jobs.get(job_id)
         if job_id in view.rejected and view.rejected[job_id] <= partition.covered:
-            return self.failed(step, "this lot was refused", SHED)
+            return self.failed(step, "this lot was refused", REJECTED)
         if job_id in view.lost:
             return self.failed(step, "this lot was lost", LACK)
         if job is None or job.body.get("caller", "") not in ("", body.get("caller", "")):
@@ -168,7 +168,7 @@
         if job.state == JobState.OPEN and not job.complete:
             try:
                 self.owner.append(partition, "end", {"id": job.id})
-            except Stop as stop:
+            except FaultError as stop:
                 return Err(stop.fault)
         if not await partition.wait(max(job.state_seq, job.seq), "", float(body.get("wait", DEFAULT_SUBMIT_S))):
             return self.failed("end", "not known yet", SLOW)
@@ -184,7 +184,7 @@
             claim = {key: body[key] for key in ("key", "nonce", "edge")}
             try:
                 self.owner.append(partition, "claim", claim)
-            except Stop as stop:
+            except FaultError as stop:
                 return Err(stop.fault)
         winner = partition.view.claims[body["key"]]
         if not await partition.wait(winner["seq"], "", float(body.get("wait", DEFAULT_CLAIM_S))):
--- a/postpass/batch/job_service.py
+++ b/postpass/batch/job_service.py
@@ -17,7 +17,7 @@
 from postpass.replication.partition import Partition
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime.environment import now
-from postpass.runtime.errors import CLASH, FULL, LACK, MOVED, SLOW, Fault, Stop
+from postpass.runtime.errors import CLASH, FULL, LACK, MOVED, SLOW, Fault, FaultError
 
 PAGE_BYTES = 900_000  # of texts in one page of results
 PAGE_ITEMS = 500
@@ -123,7 +123,7 @@
         since = max(int(job.get("since", 0)), self.store.configuration_view.revision)
         try:
             self.store.append(partition, "lot", job | {"since": since}, vital=False, raw=payload)
-        except Stop as stop:
+        except FaultError as stop:
             fault = stop.fault
             return fault if fault.code == FULL else Fault("accept", self.store.settings.name, fault.why, SLOW)
         return None
--- a/postpass/batch/leases.py
+++ b/postpass/batch/leases.py
@@ -17,7 +17,7 @@
 from postpass.replication.partition_table import PartitionTable
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime.environment import now
-from postpass.runtime.errors import BAD, CLASH, SLOW, Fault, Stop
+from postpass.runtime.errors import BAD, CLASH, SLOW, Fault, FaultError
 from postpass.worker_api.openai import Prompt
 
 DEFAULT_TRIES = 5  # failures that an item of a class may have
@@ -178,7 +178,7 @@
             return Ok({"taken": False})
         try:
             self.owner.append(partition, "result", ItemResult(recorded.status, recorded.output).as_json(key))
-        except Stop as stop:
+        except FaultError as stop:
             return Err(stop.fault)
         state.tries.pop(key, None)
         return Ok({"taken": True})
--- a/postpass/batch/partition_access.py
+++ b/postpass/batch/partition_access.py
@@ -49,7 +49,7 @@
         """Is this store still the owner? A round trip to the members."""
 
     def append(self, partition: Partition, kind: str, body: Body, vital: bool = True, raw: Payload = b"") -> Record:
-        """Sequences one record; raises Stop, with nothing sequenced, if the disk won't take it."""
+        """Sequences one record; raises FaultError, with nothing sequenced, if the disk won't take it."""
 
     def rejection(self, partition: Partition) -> Fault | None:
         """Why no further job is taken now; None if one is."""
--- a/postpass/control/api.py
+++ b/postpass/control/api.py
@@ -18,10 +18,18 @@
 from postpass.daemon.process import Task
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime.environment import now
-from postpass.runtime.errors import BAD, BROKE, CLASH, MOVED, OLD, SHED, SLOW, Fault
+from postpass.runtime.errors import BAD, BROKE, CLASH, MOVED, OLD, REJECTED, SLOW, Fault
 
 LONGEST_CONFIGURATION = 4 << 20  # bytes of a configuration that HTTP takes
-STATUSES = {BAD: 400, OLD: 412, MOVED: 503, SLOW: 503, SHED: 503, CLASH: 409, BROKE: 502}  # of faults; any other is 503
+STATUSES = {
+    BAD: 400,
+    OLD: 412,
+    MOVED: 503,
+    SLOW: 503,
+    REJECTED: 503,
+    CLASH: 409,
+    BROKE: 502,
+}  # of faults; any other is 503
 
 
 def entity_tag(revision: int) -> dict[str, str]:
--- a/postpass/control/contact.py
+++ b/postpass/control/contact.py
@@ -16,7 +16,7 @@
 from postpass.feed.messages import Stale
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime.environment import gather_until, now
-from postpass.runtime.errors import SHED, Fault
+from postpass.runtime.errors import REJECTED, Fault
 
 RENEWAL = 2  # times the lease, for which a primary that takes another replica set still counts as one
 RELAYS = 3  # other members that a worker's heartbeat is sent to from one without contact
@@ -69,7 +69,7 @@
     def out_of_touch(self, step: str) -> Fault:
         """The error of a member that is out of touch, with the others to ask instead."""
         others = ", ".join(self.other_members()) or "no other is known"
-        return Fault(step, self.settings.name, f"out of touch with the primary; ask another: {others}", SHED)
+        return Fault(step, self.settings.name, f"out of touch with the primary; ask another: {others}", REJECTED)
 
     async def forward_without_contact(self, verb: str, body: Body) -> PeerResponse:
         """A worker's heartbeat may reach the primary through another member; for anything else the client is sent there."""
--- a/postpass/control/election.py
+++ b/postpass/control/election.py
@@ -112,7 +112,7 @@
 
         `first` is the state of a fleet that has none yet. A primary that hands over asks for the election itself, so the
         others still hear it: `handover` tells them. Where nobody waits for it, `change_voters` also makes the next safe
-        change of voters, and settles it before the epoch is led. Raises Stop if this member's disk fails.
+        change of voters, and settles it before the epoch is led. Raises FaultError if this member's disk fails.
         """
         try:
             if prevotes is None:
--- a/postpass/control/feed.py
+++ b/postpass/control/feed.py
@@ -16,7 +16,7 @@
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
-from postpass.runtime.errors import MOVED, SHED, SLOW, Fault
+from postpass.runtime.errors import MOVED, REJECTED, SLOW, Fault
 from postpass.runtime.log_events import Event
 
 SHORTEST_WAIT_S = 0.001
@@ -145,7 +145,7 @@
             if revision:
                 return Ok(RevisionAnswer(revision).as_json())
             if not await self.wait_for_leader(event, until):
-                return Err(Fault("read", self.settings.name, "no primary now; ask again", SHED))
+                return Err(Fault("read", self.settings.name, "no primary now; ask again", REJECTED))
 
     async def on_read(self, body: Body) -> PeerResponse:
         """Tells the configuration, or only its version, once this member has proved that it leads."""
--- a/postpass/control/journal.py
+++ b/postpass/control/journal.py
@@ -16,7 +16,7 @@
 from postpass.feed.checksum import parts_sum, parts_sum_difference
 from postpass.rpc.codec import IDL, pack, unpack
 from postpass.runtime.disk import Disk
-from postpass.runtime.errors import BROKE, FULL, Fault, Stop
+from postpass.runtime.errors import BROKE, FULL, Fault, FaultError
 from postpass.storage.segmented_log import SegmentedLog
 
 RECORD_FORMAT = 1  # of a record in the log; a later one is left alone
@@ -179,7 +179,7 @@
 @dataclass(eq=False)
 class StateJournal:
     """Invariants: `image` is what the log on disk leads to; whatever `append` and `replace` return was synced, and so
-    survives a loss of power. After a failed sync every later call raises Stop, until the folder is opened again."""
+    survives a loss of power. After a failed sync every later call raises FaultError, until the folder is opened again."""
 
     who: str
     disk: Disk
@@ -189,11 +189,11 @@
 
     @classmethod
     async def open(cls, who: str, disk: Disk, log: SegmentedLog, entries: Iterable[Any]) -> Self:
-        """Raises JournalError if the records don't join, which is damage, and Stop if a later release wrote them."""
+        """Raises JournalError if the records don't join, which is damage, and FaultError if a later release wrote them."""
         try:
             journal = cls(who, disk, log, replay(entries))
         except UnknownFormatError as error:
-            raise Stop(Fault("open data folder", who, f"{error}; nothing was touched", BROKE)) from error
+            raise FaultError(Fault("open data folder", who, f"{error}; nothing was touched", BROKE)) from error
         if journal.image is not None and log.logged_bytes:
             await journal._make_durable()
         return journal
@@ -202,7 +202,7 @@
         """What was read may be in the system's cache alone: left by a killed process, or behind a failed sync."""
         try:
             await self.compact()
-        except Stop as stop:
+        except FaultError as stop:
             if stop.fault.code != FULL:
                 raise
             await self._guarded(self.disk.sync(self.log.segment_name))
@@ -255,15 +255,15 @@
         segment = self.log.segment_number
         await self._guarded(self.log.compact(iter([snapshot_entry(image)])))
         if self.log.segment_number == segment:
-            raise Stop(Fault("write snapshot", self.who, "the disk is full", FULL))
+            raise FaultError(Fault("write snapshot", self.who, "the disk is full", FULL))
 
     def _check_trusted(self) -> None:
         if self.log.failure:
-            raise Stop(Fault("sync", self.who, self.log.failure, BROKE))
+            raise FaultError(Fault("sync", self.who, self.log.failure, BROKE))
 
     async def _guarded(self, write: Coroutine[Any, Any, None]) -> None:
         try:
             await write
         except OSError as error:
             self.log.failure = f"sync failed: {error.strerror}"
-            raise Stop(Fault("sync", self.who, self.log.failure, BROKE)) from error
+            raise FaultError(Fault("sync", self.who, self.log.failure, BROKE)) from error
--- a/postpass/control/leadership.py
+++ b/postpass/control/leadership.py
@@ -16,7 +16,7 @@
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
-from postpass.runtime.errors import Stop
+from postpass.runtime.errors import FaultError
 from postpass.runtime.log_events import Event
 
 
@@ -43,7 +43,7 @@
                 elif not self.leaving or self.settings.name in self.vote_record.replica_set:
                     # One that holds the state may be the only one that can lead, also while it leaves.
                     await self.watch_for_leader(configuration)
-            except Stop as bad:
+            except FaultError as bad:
                 log_events.emit(Event.TASK_FAILED, self.settings.name, step=bad.fault.step, why=bad.fault.why)
 
     async def lead_heartbeat(self, configuration: Configuration) -> None:
--- a/postpass/control/member.py
+++ b/postpass/control/member.py
@@ -23,7 +23,7 @@
 from postpass.runtime import log_events
 from postpass.runtime.disk import Disk
 from postpass.runtime.environment import Environment, now
-from postpass.runtime.errors import FULL, MOVED, Fault, Stop
+from postpass.runtime.errors import FULL, MOVED, Fault, FaultError
 from postpass.runtime.log_events import Event
 from postpass.storage.data_directory import STATE_FORMAT, open_data_directory, raise_format
 
@@ -124,7 +124,7 @@
     async def open(self) -> None:
         """Reads the data folder; damaged files are set aside, and this member starts without them.
 
-        Raises Stop if a later release wrote the folder, or the disk fails.
+        Raises FaultError if a later release wrote the folder, or the disk fails.
         """
         try:
             await self.read_folder()
@@ -193,13 +193,13 @@
         return ReplicatedState.of(image.tree) if image is not None else ReplicatedState()
 
     async def write_journal(self, write: Coroutine[Any, Any, Image]) -> Image:
-        """Awaits a write of the journal; raises Stop if it fails. Any failure but a full disk ends the process."""
+        """Awaits a write of the journal; raises FaultError if it fails. Any failure but a full disk ends the process."""
         if self.disk_failure:
             write.close()
-            raise Stop(Fault("sync", self.settings.name, self.disk_failure))
+            raise FaultError(Fault("sync", self.settings.name, self.disk_failure))
         try:
             return await write
-        except Stop as stop:
+        except FaultError as stop:
             if stop.fault.code != FULL:
                 self.fail_disk(stop.fault.why)
             raise
@@ -210,22 +210,22 @@
             await asyncio.sleep(self.settings.bounds.beat)
             try:
                 await self.journal.compact_if_due()
-            except Stop as stop:
+            except FaultError as stop:
                 if stop.fault.code != FULL:
                     self.fail_disk(stop.fault.why)
                     raise
 
     async def keep(self, name: str, data: bytes) -> None:
-        """Syncs a file of the data folder; raises Stop if that fails. Any failure but a full disk ends the process."""
+        """Syncs a file of the data folder; raises FaultError if that fails. Any failure but a full disk ends the process."""
         if self.disk_failure:
-            raise Stop(Fault("sync", self.settings.name, self.disk_failure))
+            raise FaultError(Fault("sync", self.settings.name, self.disk_failure))
         try:
             async with self.disk_lock:
                 await self.disk.write(name, data)
         except OSError as bad:
             if bad.errno == 28:
-                raise Stop(Fault("sync", self.settings.name, f"{name}: {bad.strerror}")) from bad
-            raise Stop(self.fail_disk(f"{name}: {bad.strerror}")) from bad
+                raise FaultError(Fault("sync", self.settings.name, f"{name}: {bad.strerror}")) from bad
+            raise FaultError(self.fail_disk(f"{name}: {bad.strerror}")) from bad
 
     def fail_disk(self, why: str) -> Fault:
         """A write failed: nothing more is written or answered by this process, which ends."""
@@ -289,7 +289,7 @@
             self.step_down(new.promised)
         try:
             await self.keep("epochs", new.dump())
-        except Stop as bad:
+        except FaultError as bad:
             return Err(bad.fault)
         self.promise_on_disk = max(self.promise_on_disk, new.promised)
         return Ok(self.vote_answer(self.vote_record == new).as_json())
--- a/postpass/control/orders.py
+++ b/postpass/control/orders.py
@@ -32,7 +32,7 @@
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
-from postpass.runtime.errors import BAD, LACK, MOVED, OLD, SHED, SLOW, Fault, Stop
+from postpass.runtime.errors import BAD, LACK, MOVED, OLD, REJECTED, SLOW, Fault, FaultError
 from postpass.runtime.log_events import Event
 
 
@@ -82,7 +82,7 @@
             hint = self.vote_record.replica_set.primary if self.vote_record.replica_set.primary != me else ""
             return Err(Fault(step, me, "not the primary", MOVED, hint))
         if me not in self.members(configuration):
-            return Err(Fault(step, me, f"machines: {me} is not a control machine of this manifest", SHED))
+            return Err(Fault(step, me, f"machines: {me} is not a control machine of this manifest", REJECTED))
         found = await self.run_election(configuration, ElectionReason(Cause.FOUNDED), State(1, configuration))
         if isinstance(found, Err):
             return Err(found.unwrap_err())
@@ -107,7 +107,7 @@
         """Makes a state durable at the replicas; steps down if it can't be told whether it was. Holds the lock."""
         try:
             done = await self.commit(state)
-        except Stop as bad:
+        except FaultError as bad:
             return Err(bad.fault)
         if not done:
             # It may or may not come to be: whoever leads next decides. This one leads no further.
--- a/postpass/control/replica.py
+++ b/postpass/control/replica.py
@@ -16,7 +16,7 @@
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.environment import gather_until, now
-from postpass.runtime.errors import Fault, Stop
+from postpass.runtime.errors import Fault, FaultError
 from postpass.runtime.log_events import Event
 
 
@@ -50,7 +50,7 @@
                 is_synced = await (
                     self.take_change(request) if request.change_json is not None else self.take_state(request)
                 )
-            except Stop as bad:
+            except FaultError as bad:
                 return Err(bad.fault)
             if not is_synced or request.epoch < self.vote_record.promised:
                 return self.append_answer(request, False)
--- a/postpass/control/writer.py
+++ b/postpass/control/writer.py
@@ -14,7 +14,7 @@
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
-from postpass.runtime.errors import MOVED, SHED, SLOW, Fault, Stop
+from postpass.runtime.errors import MOVED, REJECTED, SLOW, Fault, FaultError
 from postpass.runtime.log_events import Event
 
 
@@ -61,7 +61,7 @@
             async with self.lock:
                 try:
                     got = await self.write_edits(edits)
-                except Stop as bad:
+                except FaultError as bad:
                     got = [Err(bad.fault) for _ in edits]
             for edit, result in zip(edits, got, strict=True):
                 if not edit.done.done():
@@ -119,7 +119,7 @@
         if got.is_ok():
             return False
         fault = got.unwrap_err()
-        return fault.code == SHED and fault.peer == self.settings.name
+        return fault.code == REJECTED and fault.peer == self.settings.name
 
     async def forward_once(self, verb: str, body: Body, limit: float) -> PeerResponse:
         """Tries this member, then whoever it names as primary, then all others."""
@@ -130,7 +130,7 @@
             hint = got.unwrap_err().hint
             todo = [n for n in ([hint] if hint else []) + names if n not in tried]
             if not todo:
-                return Err(Fault(verb, self.settings.name, "no primary now; ask again", SHED))
+                return Err(Fault(verb, self.settings.name, "no primary now; ask again", REJECTED))
             tried.add(todo[0])
             addr = self.addr(todo[0])
             if not addr:
--- a/postpass/daemon/announcer.py
+++ b/postpass/daemon/announcer.py
@@ -15,7 +15,7 @@
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.rpc.peer_links import PeerLinks
 from postpass.runtime.environment import Environment, gather_until, now
-from postpass.runtime.errors import SHED, Fault
+from postpass.runtime.errors import REJECTED, Fault
 
 ASKED_AT_ONCE = 2  # one may be gone, and its silence must not hold this machine up
 
@@ -96,5 +96,5 @@
         """Passes another machine's announcement on to a control machine, once: whoever knows none asks any neighbour."""
         addr = next((source for source in self.follower.sources() if source != self.settings.peer), "")
         if not addr or body.get("hop"):
-            return Err(Fault("join", self.settings.name, "no control machine is known here", SHED))
+            return Err(Fault("join", self.settings.name, "no control machine is known here", REJECTED))
         return await self.peer_links.request(addr, "join", body | {"hop": 1}, self.settings.bounds.follow)
--- a/postpass/daemon/process.py
+++ b/postpass/daemon/process.py
@@ -31,7 +31,7 @@
 from postpass.rpc.peer_server import PeerServer
 from postpass.runtime import log_events
 from postpass.runtime.environment import Environment, now, serve_http
-from postpass.runtime.errors import Fault, Stop
+from postpass.runtime.errors import Fault, FaultError
 from postpass.runtime.log_events import Event
 
 Task = Coroutine[Any, Any, None]
@@ -172,7 +172,7 @@
 
     # --- run
     async def run(self) -> None:
-        """Runs from start to end; raises OSError if it can't listen, and Stop if it must not start."""
+        """Runs from start to end; raises OSError if it can't listen, and FaultError if it must not start."""
         self.started = now()
         await self.open()
         port = PeerServer(self.settings.name, {
@@ -218,7 +218,7 @@
             log_events.emit(Event.HANDING_OVER, self.settings.name)
             try:
                 await asyncio.wait_for(self.depart(), self.leave_limit)
-            except (TimeoutError, Stop):
+            except (TimeoutError, FaultError):
                 pass
         self.closed.set()
 
@@ -228,7 +228,7 @@
             await task
         except asyncio.CancelledError:
             raise
-        except Stop as stop:
+        except FaultError as stop:
             fault = stop.fault
             log_events.emit(
                 Event.TASK_FAILED, self.settings.name, task=name, step=fault.step, peer=fault.peer, why=fault.why
@@ -339,7 +339,7 @@
         except OSError as error:
             logging.error("%s cannot start: %s", daemon.settings.name, error)
             code = EXIT_CANNOT_LISTEN
-        except Stop as stop:
+        except FaultError as stop:
             logging.error("%s left: %s", daemon.settings.name, stop)
             code = EXIT_FAULT
         if daemon.failed is not None:
--- a/postpass/gateway/admission_control.py
+++ b/postpass/gateway/admission_control.py
@@ -22,7 +22,7 @@
 from postpass.gateway.http_errors import EVACUATED, LEAVING
 from postpass.gateway.worker_load import ISOLATED, OVERCOMMIT, WorkerLoad
 from postpass.runtime.environment import now
-from postpass.runtime.errors import CROWD, SHED, Fault, Stop
+from postpass.runtime.errors import CROWD, REJECTED, Fault, FaultError
 from postpass.worker_api.openai import Prompt
 from postpass.worker_api.plugins import Candidate, PlacementRequest, affinity_key, affinity_worker, place
 
@@ -183,21 +183,21 @@
         queue = self.queues.setdefault(class_name, AdmissionQueue())
         name = self.settings.name
         if self.leaving:
-            return Err(Fault("let in", name, LEAVING, SHED, hint="another edge"))
+            return Err(Fault("let in", name, LEAVING, REJECTED, hint="another edge"))
         if self.configuration_view.evacuated(name):
-            return Err(Fault("let in", name, EVACUATED, SHED, hint="another edge"))
+            return Err(Fault("let in", name, EVACUATED, REJECTED, hint="another edge"))
         if now() - self.configuration_view.last_contact > self.settings.bounds.deaf:
-            return Err(Fault("let in", name, ISOLATED, SHED, hint="another edge"))
+            return Err(Fault("let in", name, ISOLATED, REJECTED, hint="another edge"))
         if queue.size >= self.queue_limit(class_name):
             return Err(Fault("let in", name, f"the backlog of {class_name} is full ({queue.size})", CROWD))
         if self.expected_wait(class_name) > seconds_left:
-            return Err(Fault("let in", name, f"the wait for {class_name} is past the deadline", SHED))
+            return Err(Fault("let in", name, f"the wait for {class_name} is past the deadline", REJECTED))
         return Ok(None)
 
     async def acquire(self, class_name: str, prompt: Prompt, client: str, seconds_left: float) -> str:
         """Waits for a worker and returns its name; it must be given back by `release`.
 
-        Raises Stop with an `unsent` fault if none is free within `seconds_left`.
+        Raises FaultError with an `unsent` fault if none is free within `seconds_left`.
         """
         request_class = self.configuration["classes"][class_name]
         pool = request_class["pool"]
@@ -215,7 +215,7 @@
                 return await waiter.worker
         except TimeoutError as error:
             why = "no server is up" if not workers else "no server had room in time"
-            raise Stop(Fault("seat", self.settings.name, why, SHED, unsent=True)) from error
+            raise FaultError(Fault("seat", self.settings.name, why, REJECTED, unsent=True)) from error
         finally:
             if not waiter.worker.done():
                 waiter.worker.cancel()
--- a/postpass/gateway/connection_pool.py
+++ b/postpass/gateway/connection_pool.py
@@ -8,7 +8,7 @@
 
 from postpass.configuration.settings import split_address
 from postpass.gateway.upstream_connection import Exchange, UpstreamConnection
-from postpass.runtime.errors import BROKE, CROWD, SLOW, Fault, Stop
+from postpass.runtime.errors import BROKE, CROWD, SLOW, Fault, FaultError
 
 # A connection attempt is given up after so many times what one usually takes, but not before so many seconds.
 CONNECT_TIMES, CONNECT_LEAST = 8, 0.04
@@ -67,7 +67,7 @@
         return len(self.opened.get(addr, ())) - len(self.idle.get(addr, ()))
 
     async def open(self, addr: str, limit: float) -> UpstreamConnection:
-        """A new connection within `limit` seconds. Raises Stop; nothing was sent."""
+        """A new connection within `limit` seconds. Raises FaultError; nothing was sent."""
         host, port = split_address(addr)
         connection = UpstreamConnection(addr, self)
         self.opened.setdefault(addr, []).append(connection)
@@ -84,7 +84,7 @@
         except (OSError, TimeoutError) as error:
             connection.drop()
             code = SLOW if isinstance(error, TimeoutError) else BROKE
-            raise Stop(Fault("connect", addr, str(error) or "no answer", code, unsent=True)) from error
+            raise FaultError(Fault("connect", addr, str(error) or "no answer", code, unsent=True)) from error
         except BaseException:
             connection.drop()
             raise
@@ -112,24 +112,24 @@
         value, or lack if it is empty, or else it belongs to another request. `patience`: for an exchange that may be
         given up and done elsewhere, seconds for which nothing may come before the worker is probed.
 
-        Raises Stop; its fault is `unsent` only if it is proved that no byte left.
+        Raises FaultError; its fault is `unsent` only if it is proved that no byte left.
         """
         until = asyncio.get_running_loop().time() + limit
         connection = self.pick(addr)
         reused = connection is not None
         if connection is None:
             if max_connections and len(self.opened.get(addr, ())) >= max_connections:
-                raise Stop(Fault("connect", addr, f"{max_connections} connections are open", CROWD, unsent=True))
+                raise FaultError(Fault("connect", addr, f"{max_connections} connections are open", CROWD, unsent=True))
             connection = await self.open(addr, limit)
         why = admission_check()
         if why:
             if connection.usable():
                 self.put(connection)
-            raise Stop(Fault("gate", addr, why, CROWD, unsent=True))
+            raise FaultError(Fault("gate", addr, why, CROWD, unsent=True))
         left = until - asyncio.get_running_loop().time()
         if not connection.usable() or left <= 0:
             connection.drop()
-            raise Stop(Fault("connect", addr, "closed before a byte was written", unsent=True))
+            raise FaultError(Fault("connect", addr, "closed before a byte was written", unsent=True))
         data = [method.encode(), b" ", target, b" HTTP/1.1\r\n"]
         for name, value in headers:
             data += (name, b": ", value, b"\r\n")
@@ -149,7 +149,7 @@
             exchange.close()
             raise
         if exchange.fault is not None and not exchange.status:
-            raise Stop(exchange.fault)
+            raise FaultError(exchange.fault)
 
     # --- workers that say nothing
     def schedule_probes(self, patience: float) -> None:
@@ -184,7 +184,7 @@
             connection.usable_until = 0.0
             self.put(connection)
             self.probed[addr] = loop.time()
-        except Stop as stop:
+        except FaultError as stop:
             if stop.fault.code != SLOW or self.last_received <= since:
                 # A reset tells that somebody is there; and if nobody at all was heard, this side may be cut off.
                 self.probed[addr] = loop.time()
--- a/postpass/gateway/job_routes.py
+++ b/postpass/gateway/job_routes.py
@@ -14,12 +14,12 @@
 from postpass.gateway.request_bodies import IDENTIFIER, IDENTIFIER_WANTED, JobRequestBody, client_of, read_json
 from postpass.rpc.codec import Body
 from postpass.runtime.environment import now
-from postpass.runtime.errors import BROKE, CLASH, CROWD, FULL, LACK, SHED, SLOW, Fault
+from postpass.runtime.errors import BROKE, CLASH, CROWD, FULL, LACK, REJECTED, SLOW, Fault
 
 PAGE_ITEMS = 500  # results on one page at most
 # Faults of owners that prove that a job was not taken; they are HTTP statuses as well.
-REJECTIONS = (SHED, FULL, CROWD)
-STATUS_BY_CODE = {LACK: 404, SHED: 410, SLOW: 504, BROKE: 502}
+REJECTIONS = (REJECTED, FULL, CROWD)
+STATUS_BY_CODE = {LACK: 404, REJECTED: 410, SLOW: 504, BROKE: 502}
 STATE_BY_STATUS = {410: "shed", 504: "unknown"}
 
 
--- a/postpass/gateway/live_requests.py
+++ b/postpass/gateway/live_requests.py
@@ -23,7 +23,7 @@
 from postpass.rpc.codec import Body
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
-from postpass.runtime.errors import SLOW, Fault, Stop
+from postpass.runtime.errors import SLOW, Fault, FaultError
 from postpass.runtime.log_events import Event
 from postpass.worker_api.openai import Prompt, complete
 
@@ -186,7 +186,7 @@
                 worker = await edge.admission.acquire(
                     request.class_name, request.prompt, request.client, request.until - now()
                 )
-            except Stop as stop:
+            except FaultError as stop:
                 request.last_fault = stop.fault
                 request.attempt_log = request.attempt_log.plan("").mark(AttemptState.UNSENT, stop.fault.why)
                 continue
@@ -201,7 +201,7 @@
             await self._stream(request, pool, worker, worker_state)
             request.attempt_log = request.attempt_log.mark(AttemptState.DONE)
             edge.admission.note_duration(class_name, now() - request.began)
-        except Stop as stop:
+        except FaultError as stop:
             self._note_fault(request, stop.fault, worker_state)
         except TimeoutError:
             fault = request.last_fault = Fault("call", worker, "its deadline passed", SLOW)
@@ -213,11 +213,11 @@
             edge.admission.release(class_name, pool, worker)
 
     async def _stream(self, request: LiveRequest, pool: str, worker: str, worker_state: WorkerState) -> None:
-        """Passes the worker's pieces on to the client. Raises Stop, or TimeoutError at the request's deadline."""
+        """Passes the worker's pieces on to the client. Raises FaultError, or TimeoutError at the request's deadline."""
         edge, send = self.edge, request.connection.send
         server = edge.configuration["pools"][pool]["servers"].get(worker)
         if server is None:
-            raise Stop(Fault("seat", worker, "it left the manifest", unsent=True))
+            raise FaultError(Fault("seat", worker, "it left the manifest", unsent=True))
         model = worker_state.report.weights if worker_state.report else ""
         async with asyncio.timeout(request.until - now()):
             async for text in complete(
--- a/postpass/gateway/proxied_routes.py
+++ b/postpass/gateway/proxied_routes.py
@@ -17,7 +17,7 @@
 from postpass.gateway.http_errors import fault_response
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
-from postpass.runtime.errors import BROKE, SHED, SLOW, Fault, Stop
+from postpass.runtime.errors import BROKE, REJECTED, SLOW, Fault, FaultError
 from postpass.runtime.log_events import Event
 from postpass.worker_api.openai import Prompt
 
@@ -33,7 +33,7 @@
     "location",
 )  # fmt: skip
 BODILESS = (204, 304)
-STATUS_BY_CODE = {SHED: 503, SLOW: 504}
+STATUS_BY_CODE = {REJECTED: 503, SLOW: 504}
 
 
 class Outcome(Enum):
@@ -121,7 +121,7 @@
             retry_after_s = max(1.0, edge.admission.expected_wait(class_name))
             await connection.respond(fault_response(fault, fault.code, retry_after_s=retry_after_s))
             return
-        fault = Fault("pass", edge.settings.name, "not sent", SHED, unsent=True)
+        fault = Fault("pass", edge.settings.name, "not sent", REJECTED, unsent=True)
         await self.run(ProxiedRequest(class_name, request_class, connection, body, now() + deadline, fault))
 
     async def run(self, request: ProxiedRequest) -> None:
@@ -132,7 +132,7 @@
             try:
                 prompt = Prompt((), request.connection.scope["path"])
                 worker = await edge.admission.acquire(class_name, prompt, "", max(LEAST_TIME, request.until - now()))
-            except Stop as stop:
+            except FaultError as stop:
                 request.last_fault = stop.fault
                 break
             outcome = await self._attempt(request, worker)
@@ -154,7 +154,7 @@
             # right before the request goes.
             barred = edge.admission.barred(pool, worker)
             if barred:
-                request.last_fault = Fault("pass", worker, barred, SHED, unsent=True)
+                request.last_fault = Fault("pass", worker, barred, REJECTED, unsent=True)
                 return Outcome.RETRY
             url = edge.configuration["pools"][pool]["servers"][worker]["url"]
             async with (
@@ -166,7 +166,7 @@
             ):  # fmt: skip
                 answer.check_length(response)
                 if response.status == 503 and request.repeatable:
-                    request.last_fault = Fault("pass", url, "status 503", SHED)
+                    request.last_fault = Fault("pass", url, "status 503", REJECTED)
                     return Outcome.RETRY
                 await answer.pass_on(response)
             edge.admission.note_duration(class_name, now() - began)
--- a/postpass/gateway/relay.py
+++ b/postpass/gateway/relay.py
@@ -31,7 +31,7 @@
 from postpass.gateway.worker_selection import WorkerSelection
 from postpass.runtime import log_events
 from postpass.runtime.environment import Environment, now
-from postpass.runtime.errors import CROWD, SLOW, Fault, Stop
+from postpass.runtime.errors import CROWD, SLOW, Fault, FaultError
 from postpass.runtime.log_events import Event
 
 JobHandler = Callable[[str, Route, Scope, Receive, Send], Awaitable[None]]
@@ -257,7 +257,7 @@
             if await self._is_answer(request, exchange, name, health):
                 health.answered(now() - sent)
                 await self.deliver(request, exchange)
-        except Stop as stop:
+        except FaultError as stop:
             self._note_fault(request, stop.fault, name, health)
         finally:
             health.in_flight -= 1
@@ -285,13 +285,13 @@
         return min(route["target"], route["gap"] or route["target"]) * PATIENCE
 
     async def _is_answer(self, request: RelayedRequest, exchange: Exchange, name: str, health: WorkerHealth) -> bool:
-        """Is the head the worker's own answer? If it proves that nothing ran, that is marked. Raises Stop for a head
+        """Is the head the worker's own answer? If it proves that nothing ran, that is marked. Raises FaultError for a head
         that proves nothing."""
         checked = check_response(exchange.status, exchange.headers, self.names.answers)
         if checked.proof is Proof.ANSWER:
             return True
         if checked.proof is Proof.NONE:
-            raise Stop(Fault("head", exchange.addr, checked.why))
+            raise FaultError(Fault("head", exchange.addr, checked.why))
         await self.read_refusal(exchange)
         request.attempt_log = request.attempt_log.mark(AttemptState.REJECTED, f"{exchange.status}")
         if checked.proof is Proof.OTHER_WORKER:
@@ -316,19 +316,19 @@
 
     async def read_refusal(self, exchange: Exchange) -> None:
         """Reads the body of a refusal, so that its connection can be kept. Its head stands if the rest is late or cut;
-        raises Stop if the rest shows that the bytes were no answer at all, since then the head proves nothing."""
+        raises FaultError if the rest shows that the bytes were no answer at all, since then the head proves nothing."""
         try:
             async with asyncio.timeout(FULL_FOR):
                 await exchange.read(READ_AHEAD)
         except TimeoutError:
             pass
-        except Stop as stop:
+        except FaultError as stop:
             if stop.fault.hint == GARBLED:
                 raise
 
     # --- the answer
     async def deliver(self, request: RelayedRequest, exchange: Exchange) -> None:
-        """Passes the answer on. Raises Stop if it is cut, or if it is better asked for elsewhere."""
+        """Passes the answer on. Raises FaultError if it is cut, or if it is better asked for elsewhere."""
         self._check_status(request, exchange)
         events = request.events if exchange.status == 200 else None
         if events is not None:
@@ -343,7 +343,7 @@
                 try:
                     data = events.feed(data)
                 except ValueError as error:
-                    raise Stop(Fault("join", exchange.addr, str(error))) from error
+                    raise FaultError(Fault("join", exchange.addr, str(error))) from error
             if end and events is not None and events.incomplete:
                 data, events.incomplete = data + events.incomplete, b""
             if not end and size < read_ahead:
@@ -366,16 +366,16 @@
                 await request.send({"type": "http.response.body", "body": data, "more_body": True})
 
     def _check_status(self, request: RelayedRequest, exchange: Exchange) -> None:
-        """Raises Stop if the request is better sent to another worker, by the answer's status alone."""
+        """Raises FaultError if the request is better sent to another worker, by the answer's status alone."""
         status, route = exchange.status, request.route
         may_repeat = request.repeatable and status in REPEATED_STATUSES and now() < request.until
         states = [a.state for a in request.attempt_log.attempts]
         # The open attempt counts as well, though it isn't marked as sent.
         ran = sum(s not in (AttemptState.UNSENT, AttemptState.REJECTED) for s in states)
         if may_repeat and ran < route["tries"]:
-            raise Stop(Fault("repeat", exchange.addr, f"it answered {status}"))
+            raise FaultError(Fault("repeat", exchange.addr, f"it answered {status}"))
         if request.begun and status != 200:
-            raise Stop(Fault("repeat", exchange.addr, f"it answered {status} in place of the rest"))
+            raise FaultError(Fault("repeat", exchange.addr, f"it answered {status} in place of the rest"))
 
     async def begin(self, request: RelayedRequest, exchange: Exchange, joined: bool) -> None:
         """Sends the head of the answer. `joined`: its body may come from several runs, so its length isn't known."""
--- a/postpass/gateway/upstream_connection.py
+++ b/postpass/gateway/upstream_connection.py
@@ -17,7 +17,7 @@
 import httptools
 
 from postpass.gateway.http_headers import Headers
-from postpass.runtime.errors import BROKE, SLOW, Fault, Stop
+from postpass.runtime.errors import BROKE, SLOW, Fault, FaultError
 
 MAX_HEAD_BYTES = 64 << 10  # an answer with a longer head is broken
 MAX_BODY_BYTES = 64 << 20  # that are read at once
@@ -113,12 +113,12 @@
         return bool(self._buffer)
 
     async def next_chunk(self) -> bytes:
-        """What has come since the last time, in one piece; empty once the whole body came. Raises Stop on a cut."""
+        """What has come since the last time, in one piece; empty once the whole body came. Raises FaultError on a cut."""
         while not self._buffer:
             if self.complete:
                 return b""
             if self.fault is not None:
-                raise Stop(self.fault)
+                raise FaultError(self.fault)
             await self.wait()
         data = self._buffer.popleft() if len(self._buffer) == 1 else b"".join(self._buffer)
         self._buffer.clear()
@@ -128,12 +128,12 @@
         return data
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """The body as it comes. Raises Stop on a cut."""
+        """The body as it comes. Raises FaultError on a cut."""
         while data := await self.next_chunk():
             yield data
 
     async def read(self, max_bytes: int = MAX_BODY_BYTES) -> bytes:
-        """The whole body. Raises Stop on a cut, or if it is longer than `max_bytes`."""
+        """The whole body. Raises FaultError on a cut, or if it is longer than `max_bytes`."""
         parts: list[bytes] = []
         size = 0
         while data := await self.next_chunk():
@@ -141,7 +141,7 @@
             size += len(data)
             if size > max_bytes:
                 self.close()
-                raise Stop(Fault("body", self.addr, f"more than {max_bytes} bytes"))
+                raise FaultError(Fault("body", self.addr, f"more than {max_bytes} bytes"))
         return b"".join(parts)
 
     def close(self) -> None:
--- a/postpass/gateway/worker_load.py
+++ b/postpass/gateway/worker_load.py
@@ -21,7 +21,7 @@
 from postpass.rpc.peer_links import PeerLinks
 from postpass.runtime import log_events
 from postpass.runtime.environment import Environment, now
-from postpass.runtime.errors import Fault, Stop
+from postpass.runtime.errors import Fault, FaultError
 from postpass.runtime.log_events import Event
 from postpass.worker_api.openai import Report, report
 
@@ -229,7 +229,7 @@
                 await self._check_health(server["url"], limit)
                 state.unusable = ""
             state.polled_at, state.failures, state.in_flight_at_poll = asked, 0, state.in_flight.total()
-        except (Stop, aiohttp.ClientError, OSError, TimeoutError) as error:
+        except (FaultError, aiohttp.ClientError, OSError, TimeoutError) as error:
             state.failures += 1
             state.unusable = str(error) or repr(error)
         if state.unusable != state.logged:
@@ -240,10 +240,10 @@
         self.signal()
 
     async def _check_health(self, url: str, limit: float) -> None:
-        """Raises Stop if a back end of a plain pool doesn't say that it is well."""
+        """Raises FaultError if a back end of a plain pool doesn't say that it is well."""
         async with asyncio.timeout(limit), self.session.get(f"{url}/health") as response:
             if response.status != 200:
-                raise Stop(Fault("health", url, f"status {response.status}"))
+                raise FaultError(Fault("health", url, f"status {response.status}"))
 
     # --- what may be placed on them
     def barred(self, pool: str, name: str, max_age: float) -> str:
--- a/postpass/replication/election.py
+++ b/postpass/replication/election.py
@@ -19,7 +19,7 @@
 from postpass.replication.record_log import RecordLog
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime.environment import gather_until, now
-from postpass.runtime.errors import Stop
+from postpass.runtime.errors import FaultError
 
 
 @dataclass(eq=False)
@@ -144,7 +144,7 @@
         partition.promised = epoch
         try:
             await self.table.log.wait_synced(self.write_promise(partition, epoch))
-        except Stop:
+        except FaultError:
             return
         request = PromiseRequest(partition.id, self.table.settings.name, handed_epoch, epoch, probe=False)
         promises = await self.collect_promises(partition, request)
@@ -195,7 +195,7 @@
         try:
             self.catch_up.adopt(partition, promises.log)
             self.owner.become_owner(partition, epoch, view.losses, voters, step, list(candidacy.lost_jobs or ()))
-        except Stop:
+        except FaultError:
             partition.step_down()
             partition.heard = now()
         return True
@@ -222,7 +222,7 @@
         partition.heard, partition.contacted = now(), True
         try:
             await self.table.log.wait_synced(self.write_promise(partition, epoch))
-        except Stop as bad:
+        except FaultError as bad:
             return Err(bad.fault)
         if partition.promised != epoch:
             return Ok(PromiseAnswer(disk, partition.promised, False).encode())
--- a/postpass/replication/mirror.py
+++ b/postpass/replication/mirror.py
@@ -19,7 +19,7 @@
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
-from postpass.runtime.errors import FULL, Fault, Stop
+from postpass.runtime.errors import FULL, Fault, FaultError
 from postpass.runtime.log_events import Event
 
 
@@ -34,7 +34,7 @@
 
     async def watch_disk(self) -> None:
         """Ends the process once a peer has shown that this disk lost what it had synced."""
-        raise Stop(await self.disk_failed)
+        raise FaultError(await self.disk_failed)
 
     async def on_hello(self, body: Body) -> PeerResponse:
         """An owner's handshake before its stream, or one of its shorter questions under an epoch."""
@@ -58,7 +58,7 @@
             partition.aligned = 0
             try:
                 await self.table.log.wait_synced(self.election.write_promise(partition, epoch))
-            except Stop as bad:
+            except FaultError as bad:
                 return Err(bad.fault)
             if partition.promised != epoch:
                 return Ok(HelloAnswer(disk, partition.promised, False).encode())
@@ -97,7 +97,7 @@
         partition.heard, partition.owner = now(), packet.owner
         try:
             self.accept_packet(partition, packet)
-        except Stop as bad:
+        except FaultError as bad:
             partition.aligned = partition.handshake_epoch = 0
             if bad.fault.code != FULL:
                 raise
@@ -113,7 +113,7 @@
         """Gathers packets into a message and applies it: start, snap (a base) or rec (a record).
 
         Raises:
-            Stop: The disk takes no more; nothing of the message is in memory.
+            FaultError: The disk takes no more; nothing of the message is in memory.
         """
         if packet.kind == HEARTBEAT:
             return  # a heartbeat goes out between the packets of other messages
--- a/postpass/replication/owner.py
+++ b/postpass/replication/owner.py
@@ -16,7 +16,7 @@
 from postpass.rpc.codec import Body
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
-from postpass.runtime.errors import BROKE, FULL, SLOW, Fault, Stop
+from postpass.runtime.errors import BROKE, FULL, SLOW, Fault, FaultError
 from postpass.runtime.log_events import Event
 
 
@@ -43,7 +43,7 @@
             lost: Jobs that were lost, as far as others remember them.
 
         Raises:
-            Stop: The disk takes no more; nothing is left of the records in memory.
+            FaultError: The disk takes no more; nothing is left of the records in memory.
         """
         partition.lead(epoch)
         self.ownership_began(partition.id)
@@ -65,7 +65,7 @@
         partition.epoch_mark = partition.record_log.last
         try:
             self.table.write(partition, [r.entry(partition.id) for r in records])
-        except Stop:
+        except FaultError:
             partition.cut(records[0].seq - 1)
             raise
         self.announce_epochs({str(partition.id): epoch})
@@ -90,28 +90,28 @@
         if upto:
             try:
                 self.append(partition, "mark", {"settled": upto})
-            except Stop:
+            except FaultError:
                 return
 
     def append(self, partition: Partition, kind: str, body: Body, vital: bool = True, raw: Payload = b"") -> Record:
-        """Sequences one record and streams it at once. Raises Stop, with nothing sequenced, if the disk
+        """Sequences one record and streams it at once. Raises FaultError, with nothing sequenced, if the disk
         won't take it."""
         if not vital:
             free, _ = self.table.log.disk.space()
             if free - len(json.dumps(body)) - len(raw) - 256 < self.table.log.reserved_bytes:
                 log_events.emit(Event.DISK_FULL, self.table.settings.name, part=partition.id)
-                raise Stop(Fault("append", self.table.settings.name, "the disk is full", FULL))
+                raise FaultError(Fault("append", self.table.settings.name, "the disk is full", FULL))
         if self.table.log.failure:
-            raise Stop(Fault("append", self.table.settings.name, self.table.log.failure, BROKE))
+            raise FaultError(Fault("append", self.table.settings.name, self.table.log.failure, BROKE))
         record = partition.make(kind, body, raw)
         try:
             self.table.write(partition, [record.entry(partition.id)])
-        except Stop as bad:
+        except FaultError as bad:
             # Sequenced in memory but not on disk: this log can't be led from here any more.
             partition.cut(record.seq - 1)
             partition.step_down()
             partition.heard = now()
-            raise Stop(Fault("append", self.table.settings.name, bad.fault.why, SLOW)) from bad
+            raise FaultError(Fault("append", self.table.settings.name, bad.fault.why, SLOW)) from bad
         self.table.counts[f"rec_{kind}"] += 1
         self.streams.wake_all(partition)
         return record
--- a/postpass/replication/owner_duties.py
+++ b/postpass/replication/owner_duties.py
@@ -11,7 +11,7 @@
 from postpass.replication.reconfiguration import Reconfiguration
 from postpass.replication.streaming import MirrorStreams
 from postpass.runtime.environment import now
-from postpass.runtime.errors import Stop
+from postpass.runtime.errors import FaultError
 
 
 @dataclass(eq=False)
@@ -50,7 +50,7 @@
         try:
             self.reconfiguration.change_next(partition)
             self.retention.drop_expired(partition)
-        except Stop:
+        except FaultError:
             return
         order = self.table.configuration_view.order(partition.id)
         if order and order[0] != self.table.settings.name:
--- a/postpass/replication/partition_table.py
+++ b/postpass/replication/partition_table.py
@@ -74,7 +74,7 @@
             vital: Whether they may use the space that is held back for records which the protocol needs.
 
         Raises:
-            Stop: The disk takes no more.
+            FaultError: The disk takes no more.
         """
         place = self.log.append(entries, vital)
         partition.unsynced.append((place, partition.record_log.last))
--- a/postpass/replication/store.py
+++ b/postpass/replication/store.py
@@ -133,7 +133,7 @@
         return await self.leadership.confirm(partition)
 
     def append(self, partition: Partition, kind: str, body: Body, vital: bool = True, raw: Payload = b"") -> Record:
-        """Sequences one record; raises Stop, with nothing sequenced, if the disk won't take it."""
+        """Sequences one record; raises FaultError, with nothing sequenced, if the disk won't take it."""
         return self.owner.append(partition, kind, body, vital, raw)
 
     def rejection(self, partition: Partition) -> Fault | None:
--- a/postpass/runtime/errors.py
+++ b/postpass/runtime/errors.py
@@ -1,7 +1,7 @@
 """Errors that carry the step and the peer at which they arose.
 
 A `Fault` is a value: handlers return it, links carry it, and whoever asked decides by its `code`, `hint`, `unsent` and
-`unsure` what to do next. `Stop` raises one, where it has to end the task or the process that met it.
+`unsure` what to do next. `FaultError` raises one, where it has to end the task or the process that met it.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 MOVED: int = ErrorCode.NOT_RESPONSIBLE
 CROWD: int = ErrorCode.TOO_MANY_REQUESTS
 BROKE: int = ErrorCode.PEER_FAILED
-SHED: int = ErrorCode.REJECTED
+REJECTED: int = ErrorCode.REJECTED
 SLOW: int = ErrorCode.TIMED_OUT
 FULL: int = ErrorCode.NO_SPACE
 
@@ -70,7 +70,7 @@
         return {"step": self.step, "peer": self.peer, "why": self.why} | ({"hint": self.hint} if self.hint else {})
 
 
-class Stop(Exception):
+class FaultError(Exception):
     """Ends the task or the process that met a fault."""
 
     def __init__(self, fault: Fault) -> None:
--- a/postpass/storage/data_directory.py
+++ b/postpass/storage/data_directory.py
@@ -25,7 +25,7 @@
 
 from postpass.runtime import log_events
 from postpass.runtime.disk import Disk
-from postpass.runtime.errors import Fault, Stop
+from postpass.runtime.errors import Fault, FaultError
 from postpass.runtime.log_events import Event
 from postpass.storage.segmented_log import SEGMENT_PREFIX, SNAPSHOT_PREFIX, SegmentedLog
 
@@ -69,7 +69,7 @@
     Parameters: `process` is the name of the process; `random_source` draws the identity; `segment_bytes`, `reserve` and
     `strict` are those of `SegmentedLog`; `highest_format` is the highest format that the caller reads.
 
-    Raises `Stop`, and has changed nothing then, if the directory has a higher format.
+    Raises `FaultError`, and has changed nothing then, if the directory has a higher format.
     """
     log = SegmentedLog(process, disk, segment_bytes, reserve=reserve, strict=strict)
     names = disk.names()
@@ -77,7 +77,7 @@
     if identity:
         try:
             return DataDirectory(identity, False, log, log.load())
-        except Stop as stop:
+        except FaultError as stop:
             log_events.emit(Event.DISK_DAMAGED, process, step=stop.fault.step, why=stop.fault.why)
             log = SegmentedLog(process, disk, segment_bytes, reserve=reserve, strict=strict)
     _set_aside(disk, names)
@@ -88,14 +88,14 @@
 
 
 def _read_identity(process: str, disk: Disk, highest_format: int) -> str:
-    """The directory's name; empty if the file doesn't tell. Raises `Stop` for a format above the highest one."""
+    """The directory's name; empty if the file doesn't tell. Raises `FaultError` for a format above the highest one."""
     identity = ""
     try:
         record = json.loads(disk.read(IDENTITY_FILE))
         identity = str(record["disk"])
         if record.get("format", 1) > highest_format:
             why = f"the folder has format {record['format']}, this release reads up to {highest_format}; nothing was touched"
-            raise Stop(Fault("open data folder", process, why))
+            raise FaultError(Fault("open data folder", process, why))
     except (ValueError, KeyError, TypeError):
         log_events.emit(Event.DISK_DAMAGED, process, file=IDENTITY_FILE, why="unreadable")
     return identity
--- a/postpass/storage/segmented_log.py
+++ b/postpass/storage/segmented_log.py
@@ -18,7 +18,7 @@
     A loss of power can leave part of the bytes that were appended after the last sync. Nobody was told that those are
     durable, so `load` cuts the segment at the first frame that is short or does not match its checksum. This is done
     in the last segment alone, and only if no complete frame follows: anything else is damage to bytes that had been
-    synced, which raises `Stop`, and the data directory is then formatted anew (see `data_directory`).
+    synced, which raises `FaultError`, and the data directory is then formatted anew (see `data_directory`).
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 from postpass.rpc.codec import IDL, pack, unpack
 from postpass.runtime import log_events
 from postpass.runtime.disk import Disk
-from postpass.runtime.errors import BROKE, FULL, Fault, Stop
+from postpass.runtime.errors import BROKE, FULL, Fault, FaultError
 from postpass.runtime.log_events import Event
 
 HEAD = struct.Struct("!II")  # length of the payload, its CRC-32
@@ -102,7 +102,7 @@
     Offsets count the bytes appended since the process started, over all segments.
 
     Invariants: `synced` <= `end`; entries up to `synced` survive a loss of power; once `failure` is set, nothing more is
-    called synced and every call raises `Stop`, because a failed sync may have dropped pages that a later one reports as
+    called synced and every call raises `FaultError`, because a failed sync may have dropped pages that a later one reports as
     written.
 
     Attributes:
@@ -150,7 +150,7 @@
         """Reads the last snapshot and the segments after it, cuts a torn tail and removes the files that the snapshot
         replaces.
 
-        Returns all entries in the order in which they were appended. Raises `Stop`, whose fault names file and offset, if
+        Returns all entries in the order in which they were appended. Raises `FaultError`, whose fault names file and offset, if
         a file is damaged or missing; the files are left as they are then.
         """
         names = self.disk.names()
@@ -160,7 +160,7 @@
         entries = self._load_snapshot(snapshots[-1]) if snapshots else []
         current = [n for n in segments if _segment_number(n) >= first]
         if [_segment_number(n) for n in current] != list(range(first, first + len(current))):
-            raise Stop(Fault("read log", self.process, f"a segment is missing: found {current}", BROKE))
+            raise FaultError(Fault("read log", self.process, f"a segment is missing: found {current}", BROKE))
         for name in current:
             entries += self._load_segment(name, is_last=name == current[-1])
         for name in [n for n in segments if _segment_number(n) < first] + snapshots[:-1]:
@@ -172,7 +172,7 @@
         data = self.disk.read(name)
         entries, end = scan(data)
         if end != len(data) or not entries or entries[-1].op != SEALED:
-            raise Stop(Fault("read snapshot", self.process, f"{name} is damaged at byte {end}", BROKE))
+            raise FaultError(Fault("read snapshot", self.process, f"{name} is damaged at byte {end}", BROKE))
         self.snapshot_bytes = len(data)
         return entries[:-1]
 
@@ -182,7 +182,7 @@
         if end != len(data):
             damaged = has_entry_after(data, end) or (self.strict and is_complete_but_damaged(data, end))
             if not is_last or damaged:
-                raise Stop(Fault("read log", self.process, f"{name} is damaged at byte {end}", BROKE))
+                raise FaultError(Fault("read log", self.process, f"{name} is damaged at byte {end}", BROKE))
             log_events.emit(Event.DISK_TORN_TAIL, self.process, file=name, at=end, bytes=len(data) - end)
             self.disk.truncate(name, end)
         self.segment_size = end
@@ -192,7 +192,7 @@
     def append(self, entries: Iterable[Any], vital: bool = True) -> int:
         """Appends entries to the current segment, without a sync; returns the offset to pass to `wait_synced`.
 
-        Entries that aren't `vital` leave `reserved_bytes` free. Raises `Stop`: with code FULL if the disk has no room, with
+        Entries that aren't `vital` leave `reserved_bytes` free. Raises `FaultError`: with code FULL if the disk has no room, with
         code BROKE if it failed before.
         """
         if self.failure:
@@ -200,11 +200,11 @@
         data = b"".join(map(frame, entries))
         free, _ = self.disk.space()
         if not vital and free - len(data) < self.reserved_bytes:
-            raise Stop(Fault("append", self.process, "the disk is full", FULL))
+            raise FaultError(Fault("append", self.process, "the disk is full", FULL))
         try:
             self.disk.append(self.segment_name, data)
         except OSError as error:
-            raise Stop(Fault("append", self.process, f"{self.segment_name}: {error.strerror}", FULL)) from error
+            raise FaultError(Fault("append", self.process, f"{self.segment_name}: {error.strerror}", FULL)) from error
         self.end += len(data)
         self.segment_size += len(data)
         self.logged_bytes += len(data)
@@ -221,7 +221,7 @@
             await self.sync()
 
     async def sync(self) -> None:
-        """Makes durable what was appended before the call. Raises `Stop` if the disk fails; see `failure`."""
+        """Makes durable what was appended before the call. Raises `FaultError` if the disk fails; see `failure`."""
         async with self.lock:
             offset = self.end
             if not self.group_commit and self.unsynced_offsets:
@@ -237,7 +237,7 @@
         self._notify_sync()
 
     async def wait_synced(self, offset: int) -> None:
-        """Returns once everything below an offset is durable. Raises `Stop` if the disk failed before."""
+        """Returns once everything below an offset is durable. Raises `FaultError` if the disk failed before."""
         while self.synced < offset:
             if self.failure:
                 raise self._failure_at("sync")
@@ -261,7 +261,7 @@
     async def compact(self, entries: Iterator[Any]) -> None:
         """Writes a snapshot of all entries, begins a new segment and removes the older files.
 
-        If the disk has no room for it, nothing is lost: the segments stay, and event 114 is logged. Raises `Stop` if the
+        If the disk has no room for it, nothing is lost: the segments stay, and event 114 is logged. Raises `FaultError` if the
         disk fails otherwise.
         """
         async with self.lock:
@@ -300,8 +300,8 @@
         self.sync_done.set()
         self.sync_done = asyncio.Event()
 
-    def _failure_at(self, step: str) -> Stop:
-        return Stop(Fault(step, self.process, self.failure, BROKE))
+    def _failure_at(self, step: str) -> FaultError:
+        return FaultError(Fault(step, self.process, self.failure, BROKE))
 
     def _fail(self, step: str, failure: str, error: OSError) -> NoReturn:
         self.failure = failure
--- a/postpass/worker_api/openai.py
+++ b/postpass/worker_api/openai.py
@@ -15,7 +15,7 @@
 import aiohttp
 from prometheus_client.parser import text_string_to_metric_families
 
-from postpass.runtime.errors import BROKE, CROWD, SLOW, Fault, Stop
+from postpass.runtime.errors import BROKE, CROWD, SLOW, Fault, FaultError
 
 MAX_LINE = 64 << 10  # bytes of a line of a stream
 MAX_METRICS = 256 << 10  # bytes of a metrics page that are read
@@ -47,13 +47,13 @@
 
 async def report(session: aiohttp.ClientSession, url: str, limit: float, old: Report | None) -> Report:
     """Reads a worker within `limit` seconds. `old`: its last report, whose model and revision are kept if the worker
-    hasn't been restarted since. Raises Stop with step and peer if it can't be read."""
+    hasn't been restarted since. Raises FaultError with step and peer if it can't be read."""
     step = "health"
     try:
         async with asyncio.timeout(limit):
             async with session.get(f"{url}/health") as response:
                 if response.status != 200:
-                    raise Stop(Fault(step, url, f"status {response.status}"))
+                    raise FaultError(Fault(step, url, f"status {response.status}"))
             step = "metrics"
             async with session.get(f"{url}/metrics") as response:
                 text = (await response.content.read(MAX_METRICS)).decode()
@@ -72,7 +72,7 @@
                 async with session.get(f"{url}/version") as response:
                     revision = str((await response.json(content_type=None))["version"])
     except (aiohttp.ClientError, OSError, TimeoutError, ValueError, KeyError, IndexError, TypeError) as error:
-        raise Stop(Fault(step, url, repr(error)[:120])) from error
+        raise FaultError(Fault(step, url, repr(error)[:120])) from error
     return Report(int(seen.get("running", 0)), int(seen.get("waiting", 0)), seen.get("cache", 0.0),
                   seen.get("start", 0.0), weights, revision)  # fmt: skip
 
@@ -101,7 +101,7 @@
     """Reads the event stream of one completion line by line. Owner: `complete`. Invariant: all pieces that were given
     out are of one run of the worker, in order and without a gap, as far as the worker tells their places.
 
-    Its methods raise Stop for a stream that breaks the interface."""
+    Its methods raise FaultError for a stream that breaks the interface."""
 
     __slots__ = ("url", "max_pieces", "check_offsets", "prompt_size", "count", "finished", "_begin", "_size", "_reason")
 
@@ -113,14 +113,14 @@
         self._begin, self._size = UNTOLD, 0  # where the text begins, and how much of it has come
         self._reason = ""  # why the worker ended it, once it did
 
-    def fault(self, why: str, code: int = BROKE) -> Stop:
+    def fault(self, why: str, code: int = BROKE) -> FaultError:
         """To be raised."""
-        return Stop(Fault(STEP, self.url, why, code))
+        return FaultError(Fault(STEP, self.url, why, code))
 
     def check_head(self, response: aiohttp.ClientResponse) -> None:
         """Is the answer a stream at all?"""
         if response.status in REJECTIONS:
-            raise Stop(Fault(STEP, self.url, f"shed with {response.status}", CROWD, hint="shed"))
+            raise FaultError(Fault(STEP, self.url, f"shed with {response.status}", CROWD, hint="shed"))
         if response.status != 200:
             raise self.fault(f"status {response.status}")
         if not response.headers.get("content-type", "").startswith("text/event-stream"):
@@ -154,7 +154,7 @@
                 raise self.fault(f"endless: more than {self.max_pieces} pieces")
         return text
 
-    def cut(self) -> Stop:
+    def cut(self) -> FaultError:
         """The stream ended before the completion did; to be raised."""
         return self.fault(f"cut after {self.count} pieces")
 
@@ -181,10 +181,10 @@
         self.left = False  # bytes of it may have left
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """The body in one chunk. Raises Stop with an `unsent` fault if the check says why not."""
+        """The body in one chunk. Raises FaultError with an `unsent` fault if the check says why not."""
         why = self.admission_check()
         if why:
-            raise Stop(Fault("gate", self.url, why, unsent=True))
+            raise FaultError(Fault("gate", self.url, why, unsent=True))
         self.left = True
         self.on_sent()
         yield self.data
@@ -209,7 +209,7 @@
     piece in the text (`logprobs.text_offset`, as the interface calls it), so that a piece that is skipped, repeated or
     out of order is told from the next one.
 
-    Raises Stop for any fault; `unsent` in it is a proof.
+    Raises FaultError for any fault; `unsent` in it is a proof.
     """
     request = {"model": model, "prompt": prompt.text, "stream": True, "max_tokens": prompt.most}
     data = json.dumps(request | ({"logprobs": 0} if offsets else {}), ensure_ascii=False).encode()
@@ -229,13 +229,13 @@
                 elif reader.finished:
                     return
             raise reader.cut()
-    except Stop as stop:
+    except FaultError as stop:
         if stop.fault.unsent or stop.fault.step == STEP:
             raise
-        raise Stop(Fault(STEP, url, str(stop), BROKE, unsent=not body.left)) from stop
+        raise FaultError(Fault(STEP, url, str(stop), BROKE, unsent=not body.left)) from stop
     except (ValueError, KeyError, IndexError, TypeError) as error:
         raise reader.fault(f"garbled stream: {error!r:.80}") from error
     except (aiohttp.ClientError, OSError, TimeoutError) as error:
         code = SLOW if isinstance(error, TimeoutError) else BROKE
         cut = f"cut after {reader.count} pieces: " if reader.count else ""
-        raise Stop(Fault(STEP, url, f"{cut}{error!r:.120}", code, unsent=not body.left)) from error
+        raise FaultError(Fault(STEP, url, f"{cut}{error!r:.120}", code, unsent=not body.left)) from error
--- a/sim/broken.py
+++ b/sim/broken.py
@@ -21,7 +21,7 @@
 from postpass.gateway.attempts import Action, Decision
 from postpass.gateway.worker_load import WorkerLoad
 from postpass.replication.partition import Partition
-from postpass.runtime.errors import OLD, SHED, Fault, Stop
+from postpass.runtime.errors import OLD, REJECTED, Fault, FaultError
 from postpass.worker_api import openai
 
 Patch = Callable[[pytest.MonkeyPatch], None]
@@ -62,7 +62,7 @@
         try:
             async for text in plain(*args):
                 yield text
-        except Stop as bad:
+        except FaultError as bad:
             if bad.fault.unsent:
                 raise
 
@@ -75,7 +75,7 @@
 
     async def submit(self: JobRecords, body: dict[str, Any]) -> Any:
         got = await plain(self, body)
-        return Err(Fault("submit", "x", "no", SHED)) if body["lot"]["id"][-1] in "13579" else got
+        return Err(Fault("submit", "x", "no", REJECTED)) if body["lot"]["id"][-1] in "13579" else got
 
     mp.setattr(JobRecords, "on_submit", submit)
 
--- a/tests/batch/test_item_request.py
+++ b/tests/batch/test_item_request.py
@@ -11,7 +11,7 @@
 from postpass.batch.messages import Item
 from postpass.configuration.header_names import Dialect
 from postpass.gateway.connection_pool import ConnectionPool
-from postpass.runtime.errors import Stop
+from postpass.runtime.errors import FaultError
 from tests.gateway.test_upstream_connection import run
 
 
@@ -34,13 +34,13 @@
         Events(text).feed(event(1, "a") + event(2, "b") + b"id: 3\ndata: c")
         assert (text.text, text.last) == ("a\nb", 2)
         for wrong in (event(2, "b"), event(4, "d"), event(1, "a"), b"data: x\n\n", b"id: x\n"):
-            with pytest.raises(Stop):
+            with pytest.raises(FaultError):
                 Events(text).feed(wrong)
         Events(text).feed(event(3, "c"))
         assert (text.text, text.last) == ("a\nb\nc", 3)
 
     def test_a_run_that_begins_late_or_ends_within_an_event_is_not_whole(self) -> None:
-        with pytest.raises(Stop):
+        with pytest.raises(FaultError):
             Events(Text()).feed(event(2, "b"))
         events = Events(Text())
         events.feed(event(0, "a") + b"id: 1\ndata: b\n")
@@ -89,7 +89,7 @@
                 end: str = await run_item(
                     links, Dialect(), "http://w:1", "w1", "h", ITEM, text, lambda: "", 1.0
                 )  # fmt: skip
-            except Stop as bad:
+            except FaultError as bad:
                 end = bad.fault.hint or "broken"
             out.append((end, text.text))
         return out
--- a/tests/batch/test_job_service.py
+++ b/tests/batch/test_job_service.py
@@ -16,7 +16,7 @@
 from postpass.batch.scheduler import Scheduler
 from postpass.configuration.configuration import Route
 from postpass.daemon.data_plane import DataPlane
-from postpass.runtime.errors import Fault, Stop
+from postpass.runtime.errors import Fault, FaultError
 from sim.fleet import SimFleet
 from sim.loop import SimLoop, run_sim
 
@@ -36,7 +36,7 @@
             await asyncio.sleep(0.02)
             yield part
         if self.cut:
-            raise Stop(Fault("body", "w", "cut"))
+            raise FaultError(Fault("body", "w", "cut"))
 
     def close(self) -> None: ...
 
@@ -52,7 +52,7 @@
                       *, admission_check: Callable[[], str], limit: float, expect: tuple[bytes, bytes] | None) -> Answer:  # fmt: skip
         why = admission_check()
         if why:
-            raise Stop(Fault("gate", addr, why, unsent=True))
+            raise FaultError(Fault("gate", addr, why, unsent=True))
         if self.full:
             return Answer(503, [(b"x-not-run", b"1")], [], False)
         heads = dict(headers)
--- a/tests/control/test_isolation.py
+++ b/tests/control/test_isolation.py
@@ -13,7 +13,7 @@
 from starlette.applications import Starlette
 
 from postpass.control.daemon import ControlPlane
-from postpass.runtime.errors import BAD, BROKE, CLASH, CROWD, FULL, LACK, MOVED, OLD, SHED, SLOW, Fault
+from postpass.runtime.errors import BAD, BROKE, CLASH, CROWD, FULL, LACK, MOVED, OLD, REJECTED, SLOW, Fault
 from sim.linearizability import Attempt, Operation, Order, Outcome, Read, check
 from tests.control.test_announced_control import play, standing
 from tests.control.test_feed import cut, heal, names, settle
@@ -200,7 +200,7 @@
         assert "ask another: 10.0." in body["error"]["why"]
 
 
-@pytest.mark.parametrize("code", [BAD, LACK, CLASH, OLD, MOVED, CROWD, BROKE, SHED, SLOW, FULL])
+@pytest.mark.parametrize("code", [BAD, LACK, CLASH, OLD, MOVED, CROWD, BROKE, REJECTED, SLOW, FULL])
 def test_every_refusal_that_may_be_repeated_says_when(code: int) -> None:
     got = adapter("operators").refusal(Fault("order", "c1", "no", code, "7"))
     clear = {BAD: 400, LACK: 404, CLASH: 409, OLD: 412}
--- a/tests/control/test_journal.py
+++ b/tests/control/test_journal.py
@@ -24,7 +24,7 @@
     snapshot_entry,
 )
 from postpass.rpc.codec import IDL, pack, unpack
-from postpass.runtime.errors import BROKE, FULL, Stop
+from postpass.runtime.errors import BROKE, FULL, FaultError
 from postpass.storage.data_directory import (
     IDENTITY_FILE,
     STATE_FORMAT,
@@ -150,7 +150,7 @@
 
         async def run() -> None:
             disk = SimDisk(random.Random(1))
-            with pytest.raises(Stop, match="nothing was touched"):
+            with pytest.raises(FaultError, match="nothing was touched"):
                 await StateJournal.open("c1", disk, SegmentedLog("c1", disk), [entry])
 
         asyncio.run(run())
@@ -160,7 +160,7 @@
             disk = SimDisk(random.Random(1))
             data_directory, _ = await opened(disk)
             await write_identity(disk, data_directory.name, 4)
-            with pytest.raises(Stop, match="format 4, this release reads up to 3; nothing was touched"):
+            with pytest.raises(FaultError, match="format 4, this release reads up to 3; nothing was touched"):
                 await opened(disk)
             assert json.loads(disk.read(IDENTITY_FILE)) == {"disk": data_directory.name, "format": 4}
 
@@ -292,13 +292,13 @@
             assert before is not None
             change, after = advanced(before, 6)
             disk.cap = sum(map(len, disk.files.values()))
-            with pytest.raises(Stop) as full:
+            with pytest.raises(FaultError) as full:
                 await journal.append(change)
             assert full.value.fault.code == FULL and journal.image == before
-            with pytest.raises(Stop) as full:
+            with pytest.raises(FaultError) as full:
                 await journal.replace(after)
             assert full.value.fault.code == FULL and journal.image == before
-            with pytest.raises(Stop):
+            with pytest.raises(FaultError):
                 await journal.replace(after)
             assert (await opened(disk))[1].image == before
             disk.cap = 1 << 20
@@ -325,14 +325,14 @@
                 "compact": journal.compact,
             }
             disk.fails = True
-            with pytest.raises(Stop) as failed:
+            with pytest.raises(FaultError) as failed:
                 await calls[write]()
             assert failed.value.fault.code == BROKE
-            with pytest.raises(Stop):
+            with pytest.raises(FaultError):
                 await opened(disk)
             disk.fails = False
             for call in calls.values():
-                with pytest.raises(Stop):
+                with pytest.raises(FaultError):
                     await call()
             data_directory, again = await opened(disk)
             assert not data_directory.fresh and again.image in (before, after)
--- a/tests/gateway/test_answers_broken.py
+++ b/tests/gateway/test_answers_broken.py
@@ -20,7 +20,7 @@
 from postpass.gateway.relay import Relay
 from postpass.gateway.response_check import Proof, ResponseCheck, check_response
 from postpass.gateway.upstream_connection import Exchange, UpstreamConnection
-from postpass.runtime.errors import Stop
+from postpass.runtime.errors import FaultError
 from tests.gateway.test_answers import quick_collections
 from tests.support import answers
 from tests.support.answers import EVENTS, Ask, Connection, Play, Scene, chunk, event, judge, run_scene
@@ -72,7 +72,7 @@
     async def read_refusal(self: Relay, exchange: Exchange) -> None:
         try:
             await plain(self, exchange)
-        except Stop:
+        except FaultError:
             pass
 
     mp.setattr(Relay, "read_refusal", read_refusal)
@@ -165,7 +165,7 @@
         try:
             async for data in plain(self):
                 yield data
-        except Stop:
+        except FaultError:
             pass
 
     mp.setattr(Exchange, "chunks", chunks)
--- a/tests/gateway/test_upstream_connection.py
+++ b/tests/gateway/test_upstream_connection.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from postpass.gateway.connection_pool import ConnectionPool
-from postpass.runtime.errors import Stop
+from postpass.runtime.errors import FaultError
 from sim.loop import Host, SimLoop, run_sim
 
 Play = Callable[[int, int, bytes, asyncio.StreamWriter], Awaitable[None]]  # connection, request on it, head
@@ -55,7 +55,7 @@
             addr, method, b"/a%2fb?x", [(b"host", b"h")], b"", admission_check=lambda: gate, limit=limit
         )
         return ex.status, await ex.read()
-    except Stop as bad:
+    except FaultError as bad:
         return bad.fault.step, bad.fault.unsent
 
 
@@ -101,7 +101,7 @@
             return links.request("w:1", "GET", b"/", [], b"", admission_check=lambda: "", limit=5, max_connections=2)
 
         got = await asyncio.gather(go(), go(), go(), return_exceptions=True)
-        assert [isinstance(g, Stop) and g.fault.unsent for g in got] == [False, False, True]
+        assert [isinstance(g, FaultError) and g.fault.unsent for g in got] == [False, False, True]
 
     run(slow, main)
 
@@ -146,7 +146,7 @@
         try:
             async for piece in ex.chunks():
                 seen.append((piece, round(loop.clock, 1)))
-        except Stop as bad:
+        except FaultError as bad:
             seen.append((bad.fault.step.encode(), round(loop.clock, 1)))
         assert seen == [(b"one", 0.5), (b"two", 1.0), (b"body", 1.5)]
 
@@ -273,7 +273,7 @@
                     "w:1", "GET", b"/", [], b"", admission_check=lambda: "", limit=5, expect=(b"x-id", b"one")
                 )
                 assert n == 2 and ex.status == 200 and links.idle == {}
-            except Stop as bad:
+            except FaultError as bad:
                 assert n == 1 and not bad.fault.unsent and links.opened == {}
         assert worker.connections == 2
 
--- a/tests/storage/test_data_directory.py
+++ b/tests/storage/test_data_directory.py
@@ -6,7 +6,7 @@
 import json
 import random
 
-from postpass.runtime.errors import Stop
+from postpass.runtime.errors import FaultError
 from postpass.storage.data_directory import FORMAT, IDENTITY_FILE, DataDirectory, open_data_directory, revoke_identity
 
 
@@ -42,7 +42,7 @@
     before = dict(disk.kept)
     try:
         asyncio.run(open_data_directory("s1", disk, random.Random(2), 1 << 20, 0))
-    except Stop as bad:
+    except FaultError as bad:
         assert (bad.fault.step, bad.fault.peer) == (
             "open data folder",
             "s1",
--- a/tests/storage/test_segmented_log.py
+++ b/tests/storage/test_segmented_log.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from postpass.rpc.codec import IDL
-from postpass.runtime.errors import FULL, Stop
+from postpass.runtime.errors import FULL, FaultError
 from postpass.storage.segmented_log import SegmentedLog
 
 
@@ -32,7 +32,7 @@
     disk.damage("log-00000000", whole // 2)
     try:
         SegmentedLog("s1", disk).load()
-    except Stop as bad:
+    except FaultError as bad:
         assert "log-00000000 is damaged at byte" in bad.fault.why
     else:
         raise AssertionError("damage was not seen")
@@ -52,7 +52,7 @@
     assert [e.seq for e in SegmentedLog("s1", disk).load()] == [3, 4]
     try:
         log.append([_entry(5, b"z" * 900)], vital=False)
-    except Stop as bad:
+    except FaultError as bad:
         assert bad.fault.code == FULL
     else:
         raise AssertionError("the room held back was given away")
@@ -60,11 +60,11 @@
     disk.fails = True
     try:
         asyncio.run(log.sync())
-    except Stop as bad:
+    except FaultError as bad:
         assert "sync of log-00000001 failed" in bad.fault.why
     try:
         log.append([_entry(6)])
-    except Stop as bad:
+    except FaultError as bad:
         assert "failed" in bad.fault.why
     else:
         raise AssertionError("data was trusted after a failed sync")
--- a/tests/support/readable_code.py
+++ b/tests/support/readable_code.py
@@ -15,10 +15,8 @@
 PLATFORM = ROOT.parent / "platform"  # held to the same terms and rules; it is no package
 MOVED = (
     "control", "replication", "batch", "gateway", "worker_api", "membership", "feed", "daemon", "cli", "storage",
-    "configuration", "rpc",
+    "configuration", "rpc", "runtime",
 )  # fmt: skip
-# Modules of the flat folder that were written in the standard terms from the start.
-STANDARD_MODULES = ("runtime/ordered_set.py",)
 # House words and metaphors on the left, and what the field calls them.
 STANDARD_TERMS = {
     "backlog": "queue", "call": "request", "caller": "client", "area": "zone", "shed": "reject", "way": "route",
--- a/tests/test_readable_code.py
+++ b/tests/test_readable_code.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tests.support import readable_code
-from tests.support.readable_code import MOVED, MOVED_TERMS, PLATFORM, ROOT, STANDARD_MODULES, STANDARD_TERMS
+from tests.support.readable_code import MOVED, MOVED_TERMS, PLATFORM, ROOT
 
 # From the lowest to the highest; a module imports from lower layers alone. One that is not there yet is passed over.
 LAYERS = {
@@ -51,6 +51,7 @@
         "header_names", "json_delta", "schema", "settings", "accepted_orders", "nginx_import", "configuration",
         "configuration_check",
     ),
+    "runtime": ("errors", "log_events", "ordered_set", "disk", "environment"),
     "rpc": ("idl", "codec", "framing", "connection", "peer_links", "peer_server"),
 }  # fmt: skip
 # Withdrawn words that still stand in names, by module. The users of these names are being worked on.
@@ -91,7 +92,6 @@
 
 def test_names_are_the_standard_terms_of_the_field() -> None:
     found = {name_of(p): readable_code.withdrawn_names(p.read_text(), MOVED_TERMS) for p in moved_modules()}
-    found |= {n: readable_code.withdrawn_names((ROOT / n).read_text(), STANDARD_TERMS) for n in STANDARD_MODULES}
     assert {n: more for n, names in found.items() if (more := names - STANDING_NAMES.get(n, set()))} == {}
 
 
