--- a/postpass/batch/item_request.py
+++ b/postpass/batch/item_request.py
@@ -62,8 +62,8 @@
         """Sends a request and returns it with the head of its answer.
 
         `admission_check` is asked right before the bytes go out, and tells why they may not. `limit` is in seconds. An answer
-        without the header `expect` is another request's, and is not returned. Raises FaultError if there is no answer, with
-        `unsent` if it is sure that nothing went out.
+        without the header `expect` is another request's, and is not returned. Raises FaultError if there is no answer,
+        with `unsent` if it is sure that nothing went out.
         """
         ...
 
@@ -174,8 +174,8 @@
 ) -> RunEnd:  # fmt: skip
     """Runs an item at a worker, on from what there is of its text, for `limit` seconds at the longest.
 
-    Returns how it ended: done, failed or never. Raises FaultError otherwise: with `unsent`, or the hint that it was rejected,
-    if the worker did not run it; what came of the text stays in any case.
+    Returns how it ended: done, failed or never. Raises FaultError otherwise: with `unsent`, or the hint that it was
+    rejected, if the worker did not run it; what came of the text stays in any case.
     """
     exchange = await workers.request(
         url.removeprefix("http://"), "POST", item["path"].encode("latin-1"),
--- a/postpass/batch/job_records.py
+++ b/postpass/batch/job_records.py
@@ -112,8 +112,8 @@
         """A covered job of the client that asks, after ownership was confirmed.
 
         Returns:
-            The partition and the job; or LACK (unknown, lost, or of another client), REJECTED (refused), or SLOW (not known
-            yet).
+            The partition and the job; or LACK (unknown, lost, or of another client), REJECTED (refused), or SLOW (not
+            known yet).
         """
         got = self.leadership.owned_partition(body["part"], step)
         if isinstance(got, Err):
--- a/postpass/control/journal.py
+++ b/postpass/control/journal.py
@@ -179,7 +179,8 @@
 @dataclass(eq=False)
 class StateJournal:
     """Invariants: `image` is what the log on disk leads to; whatever `append` and `replace` return was synced, and so
-    survives a loss of power. After a failed sync every later call raises FaultError, until the folder is opened again."""
+    survives a loss of power. After a failed sync every later call raises FaultError, until the folder is opened
+    again."""
 
     who: str
     disk: Disk
@@ -189,7 +190,8 @@
 
     @classmethod
     async def open(cls, who: str, disk: Disk, log: SegmentedLog, entries: Iterable[Any]) -> Self:
-        """Raises JournalError if the records don't join, which is damage, and FaultError if a later release wrote them."""
+        """Raises JournalError if the records don't join, which is damage, and FaultError if a later release wrote
+        them."""
         try:
             journal = cls(who, disk, log, replay(entries))
         except UnknownFormatError as error:
--- a/postpass/control/member.py
+++ b/postpass/control/member.py
@@ -193,7 +193,8 @@
         return ReplicatedState.of(image.tree) if image is not None else ReplicatedState()
 
     async def write_journal(self, write: Coroutine[Any, Any, Image]) -> Image:
-        """Awaits a write of the journal; raises FaultError if it fails. Any failure but a full disk ends the process."""
+        """Awaits a write of the journal; raises FaultError if it fails. Any failure but a full disk ends the
+        process."""
         if self.disk_failure:
             write.close()
             raise FaultError(Fault("sync", self.settings.name, self.disk_failure))
@@ -216,7 +217,8 @@
                     raise
 
     async def keep(self, name: str, data: bytes) -> None:
-        """Syncs a file of the data folder; raises FaultError if that fails. Any failure but a full disk ends the process."""
+        """Syncs a file of the data folder; raises FaultError if that fails. Any failure but a full disk ends the
+        process."""
         if self.disk_failure:
             raise FaultError(Fault("sync", self.settings.name, self.disk_failure))
         try:
--- a/postpass/gateway/relay.py
+++ b/postpass/gateway/relay.py
@@ -285,8 +285,8 @@
         return min(route["target"], route["gap"] or route["target"]) * PATIENCE
 
     async def _is_answer(self, request: RelayedRequest, exchange: Exchange, name: str, health: WorkerHealth) -> bool:
-        """Is the head the worker's own answer? If it proves that nothing ran, that is marked. Raises FaultError for a head
-        that proves nothing."""
+        """Is the head the worker's own answer? If it proves that nothing ran, that is marked. Raises FaultError for a
+        head that proves nothing."""
         checked = check_response(exchange.status, exchange.headers, self.names.answers)
         if checked.proof is Proof.ANSWER:
             return True
--- a/postpass/gateway/upstream_connection.py
+++ b/postpass/gateway/upstream_connection.py
@@ -113,7 +113,8 @@
         return bool(self._buffer)
 
     async def next_chunk(self) -> bytes:
-        """What has come since the last time, in one piece; empty once the whole body came. Raises FaultError on a cut."""
+        """What has come since the last time, in one piece; empty once the whole body came. Raises FaultError
+        on a cut."""
         while not self._buffer:
             if self.complete:
                 return b""
--- a/postpass/storage/segmented_log.py
+++ b/postpass/storage/segmented_log.py
@@ -102,8 +102,8 @@
     Offsets count the bytes appended since the process started, over all segments.
 
     Invariants: `synced` <= `end`; entries up to `synced` survive a loss of power; once `failure` is set, nothing more is
-    called synced and every call raises `FaultError`, because a failed sync may have dropped pages that a later one reports as
-    written.
+    called synced and every call raises `FaultError`, because a failed sync may have dropped pages that a later one
+    reports as written.
 
     Attributes:
         process: name of the process, for events and errors.
@@ -150,8 +150,8 @@
         """Reads the last snapshot and the segments after it, cuts a torn tail and removes the files that the snapshot
         replaces.
 
-        Returns all entries in the order in which they were appended. Raises `FaultError`, whose fault names file and offset, if
-        a file is damaged or missing; the files are left as they are then.
+        Returns all entries in the order in which they were appended. Raises `FaultError`, whose fault names file and
+        offset, if a file is damaged or missing; the files are left as they are then.
         """
         names = self.disk.names()
         snapshots = [n for n in names if n.startswith(SNAPSHOT_PREFIX)]
@@ -192,8 +192,8 @@
     def append(self, entries: Iterable[Any], vital: bool = True) -> int:
         """Appends entries to the current segment, without a sync; returns the offset to pass to `wait_synced`.
 
-        Entries that aren't `vital` leave `reserved_bytes` free. Raises `FaultError`: with code FULL if the disk has no room, with
-        code BROKE if it failed before.
+        Entries that aren't `vital` leave `reserved_bytes` free. Raises `FaultError`: with code FULL if the disk has no
+        room, with code BROKE if it failed before.
         """
         if self.failure:
             raise self._failure_at("append")
@@ -261,8 +261,8 @@
     async def compact(self, entries: Iterator[Any]) -> None:
         """Writes a snapshot of all entries, begins a new segment and removes the older files.
 
-        If the disk has no room for it, nothing is lost: the segments stay, and event 114 is logged. Raises `FaultError` if the
-        disk fails otherwise.
+        If the disk has no room for it, nothing is lost: the segments stay, and event 114 is logged. Raises `FaultError`
+        if the disk fails otherwise.
         """
         async with self.lock:
             data = b"".join(map(frame, entries)) + frame(IDL.Entry(part=-1, op=SEALED))
