--- a/postpass/control/election.py
+++ b/postpass/control/election.py
@@ -112,7 +112,7 @@
 
         `first` is the state of a fleet that has none yet. A primary that hands over asks for the election itself, so the
         others still hear it: `handover` tells them. Where nobody waits for it, `change_voters` also makes the next safe
-        change of voters, and settles it before the epoch is led. Raises Stop if this member's disk fails.
+        change of voters, and settles it before the epoch is led. Raises FaultError if this member's disk fails.
         """
         try:
             if prevotes is None:
@@ -334,7 +334,7 @@
         names = [n for n, m in configuration["machines"].items() if not m.get("gone") and n != self.settings.name]
         poll = {"after": 0, "wait": 0}
         got = await asyncio.gather(*(
-            self.peer_links.call(configuration["machines"][n]["peer"], "follow", poll, self.settings.bounds.promise)
+            self.peer_links.request(configuration["machines"][n]["peer"], "follow", poll, self.settings.bounds.promise)
             for n in names
         ))  # fmt: skip
         answers = [g.unwrap() for g in got if isinstance(g, Ok)]
--- a/postpass/control/feed.py
+++ b/postpass/control/feed.py
@@ -7,7 +7,7 @@
 
 from result import Err, Ok
 
-from postpass.configuration.configuration import Configuration, shape
+from postpass.configuration.configuration import Configuration, used_keys
 from postpass.control.in_force import Hearing, VersionWait, awaited_senders
 from postpass.control.member import INFINITY
 from postpass.control.read_messages import ConfigurationAnswer, ReadRequest, RevisionAnswer, SourceAnswer
@@ -16,7 +16,7 @@
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
-from postpass.runtime.errors import MOVED, SHED, SLOW, Fault
+from postpass.runtime.errors import MOVED, REJECTED, SLOW, Fault
 from postpass.runtime.log_events import Event
 
 SHORTEST_WAIT_S = 0.001
@@ -85,12 +85,14 @@
 
     async def daemons_that_reject(self, before: Configuration | None, after: Configuration) -> list[str]:
         """If keys or plug-ins come that were not used before: which daemons refuse them, as they don't know them."""
-        if before is None or shape(after) <= shape(before):
+        if before is None or used_keys(after) <= used_keys(before):
             return []
         names = [n for n, m in after["machines"].items() if n != self.settings.name and not m.get("gone")]
         got = await asyncio.gather(
             *(
-                self.peer_links.call(after["machines"][n]["peer"], "ping", {"fits": after}, self.settings.bounds.follow)
+                self.peer_links.request(
+                    after["machines"][n]["peer"], "ping", {"fits": after}, self.settings.bounds.follow
+                )
                 for n in names
             )
         )
@@ -116,7 +118,7 @@
                 addr = self.addr(self.leader) if self.leader != self.settings.name else ""
                 if not addr:
                     return 0
-                got = await self.peer_links.call(
+                got = await self.peer_links.request(
                     addr, "read", ReadRequest(brief=True).as_json(), self.settings.bounds.follow
                 )
                 if isinstance(got, Err):
@@ -143,7 +145,7 @@
             if revision:
                 return Ok(RevisionAnswer(revision).as_json())
             if not await self.wait_for_leader(event, until):
-                return Err(Fault("read", self.settings.name, "no primary now; ask again", SHED))
+                return Err(Fault("read", self.settings.name, "no primary now; ask again", REJECTED))
 
     async def on_read(self, body: Body) -> PeerResponse:
         """Tells the configuration, or only its version, once this member has proved that it leads."""
--- a/postpass/daemon/announcer.py
+++ b/postpass/daemon/announcer.py
@@ -15,7 +15,7 @@
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.rpc.peer_links import PeerLinks
 from postpass.runtime.environment import Environment, gather_until, now
-from postpass.runtime.errors import SHED, Fault
+from postpass.runtime.errors import REJECTED, Fault
 
 ASKED_AT_ONCE = 2  # one may be gone, and its silence must not hold this machine up
 
@@ -79,7 +79,7 @@
         """Announces this start at several daemons at once; fetches the revision that has it from whoever answers."""
         bounds, view = self.settings.bounds, self.follower.configuration_view
         asks = {
-            addr: self.peer_links.call(addr, "join", {"entry": self.announcement()}, bounds.follow * 2)
+            addr: self.peer_links.request(addr, "join", {"entry": self.announcement()}, bounds.follow * 2)
             for addr in addrs
         }
         answers = await gather_until(asks, any_answered, 0.0)
@@ -96,5 +96,5 @@
         """Passes another machine's announcement on to a control machine, once: whoever knows none asks any neighbour."""
         addr = next((source for source in self.follower.sources() if source != self.settings.peer), "")
         if not addr or body.get("hop"):
-            return Err(Fault("join", self.settings.name, "no control machine is known here", SHED))
-        return await self.peer_links.call(addr, "join", body | {"hop": 1}, self.settings.bounds.follow)
+            return Err(Fault("join", self.settings.name, "no control machine is known here", REJECTED))
+        return await self.peer_links.request(addr, "join", body | {"hop": 1}, self.settings.bounds.follow)
--- a/postpass/daemon/process.py
+++ b/postpass/daemon/process.py
@@ -18,7 +18,7 @@
 from starlette.routing import BaseRoute
 
 from postpass.configuration.configuration_check import check
-from postpass.configuration.settings import Settings, split
+from postpass.configuration.settings import Settings, split_address
 from postpass.daemon.announcer import Announcer
 from postpass.daemon.gossip import Gossip
 from postpass.daemon.health_endpoints import DaemonMetrics, HealthEndpoints
@@ -31,7 +31,7 @@
 from postpass.rpc.peer_server import PeerServer
 from postpass.runtime import log_events
 from postpass.runtime.environment import Environment, now, serve_http
-from postpass.runtime.errors import Fault, Stop
+from postpass.runtime.errors import Fault, FaultError
 from postpass.runtime.log_events import Event
 
 Task = Coroutine[Any, Any, None]
@@ -172,7 +172,7 @@
 
     # --- run
     async def run(self) -> None:
-        """Runs from start to end; raises OSError if it can't listen, and Stop if it must not start."""
+        """Runs from start to end; raises OSError if it can't listen, and FaultError if it must not start."""
         self.started = now()
         await self.open()
         port = PeerServer(self.settings.name, {
@@ -180,7 +180,7 @@
             "join": self.announcer.on_join, **self.handlers(),
         })  # fmt: skip
         await port.listen(self.settings.peer)
-        host, number = split(self.settings.http)
+        host, number = split_address(self.settings.http)
         tasks = [asyncio.create_task(self.guard(name, task)) for name, task in self._named_tasks()]
         log_events.emit(
             Event.STARTED,
@@ -218,7 +218,7 @@
             log_events.emit(Event.HANDING_OVER, self.settings.name)
             try:
                 await asyncio.wait_for(self.depart(), self.leave_limit)
-            except (TimeoutError, Stop):
+            except (TimeoutError, FaultError):
                 pass
         self.closed.set()
 
@@ -228,7 +228,7 @@
             await task
         except asyncio.CancelledError:
             raise
-        except Stop as stop:
+        except FaultError as stop:
             fault = stop.fault
             log_events.emit(
                 Event.TASK_FAILED, self.settings.name, task=name, step=fault.step, peer=fault.peer, why=fault.why
@@ -289,7 +289,7 @@
             # Whom it reaches will fetch the revision from here.
             await self.follower.fetch(body["at"], limit)
         ask = {"want": body.get("want", 0), "at": self.settings.peer, "wait": limit * 0.9}
-        got = await self.peer_links.call(body["reach"], "ping", ask, limit)
+        got = await self.peer_links.request(body["reach"], "ping", ask, limit)
         if isinstance(got, Err):
             return Ok({"reached": False, "refused": got.unwrap_err().hint == "refused"})
         return Ok({"reached": True, "edition": got.unwrap()["edition"]})
@@ -308,7 +308,7 @@
         """All jobs of a partition that any machine knows to have been accepted lately; asked only after a loss."""
         addrs, wait = self.configuration_view.addresses_of_others(), self.settings.bounds.beat
         answers = await asyncio.gather(
-            *(self.peer_links.call(addr, "ping", {"kept": part}, wait) for addr in addrs if addr)
+            *(self.peer_links.request(addr, "ping", {"kept": part}, wait) for addr in addrs if addr)
         )
         return sorted({
             name for answer in answers if isinstance(answer, Ok) for name in answer.unwrap().get("lots", [])
@@ -339,7 +339,7 @@
         except OSError as error:
             logging.error("%s cannot start: %s", daemon.settings.name, error)
             code = EXIT_CANNOT_LISTEN
-        except Stop as stop:
+        except FaultError as stop:
             logging.error("%s left: %s", daemon.settings.name, stop)
             code = EXIT_FAULT
         if daemon.failed is not None:
--- a/postpass/replication/partition_table.py
+++ b/postpass/replication/partition_table.py
@@ -74,7 +74,7 @@
             vital: Whether they may use the space that is held back for records which the protocol needs.
 
         Raises:
-            Stop: The disk takes no more.
+            FaultError: The disk takes no more.
         """
         place = self.log.append(entries, vital)
         partition.unsynced.append((place, partition.record_log.last))
@@ -96,7 +96,7 @@
         addr = self.configuration_view.addr(name)
         if not addr:
             return Err(Fault(verb, name, "gone or unknown", LACK))
-        return await self.peer_links.call(addr, verb, body, self.settings.bounds.promise)
+        return await self.peer_links.request(addr, verb, body, self.settings.bounds.promise)
 
     def step_down(self, partition: Partition, epoch: int) -> None:
         """Ends an ownership, if there is one, since an epoch was seen; the next election waits for the full timeout."""
