--- a/tests/control/test_isolation.py
+++ b/tests/control/test_isolation.py
@@ -180,7 +180,7 @@
         lost = rest[0]
         cut(f, lost.settings.name, [n for n in names(f.controls()) if n != lost.settings.name])
         await asyncio.sleep(lost.settings.bounds.contact + 0.1)
-        own, platform = lost.app(), Starlette(routes=adapter("operators").routes(lost))
+        own, platform = lost.app(), Starlette(routes=adapter("operators").ControlRoutes(lost).routes())
         out = []
         for method, path, body in requests:
             app = own if path.startswith("/v1") else platform
@@ -202,7 +202,7 @@
 
 @pytest.mark.parametrize("code", [BAD, LACK, CLASH, OLD, MOVED, CROWD, BROKE, REJECTED, SLOW, FULL])
 def test_every_refusal_that_may_be_repeated_says_when(code: int) -> None:
-    got = adapter("operators").refusal(Fault("order", "c1", "no", code, "7"))
+    got = adapter("operators").rejection(Fault("order", "c1", "no", code, "7"))
     clear = {BAD: 400, LACK: 404, CLASH: 409, OLD: 412}
     assert got.status_code == clear.get(code, 503)
     assert ("retry-after" in got.headers) == (code not in clear)
--- a/tests/control/test_orders.py
+++ b/tests/control/test_orders.py
@@ -61,7 +61,7 @@
             return Reply(NO_ANSWER)
         got = task.result()
         if got.is_err():
-            return Reply(adapter("operators").refusal(got.unwrap_err()).status_code)
+            return Reply(adapter("operators").rejection(got.unwrap_err()).status_code)
         return Reply(200, got.unwrap().get("source", got.unwrap()))
 
 
