--- a/tests/test_readable_code.py
+++ b/tests/test_readable_code.py
@@ -54,14 +54,16 @@
     "runtime": ("errors", "log_events", "ordered_set", "disk", "environment"),
     "rpc": ("idl", "codec", "framing", "connection", "peer_links", "peer_server"),
 }  # fmt: skip
-# Withdrawn words that still stand in names, by module. The users of these names are being worked on.
+# Withdrawn words that still stand in names, by module, with the reason; docs/ROADMAP.md has what is to become of them.
 STANDING_NAMES: dict[str, set[str]] = {
     # Verbs of peers, by which their handlers are found.
     "control/member.py": {"on_look: say prepare"},
     "control/registry.py": {"on_beat: say heartbeat"},
     # The older names of fields that plug-ins read; they stay for one release.
     "worker_api/plugins.py": {"area: say zone"},
+    # A field that is used throughout the tree, to be renamed.
     "feed/configuration_view.py": {"manifest: say configuration"},
+    # A key of JSON between processes, as a field of its typed dictionary.
     "feed/messages.py": {"edition: say version"},
     # Names of flags and of commands.
     "cli/main.py": {"caller: say client", "edition: say version", "manifest: say configuration"},
