--- a/bench/measure.py
+++ b/bench/measure.py
@@ -26,7 +26,9 @@
 from postpass.daemon.process import Daemon
 from sim.fleet import SimFleet
 from sim.loop import SimLoop, run_sim
-from sim.runner import parse, play, rank
+from sim.run_statistics import rank
+from sim.runner import play
+from sim.scenario import parse
 
 ONE = "MAX($ALLWNODES.persisted)"
 MAJORITY = "KTH_MAX(SIZEOF($ALLWNODES)/2+1, $ALLWNODES.persisted)"
--- a/sim/crash.py
+++ b/sim/crash.py
@@ -18,7 +18,8 @@
 import fire
 
 from sim.points import Point
-from sim.runner import Scenario, judge, parse, play
+from sim.runner import judge, play
+from sim.scenario import Scenario, parse
 
 # What beats all the time whether or not anything happens; each is met thousands of times by other runs.
 NOISE = {f"{way}.{verb}" for way in ("sends", "takes", "answers", "hears") for verb in ("shuffle", "follow", "floor")}
--- /dev/null
+++ b/sim/faults.py
@@ -0,0 +1,202 @@
+"""Faults of machines, links, disks and workers that scenarios cause, by verb.
+
+Each takes the fleet, the words after the verb, for how many seconds it lasts, and what does something later.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+
+from sim.disk import SimDisk
+from sim.fleet import SimFleet
+
+Later = Callable[[float, Callable[[], None]], None]
+Action = Callable[[SimFleet, list[str], float, Later], None]
+TERM_S = 3.0  # seconds that a daemon has to stop before it is started again
+# Classes of machines that a link can be cut to, by the first letters of their names.
+CLASSES = {"control": "c", "stores": "s", "edges": "e", "daemons": "cse"}
+
+
+def kill(fleet: SimFleet, words: list[str], span: float, later: Later) -> None:
+    """kill WHO...: the process ends at once."""
+    bring_down(fleet, fleet.kill, words, span, later)
+
+
+def power(fleet: SimFleet, words: list[str], span: float, later: Later) -> None:
+    """power WHO...: the machine loses power, and what was not synced."""
+    bring_down(fleet, fleet.power, words, span, later)
+
+
+def wipe(fleet: SimFleet, words: list[str], span: float, later: Later) -> None:
+    """wipe WHO...: the machine loses its disk."""
+    bring_down(fleet, fleet.wipe, words, span, later)
+
+
+def bring_down(fleet: SimFleet, how: Callable[[str], None], words: list[str], span: float, later: Later) -> None:
+    """Brings machines down, and starts them again after the span if there is one."""
+    names = [fleet.pick(word) for word in words]  # all before the first falls: roles move at once
+    for name in names:
+        how(name)
+        if span:
+            later(span, partial(fleet.start, name))
+
+
+def term(fleet: SimFleet, words: list[str], span: float, later: Later) -> None:
+    """term WHO: SIGTERM."""
+    name = fleet.pick(words[0])
+    fleet.term(name)
+    if span:
+        later(span + TERM_S, partial(fleet.start, name))
+
+
+def zone(fleet: SimFleet, words: list[str], span: float, later: Later) -> None:
+    """area power|wipe|kill WHO: all machines, workers and back ends of the zone that WHO is in."""
+    how: Callable[[str], None] = getattr(fleet, words[0])
+    lost = fleet.boxes[fleet.pick(words[1])].zone
+    for name in [name for name, box in fleet.boxes.items() if box.zone == lost and box.up]:
+        how(name)
+        later(span, partial(fleet.start, name))
+
+
+def start(fleet: SimFleet, words: list[str], span: float, later: Later) -> None:
+    """start WHO."""
+    fleet.start(fleet.pick(words[0]))
+
+
+def freeze(fleet: SimFleet, words: list[str], span: float, later: Later) -> None:
+    """freeze WHO: the process stands still."""
+    name = fleet.pick(words[0])
+    fleet.freeze(name)
+    later(span, partial(fleet.thaw, name))
+
+
+def isolate(fleet: SimFleet, words: list[str], span: float, later: Later) -> None:
+    """isolate WHO: cut off from all others."""
+    name = fleet.pick(words[0])
+    fleet.isolate(name)
+    later(span, partial(fleet.isolate, name, False))
+
+
+def cut(fleet: SimFleet, words: list[str], span: float, later: Later) -> None:
+    """cut WHO OTHER: the links between a machine and another one or a class, both ways."""
+    one, others = cut_ends(fleet, words)
+    cut_links(fleet, [link for other in others for link in ((one, other), (other, one))], span, later)
+
+
+def cut_one_way(fleet: SimFleet, words: list[str], span: float, later: Later) -> None:
+    """cutone WHO OTHER: the links from a machine to another one or a class."""
+    one, others = cut_ends(fleet, words)
+    cut_links(fleet, [(one, other) for other in others], span, later)
+
+
+def cut_ends(fleet: SimFleet, words: list[str]) -> tuple[str, list[str]]:
+    """A machine, and those that it is to be cut off from."""
+    one, other = fleet.pick(words[0]), words[1]
+    if other not in CLASSES:
+        return one, [name for name in [fleet.pick(other)] if name != one]
+    return one, [name for name in fleet.configuration["machines"] if name[0] in CLASSES[other] and name != one]
+
+
+def cut_links(fleet: SimFleet, links: list[tuple[str, str]], span: float, later: Later) -> None:
+    """Cuts links, and heals them after the span."""
+    for source, target in links:
+        fleet.cut(source, target)
+
+    def heal() -> None:
+        for source, target in links:
+            fleet.cut(source, target, on=False)
+
+    later(span, heal)
+
+
+def slow(fleet: SimFleet, words: list[str], span: float, later: Later) -> None:
+    """slow WHO S: all its messages take S seconds more."""
+    name = fleet.pick(words[0])
+    fleet.loop.net.slow[name] = float(words[1])
+    later(span, lambda: fleet.loop.net.slow.update({name: 0.0}))
+
+
+def disk_of(fleet: SimFleet, word: str) -> tuple[str, SimDisk]:
+    """A machine and its disk."""
+    box = fleet.boxes[fleet.pick(word)]
+    assert box.disk is not None, f"{box.name} has no disk"
+    return box.name, box.disk
+
+
+def stall(fleet: SimFleet, words: list[str], span: float, later: Later) -> None:
+    """stall WHO S: each sync of its disk takes S seconds."""
+    _, disk = disk_of(fleet, words[0])
+    disk.stall = float(words[1])
+    later(span, lambda: setattr(disk, "stall", 0.0))
+
+
+def fail_sync(fleet: SimFleet, words: list[str], span: float, later: Later) -> None:
+    """failsync WHO: syncs of its disk fail."""
+    _, disk = disk_of(fleet, words[0])
+    disk.fails = True
+    later(span, lambda: setattr(disk, "fails", False))
+
+
+def fill(fleet: SimFleet, words: list[str], span: float, later: Later) -> None:
+    """fill WHO N: its disk has N bytes left."""
+    _, disk = disk_of(fleet, words[0])
+    capacity = disk.cap
+    disk.cap = sum(map(len, disk.files.values())) + int(words[1])
+    later(span, lambda: setattr(disk, "cap", capacity))
+
+
+def damage(fleet: SimFleet, words: list[str], span: float, later: Later) -> None:
+    """damage WHO PREFIX: its last file of such a name is damaged after a third of its bytes."""
+    name, disk = disk_of(fleet, words[0])
+    fleet.kill(name)
+    file = next(file for file in reversed(disk.names()) if file.startswith(words[1]))
+    disk.damage(file, len(disk.files[file]) // 3)
+    fleet.start(name)
+
+
+def spoil(fleet: SimFleet, words: list[str], span: float, later: Later) -> None:
+    """spoil WHO N: the last N bytes of its log, synced and acknowledged, don't read back any more."""
+    name, disk = disk_of(fleet, words[0])
+    size = int(words[1])
+    fleet.kill(name)
+    last = max(file for file in disk.names() if file.startswith("log-") and len(disk.files[file]) > size)
+    disk.damage(last, len(disk.files[last]) - size)
+    fleet.start(name)
+
+
+def worker_fault(fleet: SimFleet, words: list[str], span: float, later: Later) -> None:
+    """fault WORKER WHAT: what the stand-in worker does wrong."""
+    worker = fleet.boxes[words[0]].thing
+    worker.fault = words[1]
+    later(span, lambda: setattr(worker, "fault", ""))
+
+
+def version(fleet: SimFleet, words: list[str], span: float, later: Later) -> None:
+    """version WHO RELEASE: the machine, and all that start after it, run that release."""
+    name = fleet.pick(words[0])
+    fleet.release = words[1]
+    fleet.kill(name)
+    fleet.start(name)
+
+
+FAULTS: dict[str, Action] = {
+    "kill": kill,
+    "power": power,
+    "wipe": wipe,
+    "term": term,
+    "area": zone,
+    "start": start,
+    "freeze": freeze,
+    "isolate": isolate,
+    "cut": cut,
+    "cutone": cut_one_way,
+    "slow": slow,
+    "stall": stall,
+    "failsync": fail_sync,
+    "fill": fill,
+    "damage": damage,
+    "spoil": spoil,
+    "fault": worker_fault,
+    "version": version,
+}
--- a/sim/promises.py
+++ b/sim/promises.py
@@ -12,7 +12,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from sim.runner import FOLDER, judge, parse, play
+from sim.runner import judge, play
+from sim.scenario import FOLDER, parse
 
 MOST = 2  # seeds of each scenario for the page; CI runs all that it lists
 ROOT = Path(__file__).parent.parent
--- a/sim/replay.py
+++ b/sim/replay.py
@@ -26,7 +26,8 @@
 
 from sim.crash import PROGRAMMES, listed
 from sim.points import Point
-from sim.runner import FOLDER, Scenario, parse, play
+from sim.runner import play
+from sim.scenario import FOLDER, Scenario, parse
 
 PROCESS_CLOCKS: tuple[Callable[[], float], ...] = (time.time, time.monotonic, time.perf_counter)
 SECONDS_A_READING = 0.05  # by which a disturbed process clock goes on each time that it is read
--- a/sim/sweep.py
+++ b/sim/sweep.py
@@ -17,7 +17,8 @@
 import fire
 
 from sim.random_days import random_day
-from sim.runner import Act, Scenario, judge, parse, play, play_day
+from sim.runner import judge, play, play_day
+from sim.scenario import Act, Scenario, parse
 
 SPAN = 26.0
 
--- a/tests/sim/test_announced.py
+++ b/tests/sim/test_announced.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from sim.runner import FOLDER, judge, parse, play_day
+from sim.runner import judge, play_day
+from sim.scenario import FOLDER, parse
 from tests.support.naive_system import Memory
 
 CALM = (FOLDER / "announced" / "calm.txt").read_text()
--- a/tests/sim/test_broken.py
+++ b/tests/sim/test_broken.py
@@ -5,7 +5,8 @@
 import pytest
 
 from sim.broken import CASES, MORE
-from sim.runner import parse, play
+from sim.runner import play
+from sim.scenario import parse
 
 
 @pytest.mark.parametrize("way", MORE)
--- a/tests/sim/test_broken_variants.py
+++ b/tests/sim/test_broken_variants.py
@@ -33,7 +33,8 @@
 from postpass.storage.segmented_log import SegmentedLog
 from sim.announced import module
 from sim.rules import CHECKS
-from sim.runner import Report, judge, parse, play_day
+from sim.runner import Report, judge, play_day
+from sim.scenario import parse
 
 Patch = Callable[[pytest.MonkeyPatch], None]
 LEAD = 8.0
--- a/tests/sim/test_plugged.py
+++ b/tests/sim/test_plugged.py
@@ -12,7 +12,8 @@
 from postpass.worker_api import plugins
 from sim.fleet import SimFleet
 from sim.interface import Say, with_fleet
-from sim.runner import judge, parse, play
+from sim.runner import judge, play
+from sim.scenario import parse
 
 
 def test_the_example_places_near_and_a_missing_plug_in_is_refused() -> None:
--- a/tests/sim/test_promises.py
+++ b/tests/sim/test_promises.py
@@ -9,7 +9,7 @@
 from sim.crash import PROGRAMMES
 from sim.points import known
 from sim.promises import EVERY, NEVER, PAGE, ROOT, proof, variants
-from sim.runner import FOLDER
+from sim.scenario import FOLDER
 
 
 def test_the_page_is_held_to_the_tree() -> None:
--- a/tests/sim/test_replay.py
+++ b/tests/sim/test_replay.py
@@ -14,7 +14,7 @@
 from sim.fleet import SimConnector
 from sim.loop import Host, SimLoop, run_sim
 from sim.replay import DISTURBANCES, Divergence, Recording
-from sim.runner import FOLDER, parse
+from sim.scenario import FOLDER, parse
 
 IDLE_LIMIT = 2.0
 
--- a/tests/sim/test_rules.py
+++ b/tests/sim/test_rules.py
@@ -8,7 +8,8 @@
 
 from sim.announced import BOUNDS, kinds_of
 from sim.rules import CHECKS, EVER, Day, breaches
-from sim.runner import Report, parse, play_day
+from sim.runner import Report, play_day
+from sim.scenario import parse
 from tests.support.naive_system import Memory
 
 Event = dict[str, Any]
--- a/tests/sim/test_runner.py
+++ b/tests/sim/test_runner.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from sim.runner import FOLDER, judge, parse, play, scenarios
+from sim.runner import judge, play
+from sim.scenario import FOLDER, parse, scenarios
 
 
 @pytest.mark.parametrize(("name", "seed"), [(s.name, seed) for s in scenarios() for seed in s.seeds])
--- a/tests/sim/test_sweep.py
+++ b/tests/sim/test_sweep.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sim.random_days import random_day
-from sim.runner import parse
+from sim.scenario import parse
 from sim.sweep import run, run_announced
 
 
--- a/tests/support/release_day.py
+++ b/tests/support/release_day.py
@@ -10,7 +10,8 @@
 from postpass.runtime.environment import Environment
 from sim.announced import AnnouncedFleet, Runs, module
 from sim.disk import SimDisk
-from sim.runner import judge, parse, play_day
+from sim.runner import judge, play_day
+from sim.scenario import parse
 from tests.support.data_directories import configuration_of, copied_disk
 from tests.support.peer_frames import Frame, captured_frames
 
