--- a/sim/crash.py
+++ b/sim/crash.py
@@ -13,6 +13,7 @@
 from collections import Counter, defaultdict
 from collections.abc import Sequence
 from dataclasses import dataclass, replace
+from multiprocessing.pool import Pool
 from pathlib import Path
 
 import fire
@@ -55,20 +56,25 @@
 
 def record(name: str, seed: int) -> list[Point]:
     """The points that a programme passes, in the window and at the hosts that it is about."""
-    p = PROGRAMMES[name]
+    programme = PROGRAMMES[name]
     return [
-        point for t, point in trace(parse(p.text, name), seed) if p.start <= t <= p.end and point.host[0] in p.hosts
+        point
+        for time, point in trace(parse(programme.text, name), seed)
+        if programme.start <= time <= programme.end and point.host[0] in programme.hosts
     ]
 
 
-def trace(s: Scenario, seed: int) -> list[tuple[float, Point]]:
-    out: list[tuple[float, Point]] = []
-    play(s, seed, spy=lambda t, point: out.append((t, point)))
-    return [(t, p) for t, p in out if p.name not in NOISE]
+def trace(scenario: Scenario, seed: int) -> list[tuple[float, Point]]:
+    """All points that a run passes but those that come all the time, with their times in seconds."""
+    passed: list[tuple[float, Point]] = []
+    play(scenario, seed, spy=lambda time, point: passed.append((time, point)))
+    return [(time, point) for time, point in passed if point.name not in NOISE]
 
 
 @dataclass(frozen=True)
 class Job:
+    """One fault at one point of a programme's run."""
+
     programme: str
     seed: int
     point: Point
@@ -81,24 +87,21 @@
     for point in record(name, seed):
         groups[(point.name, point.host[0])].append(point)
     return [
-        Job(name, seed, p, f)
+        Job(name, seed, point, fault)
         for (_, kind), points in sorted(groups.items())
-        for f in FAULTS[kind]
-        for p in points[::every]
+        for fault in FAULTS[kind]
+        for point in points[::every]
     ]
 
 
 def strike(job: Job) -> tuple[Job, list[str]]:
-    s = parse(PROGRAMMES[job.programme].text, job.programme)
+    """Plays a run again with its fault, and says what is wrong with it."""
+    scenario = parse(PROGRAMMES[job.programme].text, job.programme)
     try:
-        r = play(s, job.seed, strike=(job.point, job.fault, SPAN[job.fault]))
+        report = play(scenario, job.seed, strike=(job.point, job.fault, SPAN[job.fault]))
     except Exception as bad:
         return job, [f"the run itself failed: {bad!r}"]
-    return job, judge(replace_expect(s), r)
-
-
-def replace_expect(s: Scenario) -> Scenario:
-    return replace(s, expect=[])
+    return job, judge(replace(scenario, expect=[]), report)
 
 
 def listed(names: str | Sequence[str]) -> list[str]:
@@ -106,6 +109,67 @@
     return [name for name in (names.split(",") if isinstance(names, str) else names) if name]
 
 
+@dataclass(frozen=True)
+class Row:
+    """What the strikes at a programme's points showed."""
+
+    name: str
+    points: int
+    kinds: int  # of points, by name and class of machine
+    faults: Counter[str]
+    failed: int
+
+    def __str__(self) -> str:
+        struck = ", ".join(f"{count} {fault}" for fault, count in sorted(self.faults.items()))
+        return f"| {self.name} | {self.points} | {self.kinds} | {self.faults.total()} ({struck}) | {self.failed} |"
+
+
+def strike_programme(pool: Pool, name: str, seed: int, every: int, most: int) -> Row:
+    """Strikes at the points of one programme, and prints which runs failed."""
+    points = record(name, seed)
+    todo = jobs(name, seed, every)
+    if most and len(todo) > most:
+        todo = [todo[i * len(todo) // most] for i in range(most)]
+    faults: Counter[str] = Counter()
+    failed = 0
+    for job, flaws in pool.imap_unordered(strike, todo, chunksize=4):
+        faults[job.fault] += 1
+        if flaws:
+            failed += 1
+            show_failure(job, flaws)
+    return Row(name, len(points), len({(point.name, point.host[0]) for point in points}), faults, failed)
+
+
+def show_failure(job: Job, flaws: list[str]) -> None:
+    """Prints what is wrong with a run."""
+    point = job.point
+    print(f"FAILED {job.programme} seed {job.seed} {job.fault} of {point.host} at point {point.number} {point.name}")
+    for flaw in flaws[:4]:
+        print("      ", flaw[:240])
+    sys.stdout.flush()
+
+
+def page(command: str, rows: list[Row]) -> str:
+    """The report of all strikes.
+
+    Args:
+        command: that made it.
+        rows: one for each programme.
+    """
+    total, failed = sum(row.faults.total() for row in rows), sum(row.failed for row in rows)
+    return (
+        "# Crash points, enumerated\n\n"
+        f"Made by `{command}`. A short run of a small fleet (two partitions, four stores, four control machines, two\n"
+        "edges) is recorded; then it is played again with one fault at one point that it passed: each message\n"
+        "sent, taken, answered or heard, each sync begun or held, each numbered event, in the window and at the\n"
+        "processes that the programme is about. The process comes back 1 to 1.5 s later, or wakes after 4 s. Every\n"
+        "run is held against all checks of what must never happen, and every kept lot must come to its end.\n\n"
+        "| programme | points passed | kinds | strikes | runs with a breach |\n|---|---|---|---|---|\n"
+        + "\n".join(map(str, rows))
+        + f"\n\n{total} strikes, {failed} with a breach.\n"
+    )
+
+
 def crash(
     every: int = 40, seed: int = 1, jobs_: int = 8, programmes: str | Sequence[str] = "", most: int = 0, out: str = ""
 ) -> int:
@@ -119,46 +183,17 @@
       most: at the most so many strikes a programme, spread; 0 for all.
       out: a file for the report.
     """
-    names = listed(programmes) or list(PROGRAMMES)
-    rows, bad, total = [], 0, 0
+    rows = []
     with multiprocessing.Pool(jobs_, maxtasksperchild=50) as pool:
-        for name in names:
-            points = record(name, seed)
-            todo = jobs(name, seed, every)
-            if most and len(todo) > most:
-                todo = [todo[i * len(todo) // most] for i in range(most)]
-            faults: Counter[str] = Counter()
-            found = 0
-            for job, flaws in pool.imap_unordered(strike, todo, chunksize=4):
-                faults[job.fault] += 1
-                if flaws:
-                    found += 1
-                    print(
-                        f"FAILED {name} seed {seed} {job.fault} of {job.point.host} at point {job.point.number} {job.point.name}"
-                    )
-                    for flaw in flaws[:4]:
-                        print("      ", flaw[:240])
-                    sys.stdout.flush()
-            bad, total = bad + found, total + len(todo)
-            struck = ", ".join(f"{v} {k}" for k, v in sorted(faults.items()))
-            kinds = len({(p.name, p.host[0]) for p in points})
-            rows.append(f"| {name} | {len(points)} | {kinds} | {len(todo)} ({struck}) | {found} |")
+        for name in listed(programmes) or list(PROGRAMMES):
+            rows.append(strike_programme(pool, name, seed, every, most))
             print(rows[-1], flush=True)
-    print(f"{total} strikes, {bad} failed")
+    failed = sum(row.failed for row in rows)
+    print(f"{sum(row.faults.total() for row in rows)} strikes, {failed} failed")
     if out:
         command = f"python -m sim.crash --every {every} --seed {seed}" + (f" --most {most}" if most else "")
-        Path(out).write_text(
-            "# Crash points, enumerated\n\n"
-            f"Made by `{command}`. A short run of a small fleet (two partitions, four stores, four control machines, two\n"
-            "edges) is recorded; then it is played again with one fault at one point that it passed: each message\n"
-            "sent, taken, answered or heard, each sync begun or held, each numbered event, in the window and at the\n"
-            "processes that the programme is about. The process comes back 1 to 1.5 s later, or wakes after 4 s. Every\n"
-            "run is held against all checks of what must never happen, and every kept lot must come to its end.\n\n"
-            "| programme | points passed | kinds | strikes | runs with a breach |\n|---|---|---|---|---|\n"
-            + "\n".join(rows)
-            + f"\n\n{total} strikes, {bad} with a breach.\n"
-        )
-    return 1 if bad else 0
+        Path(out).write_text(page(command, rows))
+    return 1 if failed else 0
 
 
 if __name__ == "__main__":
--- a/sim/sweep.py
+++ b/sim/sweep.py
@@ -12,126 +12,212 @@
 import random
 import sys
 import time
+from collections.abc import Callable
+from dataclasses import dataclass
 from functools import partial
 
 import fire
 
 from sim.random_days import random_day
-from sim.runner import judge, play, play_day
+from sim.run_statistics import Figures
+from sim.runner import Report, judge, play, play_day
 from sim.scenario import Act, Scenario, parse
 
-SPAN = 26.0
+SPAN = 26.0  # seconds in which faults strike
+PAUSE_S = 9.0  # in which a lost disk or zone is made good, before the next is lost
+STORES = ("s1", "s2", "s3", "s4")
+WORKERS = ("w1", "w2")
+WORKER_FAULTS = ("cut:3", "cut:1", "garble:2", "repeat:2", "swap:1", "skip:2", "end:2", "endless:2", "refuse", "sick")
+
+
+@dataclass(frozen=True)
+class DrawnFleet:
+    """What faults can name: the class of live requests, the data planes, and the source of chance."""
+
+    chance: random.Random
+    live: str
+    edges: tuple[str, ...]
+
+
+def loss(fleet: DrawnFleet, at: float) -> list[Act]:
+    """What takes a disk or a zone away, or a process with a disk."""
+    chance = fleet.chance
+    verb = chance.choice(["kill", "power", "wipe", "freeze", "isolate", "area", "failsync", "fill", "damage", "term"])
+    who = chance.choice(["owner:0", "owner:1", "busiest", "mirror:2", "s3", "primary", "backup", "witness"])
+    store = chance.choice(STORES)
+    if verb == "area":
+        return [Act(at, "area", ("power", store, "for", "3"))]
+    if verb == "failsync":
+        return [Act(at, "failsync", (store, "for", "1.5")), Act(at + 3, "start", (store,))]
+    if verb == "fill":
+        return [Act(at, "fill", (name, "6000", "for", "5")) for name in STORES]
+    if verb == "damage":
+        return [Act(at, "damage", (store, "log-"))]
+    return [Act(at, verb, (who, "for", f"{chance.uniform(0.3, 5):.2f}"))]
+
+
+# What may overlap with a loss. Each is drawn from the fleet, and lasts as long as the words say.
+def frozen_edge(fleet: DrawnFleet, at: float, lasting: tuple[str, str]) -> Act:
+    """A data plane stands still."""
+    return Act(at, "freeze", (fleet.chance.choice(["sched", *fleet.edges]), *lasting))
+
+
+def restarted_edge(fleet: DrawnFleet, at: float, lasting: tuple[str, str]) -> Act:
+    """A data plane ends and is started again."""
+    return Act(at, fleet.chance.choice(["kill", "term"]), (fleet.chance.choice(["sched", *fleet.edges]), *lasting))
+
+
+def cut_link(fleet: DrawnFleet, at: float, lasting: tuple[str, str]) -> Act:
+    """A link is cut, both ways or one way."""
+    one, two = fleet.chance.sample(["s1", "s2", "s3", "s4", "c1", "c2", "e1", "sched"], 2)
+    return Act(at, fleet.chance.choice(["cut", "cutone"]), (one, two, *lasting))
+
+
+def slow_machine(fleet: DrawnFleet, at: float, lasting: tuple[str, str]) -> Act:
+    """The messages of a machine are late."""
+    return Act(at, "slow", (fleet.chance.choice(["s1", "s2", "c1", "e1", "w1"]), "0.05", *lasting))
+
+
+def slow_disk(fleet: DrawnFleet, at: float, lasting: tuple[str, str]) -> Act:
+    """The syncs of a disk are late."""
+    return Act(at, "stall", (fleet.chance.choice(["s1", "s2", "s3", "c2"]), "0.2", *lasting))
+
+
+def faulty_worker(fleet: DrawnFleet, at: float, lasting: tuple[str, str]) -> Act:
+    """A worker answers wrongly."""
+    fault = fleet.chance.choice(WORKER_FAULTS)
+    return Act(at, "fault", (fleet.chance.choice(WORKERS), fault, *lasting))
+
+
+def racing_operators(fleet: DrawnFleet, at: float, lasting: tuple[str, str]) -> Act:
+    """Two operators make a change at once."""
+    return Act(at, "race", (f"classes.{fleet.live}.deadline=14", f"classes.{fleet.live}.deadline=13"))
+
+
+def change(fleet: DrawnFleet, at: float, lasting: tuple[str, str]) -> Act:
+    """A change of the configuration."""
+    changes = ["evacuated=[b]", "evacuated=[]", "pools.gpu.servers.w2.leave=true", "pools.gpu.servers.w2.leave=none",
+               f"classes.{fleet.live}.deadline=12"]  # fmt: skip
+    return Act(at, "apply", (fleet.chance.choice(changes),))
+
+
+def killed_worker(fleet: DrawnFleet, at: float, lasting: tuple[str, str]) -> Act:
+    """A worker or back end ends."""
+    return Act(at, "kill", (fleet.chance.choice([*WORKERS, "p1"]), *lasting))
+
+
+def more_routes(fleet: DrawnFleet, at: float, lasting: tuple[str, str]) -> Act:
+    """Many routes are added."""
+    return Act(at, "routes", ("20",))
+
+
+OVERLAPPING = (
+    frozen_edge, restarted_edge, cut_link, slow_machine, slow_disk, faulty_worker, racing_operators, change,
+    killed_worker, more_routes,
+)  # fmt: skip
 
 
 def schedule(seed: int, deployment: str = "", span: float = SPAN) -> Scenario:
-    """A fleet, a load and some faults that stay within the tolerated losses: one disk or area at a time.
+    """A fleet, a load and some faults that stay within the tolerated losses: one disk or zone at a time.
 
-    What takes a disk or an area away ends, and has `rest` seconds to be made good, before the next does.
-    What merely slows, cuts or freezes one machine may overlap with that, as on a bad day.
+    What takes a disk or a zone away ends, and has PAUSE_S to be made good, before the next does. What merely slows,
+    cuts or freezes one machine may overlap with that, as on a bad day.
+
+    Args:
+        seed: names the schedule.
+        deployment: kompressorlab or couriers, whole; a small fleet if left out.
+        span: for how many seconds faults strike.
     """
     chance = random.Random(f"sweep-{seed}{deployment}")
-    s = Scenario(f"sweep-{seed}", deployment=deployment)
-    small = chance.choice([2, 3, 4]), chance.choice([4, 8]), chance.choice([2, 5]), chance.choice([1, 2])
-    s.load = {"ends": str(chance.choice([0, 0.2, 0.5])), "once": str(chance.choice([0.1, 0.6])), "keyed": "0.5",
-              "echo": str(chance.choice([0, 0.5]))}  # fmt: skip
-    live, edges = "ask", 3
-    if deployment:
-        live, edges = ("fault", 8) if deployment == "kompressorlab" else ("turn", 8)
-    else:
-        s.fleet = {"edges": 3, "workers": small[0], "scheds": 3, "slots": small[1]}
-        s.load |= {"ask": str(small[2]), "lot": f"{small[3]}x5", "view": "1", "within": "90"}
-    s.run, s.settle = span + 4, 80.0
-    s.tune = {"segment_bytes": chance.choice([8192, 65536, 1 << 20]), "buffer_bytes": chance.choice([65536, 1 << 20])}
-    edge_names = [f"e{i + 1}" for i in range(edges)]
-    rest = 9.0
+    scenario = Scenario(f"sweep-{seed}", deployment=deployment)
+    fleet = draw_fleet(scenario, chance)
+    scenario.run, scenario.settle = span + 4, 80.0
+    scenario.tune = {
+        "segment_bytes": chance.choice([8192, 65536, 1 << 20]),
+        "buffer_bytes": chance.choice([65536, 1 << 20]),
+    }
     at = 2.0
     while at < span:
-        verb = chance.choice(
-            ["kill", "power", "wipe", "freeze", "isolate", "area", "failsync", "fill", "damage", "term"]
-        )
-        who = chance.choice(["owner:0", "owner:1", "busiest", "mirror:2", "s3", "primary", "backup", "witness"])
-        store = chance.choice(["s1", "s2", "s3", "s4"])
-        if verb == "area":
-            s.acts.append(Act(at, "area", ("power", store, "for", "3")))
-        elif verb == "failsync":
-            s.acts += [Act(at, "failsync", (store, "for", "1.5")), Act(at + 3, "start", (store,))]
-        elif verb == "fill":
-            s.acts += [Act(at, "fill", (f"s{i}", "6000", "for", "5")) for i in (1, 2, 3, 4)]
-        elif verb == "damage":
-            s.acts.append(Act(at, "damage", (store, "log-")))
-        else:
-            s.acts.append(Act(at, verb, (who, "for", f"{chance.uniform(0.3, 5):.2f}")))
-        at += rest + chance.uniform(0, 4)
+        scenario.acts += loss(fleet, at)
+        at += PAUSE_S + chance.uniform(0, 4)
     for _ in range(round(chance.randrange(2, 7) * span / SPAN)):
-        t = chance.uniform(1, span)
-        kind = chance.randrange(10)
-        length = ("for", f"{chance.uniform(0.2, 4):.2f}")
-        if kind == 0:
-            s.acts.append(Act(t, "freeze", (chance.choice(["sched", *edge_names]), *length)))
-        elif kind == 1:
-            s.acts.append(Act(t, chance.choice(["kill", "term"]), (chance.choice(["sched", *edge_names]), *length)))
-        elif kind == 2:
-            one, two = chance.sample(["s1", "s2", "s3", "s4", "c1", "c2", "e1", "sched"], 2)
-            s.acts.append(Act(t, chance.choice(["cut", "cutone"]), (one, two, *length)))
-        elif kind == 3:
-            s.acts.append(Act(t, "slow", (chance.choice(["s1", "s2", "c1", "e1", "w1"]), "0.05", *length)))
-        elif kind == 4:
-            s.acts.append(Act(t, "stall", (chance.choice(["s1", "s2", "s3", "c2"]), "0.2", *length)))
-        elif kind == 5:
-            ill = chance.choice(
-                ["cut:3", "cut:1", "garble:2", "repeat:2", "swap:1", "skip:2", "end:2", "endless:2", "refuse", "sick"]
-            )
-            s.acts.append(Act(t, "fault", (chance.choice(["w1", "w2"]), ill, *length)))
-        elif kind == 6:
-            s.acts.append(Act(t, "race", (f"classes.{live}.deadline=14", f"classes.{live}.deadline=13")))
-        elif kind == 7:
-            new = chance.choice(["evacuated=[b]", "evacuated=[]", "pools.gpu.servers.w2.leave=true",
-                                 "pools.gpu.servers.w2.leave=none", f"classes.{live}.deadline=12"])  # fmt: skip
-            s.acts.append(Act(t, "apply", (new,)))
-        elif kind == 8:
-            s.acts.append(Act(t, "kill", (chance.choice(["w1", "w2", "p1"]), *length)))
-        else:
-            s.acts.append(Act(t, "routes", ("20",)))
-    s.acts.sort(key=lambda a: a.at)
-    return s
-
-
-def run(seed: int, deployment: str = "") -> tuple[int, list[str], dict[str, float]]:
-    s = schedule(seed, deployment)
-    try:
-        r = play(s, seed)
-    except Exception as bad:
-        return seed, [f"the run itself failed: {bad!r}"], {}
-    return seed, judge(s, r), r.stats
+        at = chance.uniform(1, span)
+        draw = OVERLAPPING[chance.randrange(len(OVERLAPPING))]
+        lasting = ("for", f"{chance.uniform(0.2, 4):.2f}")
+        scenario.acts.append(draw(fleet, at, lasting))
+    scenario.acts.sort(key=lambda act: act.at)
+    return scenario
+
+
+def draw_fleet(scenario: Scenario, chance: random.Random) -> DrawnFleet:
+    """Draws the fleet and the load of a scenario."""
+    workers, slots = chance.choice([2, 3, 4]), chance.choice([4, 8])
+    live_rate, job_rate = chance.choice([2, 5]), chance.choice([1, 2])
+    scenario.load = {"ends": str(chance.choice([0, 0.2, 0.5])), "once": str(chance.choice([0.1, 0.6])), "keyed": "0.5",
+                     "echo": str(chance.choice([0, 0.5]))}  # fmt: skip
+    live, edges = "ask", 3
+    if scenario.deployment:
+        live, edges = ("fault" if scenario.deployment == "kompressorlab" else "turn"), 8
+    else:
+        scenario.fleet = {"edges": 3, "workers": workers, "scheds": 3, "slots": slots}
+        scenario.load |= {"ask": str(live_rate), "lot": f"{job_rate}x5", "view": "1", "within": "90"}
+    return DrawnFleet(chance, live, tuple(f"e{i + 1}" for i in range(edges)))
+
+
+Outcome = tuple[int, list[str], Figures]  # the seed, the flaws of the run, and its figures
+
+
+def run(seed: int, deployment: str = "") -> Outcome:
+    """Runs a random schedule."""
+    return judged(schedule(seed, deployment), seed, play)
 
 
-def run_announced(seed: int) -> tuple[int, list[str], dict[str, float]]:
+def run_announced(seed: int) -> Outcome:
+    """Runs a random day of an announced fleet."""
     logging.disable(logging.CRITICAL)
-    s = parse(random_day(seed), f"day-{seed}")
+    return judged(parse(random_day(seed), f"day-{seed}"), seed, play_day)
+
+
+def judged(scenario: Scenario, seed: int, play_one: Callable[[Scenario, int], Report]) -> Outcome:
+    """Runs a scenario; a run that raises is a flaw."""
     try:
-        r = play_day(s, seed)
+        report = play_one(scenario, seed)
     except Exception as bad:
         return seed, [f"the run itself failed: {bad!r}"], {}
-    return seed, judge(s, r), r.stats
+    return seed, judge(scenario, report), report.stats
+
+
+def show_flaws(title: str, flaws: list[str], most: int, width: int) -> None:
+    """Prints the first flaws of a run."""
+    print(title)
+    for flaw in flaws[:most]:
+        print("      ", flaw[:width])
+    sys.stdout.flush()
 
 
 def sweep_announced(runs: int, first: int, jobs: int, show: bool) -> int:
+    """Runs random days of announced fleets, as `sweep` does with schedules."""
     if show:
         print(random_day(first), end="")
         return 0
-    bad, served, began = 0, [], time.monotonic()
+    failed, served, began = 0, [], time.monotonic()
     with multiprocessing.Pool(jobs, maxtasksperchild=8) as pool:
-        for seed, flaws, stats in pool.imap_unordered(run_announced, range(first, first + runs)):
-            served.append(stats.get("served", 0.0))
+        for seed, flaws, figures in pool.imap_unordered(run_announced, range(first, first + runs)):
+            served.append(figures.get("served", 0.0))
             if flaws:
-                bad += 1
-                print(f"FAILED day {seed}, served {served[-1]:.3f}")
-                for flaw in flaws[:8]:
-                    print("      ", flaw[:300])
-                sys.stdout.flush()
-    print(f"{runs} days, {bad} failed; served at the least {min(served):.3f}, median {sorted(served)[len(served) // 2]:.3f}; "
+                failed += 1
+                show_flaws(f"FAILED day {seed}, served {served[-1]:.3f}", flaws, 8, 300)
+    print(f"{runs} days, {failed} failed; served at the least {min(served):.3f}, median {sorted(served)[len(served) // 2]:.3f}; "
           f"{time.monotonic() - began:.0f} s")  # fmt: skip
-    return 1 if bad else 0
+    return 1 if failed else 0
+
+
+def show_schedule(seed: int, deployment: str) -> None:
+    """Prints the schedule of one seed."""
+    scenario = schedule(seed, deployment)
+    for act in scenario.acts:
+        print(f"at {act.at:.2f} {act.verb} {' '.join(act.args)}")
+    print({name: value for name, value in vars(scenario).items() if name != "acts"})
 
 
 def sweep(
@@ -150,24 +236,20 @@
     if announced:
         return sweep_announced(announced, first, jobs, show)
     if show:
-        for a in schedule(first, deployment).acts:
-            print(f"at {a.at:.2f} {a.verb} {' '.join(a.args)}")
-        print({k: v for k, v in vars(schedule(first, deployment)).items() if k != "acts"})
+        show_schedule(first, deployment)
         return 0
-    bad, gaps = 0, []
+    failed, gaps = 0, []
     with multiprocessing.Pool(jobs, maxtasksperchild=8) as pool:
-        for seed, flaws, stats in pool.imap_unordered(partial(run, deployment=deployment), range(first, first + runs)):
-            gaps.append(stats.get("kept_gap", 0.0))
+        seeds = range(first, first + runs)
+        for seed, flaws, figures in pool.imap_unordered(partial(run, deployment=deployment), seeds):
+            gaps.append(figures.get("kept_gap", 0.0))
             if flaws:
-                bad += 1
-                print(f"FAILED seed {seed}")
-                for flaw in flaws[:6]:
-                    print("      ", flaw[:240])
-                sys.stdout.flush()
+                failed += 1
+                show_flaws(f"FAILED seed {seed}", flaws, 6, 240)
     print(
-        f"{runs} runs, {bad} failed; longest time without a lot kept: {max(gaps):.1f} s, median {sorted(gaps)[len(gaps) // 2]:.1f} s"
+        f"{runs} runs, {failed} failed; longest time without a lot kept: {max(gaps):.1f} s, median {sorted(gaps)[len(gaps) // 2]:.1f} s"
     )
-    return 1 if bad else 0
+    return 1 if failed else 0
 
 
 if __name__ == "__main__":
