--- a/sim/actions.py
+++ b/sim/actions.py
@@ -5,7 +5,8 @@
 from collections.abc import Sequence
 
 from sim.changes import CHANGES
-from sim.faults import FAULTS, Action, Later
+from sim.deferred import Later
+from sim.faults import FAULTS, Action
 from sim.fleet import SimFleet
 
 ACTIONS: dict[str, Action] = FAULTS | CHANGES
--- a/sim/changes.py
+++ b/sim/changes.py
@@ -6,7 +6,8 @@
 
 from bench.plan import changed
 from sim.check import Event
-from sim.faults import Action, Later
+from sim.deferred import Later
+from sim.faults import Action
 from sim.fleet import SimFleet
 from sim.values import parse_value
 
--- a/sim/faults.py
+++ b/sim/faults.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable
 from functools import partial
 
+from sim.deferred import Later
 from sim.disk import SimDisk
 from sim.fleet import SimFleet
 
-Later = Callable[[float, Callable[[], None]], None]
 Action = Callable[[SimFleet, list[str], float, Later], None]
 TERM_S = 3.0  # seconds that a daemon has to stop before it is started again
 # Classes of machines that a link can be cut to, by the first letters of their names.
--- a/sim/runner.py
+++ b/sim/runner.py
@@ -7,7 +7,6 @@
 from __future__ import annotations
 
 import asyncio
-import contextvars
 import copy
 import logging
 import sys
@@ -20,11 +19,13 @@
 from bench.deploy import DEPLOYMENTS
 from bench.plan import changed, manifest
 from postpass.runtime import log_events
-from sim import days
 from sim.actions import perform
 from sim.announced import AnnouncedFleet
 from sim.check import Bounds, Event, History, breaches
-from sim.faults import Later
+from sim.day_actions import perform_in_day
+from sim.day_statistics import day_figures
+from sim.days import run_day
+from sim.deferred import Later, later_on
 from sim.fleet import SimFleet
 from sim.loop import SimLoop, run_sim
 from sim.points import Point
@@ -117,22 +118,13 @@
     return loop.errors + loop.unretrieved()
 
 
-def later_on(loop: SimLoop) -> Later:
-    """What does something later, outside all machines."""
-
-    def later(span: float, then: Callable[[], None]) -> None:
-        loop.call_later(span, then, context=contextvars.Context())
-
-    return later
-
-
 def play_day(scenario: Scenario, seed: int, **options: Any) -> Report:
     """Runs a scenario of an announced fleet.
 
     Args:
         scenario: has a plan.
         seed: of all that is drawn by chance.
-        options: of `days.run_day`.
+        options: of `run_day`.
     """
     got: Report = run_sim(lambda loop: run_announced(loop, scenario, seed, options), seed)
     return got
@@ -143,19 +135,19 @@
     assert scenario.plan is not None
     triggers: list[Triggers] = []
 
-    async def script(fleet: AnnouncedFleet, later: days.Later) -> None:
+    async def script(fleet: AnnouncedFleet, later: Later) -> None:
         def cause(act: Act) -> None:
-            days.act(fleet, act.verb, list(act.args), later)
+            perform_in_day(fleet, act.verb, act.args, later)
 
         began = loop.clock
         triggers.append(Triggers(scenario, fleet, began, cause))
         await cause_in_time(loop, began, scenario.acts, cause)
 
-    fleet, found = await days.run_day(
+    fleet, found = await run_day(
         loop, scenario.plan, seed, scenario.run, scenario.settle, script, disk=scenario.disk, **options
     )
     errors = run_errors(loop) + [error for each in triggers for error in each.errors()]
-    return Report(found, days.stats_of(fleet), errors, fleet.events, fleet)
+    return Report(found, day_figures(fleet), errors, fleet.events, fleet)
 
 
 def play(
--- a/sim/scenario.py
+++ b/sim/scenario.py
@@ -10,8 +10,10 @@
 
 from bench.clients import Load
 from bench.deploy import DEPLOYMENTS
-from sim import days
 from sim.actions import ACTIONS
+from sim.day_actions import DAY_ACTIONS
+from sim.day_plan import Plan
+from sim.day_plan import read_line as read_plan_line
 from sim.points import known
 from sim.values import parse_value
 
@@ -104,7 +106,7 @@
     whens: list[When] = field(default_factory=list)
     expect: list[Expectation] = field(default_factory=list)
     excused: bool = False
-    plan: days.Plan | None = None
+    plan: Plan | None = None
     deployment: str = ""
 
 
@@ -183,7 +185,7 @@
 
 def read_at(scenario: Scenario, words: list[str], line: int) -> bool:
     """at SECONDS VERB WORD..."""
-    verbs = ACTIONS.keys() if scenario.plan is None else days.DEEDS.keys()
+    verbs = ACTIONS.keys() if scenario.plan is None else DAY_ACTIONS.keys()
     if len(words) < 2 or words[1] not in verbs:
         return False
     scenario.acts.append(Act(float(words[0]), words[1], tuple(words[2:])))
@@ -244,7 +246,7 @@
         else:
             limit = float(rest[1])
         rest = rest[2:]
-    if not rest or rest[0] not in ACTIONS.keys() | days.DEEDS.keys() or not known(event) or nth < 1:
+    if not rest or rest[0] not in ACTIONS.keys() | DAY_ACTIONS.keys() or not known(event) or nth < 1:
         return None
     return When(line, event, who, nth, start, limit or NO_LIMIT_S, Act(0.0, rest[0], tuple(rest[1:])))
 
@@ -254,8 +256,8 @@
     if head in READERS:
         return READERS[head](scenario, words, line)
     if head == "announced" and scenario.plan is None:
-        scenario.plan = days.Plan()
-    return scenario.plan is not None and days.read_line(scenario.plan, head, words)
+        scenario.plan = Plan()
+    return scenario.plan is not None and read_plan_line(scenario.plan, head, words)
 
 
 def parse(text: str, name: str) -> Scenario:
