--- a/bench/control_state.py
+++ b/bench/capacity/measurements/control_state.py
@@ -22,7 +22,8 @@
 from tempfile import TemporaryDirectory
 from typing import Any, cast
 
-from bench.capacity import Meter, Row, metered, more_routes, roles
+from bench.capacity.meter import Meter, Row, metered
+from bench.capacity.simulated_fleet import more_routes, roles
 from postpass.configuration.json_delta import patch
 from postpass.control.daemon import ControlPlane
 from postpass.control.journal import Image, StateJournal, Tree
--- a/tests/bench/test_capacity.py
+++ b/tests/bench/test_capacity.py
@@ -8,21 +8,13 @@
 
 import pytest
 
-from bench import capacity
-from bench.capacity import (
-    Meter,
-    Slope,
-    between,
-    growth,
-    joint,
-    key_of,
-    laid_out,
-    more_routes,
-    slope,
-    store_sent,
-    table,
-    verdict,
-)
+from bench.capacity.fleet_report import CONTROL_ROLES, key_of, laid_out, store_sent
+from bench.capacity.measurements.fleet import fleet_row
+from bench.capacity.measurements.jobs import lot_row
+from bench.capacity.meter import Meter, metered
+from bench.capacity.simulated_fleet import more_routes
+from bench.capacity.slopes import Slope, between, growth, joint, slope, verdict
+from bench.capacity.tables import table
 from postpass.rpc import codec
 from sim.loop import Pipe
 
@@ -108,7 +100,7 @@
 
 def test_the_meter_leaves_no_trace() -> None:
     before = (Pipe._send, codec.encode_message, events.Handle._run)
-    with capacity.metered():
+    with metered():
         assert Pipe._send is not before[0] and codec.encode_message is not before[1]
     assert (Pipe._send, codec.encode_message, events.Handle._run) == before
 
@@ -130,12 +122,12 @@
 
 
 def test_a_small_fleet_is_measured_and_its_changes_are_taken() -> None:
-    row = capacity.fleet_row(16, 20, 9, span=1.0)
+    row = fleet_row(16, 20, 9, span=1.0)
     assert row["machines"] == 16 and row["known"] == 20 and set(row["answers"]) == {200}
-    assert set(row["rest"]) == set(capacity.CONTROL_ROLES) and len(json.dumps(row)) > 0
+    assert set(row["rest"]) == set(CONTROL_ROLES) and len(json.dumps(row)) > 0
     assert all(x["cpu_ms"] > 0 and x["sent"] > 0 for x in row["rest"].values())
 
 
 def test_a_lot_beyond_the_limit_is_refused_and_says_so() -> None:
-    row = capacity.lot_row(201)
+    row = lot_row(201)
     assert row["status"] == 400 and "200" in row["why"]
