--- a/model/control/rules.py
+++ b/model/control/rules.py
@@ -137,7 +137,7 @@
         if not refusal:
             return Candidacy("")
         epochs_held = {name(a.member): a.state_epoch for a in answers}
-        heard = transcribed.Heard(name(me), refusal, all_answered, pairs, got, epochs_held)
+        heard = transcribed.Heard(name(me), state_epoch, pair, all_answered, pairs, got, epochs_held)
         return Candidacy(*self.rules.without_majority(heard), unopposed=True)
 
     def _electorate_after(
--- a/model/control/transcribed.py
+++ b/model/control/transcribed.py
@@ -1,14 +1,17 @@
 """Decisions that the product takes inside its coroutines, written out as pure functions.
 
 They are no part of the product. Each names the place it was taken from, and goes once the product has a function of its
-own for it, which `model.control.rules` then calls instead.
+own for it, which `model.control.rules` then calls instead. `without_majority` calls the product's `decide` already.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
+from postpass.control.election_rules import Campaign, Rebuild, Refused, decide
 from postpass.control.epochs import Acknowledgement, ReplicaSet, Voters
+from postpass.control.messages import VoteAnswer
+from postpass.control.state import ReplicatedState
 
 
 def next_voters(everyone: list[str], before: Voters, answered: Voters, unopposed: bool) -> Voters:
@@ -60,28 +63,46 @@
 
 @dataclass(frozen=True)
 class Heard:
-    """What a candidate that `may_lead` refuses has heard from those that promised."""
+    """What a candidate that `may_lead` refuses holds, and has heard from those that promised."""
 
     me: str
-    refusal: str
+    own_epoch: int
+    own_replica_set: ReplicaSet
     all_answered: bool
     granted: dict[str, ReplicaSet]
     disks: Voters
     state_epochs: dict[str, int]
 
+    @property
+    def campaign(self) -> Campaign:
+        """The product's type for it, with the candidate first: of several that are able the product lets the first in
+        the order of answers lead. Here any of them may, which allows more."""
+        promises = {
+            member: VoteAnswer(
+                accepted=True,
+                disk=self.disks[member],
+                promised=0,
+                replica_set=self.granted[member],
+                state_epoch=self.state_epochs[member],
+                state_revision=0,
+                known_revision=0,
+                leaving=False,
+            )
+            for member in sorted(self.granted, key=lambda name: name != self.me)
+        }
+        return Campaign(
+            candidate=self.me,
+            epoch=0,
+            own=ReplicatedState(self.own_epoch, self.own_replica_set),
+            promises=promises,
+            is_complete=self.all_answered,
+        )
+
 
 def without_majority(heard: Heard) -> tuple[str, bool]:
-    """Whether a candidate that `may_lead` refuses leads all the same (`run_election`): why not, and whether it then loses
-    acknowledged orders.
-
-    Where several are able the product lets the first in its order; here any of them may, which allows more.
-    """
-    newest = max(heard.granted.values(), key=lambda pair: pair.epoch)
-    able = [
-        member
-        for member, epoch in heard.state_epochs.items()
-        if epoch == newest.epoch and member in newest and newest.voters.get(member) == heard.disks[member]
-    ]
-    if not heard.all_answered or (able and heard.me not in able):
-        return heard.refusal, False
-    return "", not able
+    """Whether a candidate that `may_lead` refuses leads all the same: why not, and whether it then loses acknowledged
+    orders."""
+    basis = decide(heard.campaign, fleet_is_known=False, first=None)
+    if isinstance(basis, Refused):
+        return basis.why, False
+    return "", isinstance(basis, Rebuild)
