--- a/bench/measure.py
+++ b/bench/measure.py
@@ -85,7 +85,7 @@
         return [(t - start, d) for t, d in out]
 
     # The weaker predicates are refused at apply, rightly; for the comparison that check is put aside.
-    with patch("postpass.configuration.configuration.loss_flaw", lambda *_: ""):
+    with patch("postpass.configuration.configuration_check.loss_flaw", lambda *_: ""):
         got: list[tuple[float, float]] = run_sim(main, seed)
     return got
 
