--- a/bench/standin.py
+++ b/bench/standin.py
@@ -16,12 +16,12 @@
 from postpass.runtime.environment import serve_http
 
 
-def run(kind: str, name: str, http: str, log: str, zone: str = "", slots: int = 8, weights: str = "model-1") -> None:
-    """Serves until SIGTERM, and writes what it took to a log, a JSON line each."""
+def run(kind: str, name: str, http: str, log: str, area: str = "", slots: int = 8, weights: str = "model-1") -> None:
+    """Serves until SIGTERM, and writes what it took to a log, a JSON line each. The parameters are the flags."""
     with Path(log).open("a", buffering=1) as out:
 
         def note(event: dict[str, Any]) -> None:
-            out.write(json.dumps({"t": time.time(), "area": zone, **event}) + "\n")
+            out.write(json.dumps({"t": time.time(), "area": area, **event}) + "\n")
 
         async def main() -> None:
             stop = asyncio.Event()
