--- a/bench/clients.py
+++ b/bench/clients.py
@@ -19,6 +19,9 @@
 from bench.words import plain, words
 
 Event = dict[str, Any]
+CLIENT_GROUPS = 6  # clients that share a prefix
+DEFAULT_PIECES = 6
+ERROR_WIDTH = 100
 
 
 @dataclass(frozen=True)
@@ -37,6 +40,32 @@
     keyed: float = 0.0  # part of the `once` calls that carry a key, and are sent again under it if the answer is unsure
 
 
+@dataclass(eq=False)
+class LiveAnswer:
+    """What came back for a live request. `end` is broken until an event or a status tells more; `onward` if another edge
+    is to be asked."""
+
+    first: float | None = None  # when the first piece came
+    pieces: list[str] = field(default_factory=list)
+    end: str = "broken"
+    ran: str = ""
+    status: int = 0
+    why: str = ""
+    retry: str = ""
+    onward: bool = False
+
+    @property
+    def checksum(self) -> str:
+        """Of all pieces, as the last event tells it."""
+        return hashlib.sha256("".join(self.pieces).encode()).hexdigest()[:16]
+
+    def refuse(self, error: dict[str, Any], retry: str) -> None:
+        """Takes in an error that came in place of a stream."""
+        self.ran, self.why, self.retry = error.get("ran", ""), error["why"], retry
+        self.end = "shed" if self.status in (429, 503) else "error"
+        self.onward = error.get("hint") == "another edge"
+
+
 @dataclass(eq=False)
 class Callers:
     """Invariant: every call made leaves exactly one event of its end."""
@@ -57,13 +86,16 @@
     until: float = 1e18  # no new calls from then on
 
     def tell(self, ev: str, **more: Any) -> None:
+        """Adds an event of this moment to the history."""
         self.log({"t": self.clock(), "ev": ev, **more})
 
     def tag(self, kind: str) -> str:
+        """A name for a new request."""
         self.count += 1
         return f"{kind}:{self.count}"
 
     def spawn(self, coro: Any) -> None:
+        """Runs a request in a task of its own."""
         task = asyncio.create_task(coro)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -88,10 +120,12 @@
         await self.settle()
 
     async def settle(self) -> None:
+        """Waits for all requests under way."""
         while self.tasks:
             await asyncio.wait(set(self.tasks))
 
     def edge(self) -> str:
+        """Any edge."""
         return self.edges[self.chance.randrange(len(self.edges))]
 
     def another(self, *tried: str) -> str:
@@ -104,12 +138,14 @@
         self, kind: str, once: bool | None = None, key: bool = False, tag: str = "", edge: str = "", hops: int = 3,
         tried: tuple[str, ...] = (),
     ) -> None:  # fmt: skip
+        """One live request: `once` if it may not be repeated, `key` if it carries a key under which it may; it goes on
+        at another edge up to `hops` times, and leaves one event of its end."""
         tag = tag or self.tag(kind)
         if once is None:
             once = self.chance.random() < self.load.once
             key = once and self.load.keyed > 0 and self.chance.random() < self.load.keyed
-        group = self.chance.randrange(6)
-        size = self.load.pieces.get(kind, 6)
+        group = self.chance.randrange(CLIENT_GROUPS)
+        size = self.load.pieces.get(kind, DEFAULT_PIECES)
         shared = [f"{kind} handbook {group} " + "x" * self.load.shared]
         own = f"{tag} what now? #n={size + self.chance.randrange(4)}"
         body: dict[str, Any] = {"class": kind, "shared": shared, "own": own}
@@ -117,67 +153,72 @@
             body["once"] = True
         if key:
             body["key"] = tag.replace(":", "-")
-        began, first = self.clock(), None
-        got: list[str] = []
-        end, ran, status, why, wait, onward = "broken", "", 0, "", "", False
+        began = self.clock()
         edge = edge or self.edge()
-        try:
-            async with self.session.post(
-                f"{edge}/v1/calls",
-                json=body,
-                headers={"x-caller": f"c{group}"},
-                timeout=aiohttp.ClientTimeout(total=60),
-            ) as answer:
-                status = answer.status
-                if status != 200:
-                    raw = json.loads(await answer.read())
-                    ran, why, wait = (
-                        raw["error"].get("ran", ""),
-                        raw["error"]["why"],
-                        answer.headers.get("retry-after", ""),
-                    )
-                    end = "shed" if status in (429, 503) else "error"
-                    onward = raw["error"].get("hint") == "another edge"
-                else:
-                    event, data = "", ""
-                    while line := (await answer.content.readline()).decode():
-                        if line.startswith("event: "):
-                            event = line[7:].strip()
-                        elif line.startswith("data: "):
-                            data = line[6:]
-                        elif line == "\n" and event:
-                            word = json.loads(data)
-                            if event == "piece":
-                                if word["n"] != len(got):
-                                    self.tell("gap", tag=tag, want=len(got), got=word["n"])
-                                first = first or self.clock()
-                                got.append(word["text"])
-                            elif event == "done":
-                                end = "done"
-                                sum_ = hashlib.sha256("".join(got).encode()).hexdigest()[:16]
-                                if word["count"] != len(got) or word["sum"] != sum_:
-                                    self.tell("gap", tag=tag, want=word["count"], got=len(got))
-                            elif event == "error":
-                                end, why = "error", word["why"]
-                            event = ""
-                        if end != "broken" and line == "\n":
-                            break
-        except aiohttp.ClientConnectorError as bad:
-            why, onward = repr(bad)[:100], True
-        except (TimeoutError, aiohttp.ClientError, OSError, ValueError) as bad:
-            why = why or repr(bad)[:100]
-        if onward and hops:
+        answer = await self._ask(edge, body, f"c{group}", tag)
+        if answer.onward and hops:
             tried = (*tried, edge)
             await self.live(kind, once, key, tag, self.another(*tried), hops - 1, tried)
             return
-        self.tell("call", tag=tag, kind=kind, once=once, key=key, began=began, first=first, end=end, ran=ran, status=status, why=why,
-                  retry=wait, got=got, want=words("\n".join([*shared, own])))  # fmt: skip
-        if key and end in ("broken", "error") and status != 409 and hops:
+        self.tell("call", tag=tag, kind=kind, once=once, key=key, began=began, first=answer.first, end=answer.end, ran=answer.ran,
+                  status=answer.status, why=answer.why, retry=answer.retry, got=answer.pieces, want=words("\n".join([*shared, own])))  # fmt: skip
+        if key and answer.end in ("broken", "error") and answer.status != 409 and hops:
             # Safe under the key, whatever became of the first: it runs once, or not again.
             await asyncio.sleep(0.3 * self.chance.random())
             await self.live(kind, True, True, tag, self.another(edge), hops - 1)
 
+    async def _ask(self, edge: str, body: dict[str, Any], client: str, tag: str) -> LiveAnswer:
+        """One try at one edge."""
+        answer = LiveAnswer()
+        try:
+            async with self.session.post(
+                f"{edge}/v1/calls",
+                json=body,
+                headers={"x-caller": client},
+                timeout=aiohttp.ClientTimeout(total=60),
+            ) as response:
+                answer.status = response.status
+                if response.status == 200:
+                    await self._read_stream(response, answer, tag)
+                else:
+                    answer.refuse(json.loads(await response.read())["error"], response.headers.get("retry-after", ""))
+        except aiohttp.ClientConnectorError as error:
+            answer.why, answer.onward = repr(error)[:ERROR_WIDTH], True
+        except (TimeoutError, aiohttp.ClientError, OSError, ValueError) as error:
+            answer.why = answer.why or repr(error)[:ERROR_WIDTH]
+        return answer
+
+    async def _read_stream(self, response: aiohttp.ClientResponse, answer: LiveAnswer, tag: str) -> None:
+        """Reads server-sent events until one ends the answer, or the connection ends."""
+        event, data = "", ""
+        while line := (await response.content.readline()).decode():
+            if line.startswith("event: "):
+                event = line[7:].strip()
+            elif line.startswith("data: "):
+                data = line[6:]
+            elif line == "\n" and event:
+                self._take_event(event, json.loads(data), answer, tag)
+                event = ""
+            if answer.end != "broken" and line == "\n":
+                return
+
+    def _take_event(self, event: str, content: dict[str, Any], answer: LiveAnswer, tag: str) -> None:
+        """Adds an event to the answer; what doesn't follow from the pieces before is told as a gap."""
+        count = len(answer.pieces)
+        if event == "piece":
+            if content["n"] != count:
+                self.tell("gap", tag=tag, want=count, got=content["n"])
+            answer.first = answer.first or self.clock()
+            answer.pieces.append(content["text"])
+        elif event == "done":
+            answer.end = "done"
+            if content["count"] != count or content["sum"] != answer.checksum:
+                self.tell("gap", tag=tag, want=content["count"], got=count)
+        elif event == "error":
+            answer.end, answer.why = "error", content["why"]
+
     async def view(self, kind: str, edge: str = "", hops: int = 3) -> None:
+        """One request to a plain back end, which goes on at another edge up to `hops` times."""
         path = f"/{kind}/{self.chance.randrange(400)}"
         began, end, good, why, onward = self.clock(), "broken", False, "", False
         edge = edge or self.edge()
@@ -245,6 +286,7 @@
         await self.read(name, self.load.within)
 
     async def end(self, name: str) -> None:
+        """Ends a job, and tries until the answer is sure."""
         for _ in range(20):
             try:
                 async with self.session.delete(
@@ -274,6 +316,8 @@
         return whole
 
     async def page(self, name: str, start: int) -> tuple[int, bool] | None:
+        """One page of a job's results: where the next one begins, and whether the job is whole; None if there was no
+        answer."""
         try:
             url = f"{self.edge()}/v1/lots/{name}/results?start={start}&most=200"
             async with self.session.get(url, timeout=aiohttp.ClientTimeout(total=20)) as got:
--- a/bench/deploy.py
+++ b/bench/deploy.py
@@ -18,6 +18,8 @@
 
 @dataclass(frozen=True)
 class Deployment:
+    """A configuration, and what its clients do."""
+
     name: str
     manifest: dict[str, Any]
     load: Load
@@ -38,6 +40,7 @@
 
 
 def live(share: float, priority: int, deadline: float, other: str) -> dict[str, Any]:
+    """A class of live requests that lends to one other class and borrows from it."""
     return {
         "kind": "live",
         "pool": "gpu",
@@ -50,6 +53,7 @@
 
 
 def batch(share: float, *lenders: str) -> dict[str, Any]:
+    """A class of jobs that borrows from these classes."""
     return {"kind": "batch", "pool": "gpu", "share": share, "borrows": list(lenders), "handback": 1.0, "reserve": 0.25}
 
 
@@ -77,6 +81,7 @@
 
 
 def text(d: Deployment) -> str:
+    """The configuration as the example file has it."""
     return json.dumps(d.manifest, indent=1) + "\n"
 
 
--- a/bench/order_memory.py
+++ b/bench/order_memory.py
@@ -50,6 +50,7 @@
 
 
 def state_of(routes: int, orders: int) -> State:
+    """A replicated state of so many routes that remembers so many orders."""
     content = {"version": 9_999, "machines": {}, "pools": {}, "routes": document(routes, 1)["routes"]}
     entries = [ConfigurationOrder.of({"version": 1_000 + n}).entry for n in range(orders)]
     return State(1, cast(Configuration, content), source=document(routes, 9_999), orders=entries)
@@ -66,6 +67,7 @@
 
 
 def cost_of(routes: int, orders: int) -> Cost:
+    """One row of the table."""
     state = state_of(routes, orders)
     held = ReplicatedState(1, state=state)
     order = ConfigurationOrder.of(document(routes, 10_000))
@@ -82,6 +84,7 @@
 
 
 def main() -> None:
+    """Prints the table."""
     print("| routes | orders | memory, bytes | state file, bytes | encode, ms | recall, ms | remember, ms |")
     print("|---|---|---|---|---|---|---|")
     for routes in ROUTES:
--- a/bench/plan.py
+++ b/bench/plan.py
@@ -16,6 +16,7 @@
 
 
 def config(configuration: Raw, name: str, data: str = "", **more: Any) -> Raw:
+    """The settings file of one machine; `data` is its data folder, and empty for one that keeps nothing."""
     m = configuration["machines"][name]
     out: Raw = {
         "name": name,
@@ -46,6 +47,7 @@
 
 
 def servers(many: int, digit: int, slots: int, letter: str, zones: tuple[str, ...] = AREAS) -> Raw:
+    """So many workers of a pool, spread over the zones; `digit` is the third number of their addresses, `letter` begins their names."""
     return {
         f"{letter}{i + 1}": {
             "url": f"http://127.{i % len(zones) + 1}.{digit}.{i + 1}:9000",
--- a/bench/words.py
+++ b/bench/words.py
@@ -22,5 +22,6 @@
 
 
 def plain(path: str) -> bytes:
+    """The body that a plain back end answers with for a path."""
     sum_ = hashlib.sha256(path.encode()).hexdigest()
     return (sum_ * (1 + int(sum_[:2], 16) % 24)).encode()
--- a/bench/worker.py
+++ b/bench/worker.py
@@ -23,6 +23,9 @@
 
 @dataclass(eq=False)
 class Run:
+    """One request at a worker. `place` counts the pieces that were handed out, `prefill` the characters still to be
+    read; `gone` once it has ended or its client has left."""
+
     prompt: str
     out: list[str]
     prefill: int
@@ -61,6 +64,7 @@
     count: int = 0
 
     def app(self) -> Starlette:
+        """The interface of the worker; its start is logged."""
         self.start = self.wall()
         self.log({"ev": "start", "worker": self.name, "slots": self.slots})
         return Starlette(routes=[
@@ -70,6 +74,7 @@
         ])  # fmt: skip
 
     async def engine(self) -> None:
+        """Decodes one step after another, until cancelled."""
         while True:
             if not self.runs and not self.waiting:
                 self.wake.clear()
@@ -94,6 +99,7 @@
                     run.gone = True
 
     async def completions(self, request: Request) -> Response:
+        """Takes a request, and streams its answer."""
         if self.fault == "refuse":
             return JSONResponse({"error": "overloaded"}, 429)
         body = await request.json()
@@ -123,6 +129,8 @@
         return StreamingResponse(self.stream(run, body.get("logprobs") is not None), media_type="text/event-stream")
 
     async def stream(self, run: Run, offsets: bool) -> AsyncIterator[bytes]:
+        """The answer as server-sent events, with the fault that is switched on."""
+
         def line(text: str, end: str | None, place: int = 0) -> bytes:
             choice: dict[str, Any] = {"index": 0, "text": text, "finish_reason": end}
             if offsets:
@@ -166,18 +174,22 @@
             run.gone = True
 
     async def models(self, _request: Request) -> Response:
+        """The model that it serves."""
         return JSONResponse(
             {"object": "list", "data": [{"id": self.weights, "object": "model", "max_model_len": 8192}]}
         )
 
     async def version(self, _request: Request) -> Response:
+        """The version of the server."""
         return JSONResponse({"version": self.revision})
 
     async def health(self, _request: Request) -> Response:
+        """Whether it is fit to serve."""
         self.polls += 1
         return PlainTextResponse("", 503 if self.fault == "sick" else 200)
 
     async def metrics(self, _request: Request) -> Response:
+        """Its load, as vLLM publishes it."""
         live = sum(not r.gone for r in self.runs)
         used = min(1.0, sum(len(r.prompt) + 6 * r.place for r in self.runs if not r.gone) / self.room)
         return PlainTextResponse(
@@ -188,6 +200,7 @@
         )
 
     async def set_fault(self, request: Request) -> Response:
+        """Switches a fault on, or off if it is empty."""
         self.fault = str((await request.json())["fault"])
         return JSONResponse({"fault": self.fault})
 
@@ -202,14 +215,17 @@
     fault: str = ""
 
     def app(self) -> Starlette:
+        """The interface of the server."""
         return Starlette(
             routes=[Route("/health", self.health), Route("/{rest:path}", self.view, methods=["GET", "POST"])]
         )
 
     async def health(self, _request: Request) -> Response:
+        """Whether it is fit to serve."""
         return PlainTextResponse("ok", 503 if self.fault == "sick" else 200)
 
     async def view(self, request: Request) -> Response:
+        """Answers any path, with the fault that is switched on."""
         from bench.words import plain
 
         self.log({"ev": "took", "worker": self.name, "tag": f"plain:{request.url.path}", "busy": 0, "age": 1e9})
