--- a/sim/runner.py
+++ b/sim/runner.py
@@ -126,6 +126,8 @@
         seed: of all that is drawn by chance.
         options: of `run_day`.
     """
+    # Counts are of the process: what an earlier run left would be taken for this run's.
+    log_events.COUNTS.clear()
     got: Report = run_sim(lambda loop: run_announced(loop, scenario, seed, options), seed)
     return got
 
--- a/tests/sim/test_runner.py
+++ b/tests/sim/test_runner.py
@@ -6,7 +6,9 @@
 
 import pytest
 
-from sim.runner import judge, play
+from postpass.runtime import log_events
+from postpass.runtime.log_events import Event
+from sim.runner import judge, play, play_day
 from sim.scenario import FOLDER, parse, scenarios
 
 
@@ -34,3 +36,9 @@
         "error: x:5: E125 never came so that its fault was caused",
         "error: x:6: took never came so that its fault was caused",
     ]
+
+
+def test_events_of_an_earlier_run_are_not_counted_to_a_day() -> None:
+    log_events.COUNTS[Event.PARTITION_DATA_LOSS] = 4
+    scenario = parse((FOLDER / "announced" / "calm.txt").read_text(), "calm")
+    assert play_day(scenario, 1).stats.get("event_125", 0) == 0
