--- a/postpass/replication/__init__.py
+++ b/postpass/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Partitions of kept jobs: the record log, its owner and mirrors, acknowledgements and takeover."""
+"""Replicated partitions of durable jobs: the record log, its owner and mirrors, acknowledgements and elections."""
--- a/postpass/replication/acknowledgements.py
+++ b/postpass/replication/acknowledgements.py
@@ -1,4 +1,4 @@
-"""Acknowledgements: for every mirror and every type, the highest sequence number acknowledged."""
+"""Acknowledgements: the highest acknowledged sequence number of each node and disk, by type (received, persisted)."""
 
 from __future__ import annotations
 
@@ -8,14 +8,17 @@
 
 @dataclass(eq=False)
 class Acknowledgements:
-    """Invariants: a counter never falls; it belongs to one disk, so a wiped disk begins at nothing and
-    what its predecessor acknowledged stops counting; `frontier` never falls."""
+    """Holds what nodes have acknowledged to the owner of a partition, and the frontier that follows from it.
 
-    counts: dict[tuple[str, str, str], int] = field(default_factory=dict)  # (node, disk, type)
+    Invariants: a counter never decreases; it belongs to one disk, so a wiped disk begins at 0 and what its predecessor
+    acknowledged no longer counts; `frontier` never decreases.
+    """
+
+    counts: dict[tuple[str, str, str], int] = field(default_factory=dict)  # (node, disk, type) -> sequence number
     frontier: int = 0
 
     def put(self, node: str, disk: str, kind: str, seq: int) -> bool:
-        """Counts an acknowledgement; False if it says nothing new."""
+        """Records an acknowledgement; returns whether it is higher than the one before."""
         key = (node, disk, kind)
         if seq <= self.counts.get(key, 0):
             return False
@@ -23,15 +26,20 @@
         return True
 
     def get(self, node: str, disk: str, kind: str) -> int:
-        """The highest sequence number that one disk of a node has acknowledged; 0 if none."""
+        """Returns the highest sequence number that a disk of a node has acknowledged; 0 if it has acknowledged none."""
         return self.counts.get((node, disk, kind), 0)
 
     def reach(self, members: Mapping[str, str], predicate: Callable[[Callable[[str, str], int]], int]) -> int:
-        """What a predicate yields when only the disks in `members` count."""
+        """Returns the sequence number up to which a predicate holds.
+
+        Args:
+            members: The members (name -> disk) whose acknowledgements count; those of other disks do not.
+            predicate: A compiled predicate (see `stability`).
+        """
         return predicate(lambda node, kind: self.get(node, members[node], kind) if node in members else 0)
 
     def advance(self, seq: int) -> bool:
-        """Raises the frontier; False if it is there already."""
+        """Raises the frontier to a sequence number; returns False if it is at or above it already."""
         if seq <= self.frontier:
             return False
         self.frontier = seq
--- a/postpass/replication/acknowledger.py
+++ b/postpass/replication/acknowledger.py
@@ -1,4 +1,4 @@
-"""A mirror's acknowledgements: one link to each owner, and what a link that breaks says of the owner."""
+"""Sends a mirror's acknowledgements, over one link to each owner, and probes an owner whose link has broken."""
 
 from __future__ import annotations
 
@@ -18,22 +18,26 @@
 
 @dataclass(eq=False)
 class Acknowledger:
-    """Sends the newest counters to owners. Owns one send loop and one wake-up event for each owner."""
+    """Sends the newest counters (received and persisted sequence numbers) to the owners that this store follows.
+
+    Owns one send loop and one wake-up event for each owner.
+    """
 
     table: PartitionTable
     election: Election
-    pending: dict[str, set[int]] = field(default_factory=dict)  # owner -> partitions to acknowledge
+    pending: dict[str, set[int]] = field(default_factory=dict)  # owner -> numbers of the partitions to acknowledge
     wake_events: dict[str, asyncio.Event] = field(default_factory=dict)
-    reconnected: set[str] = field(default_factory=set)  # owners that connected since their last acknowledgement
+    reconnected: set[str] = field(default_factory=set)  # owners that connected since the last acknowledgement to them
     send_loops: dict[str, asyncio.Task[None]] = field(default_factory=dict)
 
     def schedule(self, partition: Partition, owner: str = "", gap: bool = False) -> None:
-        """Has the newest counters of a partition sent to its owner, with others that are due.
+        """Schedules an acknowledgement of a partition, which is sent together with others that are due.
 
         Args:
             partition: The partition.
-            owner: Name of the store to tell; empty for the owner as it is known.
-            gap: The stream does not fit. Told by the counters themselves, which show a log that is not aligned.
+            owner: Name of the store to send it to; empty for the known owner.
+            gap: Whether the stream does not continue this log. It is not used: the counters themselves report a gap, by a
+                log that is not aligned.
         """
         owner = owner or partition.owner
         if not owner or owner == self.table.settings.name:
@@ -45,7 +49,11 @@
         self.wake_events[owner].set()
 
     async def send_loop(self, owner: str) -> None:
-        """The control path back to one owner: batched, and only the newest counters."""
+        """Sends acknowledgements to one owner for ever: batched, and only with the newest counters.
+
+        If the owner has connected anew, the old link is replaced, since it may lead to a process that has ended. A link
+        that fails is closed, and opened again for the next acknowledgement.
+        """
         link: Link | None = None
         while True:
             await self.wake_events[owner].wait()
@@ -58,17 +66,20 @@
                 link.close("the owner connected anew")
             self.reconnected.discard(owner)
             if link is None or link.closed or link.address != addr:
-                got = await Link.open(addr, self.table.settings.bounds.silent)
-                if isinstance(got, Err):
+                connection = await Link.open(addr, self.table.settings.bounds.silent)
+                if isinstance(connection, Err):
                     await asyncio.sleep(self.table.settings.bounds.beat)
                     continue
-                link = got.unwrap()
+                link = connection.unwrap()
                 assert link.reader_task is not None
                 link.reader_task.add_done_callback(lambda _: self.probe_soon(owner))
-            free, _ = self.table.log.disk.space()
+            free_bytes, _ = self.table.log.disk.space()
             link.put(
                 "ack",
-                [self.acknowledgement(self.table.partitions[n], free < self.table.log.reserved_bytes) for n in numbers],
+                [
+                    self.acknowledgement(self.table.partitions[n], free_bytes < self.table.log.reserved_bytes)
+                    for n in numbers
+                ],
             )
             try:
                 await asyncio.wait_for(link.drain(), self.table.settings.bounds.silent)
@@ -76,33 +87,42 @@
                 link.close("it takes nothing")
 
     def probe_soon(self, owner: str) -> None:
-        """The link to an owner broke. That proves nothing, but the owner is asked at once."""
+        """Probes an owner in the background after the link to it broke, which alone proves nothing about the owner."""
         if not self.table.leaving and any(p.owner == owner and not p.owning for p in self.table.partitions.values()):
             task = asyncio.create_task(self.probe(owner))
             self.table.background_tasks.add(task)
             task.add_done_callback(self.table.background_tasks.discard)
 
     async def probe(self, owner: str) -> None:
-        """A refused connection proves that no process listens there, so the detection time need not pass. Only a hint of
-        when to run for owner: who owns is up to the epochs."""
-        addr = self.table.configuration_view.addr(owner)
-        got = await Link.open(addr, self.table.settings.bounds.promise) if addr else None
-        if isinstance(got, Ok):
-            got.unwrap().close()
-        if got is None or isinstance(got, Ok) or got.unwrap_err().hint != "refused":
+        """Connects to an owner once more, and begins elections for its partitions if the connection is refused.
+
+        A refused connection proves that no process listens there, so that the detection time need not pass. It only
+        determines when to run for owner; the epochs determine who the owner is.
+        """
+        address = self.table.configuration_view.addr(owner)
+        connection = await Link.open(address, self.table.settings.bounds.promise) if address else None
+        if isinstance(connection, Ok):
+            connection.unwrap().close()
+        if connection is None or isinstance(connection, Ok) or connection.unwrap_err().hint != "refused":
             return
         bounds = self.table.settings.bounds
-        mine = [p for p in self.table.partitions.values() if p.owner == owner and not p.owning]
-        for partition in mine:
+        affected_partitions = [p for p in self.table.partitions.values() if p.owner == owner and not p.owning]
+        for partition in affected_partitions:
             partition.refused_owner, partition.heard = owner, min(partition.heard, now() - bounds.detect)
-        # The others, who are asked, find out at the same time as this one.
+        # The members that will be asked for promises notice the broken link at the same time as this one; they need a
+        # moment for their own probes.
         await asyncio.sleep(bounds.beat / 8)
-        for partition in mine:
+        for partition in affected_partitions:
             if partition.refused_owner == owner and not partition.owning:
                 self.election.run_if_silent(partition)
 
     def acknowledgement(self, partition: Partition, full: bool) -> Any:
-        """The counters of one partition; all zero unless the log is aligned with the owner's stream."""
+        """Returns the acknowledgement of one partition; its counters are 0 unless the log is aligned with the stream.
+
+        Args:
+            partition: The partition.
+            full: Whether this store's disk is full.
+        """
         aligned = partition.aligned > 0 and partition.aligned == partition.promised
         return IDL.Ack(
             part=partition.id, epoch=partition.promised, name=self.table.settings.name, disk=self.table.disk_id, promised=partition.promised,
--- a/postpass/replication/cover_watch.py
+++ b/postpass/replication/cover_watch.py
@@ -1,7 +1,7 @@
-"""Tells when a partition's records are not covered for long: since when, and whose acknowledgements are missing.
+"""Reports partitions whose records stay uncovered for long: since when, and whose acknowledgements are missing.
 
-It decides nothing. An owner may wait for members that are away, as long as it hears a quorum; but whoever hands in a job
-meanwhile gets no acknowledgement, so that it must be seen.
+This is monitoring only and decides nothing. An owner may wait for absent members as long as it hears from a quorum; but
+clients that submit a job meanwhile get no acknowledgement, so operators must be able to see it.
 """
 
 from __future__ import annotations
@@ -16,18 +16,30 @@
 
 
 def members_awaited(partition: Partition) -> list[str]:
-    """As owner: the members, under each rule that counts, whose counted disk has not synced the first uncovered record."""
-    first = partition.covered + 1
-    if partition.record_log.last < first:
+    """As owner: returns the members, under every rule that applies, whose counted disk has not acknowledged the first
+    uncovered record as synced; an empty list if all records are covered."""
+    first_uncovered = partition.covered + 1
+    if partition.record_log.last < first_uncovered:
         return []
-    counted = {(name, disk) for members, _ in partition.rules(partition.view) for name, disk in members.items()}
-    behind = {name for name, disk in counted if partition.acknowledgements.get(name, disk, "persisted") < first}
+    counted_disks = {(name, disk) for members, _ in partition.rules(partition.view) for name, disk in members.items()}
+    behind = {
+        name
+        for name, disk in counted_disks
+        if partition.acknowledgements.get(name, disk, "persisted") < first_uncovered
+    }
     return sorted(behind)
 
 
 @dataclass(frozen=True)
-class Standstill:
-    """An owner's frontier that does not move though there are records beyond it: since when, in monotonic seconds."""
+class StalledFrontier:
+    """An owner's stability frontier that does not advance although there are records beyond it.
+
+    Attributes:
+        epoch: Epoch of the ownership.
+        covered: Sequence number of the frontier.
+        since: Since when it has been there, in monotonic seconds.
+        reported: Whether the event was logged.
+    """
 
     epoch: int
     covered: int
@@ -37,23 +49,25 @@
 
 @dataclass(eq=False)
 class CoverWatch:
-    """Watches the frontier of each owned partition, once a heartbeat. Owns `standstills`, by partition."""
+    """Watches the stability frontier of each owned partition, once a heartbeat. Owns `stalled_frontiers`, by partition number."""
 
     table: PartitionTable
-    standstills: dict[int, Standstill] = field(default_factory=dict)
+    stalled_frontiers: dict[int, StalledFrontier] = field(default_factory=dict)
 
     def observe(self, partition: Partition) -> None:
-        """Notes whether the frontier moved; logs an event once it stands still for the detection time."""
+        """Notes whether the frontier advanced; logs an event once it has not for longer than the detection time."""
         if not partition.owning or partition.covered >= partition.record_log.last:
-            self.standstills.pop(partition.id, None)
+            self.stalled_frontiers.pop(partition.id, None)
             return
-        known = self.standstills.get(partition.id)
-        if known is None or (known.epoch, known.covered) != (partition.epoch, partition.covered):
-            self.standstills[partition.id] = Standstill(partition.epoch, partition.covered, now())
+        previous = self.stalled_frontiers.get(partition.id)
+        if previous is None or (previous.epoch, previous.covered) != (partition.epoch, partition.covered):
+            self.stalled_frontiers[partition.id] = StalledFrontier(partition.epoch, partition.covered, now())
             return
-        if known.reported or now() - known.since <= self.table.settings.bounds.detect:
+        if previous.reported or now() - previous.since <= self.table.settings.bounds.detect:
             return
-        self.standstills[partition.id] = Standstill(known.epoch, known.covered, known.since, reported=True)
+        self.stalled_frontiers[partition.id] = StalledFrontier(
+            previous.epoch, previous.covered, previous.since, reported=True
+        )
         log_events.emit(
             Event.COVER_STALLED,
             self.table.settings.name,
@@ -65,6 +79,8 @@
         )
 
     def longest(self) -> float:
-        """For how many seconds the frontier that stands still longest has not moved; 0 if all do."""
-        owned = (s for number, s in self.standstills.items() if self.table.partitions[number].epoch == s.epoch)
-        return max((now() - standstill.since for standstill in owned), default=0.0)
+        """Returns for how many seconds the longest-stalled frontier has not advanced; 0 if none is stalled."""
+        current_stalls = (
+            s for number, s in self.stalled_frontiers.items() if self.table.partitions[number].epoch == s.epoch
+        )
+        return max((now() - stalled.since for stalled in current_stalls), default=0.0)
--- a/postpass/replication/election.py
+++ b/postpass/replication/election.py
@@ -1,4 +1,4 @@
-"""Elections: when a store runs for owner of a partition, what it asks of the others, and what it promises them."""
+"""Elections: when a store runs for owner of a partition, what it asks the other members, and what it promises to them."""
 
 from __future__ import annotations
 
@@ -24,19 +24,25 @@
 
 @dataclass(eq=False)
 class Promises:
-    """What a candidate has gathered for its epoch: who was asked, who promised, and the best log among theirs."""
+    """The promises that a candidate has collected for its epoch.
+
+    Attributes:
+        log: The most complete log among those of the candidate and of the members that promised.
+        asked_members: Names of the members that were asked.
+        responses: The answers of the members that promised, by name.
+    """
 
     log: RecordLog
-    asked: list[str] = field(default_factory=list)
+    asked_members: list[str] = field(default_factory=list)
     responses: dict[str, PromiseAnswer] = field(default_factory=dict)
 
     @property
     def voters(self) -> dict[str, str]:
-        """Who promised, with the identity of the disk that did."""
+        """The members that promised, with the identities of their disks."""
         return {n: a.disk for n, a in self.responses.items()}
 
-    def log_end(self, name: str) -> LogPosition:
-        """How much a voter's log holds."""
+    def log_position(self, name: str) -> LogPosition:
+        """Returns the position of the last record in a voter's log."""
         position = self.responses[name].position
         assert position is not None
         return position
@@ -44,7 +50,16 @@
 
 @dataclass(eq=False)
 class Election:
-    """Runs elections and answers those of others. `known_epochs` is the daemon's own map, filled by `ask_epochs`."""
+    """Runs elections for owner, and answers the promise requests of other candidates.
+
+    Attributes:
+        table: The partitions of this store.
+        owner: Takes up the partitions that were won.
+        catch_up: Fetches the log of a voter that has more records.
+        ask_epochs: Asks other daemons for the highest epochs that they remember; None if there is nobody to ask.
+        ask_kept_jobs: Asks other daemons for the jobs that they know to be kept in a partition; None if there is nobody to ask.
+        known_epochs: Highest known epoch by partition. It is the daemon's own map, which `ask_epochs` fills.
+    """
 
     table: PartitionTable
     owner: PartitionOwner
@@ -54,9 +69,10 @@
     known_epochs: dict[str, int] = field(default_factory=dict)
 
     def run_if_silent(self, partition: Partition) -> None:
-        """Begins an election if the owner has been silent for long enough.
+        """Begins an election if nothing was heard of the owner for the detection time and this store's stagger.
 
-        Each member waits longer than those before it in the order, so that as a rule only the first live one runs.
+        Each member waits `bounds.stagger` seconds longer than the one before it in the agreed order, so that normally only
+        the first live member runs.
         """
         order = self.table.configuration_view.order(partition.id)
         members = partition.record_log.base.members if isinstance(partition.record_log.base, JobView) else {}
@@ -69,16 +85,21 @@
             self.run_soon(partition, 0)
 
     def run_soon(self, partition: Partition, handed_epoch: int) -> None:
-        """Begins an election in the background; one at a time for each partition."""
+        """Begins an election in the background; `in_election` is set until it has ended.
+
+        Args:
+            partition: The partition.
+            handed_epoch: Epoch of the owner that handed the partition over; 0 if none did.
+        """
         partition.in_election = True
         task = asyncio.create_task(self.run_election(partition, handed_epoch))
         self.table.background_tasks.add(task)
 
-        def ended(task: asyncio.Task[None]) -> None:
+        def clear_in_election(task: asyncio.Task[None]) -> None:
             self.table.background_tasks.discard(task)
             partition.in_election = False
 
-        task.add_done_callback(ended)
+        task.add_done_callback(clear_in_election)
 
     async def ask_promises(
         self,
@@ -86,58 +107,77 @@
         view: JobView,
         names: list[str],
         request: PromiseRequest,
-        have: dict[str, str] | None = None,
+        known_voters: dict[str, str] | None = None,
     ) -> dict[str, PromiseAnswer]:
-        """Asks for promises beside those in `have`; waits for the last ones only as long as it has not got enough."""
+        """Asks members for promises; does not wait for the remaining answers once there are enough promises to lead.
+
+        Args:
+            partition: The partition.
+            view: The jobs and members of the log to lead with, which determine how many promises are needed.
+            names: Names of the members to ask.
+            request: The request to send.
+            known_voters: Members that promised before, with their disks.
+
+        Returns:
+            The answers that arrived, by name.
+        """
 
-        def enough(answers: dict[str, PeerResponse]) -> bool:
+        def has_quorum(answers: dict[str, PeerResponse]) -> bool:
             decoded = {n: PromiseAnswer.decode(a.unwrap()) for n, a in answers.items() if isinstance(a, Ok)}
             voters = {n: a.disk for n, a in decoded.items() if a.granted}
-            return partition.may_lead(view, (have or {}) | voters | self.table.own_vote)
+            return partition.may_lead(view, (known_voters or {}) | voters | self.table.own_vote)
 
         body = request.encode()
         answers = await gather_until(
-            {n: self.table.ask(n, "promise", body) for n in names}, enough, self.table.settings.bounds.beat / 2
+            {n: self.table.ask(n, "promise", body) for n in names}, has_quorum, self.table.settings.bounds.beat / 2
         )
         return {n: PromiseAnswer.decode(a.unwrap()) for n, a in answers.items() if isinstance(a, Ok)}
 
     async def collect_promises(self, partition: Partition, request: PromiseRequest) -> Promises | None:
-        """Promises of all who have, or should have, a copy, and the best log among theirs; None if a higher epoch shows
-        up or that log can't be fetched.
+        """Collects the promises of all members that have, or should have, a copy, and the most complete log among theirs.
+
+        The members are recorded in the log: a candidate that lags behind learns of some members only from the log that
+        it fetches, and then asks these as well. Without them it could neither become owner nor leave the election to a
+        candidate that knows all members.
 
-        Who is a member is recorded in the log: a candidate that is behind learns of some only from the log that it
-        fetches, and then asks these as well. Without them it could neither lead nor let one lead that knows all members.
+        Returns:
+            The promises; None if a higher epoch was promised meanwhile or the log could not be fetched.
         """
         promises, epoch = Promises(partition.record_log), request.epoch
-        names = self.table.other_members(partition, latest_view(partition.record_log))
-        while names:
+        next_members = self.table.other_members(partition, latest_view(partition.record_log))
+        while next_members:
             view = latest_view(promises.log)
-            answers = await self.ask_promises(partition, view, names, request, promises.voters)
+            answers = await self.ask_promises(partition, view, next_members, request, promises.voters)
             partition.promised = max([partition.promised, *(a.promised for a in answers.values())])
             if partition.promised != epoch or partition.owning:
                 return None
-            promises.asked += names
+            promises.asked_members += next_members
             promises.responses |= {n: a for n, a in answers.items() if a.granted}
-            best = max(promises.responses, key=promises.log_end, default="")
-            if best and promises.log_end(best) > (promises.log.last_epoch, promises.log.last):
-                fetched = await self.catch_up.fetch_log(partition, best, promises.responses[best], epoch)
-                if fetched is None or partition.promised != epoch:
+            best_voter = max(promises.responses, key=promises.log_position, default="")
+            if best_voter and promises.log_position(best_voter) > (promises.log.last_epoch, promises.log.last):
+                fetched_log = await self.catch_up.fetch_log(
+                    partition, best_voter, promises.responses[best_voter], epoch
+                )
+                if fetched_log is None or partition.promised != epoch:
                     return None
-                promises.log = fetched
-            names = [
-                n for n in self.table.other_members(partition, latest_view(promises.log)) if n not in promises.asked
+                promises.log = fetched_log
+            next_members = [
+                n
+                for n in self.table.other_members(partition, latest_view(promises.log))
+                if n not in promises.asked_members
             ]
         return promises
 
     async def run_election(self, partition: Partition, handed_epoch: int) -> None:
-        """Runs for owner of a partition.
+        """Runs one election for owner of a partition; on failure the next one is delayed by up to `bounds.stagger`.
 
         Args:
-            partition: The partition; its promise of the new epoch is synced before anyone is asked.
-            handed_epoch: Epoch of the owner that handed the partition over, who need not be waited out; 0 if none did.
+            partition: The partition; this store's own promise of the new epoch is synced before others are asked.
+            handed_epoch: Epoch of the owner that handed the partition over, for whose silence the members need not wait;
+                0 if none did.
         """
         bounds = self.table.settings.bounds
-        if not handed_epoch and not await self.has_prospect(partition):
+        if not handed_epoch and not await self.could_win(partition):
             partition.heard = now() - bounds.detect + bounds.stagger
             return
         epoch = partition.promised + 1
@@ -152,28 +192,35 @@
         if promises is None or not await self.try_to_lead(partition, epoch, promises):
             partition.heard = max(partition.heard, retry_at)
 
-    async def has_prospect(self, partition: Partition) -> bool:
-        """Would enough members promise? Asked first, so that a store that can't win does not raise the epoch."""
+    async def could_win(self, partition: Partition) -> bool:
+        """Returns whether enough members would promise.
+
+        This is asked first (a pre-vote), so that a store that can't win does not raise the epoch.
+        """
         view = latest_view(partition.record_log)
         probe = PromiseRequest(partition.id, self.table.settings.name, 0, partition.promised + 1, probe=True)
         answers = await self.ask_promises(partition, view, self.table.other_members(partition, view), probe)
         partition.promised = max([partition.promised, *(a.promised for a in answers.values())])
         if all(a.granted for a in answers.values()):
             return True
-        willing = {n: a.disk for n, a in answers.items() if a.granted}
-        return partition.may_lead(view, willing | self.table.own_vote)
+        willing_voters = {n: a.disk for n, a in answers.items() if a.granted}
+        return partition.may_lead(view, willing_voters | self.table.own_vote)
 
     async def try_to_lead(self, partition: Partition, epoch: int, promises: Promises) -> bool:
-        """Becomes owner if the decision says so; False if the candidate must back off."""
+        """Becomes the owner if the election's decision allows it.
+
+        Returns:
+            False if the candidate has to back off; True if it became owner, or stepped down since its disk failed.
+        """
         view = latest_view(promises.log)
         voters = promises.voters | self.table.own_vote
-        required = set(self.table.other_members(partition, view)) | set(view.members)
+        required_members = set(self.table.other_members(partition, view)) | set(view.members)
         candidacy = Candidacy(
             epoch=epoch,
             promised=partition.promised,
             owning=partition.owning,
             quorum=partition.may_lead(view, voters),
-            all_answered=all(n in voters or not self.table.configuration_view.addr(n) for n in required),
+            all_answered=all(n in voters or not self.table.configuration_view.addr(n) for n in required_members),
             blank=promises.log.last == 0,
             known_epoch=None if self.ask_epochs is not None else 0,
             lost_jobs=None if self.ask_kept_jobs is not None else (),
@@ -181,14 +228,16 @@
         step = next_step(candidacy)
         if step is Step.ASK_EPOCHS and self.ask_epochs is not None:
             await self.ask_epochs()
-            known = self.known_epochs.get(str(partition.id), 0)
-            candidacy = replace(candidacy, promised=partition.promised, owning=partition.owning, known_epoch=known)
+            known_epoch = self.known_epochs.get(str(partition.id), 0)
+            candidacy = replace(
+                candidacy, promised=partition.promised, owning=partition.owning, known_epoch=known_epoch
+            )
             step = next_step(candidacy)
             if step is Step.BACK_OFF:
-                partition.promised = max(partition.promised, known)
+                partition.promised = max(partition.promised, known_epoch)
         if step is Step.ASK_KEPT_JOBS and self.ask_kept_jobs is not None:
-            lost = tuple([n for n in await self.ask_kept_jobs(partition.id) if n not in view.jobs])
-            candidacy = replace(candidacy, promised=partition.promised, owning=partition.owning, lost_jobs=lost)
+            lost_jobs = tuple([n for n in await self.ask_kept_jobs(partition.id) if n not in view.jobs])
+            candidacy = replace(candidacy, promised=partition.promised, owning=partition.owning, lost_jobs=lost_jobs)
             step = next_step(candidacy)
         if step is Step.BACK_OFF:
             return False
@@ -201,19 +250,23 @@
         return True
 
     def write_promise(self, partition: Partition, epoch: int) -> int:
-        """Appends a promise to the log on disk; returns the place up to which it must be synced."""
+        """Appends a promise to the log on disk; returns the offset up to which the log must be synced."""
         return self.table.write(partition, [promise_entry(partition.id, epoch)])
 
     async def on_promise(self, body: Body) -> PeerResponse:
-        """A promise not to accept anything below an epoch; synced before it is told."""
+        """Answers a candidate that asks for the promise not to accept anything under a lower epoch (verb `promise`).
+
+        The promise is refused if the owner is alive and has not handed the partition over. It is synced before the answer
+        is sent. A probe is answered without promising anything.
+        """
         request, bounds = PromiseRequest.decode(body), self.table.settings.bounds
         partition, epoch, disk = self.table.partition(request.partition), request.epoch, self.table.disk_id
         promised_before = partition.promised
-        handed = bool(request.handed_epoch) and request.handed_epoch == max(partition.aligned, partition.epoch)
-        alive = partition.owning or (partition.contacted and now() - partition.heard < bounds.detect * 0.9)
+        was_handed_over = bool(request.handed_epoch) and request.handed_epoch == max(partition.aligned, partition.epoch)
+        owner_alive = partition.owning or (partition.contacted and now() - partition.heard < bounds.detect * 0.9)
         if request.probe:
-            return Ok(PromiseAnswer(disk, promised_before, not alive or handed).encode())
-        if epoch <= partition.promised or (alive and not handed):
+            return Ok(PromiseAnswer(disk, promised_before, not owner_alive or was_handed_over).encode())
+        if epoch <= partition.promised or (owner_alive and not was_handed_over):
             return Ok(PromiseAnswer(disk, promised_before, False).encode())
         partition.promised = epoch
         if partition.owning:
@@ -222,8 +275,8 @@
         partition.heard, partition.contacted = now(), True
         try:
             await self.table.log.wait_synced(self.write_promise(partition, epoch))
-        except FaultError as bad:
-            return Err(bad.fault)
+        except FaultError as error:
+            return Err(error.fault)
         if partition.promised != epoch:
             return Ok(PromiseAnswer(disk, partition.promised, False).encode())
         record_log = partition.record_log
--- a/postpass/replication/election_decision.py
+++ b/postpass/replication/election_decision.py
@@ -1,4 +1,4 @@
-"""The decision of an election, as a function of what the candidate knows."""
+"""The decision of an election, as a pure function of what the candidate knows."""
 
 from __future__ import annotations
 
@@ -7,29 +7,29 @@
 
 
 class Step(Enum):
-    """What a candidate does next."""
+    """The next step of a candidate."""
 
     BACK_OFF = auto()  # this election is lost; another one may begin later
     ASK_EPOCHS = auto()  # ask other daemons for the highest epochs that they remember
-    ASK_KEPT_JOBS = auto()  # ask other daemons for the jobs that they know to be kept here
-    FOUND = auto()  # own a partition that never had a record: its first members are the voters
-    LEAD = auto()  # own the partition with all that was covered
-    LEAD_AFTER_LOSS = auto()  # own the partition with what is left, and record that covered records may be lost
+    ASK_KEPT_JOBS = auto()  # ask other daemons for the jobs that they know to be kept in this partition
+    FOUND = auto()  # become owner of a partition that never had a record: its first members are the voters
+    LEAD = auto()  # become owner with all records that were covered
+    LEAD_AFTER_LOSS = auto()  # become owner with the records that are left, and record that covered ones may be lost
 
 
 @dataclass(frozen=True, slots=True)
 class Candidacy:
-    """What a candidate knows once its promises are in.
+    """What a candidate knows after it has collected promises.
 
     Attributes:
         epoch: Epoch that the candidate runs for.
-        promised: Highest epoch that this store has promised to anyone, the candidate itself included.
-        owning: Whether this store owns the partition by now.
-        quorum: Whether the promises suffice under every rule that may count.
-        all_answered: Whether every member has promised, but for those that were declared gone.
-        blank: Whether no log among theirs has a record.
+        promised: Highest epoch that this store has promised to anyone, including itself.
+        owning: Whether this store has become the owner of the partition meanwhile.
+        quorum: Whether the promises suffice under every rule that may apply.
+        all_answered: Whether every member has promised, except for those that were declared gone.
+        blank: Whether none of the collected logs has a record.
         known_epoch: Highest epoch of this partition that other daemons remember; None if they were not asked.
-        lost_jobs: Jobs that other daemons know to be kept and the log does not have; None if they were not asked.
+        lost_jobs: Jobs that other daemons know to be kept but the log does not have; None if they were not asked.
     """
 
     epoch: int
@@ -43,26 +43,27 @@
 
     @property
     def superseded(self) -> bool:
-        """Has this store promised itself to another epoch, or become owner, since the election began?"""
+        """Whether this store has promised another epoch, or become owner, since the election began."""
         return self.promised != self.epoch or self.owning
 
 
 def next_step(candidacy: Candidacy) -> Step:
-    """Decides an election. Called again after each question to other daemons, with what they answered."""
+    """Returns the next step of an election. It is invoked again after each request to other daemons, with their answers."""
     if candidacy.superseded:
         return Step.BACK_OFF
     if not candidacy.quorum and not candidacy.all_answered:
-        # Someone who did not answer may hold covered records that no voter has.
+        # A member that did not answer may have covered records that no voter has.
         return Step.BACK_OFF
-    first = False
+    never_had_records = False
     if candidacy.blank:
-        # Nobody has anything. Was there never anything, or did all of it go? Others remember the epochs.
+        # No voter has a record: either there never was one, or all were lost. The epochs that other daemons remember
+        # distinguish the two cases.
         if candidacy.known_epoch is None:
             return Step.ASK_EPOCHS
         if candidacy.known_epoch >= candidacy.epoch:
             return Step.BACK_OFF
-        first = candidacy.known_epoch == 0
-    if first:
+        never_had_records = candidacy.known_epoch == 0
+    if never_had_records:
         return Step.FOUND
     if candidacy.quorum:
         return Step.LEAD
--- a/postpass/replication/leadership_check.py
+++ b/postpass/replication/leadership_check.py
@@ -15,13 +15,21 @@
 
 @dataclass(eq=False)
 class LeadershipCheck:
-    """Asks the members whether they know of a later owner. Owns the one check that runs for each partition."""
+    """Asks the members whether they know of a later owner.
+
+    Owns `checks`, the tasks that ask them, by partition number: at most one check of each partition runs at a time.
+    """
 
     table: PartitionTable
     checks: dict[int, asyncio.Task[bool]] = field(default_factory=dict)
 
     def owned_partition(self, number: int, step: str) -> Result[Partition, Fault]:
-        """The partition if it is owned here and ready, or MOVED with a hint of its owner."""
+        """Returns the partition if this store is its ready owner, else the fault MOVED with its owner as a hint.
+
+        Args:
+            number: Number of the partition.
+            step: What the request does, for the fault.
+        """
         partition = self.table.partitions.get(number)
         if partition is None or not partition.owning:
             hint = partition.owner if partition is not None and partition.owner != self.table.settings.name else ""
@@ -33,10 +41,14 @@
         return Ok(partition)
 
     async def confirm(self, partition: Partition) -> bool:
-        """A round trip under the epoch: no one else owns this partition now."""
+        """Confirms by a round trip to the members that no later owner of a partition exists; returns whether that is so.
+
+        The round trip begins after the request for it, so that it holds for a read that is answered afterwards. Requests
+        that arrive while one check runs share the next one.
+        """
         task = self.checks.get(partition.id)
         if task is not None and not task.done():
-            # One that began before this read proves nothing for it; wait it out and start another.
+            # A check that began before this read proves nothing for it: wait until it ends and start another.
             await asyncio.wait([task])
             task = self.checks.get(partition.id)
         if task is None or task.done():
@@ -48,7 +60,7 @@
         voters = self.table.own_vote
         if partition.confirmed(voters):
             return partition.epoch == epoch
-        found = asyncio.Event()
+        confirmed = asyncio.Event()
 
         hello = Hello(partition.id, epoch, self.table.settings.name, confirm=True)
 
@@ -60,12 +72,12 @@
             if answer.accepted:
                 voters[name] = answer.disk
                 if partition.epoch == epoch and partition.confirmed(voters):
-                    found.set()
+                    confirmed.set()
             elif answer.promised > epoch and partition.epoch == epoch:
                 self.table.step_down(partition, answer.promised)
 
-        every = asyncio.gather(*(ask_member(n) for n in self.table.other_members(partition, partition.view)))
-        first = asyncio.create_task(found.wait())
-        await asyncio.wait([asyncio.ensure_future(every), first], return_when=asyncio.FIRST_COMPLETED)  # type: ignore[type-var]
-        first.cancel()
-        return found.is_set() and partition.epoch == epoch
+        requests = asyncio.gather(*(ask_member(n) for n in self.table.other_members(partition, partition.view)))
+        confirmation = asyncio.create_task(confirmed.wait())
+        await asyncio.wait([asyncio.ensure_future(requests), confirmation], return_when=asyncio.FIRST_COMPLETED)  # type: ignore[type-var]
+        confirmation.cancel()
+        return confirmed.is_set() and partition.epoch == epoch
--- a/postpass/replication/log_entries.py
+++ b/postpass/replication/log_entries.py
@@ -1,4 +1,7 @@
-"""Entries of the log on disk beside records (`Record.entry`); `PartitionTable.load` applies them in the order of the log."""
+"""Entries of the log on disk other than records (see `Record.entry`).
+
+`PartitionTable.load` applies all entries in the order of the log.
+"""
 
 from __future__ import annotations
 
@@ -13,15 +16,22 @@
 
 
 def promise_entry(partition: int, epoch: int) -> Any:
-    """Nothing below an epoch is accepted from here on."""
+    """Returns an entry for the promise that nothing under a lower epoch is accepted from here on."""
     return IDL.Entry(part=partition, op=PROMISE, epoch=epoch)
 
 
 def base_entry(partition: int, seq: int, epoch: int, body: bytes) -> Any:
-    """All records up to a sequence number, folded into a base; what the log held before is void."""
+    """Returns an entry that replaces all earlier records of a partition by a base.
+
+    Args:
+        partition: Number of the partition.
+        seq: Sequence number of the last record that is folded into the base.
+        epoch: Epoch of that record.
+        body: The serialized base.
+    """
     return IDL.Entry(part=partition, op=BASE, seq=seq, epoch=epoch, body=body)
 
 
 def cut_entry(partition: int, seq: int) -> Any:
-    """The records after a sequence number are void."""
+    """Returns an entry that voids the records of a partition after a sequence number."""
     return IDL.Entry(part=partition, op=CUT, seq=seq)
--- a/postpass/replication/messages.py
+++ b/postpass/replication/messages.py
@@ -1,6 +1,6 @@
-"""Messages between stores as typed records; `encode` gives the JSON keys, in the order in which they always stood.
+"""Messages between stores as typed records; `encode` writes the keys of the JSON object in the order of earlier releases.
 
-Records and acknowledgements travel as thrift structures (`Packet`, `Ack`) and are not repeated here.
+Records and acknowledgements are sent as thrift structures (`Packet`, `Ack`), which are not repeated here.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 from postpass.rpc.codec import Body
 
 # Kinds of messages in an owner's stream (`Packet.kind`).
-HEARTBEAT = "beat"  # the owner is there; carries what is covered
-START = "start"  # the stream begins after a record that both logs have
-SNAPSHOT = "snap"  # a base in place of the mirror's log
+HEARTBEAT = "beat"  # the owner is alive; like every packet it says up to which record the log is covered
+START = "start"  # the stream begins after the last record that both logs have
+SNAPSHOT = "snap"  # a base that replaces the mirror's log
 RECORD = "rec"  # the next record
 
-Marks = list[tuple[int, int]]
+Marks = list[tuple[int, int]]  # (epoch, first sequence number) of each run of records of one epoch in a log
 
 
 class LogPosition(NamedTuple):
-    """How much a log holds; of two, the higher one has more.
+    """The end of a log. Of two logs, the one with the higher position is the more complete one.
 
     Attributes:
         epoch: Epoch of the last record.
@@ -35,14 +35,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PromiseRequest:
-    """A candidate asks for a promise not to accept anything below its epoch (verb `promise`).
+    """A candidate's request for a promise not to accept anything under a lower epoch (verb `promise`).
 
     Attributes:
         partition: Number of the partition.
-        candidate: Name of the store that asks.
-        handed_epoch: Epoch of the owner that handed the partition to the candidate; 0 if none did.
+        candidate: Name of the requesting store.
+        handed_epoch: Epoch of the owner that handed the partition over to the candidate; 0 if none did.
         epoch: Epoch that the candidate runs for.
-        probe: Ask only whether the promise would be given; nothing is promised.
+        probe: Whether the request only asks if the promise would be given; nothing is promised then.
     """
 
     partition: int
@@ -72,11 +72,11 @@
     """The answer to a `PromiseRequest`.
 
     Attributes:
-        disk: Identity of the disk that speaks; a promise counts for this disk alone.
-        promised: Highest epoch promised there.
-        granted: Whether the promise was given, or would be.
-        position: Length of the log there; told with a promise only.
-        marks: First sequence number of each run of one epoch in that log; told with a promise only.
+        disk: Identity of the answering store's disk; a promise counts for this disk only.
+        promised: Highest epoch that the answering store has promised.
+        granted: Whether the promise was given or, for a probe, would be.
+        position: End of the answering store's log; None unless a promise was given.
+        marks: Epoch and first sequence number of each run of one epoch in that log; None unless a promise was given.
     """
 
     disk: str
@@ -104,16 +104,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """What an owner says to a member under its epoch (verb `hello`). At most one of the last four is set.
+    """An owner's message to a member under its epoch (verb `hello`): a handshake before a stream, unless one of the last
+    four fields is set; at most one of them is.
 
     Attributes:
         partition: Number of the partition.
         epoch: Epoch of the sender.
         owner: Name of the sender.
-        failed_disk: Identity of a disk that lost records which it had acknowledged.
-        confirm: Ask only whether a later epoch is known.
+        failed_disk: Identity of the receiver's disk if it lost records that it had acknowledged; else empty.
+        confirm: Only ask whether a later epoch is known.
         handover: The sender has stepped down, so that the receiver may run for owner at once.
-        handover_offer: Ask only whether the receiver would run for owner at once if the sender stepped down.
+        handover_offer: Only ask whether the receiver would run for owner at once if the sender stepped down.
     """
 
     partition: int
@@ -156,11 +157,11 @@
     """The answer to a `Hello`.
 
     Attributes:
-        disk: Identity of the disk that speaks.
-        promised: Highest epoch promised there.
-        accepted: Whether the sender's epoch is followed, or its question confirmed.
-        last: Sequence number of the last record there; None unless a stream may begin.
-        marks: First sequence number of each run of one epoch there; empty unless a stream may begin.
+        disk: Identity of the answering store's disk.
+        promised: Highest epoch that the answering store has promised.
+        accepted: Whether the answering store follows the sender's epoch, or confirms what was asked.
+        last: Sequence number of the last record in the answering store's log; None unless a stream may begin.
+        marks: Epoch and first sequence number of each run of one epoch in that log; None unless a stream may begin.
     """
 
     disk: str
@@ -186,13 +187,13 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchRequest:
-    """A candidate asks for what a longer log has beyond its own (verb `fetch`).
+    """A candidate's request for the records that a longer log has beyond its own (verb `fetch`).
 
     Attributes:
         partition: Number of the partition.
         epoch: Epoch that the candidate runs for.
-        after: Sequence number after which records are wanted.
-        offset: How many bytes of the base have arrived, if the records after `after` are folded into it.
+        after: Sequence number after which records are requested.
+        offset: Number of bytes of the base that have arrived, for the case that records after `after` are folded into it.
     """
 
     partition: int
@@ -212,13 +213,13 @@
 
 @dataclass(frozen=True, slots=True)
 class BasePiece:
-    """A piece of a log's base.
+    """A piece of a log's serialized base.
 
     Attributes:
         seq: Sequence number of the last record that is folded into the base.
         epoch: Epoch of that record.
-        size: Bytes of the whole base.
-        data: The bytes from the offset that was asked for.
+        size: Number of bytes of the entire base.
+        data: The bytes from the requested offset on.
     """
 
     seq: int
@@ -229,7 +230,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchAnswer:
-    """Records after the one that was asked for, or a piece of the base if they are folded into it."""
+    """The answer to a `FetchRequest`: the records after the requested one, or a piece of the base if it contains them."""
 
     records: list[Record]
     base: BasePiece | None = None
--- a/postpass/replication/mirror.py
+++ b/postpass/replication/mirror.py
@@ -1,4 +1,4 @@
-"""A mirror of a partition: the handshake with its owner, and the owner's stream of records."""
+"""The mirror's side of a partition's stream: the handshake with the owner, and the records that the owner sends."""
 
 from __future__ import annotations
 
@@ -25,7 +25,14 @@
 
 @dataclass(eq=False)
 class Mirror:
-    """Receives streams of records, and writes them in the owner's order."""
+    """Receives the streams of owners, and appends their records in the order in which the owner has sequenced them.
+
+    Attributes:
+        table: The partitions of this store.
+        election: Runs for owner when a partition is handed over to this store.
+        acknowledger: Sends the acknowledgements.
+        disk_failed: Resolved with a fault once an owner has shown that this disk lost records that it had synced.
+    """
 
     table: PartitionTable
     election: Election
@@ -33,11 +40,15 @@
     disk_failed: asyncio.Future[Fault] = field(default_factory=lambda: asyncio.get_running_loop().create_future())
 
     async def watch_disk(self) -> None:
-        """Ends the process once a peer has shown that this disk lost what it had synced."""
+        """Waits until a peer has shown that this disk lost records that it had synced, which ends the process.
+
+        Raises:
+            FaultError: The disk has lost records.
+        """
         raise FaultError(await self.disk_failed)
 
     async def on_hello(self, body: Body) -> PeerResponse:
-        """An owner's handshake before its stream, or one of its shorter questions under an epoch."""
+        """Answers an owner's handshake before its stream, or one of its other messages (verb `hello`, see `Hello`)."""
         hello = Hello.decode(body)
         partition, epoch, disk = self.table.partition(hello.partition), hello.epoch, self.table.disk_id
         promised = partition.promised
@@ -59,54 +70,59 @@
             partition.aligned = 0
             try:
                 await self.table.log.wait_synced(self.election.write_promise(partition, epoch))
-            except FaultError as bad:
-                return Err(bad.fault)
+            except FaultError as error:
+                return Err(error.fault)
             if partition.promised != epoch:
                 return Ok(HelloAnswer(disk, partition.promised, False).encode())
         partition.heard, partition.owner, partition.contacted, partition.refused_owner = now(), hello.owner, True, ""
         partition.handshake_epoch = 0 if partition.aligned == epoch else epoch
-        # The owner has just connected: a link for acknowledgements from before may lead to a process that is no more.
+        # The owner has just connected: an older link for acknowledgements may lead to a process that has ended.
         self.acknowledger.reconnected.add(hello.owner)
         record_log = partition.record_log
         return Ok(HelloAnswer(disk, epoch, True, record_log.last, record_log.marks()).encode())
 
     def would_take_over(self, partition: Partition, epoch: int) -> bool:
-        """Would this store run for owner at once, if the owner of that epoch stepped down for it?"""
-        free = partition.aligned == epoch and not partition.in_election and not partition.owning
-        return free and not self.table.leaving
+        """Returns whether this store would run for owner at once if the owner of an epoch stepped down for it."""
+        can_run = partition.aligned == epoch and not partition.in_election and not partition.owning
+        return can_run and not self.table.leaving
 
     def take_over(self, partition: Partition, epoch: int) -> bool:
-        """The owner of an epoch has stepped down in favour of this store. Returns whether it runs."""
+        """Runs for owner if possible, after the owner of an epoch has stepped down for this store; returns whether it runs."""
         if not self.would_take_over(partition, epoch):
             return False
         self.election.run_soon(partition, epoch)
         return True
 
     def check_disk(self, partition: Partition, hello: Hello) -> None:
-        """An owner holds acknowledgements of records that this disk does not have: it may not speak any more."""
+        """Marks this store's disk as failed if an owner has acknowledgements by it of records that it does not have, since
+        nothing that the disk acknowledges can be trusted any more."""
         if hello.failed_disk != self.table.disk_id or hello.epoch != partition.promised:
             return
-        why = f"partition {partition.id}: {hello.owner} holds acknowledgements of more than this log has"
-        self.table.log.failure = why
+        reason = f"partition {partition.id}: {hello.owner} holds acknowledgements of more than this log has"
+        self.table.log.failure = reason
         if not self.disk_failed.done():
-            self.disk_failed.set_result(Fault("read log", self.table.settings.name, why))
+            self.disk_failed.set_result(Fault("read log", self.table.settings.name, reason))
 
     async def on_carry(self, packet: Any) -> None:
-        """One packet of an owner's stream. Refused below the promised epoch; the answer is an acknowledgement, sent later."""
+        """Receives one packet of an owner's stream (verb `carry`).
+
+        A packet under an epoch below the promised one is refused. The response is an acknowledgement, which is sent later.
+        """
         partition = self.table.partition(packet.part)
         if packet.epoch < partition.promised or (partition.owning and packet.epoch <= partition.epoch):
             self.acknowledger.schedule(partition, packet.owner)
             return
         if packet.epoch > partition.promised:
-            # Seen first in a stream: hello comes before, so this is a stale or foreign one.
+            # An epoch is promised by the handshake that precedes a stream, so this stream is stale or is not meant for
+            # this store.
             self.acknowledger.schedule(partition, packet.owner, gap=True)
             return
         partition.heard, partition.owner = now(), packet.owner
         try:
             self.accept_packet(partition, packet)
-        except FaultError as bad:
+        except FaultError as error:
             partition.aligned = partition.handshake_epoch = 0
-            if bad.fault.code != FULL:
+            if error.fault.code != FULL:
                 raise
             log_events.emit(Event.DISK_FULL, self.table.settings.name, part=partition.id)
         partition.covered = (
@@ -117,13 +133,15 @@
         self.acknowledger.schedule(partition, packet.owner)
 
     def accept_packet(self, partition: Partition, packet: Any) -> None:
-        """Gathers packets into a message and applies it: start, snap (a base) or rec (a record).
+        """Collects the packets of a message and applies it once it is complete: start, snap (a base) or rec (a record).
+
+        If a packet or a record does not continue the stream, the partition is no longer aligned.
 
         Raises:
-            FaultError: The disk takes no more; nothing of the message is in memory.
+            FaultError: The disk does not accept the message; nothing of it is in memory.
         """
         if packet.kind == HEARTBEAT:
-            return  # a heartbeat goes out between the packets of other messages
+            return  # a heartbeat may be sent between the packets of another message
         if packet.index == 0:
             partition.packets = []
         if packet.index != len(partition.packets):
@@ -136,19 +154,19 @@
         partition.packets, partition.handshake_epoch = [], 0
         record_log = partition.record_log
         if packet.kind == START:
-            fits = (
+            continues_log = (
                 record_log.base_seq <= packet.seq <= record_log.last and record_log.epoch_at(packet.seq) == packet.born
             )
-            if fits and packet.seq < record_log.last:
-                place = self.table.log.append([cut_entry(partition.id, packet.seq)])
+            if continues_log and packet.seq < record_log.last:
+                log_offset = self.table.log.append([cut_entry(partition.id, packet.seq)])
                 partition.cut(packet.seq)
-                partition.unsynced.append((place, packet.seq))
-            partition.aligned = packet.epoch if fits else 0
+                partition.unsynced.append((log_offset, packet.seq))
+            partition.aligned = packet.epoch if continues_log else 0
         elif packet.kind == SNAPSHOT:
-            place = self.table.log.append([base_entry(partition.id, packet.seq, packet.born, body)])
+            log_offset = self.table.log.append([base_entry(partition.id, packet.seq, packet.born, body)])
             partition.record_log = RecordLog(packet.seq, packet.born, JobView.load(body))
             partition.unsynced.clear()
-            partition.unsynced.append((place, packet.seq))
+            partition.unsynced.append((log_offset, packet.seq))
             partition.persisted, partition.aligned, partition.covered = 0, packet.epoch, packet.seq
         elif packet.kind == RECORD and partition.aligned == packet.epoch:
             if packet.seq != record_log.last + 1 or packet.prior != record_log.last_epoch:
@@ -159,7 +177,7 @@
             self.append_record(partition, record)
 
     def append_record(self, partition: Partition, record: Record) -> None:
-        """Writes a record to disk and then to memory."""
-        place = self.table.log.append([record.entry(partition.id)])
+        """Appends a record to the log on disk and then to the log in memory."""
+        log_offset = self.table.log.append([record.entry(partition.id)])
         partition.record_log.append(record)
-        partition.unsynced.append((place, record.seq))
+        partition.unsynced.append((log_offset, record.seq))
--- a/postpass/replication/owner.py
+++ b/postpass/replication/owner.py
@@ -1,4 +1,4 @@
-"""Ownership of a partition: taking it up, sequencing records, and counting acknowledgements."""
+"""The owner of partitions: becoming owner after an election, sequencing records, and counting acknowledgements."""
 
 from __future__ import annotations
 
@@ -22,28 +22,36 @@
 
 @dataclass(eq=False)
 class PartitionOwner:
-    """The one order of records of each partition that is owned here."""
+    """Sequences the records of each partition that is owned here, so that every replica has them in the same order.
+
+    Attributes:
+        table: The partitions of this store.
+        streams: The streams to the mirrors.
+        ownership_began: Called with the number of each partition that is taken up, before its first record.
+        announce_epochs: Called with the new epoch, by partition, after an election was won.
+    """
 
     table: PartitionTable
     streams: MirrorStreams
-    ownership_began: Callable[[int], None]  # told of each partition that is taken up, before its first record
+    ownership_began: Callable[[int], None]
     announce_epochs: Callable[[dict[str, int]], None] = lambda _: None
 
     def become_owner(
-        self, partition: Partition, epoch: int, losses: int, voters: dict[str, str], step: Step, lost: list[str]
+        self, partition: Partition, epoch: int, losses: int, voters: dict[str, str], step: Step, lost_jobs: list[str]
     ) -> None:
-        """Takes up a partition under an epoch, with a record that marks the beginning.
+        """Becomes the owner of a partition under an epoch, and appends a mark record that begins the ownership.
 
         Args:
-            partition: The partition, whose log is the best among the voters'.
+            partition: The partition, whose log is the most complete one among the voters'.
             epoch: The epoch that the voters have promised.
-            losses: How often covered records were lost before.
-            voters: Names and disks of those who promised; they are the first members, or those after a loss.
+            losses: How many times covered records were lost before.
+            voters: Names and disks of the members that promised; they become the first members (FOUND), or the members
+                after a loss (LEAD_AFTER_LOSS).
             step: FOUND, LEAD or LEAD_AFTER_LOSS.
-            lost: Jobs that were lost, as far as others remember them.
+            lost_jobs: Jobs that were lost, as far as other daemons remember them.
 
         Raises:
-            FaultError: The disk takes no more; nothing is left of the records in memory.
+            FaultError: The disk does not accept the records, which were removed from memory again.
         """
         partition.lead(epoch)
         self.ownership_began(partition.id)
@@ -51,7 +59,7 @@
         if step is Step.FOUND:
             records.append(partition.make("crew", {"crew": voters}))
         elif step is Step.LEAD_AFTER_LOSS:
-            records.append(partition.make("loss", {"crew": voters, "edition": losses + 1, "lots": lost}))
+            records.append(partition.make("loss", {"crew": voters, "edition": losses + 1, "lots": lost_jobs}))
             log_events.emit(
                 Event.PARTITION_DATA_LOSS,
                 self.table.settings.name,
@@ -59,7 +67,7 @@
                 revision=losses + 1,
                 last=partition.record_log.last,
                 voters=",".join(voters),
-                lots=len(lost),
+                lots=len(lost_jobs),
             )
         records.append(partition.make("mark", {}))
         partition.epoch_mark = partition.record_log.last
@@ -80,25 +88,39 @@
         self.streams.wake_all(partition)
 
     def advance(self, partition: Partition) -> None:
-        """Recomputes what is covered, after an acknowledgement or a sync."""
+        """Recomputes which records are covered, after an acknowledgement or a sync, and settles covered changes."""
         if partition.advance():
             self.settle_changes(partition)
 
     def settle_changes(self, partition: Partition) -> None:
-        """A change that is covered is settled in the log at once: an election after a loss of power has only the log."""
-        upto = partition.provable()
-        if upto:
+        """Appends a mark that settles the changes of members or predicate that are covered.
+
+        This is done at once, because an election after a loss of power has only the logs to go by.
+        """
+        settled_seq = partition.provable()
+        if settled_seq:
             try:
-                self.append(partition, "mark", {"settled": upto})
+                self.append(partition, "mark", {"settled": settled_seq})
             except FaultError:
                 return
 
     def append(self, partition: Partition, kind: str, body: Body, vital: bool = True, raw: Payload = b"") -> Record:
-        """Sequences one record and streams it at once. Raises FaultError, with nothing sequenced, if the disk
-        won't take it."""
+        """Sequences one record, writes it to the log on disk and has it streamed to the mirrors.
+
+        Args:
+            partition: A partition that is owned here.
+            kind: Kind of the record.
+            body: Its fields.
+            vital: Whether it may use the reserved disk space, because the protocol needs it.
+            raw: Bytes of the record that are stored as they are, without JSON encoding.
+
+        Raises:
+            FaultError: The disk is full or has failed; nothing was sequenced. If it failed to write this record, the store
+                has stepped down as well.
+        """
         if not vital:
-            free, _ = self.table.log.disk.space()
-            if free - len(json.dumps(body)) - len(raw) - 256 < self.table.log.reserved_bytes:
+            free_bytes, _ = self.table.log.disk.space()
+            if free_bytes - len(json.dumps(body)) - len(raw) - 256 < self.table.log.reserved_bytes:
                 log_events.emit(Event.DISK_FULL, self.table.settings.name, part=partition.id)
                 raise FaultError(Fault("append", self.table.settings.name, "the disk is full", FULL))
         if self.table.log.failure:
@@ -106,18 +128,22 @@
         record = partition.make(kind, body, raw)
         try:
             self.table.write(partition, [record.entry(partition.id)])
-        except FaultError as bad:
-            # Sequenced in memory but not on disk: this log can't be led from here any more.
+        except FaultError as error:
+            # The record was sequenced in memory but is not on disk: this store can't go on as the owner of this log.
             partition.cut(record.seq - 1)
             partition.step_down()
             partition.heard = now()
-            raise FaultError(Fault("append", self.table.settings.name, bad.fault.why, SLOW)) from bad
+            raise FaultError(Fault("append", self.table.settings.name, error.fault.why, SLOW)) from error
         self.table.counts[f"rec_{kind}"] += 1
         self.streams.wake_all(partition)
         return record
 
     async def on_ack(self, acks: list[Any]) -> None:
-        """Counters of mirrors. Those of another epoch or another disk are passed over."""
+        """Counts acknowledgements of mirrors (verb `ack`).
+
+        Those under another epoch or of another disk are ignored. A higher promised epoch ends the ownership; a reported
+        gap makes the stream begin again with a handshake.
+        """
         for ack in acks:
             partition = self.table.partition(ack.part)
             if ack.promised > max(partition.promised, partition.epoch):
@@ -135,9 +161,11 @@
                 self.streams.wake_all(partition)
                 continue
             last = partition.record_log.last
-            new = partition.acknowledgements.put(ack.name, ack.disk, "received", min(ack.received, last))
-            new = partition.acknowledgements.put(ack.name, ack.disk, "persisted", min(ack.persisted, last)) or new
-            if new:
+            advanced = partition.acknowledgements.put(ack.name, ack.disk, "received", min(ack.received, last))
+            advanced = (
+                partition.acknowledgements.put(ack.name, ack.disk, "persisted", min(ack.persisted, last)) or advanced
+            )
+            if advanced:
                 self.advance(partition)
                 if self.streams.wait_each:
                     self.streams.wake_all(partition)
--- a/postpass/replication/owner_duties.py
+++ b/postpass/replication/owner_duties.py
@@ -17,7 +17,8 @@
 
 @dataclass(eq=False)
 class OwnerDuties:
-    """Checks that the members still follow, and steps down if they do not; then changes, retention and handover."""
+    """Checks that a quorum of members still follows, and steps down if not; then changes members or predicate, drops
+    expired jobs and hands the partition over to the member that should own it."""
 
     table: PartitionTable
     streams: MirrorStreams
@@ -27,23 +28,30 @@
     cover_watch: CoverWatch
 
     def run(self, partition: Partition) -> None:
-        """One heartbeat of an owner. Steps down if no quorum was heard for 1.5 times the detection time, or if what is left
-        can cover nothing."""
-        configuration, bounds, moment = self.table.configuration_view.manifest, self.table.settings.bounds, now()
+        """Runs the duties of an owner for one heartbeat.
+
+        Steps down if no quorum was heard from for 1.5 times the detection time, or if the disks that are left have not been
+        able to cover records for the detection time.
+        """
+        configuration, bounds, current_time = self.table.configuration_view.manifest, self.table.settings.bounds, now()
         assert configuration is not None
-        fresh = {n: mirror.disk for n, mirror in partition.mirrors.items() if moment - mirror.heard < bounds.detect}
-        if not partition.confirmed(fresh | {self.table.settings.name: self.table.disk_id}):
-            if moment - partition.heard > bounds.detect * 1.5:
+        responsive_disks = {
+            name: mirror.disk
+            for name, mirror in partition.mirrors.items()
+            if current_time - mirror.heard < bounds.detect
+        }
+        if not partition.confirmed(responsive_disks | {self.table.settings.name: self.table.disk_id}):
+            if current_time - partition.heard > bounds.detect * 1.5:
                 self.table.step_down(partition, partition.epoch)
                 return
         else:
-            partition.heard = moment
+            partition.heard = current_time
         self.streams.wake_all(partition)
         self.cover_watch.observe(partition)
         if self.cannot_cover(partition):
-            partition.uncoverable_since = partition.uncoverable_since or moment
-            if moment - partition.uncoverable_since > bounds.detect:
-                # Nothing can be covered any more from here: only an election, which all answer, may go on.
+            partition.uncoverable_since = partition.uncoverable_since or current_time
+            if current_time - partition.uncoverable_since > bounds.detect:
+                # Nothing can be covered any more under this ownership: only an election that all members answer can go on.
                 self.table.step_down(partition, partition.epoch)
                 return
         else:
@@ -61,23 +69,25 @@
                 mirror = partition.mirrors.get(name)
                 if (
                     mirror is not None
-                    and moment - mirror.since > bounds.detect
+                    and current_time - mirror.since > bounds.detect
                     and self.handover.can_take_over(partition, name)
                 ):
                     self.handover.begin(partition, name)
                     return
 
     def cannot_cover(self, partition: Partition) -> bool:
-        """Have all members answered, or been declared gone, and no covering set of their disks is left?"""
-        moment, bounds = now(), self.table.settings.bounds
-        names = [
+        """Returns whether all members have answered, or been declared gone, and their disks include no covering set."""
+        current_time, bounds = now(), self.table.settings.bounds
+        expected_names = [
             n for n in self.table.other_members(partition, partition.view) if self.table.configuration_view.addr(n)
         ]
-        there = {n: mirror for n in names if (mirror := partition.mirrors.get(n)) is not None and mirror.disk}
-        if len(there) < len(names) or any(
-            mirror.silent or moment - mirror.heard > bounds.detect for mirror in there.values()
+        answering_mirrors = {
+            n: mirror for n in expected_names if (mirror := partition.mirrors.get(n)) is not None and mirror.disk
+        }
+        if len(answering_mirrors) < len(expected_names) or any(
+            mirror.silent or current_time - mirror.heard > bounds.detect for mirror in answering_mirrors.values()
         ):
             return False
         return partition.hopeless(
-            {n: mirror.disk for n, mirror in there.items()} | {self.table.settings.name: self.table.disk_id}
+            {n: mirror.disk for n, mirror in answering_mirrors.items()} | {self.table.settings.name: self.table.disk_id}
         )
--- a/postpass/replication/owner_lookup.py
+++ b/postpass/replication/owner_lookup.py
@@ -1,8 +1,8 @@
-"""The search for the owner of a partition: whom to ask next, as a function of what was answered so far.
+"""The search for the owner of a partition: which machine to ask next, depending on the answers so far.
 
-Any store tells whom it follows, and the members of a partition follow its owner, so the search must come to all of them.
-What a store remembers of a partition that it is no member of may be long out of date, and may name a machine that is gone:
-guesses go first, but none of them is asked twice before every member was.
+Any store answers which owner it follows, and the members of a partition follow its owner, so the search must reach all of
+them. What a store remembers of a partition that it is no member of may be long out of date, and may name a machine that is
+gone: guesses are asked first, but none of them twice before every member was asked.
 """
 
 from __future__ import annotations
@@ -13,17 +13,18 @@
 
 @dataclass(eq=False)
 class OwnerLookup:
-    """One search for the owner of one partition. Owned by the request that searches.
+    """One round of a search for the owner of one partition. Owned by the request that searches.
 
-    A round asks each machine once: first whoever was named last, then the guesses, then the members in their agreed order;
-    those of `doubtful` last. Within one round every member is asked, unless the owner is found before.
+    A round asks each machine once: first the machine that was named as the owner most recently, then the guesses, then the
+    members in their agreed order; those of `doubtful` come last. Within one round every member is asked, unless the owner
+    is found before.
 
     Attributes:
-        guesses: Who may be the owner, the likeliest first.
-        members: The members in their agreed order.
-        doubtful: Who gave no answer lately.
-        tried: Who was asked in this round.
-        named: Who was said to be the owner in this round, the newest first.
+        guesses: Names of machines that may be the owner, the likeliest first.
+        members: Names of the members in their agreed order.
+        doubtful: Names of machines that did not answer lately.
+        tried: Names of machines that were asked in this round.
+        named: Names that machines gave as the owner in this round, the newest first.
     """
 
     guesses: tuple[str, ...]
@@ -36,24 +37,24 @@
     def over(
         cls, guesses: Iterable[str], members: Iterable[str], doubtful: Collection[str] = (), tried: Iterable[str] = ()
     ) -> OwnerLookup:
-        """A round among these, but for those in `tried`; empty names are left out."""
+        """Returns a round among the given machines, except for those in `tried`; empty guesses are left out."""
         return cls(tuple(n for n in guesses if n), tuple(members), frozenset(doubtful), list(tried))
 
     def next_name(self) -> str:
-        """Whom to ask now; empty once all of this round were asked."""
+        """Returns the name of the machine to ask next; empty once all machines of this round were asked."""
         candidates = [n for n in dict.fromkeys([*self.named, *self.guesses, *self.members]) if n not in self.tried]
         return min(candidates, key=lambda name: name in self.doubtful, default="")
 
     def asked(self, name: str) -> None:
-        """This one is being asked."""
+        """Notes that a machine is being asked."""
         self.tried.append(name)
 
     def follow(self, owner: str) -> None:
-        """A machine says that another one is the owner; empty if it knows none."""
+        """Notes the owner that a machine has named, which is asked next; empty if that machine knows none."""
         if owner and owner not in self.tried:
             self.named.insert(0, owner)
 
     def ask_again(self, name: str) -> None:
-        """This one is about to become the owner: it is the next to be asked."""
+        """Has a machine that was asked in this round asked once more, as the next one, since it is becoming the owner."""
         self.tried.remove(name)
         self.follow(name)
--- a/postpass/replication/partition.py
+++ b/postpass/replication/partition.py
@@ -1,4 +1,4 @@
-"""One partition on one store: its record log, its promises, and, while the store is owner, its acknowledgements."""
+"""One partition on one store: its record log, its promised epoch and, while the store is owner, the acknowledgements."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
 
 @dataclass(eq=False)
 class OutgoingMessage:
-    """A message of which some packets have been sent.
+    """A message to a mirror that is sent packet by packet; some of its packets may already have been sent.
 
     Attributes:
-        kind: beat, start, snap or rec.
-        seq: Sequence number of the record, or of the base.
-        born: Epoch under which the record was made.
+        kind: One of the kinds of messages in `replication.messages`: beat, start, snap or rec.
+        seq: Sequence number of the record, or of the last record in the base.
+        born: Epoch under which that record was sequenced.
         prior: Epoch of the record before it.
-        body: The bytes, cut into packets of `PACKET` bytes.
-        index: Number of the next packet.
+        body: The bytes, which are split into packets of `PACKET` bytes.
+        index: Number of the next packet to send, from 0.
     """
 
     kind: str
@@ -47,27 +47,28 @@
 
     @property
     def total(self) -> int:
-        """How many packets the message takes."""
+        """Number of packets of the message."""
         return max(1, -(-len(self.body) // PACKET))
 
 
 @dataclass(eq=False)
 class MirrorProgress:
-    """How far the owner's stream to one mirror has come.
+    """Progress of the owner's stream to one mirror.
 
-    Invariant: records below `next` were sent on the link that `link` names, in order, once each, but for the rest of
-    `outgoing`. Owned by the mirror's send loop; `on_ack` sets `heard`, `silent` and `full`, and clears `link` at a gap.
+    Invariant: the records below `next` were sent over `link`, in order, once each, except for the remaining packets of
+    `outgoing`. The send loop to the mirror owns the object; `PartitionOwner.on_ack` sets `heard`, `silent` and `full`, and
+    clears `link` if the mirror reports a gap.
 
     Attributes:
-        link: The link whose handshake is done; None if one is needed.
+        link: The link on which the handshake was completed; None if a handshake is needed.
         epoch: Epoch of that handshake.
         next: Sequence number of the next record to send.
         disk: Identity of the mirror's disk.
-        heard: When it acknowledged last, in monotonic seconds.
-        silent: Whether that is longer ago than `bounds.silent`; nothing is counted on it then.
-        full: Whether its disk is full.
-        since: When the owner began to follow it, in monotonic seconds.
-        outgoing: A message of which some packets have been sent.
+        heard: When the mirror's last acknowledgement arrived, in monotonic seconds.
+        silent: Whether that is longer ago than `bounds.silent`; the mirror is not relied on then.
+        full: Whether the mirror's disk is full.
+        since: When the owner began to track the mirror, in monotonic seconds.
+        outgoing: The message that is being sent; None between two messages.
     """
 
     link: object = None
@@ -82,12 +83,12 @@
 
 
 def empty_log() -> RecordLog:
-    """A log without records, over an empty view."""
+    """Returns a log without records, on top of an empty view."""
     return RecordLog(base=JobView())
 
 
 def latest_view(record_log: RecordLog) -> JobView:
-    """The jobs and members after the last record of a log."""
+    """Returns the jobs and members as they are after the last record of a log."""
     view = record_log.base.copy()
     assert isinstance(view, JobView)
     for record in record_log.recs:
@@ -97,18 +98,49 @@
 
 @dataclass(eq=False)
 class Partition:
-    """The state of one partition on one store. `Partition` owns all its fields; the parts of the store change them between
-    two awaits, on the one event loop.
+    """The state of one partition on one store. `Partition` owns all its fields; the components of the store change them
+    between two awaits, on the same event loop, so that no lock is needed.
 
-    States: follower (`epoch` 0), aligned follower (`aligned` is the epoch of the owner's stream), owner (`epoch` > 0), and
-    ready owner (`covered` has reached `epoch_mark`). Times are monotonic, in seconds.
+    States: follower (`epoch` is 0), aligned follower (`aligned` is the epoch of the owner's stream), owner (`epoch` > 0),
+    and ready owner (`covered` has reached `epoch_mark`). Times are monotonic, in seconds.
 
     Invariants:
-    - `promised` is synced before it is told, never falls, and nothing below it is accepted.
-    - records are appended by a stream only while `aligned` is the epoch that the stream runs under.
-    - `persisted` <= record_log.last, and what it counts was synced after it was aligned.
-    - `covered` never falls, and a covered record is never cut.
-    - as owner: nothing counts as covered until the first mark record of the own epoch (`epoch_mark`) is.
+    - `promised` is synced before it is sent to anyone, never decreases, and nothing under a lower epoch is accepted.
+    - Records of a stream are appended only while `aligned` is the epoch that the stream runs under.
+    - `persisted` <= record_log.last, and the records that it counts were synced after they were aligned.
+    - `covered` never decreases, and a covered record is never cut.
+    - As owner: nothing counts as covered until the first mark record of the own epoch (`epoch_mark`) is covered.
+
+    Attributes:
+        id: Number of the partition.
+        me: Name of this store.
+        disk: Identity of this store's disk.
+        record_log: The records in memory: a base and the records after it.
+        promised: Highest epoch that this store has promised to follow.
+        owner: Name of the owner that this store follows; empty if none is known.
+        heard: As follower, when the owner or a candidate was last heard from; as owner, when a quorum last was.
+        refused_owner: An owner whose machine has refused a connection since it was last heard from, which shows that its
+            process has ended; empty if there is none.
+        contacted: Whether an owner or a candidate has been heard from since the process started, or this store has already
+            been allowed to run for owner without waiting for the detection time.
+        aligned: Epoch of the owner whose log this one matches up to its end; 0 if a handshake is needed first.
+        covered: Sequence number up to which the stability predicate holds, as far as this store knows.
+        persisted: Sequence number up to which this store has synced the records.
+        unsynced: Writes that are not yet synced: (offset in the log on disk, sequence number of the last record).
+        in_election: Whether an election is being run here.
+        epoch: As owner: the epoch of the ownership; 0 if this store is not the owner.
+        epoch_mark: As owner: sequence number of the mark record that begins the ownership.
+        view: As owner: the jobs and members after the last record.
+        acknowledgements: As owner: what each member has acknowledged under this epoch.
+        mirrors: As owner: the progress of the stream to each mirror, by name.
+        waiters: As owner: who waits for coverage: (sequence number, additional predicate or "", future).
+        uncoverable_since: As owner: since when no covering set of disks is left although all members have answered; 0 if
+            there is one.
+        zones: The zone of each machine.
+        packets: As mirror: the packets of a message that is not yet complete.
+        handshake_epoch: As mirror: epoch whose handshake was answered and whose stream has not begun yet, which is
+            neither a gap nor aligned; 0 if there is none.
+        base_bytes: (sequence number, bytes) of the serialized base, cached while a candidate fetches it piece by piece.
     """
 
     id: int
@@ -118,14 +150,12 @@
     promised: int = 0
     owner: str = ""
     heard: float = 0.0
-    # An owner whose machine has refused a connection since it was heard: its process is no more.
     refused_owner: str = ""
-    # Has an owner or a candidate been heard since the process started, or has this store's turn to run come?
     contacted: bool = False
     aligned: int = 0
     covered: int = 0
     persisted: int = 0
-    unsynced: deque[tuple[int, int]] = field(default_factory=deque)  # (log place, seq) not yet synced
+    unsynced: deque[tuple[int, int]] = field(default_factory=deque)
     in_election: bool = False
 
     # as owner
@@ -135,130 +165,161 @@
     acknowledgements: Acknowledgements = field(default_factory=Acknowledgements)
     mirrors: dict[str, MirrorProgress] = field(default_factory=dict)
     waiters: list[tuple[int, str, asyncio.Future[bool]]] = field(default_factory=list)
-    uncoverable_since: float = 0.0  # since when no covering set is left, though all have answered; 0 if one is
+    uncoverable_since: float = 0.0
     zones: dict[str, str] = field(default_factory=dict)
 
-    # as mirror: packets of a message that is not yet complete
+    # as mirror
     packets: list[bytes] = field(default_factory=list)
-    handshake_epoch: int = (
-        0  # epoch whose handshake was answered and whose stream has not begun: neither a gap nor aligned
-    )
-    base_bytes: tuple[int, bytes] = (-1, b"")  # the base as bytes, while a candidate fetches it piece by piece
+    handshake_epoch: int = 0
+    base_bytes: tuple[int, bytes] = (-1, b"")
 
     def base_dump(self) -> bytes:
-        """The base as bytes; kept until the base moves."""
+        """Returns the serialized base, which is cached until further records are folded into the base."""
         if self.base_bytes[0] != self.record_log.base_seq:
             self.base_bytes = (self.record_log.base_seq, self.record_log.base.dump())
         return self.base_bytes[1]
 
     @property
     def owning(self) -> bool:
-        """Is this store the owner, ready or not?"""
+        """Whether this store is the owner, ready or not."""
         return self.epoch > 0
 
     @property
     def ready(self) -> bool:
-        """Is the first record of this ownership covered, so that all before it is known to be?"""
+        """Whether this store is the owner and its epoch's mark record is covered, so that all records before it are."""
         return self.owning and self.covered >= self.epoch_mark
 
     @property
     def members(self) -> Members:
-        """Everyone whose copy counts under a rule that holds: while a change is not covered, also who was there before."""
+        """The members whose copies count: while a change of members is not yet covered, the old ones count as well."""
         old = self.view.old_members if self.view.members_seq > self.covered else {}
         return old | self.view.members
 
     def scope(self, members: Iterable[str]) -> PredicateScope:
-        """What a predicate over these members may name."""
+        """Returns the nodes and zones that a predicate over these members may refer to."""
         names = tuple(members)
         return PredicateScope(names, tuple((n, self.zones.get(n, "")) for n in names), self.me)
 
     def predicate_over(self, text: str, members: Members) -> Callable[[Count], int]:
-        """A predicate over these members; one that doesn't fit them falls back to the default."""
+        """Compiles a predicate for these members; returns the default one if it is invalid for them."""
         return build(text or DEFAULT, self.scope(members)).unwrap_or_else(
             lambda _: build(DEFAULT, self.scope(members)).unwrap()
         )
 
     def rules(self, view: JobView, text: str = "") -> list[tuple[Members, str]]:
-        """Members and predicate that count; while a change is not known to be covered, the old ones as well. It is known from
-        what an owner said of `covered` in this life, or from the log itself, by a mark that settles it."""
-        now = [(view.members, text or view.predicate)]
+        """Returns the pairs of members and predicate that apply, each of which has to be satisfied.
+
+        While a change is not known to be covered, the old members and predicate apply as well. It is known to be covered
+        from the owner's reports of `covered` since the process started, or from a mark in the log that settles it.
+
+        Args:
+            view: The jobs and members that a log yields.
+            text: A predicate to apply in place of those in the view; empty for those.
+        """
+        rules = [(view.members, text or view.predicate)]
         if view.members_seq > self.covered and view.old_members not in ({}, view.members):
-            now.append((view.old_members, text or view.predicate))
+            rules.append((view.old_members, text or view.predicate))
         if view.predicate_seq > self.covered and view.old_predicate != view.predicate and not text:
-            now += [(c, view.old_predicate) for c, _ in list(now)]
-        return now
+            rules += [(members, view.old_predicate) for members, _ in list(rules)]
+        return rules
 
     def reach(self, text: str = "") -> int:
-        """The stability frontier under the rules that count: the MIN of old and new where they changed."""
-        return min(self.acknowledgements.reach(c, self.predicate_over(t, c)) for c, t in self.rules(self.view, text))
+        """Returns the stability frontier: the highest sequence number that satisfies every rule, so that while members
+        or predicate change it is the minimum over the old and the new ones."""
+        return min(
+            self.acknowledgements.reach(members, self.predicate_over(predicate, members))
+            for members, predicate in self.rules(self.view, text)
+        )
 
     def advance(self) -> bool:
-        """Recomputes the frontier; run on every acknowledgement."""
+        """Recomputes the stability frontier after an acknowledgement or a sync; returns whether `covered` has risen."""
         if not self.view.members:
             return False
         seq = min(self.reach(), self.record_log.last)
-        moved = False
-        # A change of members that is covered lifts the old rule, which may let the frontier go on at once.
+        advanced = False
+        # Once a change of members is covered, the old members no longer apply, which may advance the frontier further.
         while seq >= self.epoch_mark and seq > self.covered:
-            self.covered, moved = seq, True
+            self.covered, advanced = seq, True
             self.acknowledgements.advance(seq)
             seq = min(self.reach(), self.record_log.last)
-        if moved or self.waiters:
+        if advanced or self.waiters:
             self._wake()
-        return moved
+        return advanced
 
     def _wake(self) -> None:
-        """Resolves the waiters whose record is covered."""
-        far = {t: self.reach(t) for t in dict.fromkeys([t for _, t, _ in self.waiters if t])}
-        left = []
+        """Resolves the waiters whose record is covered, also by their additional predicate."""
+        frontiers = {t: self.reach(t) for t in dict.fromkeys([t for _, t, _ in self.waiters if t])}
+        remaining = []
         for seq, text, future in self.waiters:
             if future.done():
                 continue
-            if seq <= self.covered and (not text or seq <= far[text]):
+            if seq <= self.covered and (not text or seq <= frontiers[text]):
                 future.set_result(True)
             else:
-                left.append((seq, text, future))
-        self.waiters = left
+                remaining.append((seq, text, future))
+        self.waiters = remaining
+
+    async def wait(self, seq: int, predicate: str, timeout: float) -> bool:
+        """Waits until a record is covered.
+
+        Args:
+            seq: Sequence number of the record.
+            predicate: A predicate that has to hold as well, if the job's class requires more; empty for none.
+            timeout: Timeout in seconds.
 
-    async def wait(self, seq: int, text: str, limit: float) -> bool:
-        """True once `seq` is covered (and under `text`, if a class asks for more); False if time or the
-        ownership ran out, which proves nothing."""
+        Returns:
+            True once the record is covered; False if the time is up or the ownership has ended, which does not prove that
+            the record is lost.
+        """
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        self.waiters.append((seq, text, future))
+        self.waiters.append((seq, predicate, future))
         self._wake()
         try:
-            return await asyncio.wait_for(future, limit)
+            return await asyncio.wait_for(future, timeout)
         except TimeoutError:
             return False
 
     def enough(self, view: JobView, voters: Members, test: Callable[..., bool]) -> bool:
-        """Do these voters (name -> disk) satisfy `test` under every rule that may count?"""
+        """Returns whether voters suffice under every rule that may apply.
+
+        Args:
+            view: The jobs and members that a log yields.
+            voters: Names of the voters with the identities of their disks; a vote by a disk that is no member's is ignored.
+            test: `promises_suffice` or `confirm_suffice`.
+        """
         return bool(view.members) and all(
-            test(self.predicate_over(t, c), tuple(c), [n for n, d in voters.items() if c.get(n) == d])
-            for c, t in self.rules(view)
+            test(
+                self.predicate_over(predicate, members),
+                tuple(members),
+                [n for n, d in voters.items() if members.get(n) == d],
+            )
+            for members, predicate in self.rules(view)
         )
 
     def may_lead(self, view: JobView, voters: Members) -> bool:
-        """Do these promises suffice to lead?"""
+        """Returns whether the promises of these voters (name -> disk) suffice to become owner."""
         return self.enough(view, voters, promises_suffice)
 
     def confirmed(self, voters: Members) -> bool:
-        """Do these answers prove that there is no later owner?"""
+        """Returns whether the confirmations of these voters (name -> disk) prove that there is no later owner."""
         return self.enough(self.view, voters, confirm_suffice)
 
     def can_cover(self, names: set[str]) -> bool:
-        """Could records be covered by these members alone?"""
-        return all(covers(self.predicate_over(t, c), names & set(c)) for c, t in self.rules(self.view))
+        """Returns whether records can be covered with acknowledgements of these members only."""
+        return all(
+            covers(self.predicate_over(predicate, members), names & set(members))
+            for members, predicate in self.rules(self.view)
+        )
 
     def hopeless(self, disks: Members) -> bool:
-        """With these disks for good, can some rule that counts never be met again?"""
+        """Returns whether some rule can never be satisfied again if no other disks (name -> disk) than these are left."""
         return any(
-            not covers(self.predicate_over(t, c), {n for n, d in c.items() if disks.get(n) == d})
-            for c, t in self.rules(self.view)
+            not covers(self.predicate_over(predicate, members), {n for n, d in members.items() if disks.get(n) == d})
+            for members, predicate in self.rules(self.view)
         )
 
     def lead(self, epoch: int) -> None:
-        """Becomes owner under an epoch, with what the log holds."""
+        """Becomes the owner under an epoch, with the log as it is here."""
         self.epoch, self.owner, self.aligned = epoch, self.me, epoch
         self.view = latest_view(self.record_log)
         self.acknowledgements = Acknowledgements()
@@ -267,7 +328,7 @@
         self.mirrors, self.packets, self.waiters = {}, [], []
 
     def step_down(self) -> None:
-        """Is owner no more: whoever waits for a record learns that nothing is proved."""
+        """Ends the ownership; those who wait for a record to be covered get False, which proves nothing of the record."""
         self.epoch, self.aligned, self.epoch_mark, self.uncoverable_since = 0, 0, 0, 0.0
         self.view, self.acknowledgements, self.mirrors = JobView(), Acknowledgements(), {}
         for _, _, future in self.waiters:
@@ -276,7 +337,13 @@
         self.waiters = []
 
     def make(self, kind: str, body: dict[str, Any], raw: Payload = b"") -> Record:
-        """The next record of the one order of this partition."""
+        """Sequences the next record of this partition, in memory only, and returns it.
+
+        Args:
+            kind: Kind of the record.
+            body: Its fields.
+            raw: Bytes of the record that are stored as they are, without JSON encoding.
+        """
         assert self.owning
         record = Record(self.record_log.last + 1, self.epoch, kind, encode_record(body, raw))
         self.record_log.append(record)
@@ -285,22 +352,27 @@
         return record
 
     def provable(self) -> int:
-        """As owner: up to where a mark may settle changes, since they are covered and the log doesn't prove it; else 0."""
+        """As owner: returns the sequence number up to which a mark may settle changes of members or predicate, because they
+        are covered and the log does not prove that yet; 0 if there is nothing to settle."""
         return self.covered if self.ready and 0 < self.view.unsettled() <= self.covered else 0
 
     def proven(self) -> bool:
-        """As owner: does the log prove who the members are, and is that proof covered itself?
+        """As owner: returns whether the log proves who the members are, and that proof is covered itself.
 
-        After a loss of power there is nothing but logs: one that holds a change of members and not the mark that settles
-        it also asks for the members before the change, of whom too few may be left.
+        After a loss of power only the logs are left. A log with a change of members but without the mark that settles it
+        requires votes of the members before the change as well, of whom too few may be left.
         """
         proof = max(self.view.members_seq, self.view.settled_seq)
         return self.ready and self.view.unsettled() == 0 and proof <= self.covered
 
-    def sync_to(self, place: int) -> bool:
-        """The log on disk is synced up to `place`: what does that make persisted here?"""
+    def sync_to(self, log_offset: int) -> bool:
+        """Updates `persisted` after a sync of the log on disk; returns whether it has risen.
+
+        Args:
+            log_offset: Offset up to which the log on disk is synced.
+        """
         seq = -1
-        while self.unsynced and self.unsynced[0][0] <= place:
+        while self.unsynced and self.unsynced[0][0] <= log_offset:
             seq = self.unsynced.popleft()[1]
         seq = min(seq, self.record_log.last)
         if seq <= self.persisted:
@@ -311,19 +383,27 @@
         return True
 
     def cut(self, seq: int) -> None:
-        """Drops what follows a sequence number, here and among what is to be synced."""
+        """Drops the records after a sequence number, from the log in memory and from the pending syncs."""
         self.record_log.cut(seq)
         self.unsynced = deque((p, min(s, seq)) for p, s in self.unsynced)
         self.persisted = min(self.persisted, seq)
 
     def trim(self, budget: int) -> bool:
-        """Frees what was delivered everywhere; past the budget, whatever is covered."""
-        behind = [f.next - 1 for f in self.mirrors.values() if not f.silent]
-        goal = min([self.covered, *behind]) if self.record_log.size <= budget else self.covered
-        goal = min(goal, self.persisted)
-        if goal - self.record_log.base_seq < 64 and self.record_log.size <= budget:
+        """Folds records into the base to free memory: those that were sent to every mirror that is not silent or, if the
+        log is larger than the budget, all that are covered; in both cases only records that are synced here.
+
+        Args:
+            budget: Bytes that the records of this partition may take.
+
+        Returns:
+            Whether records were folded. Fewer than 64 are left alone while the log is within the budget.
+        """
+        delivered_seqs = [f.next - 1 for f in self.mirrors.values() if not f.silent]
+        new_base_seq = min([self.covered, *delivered_seqs]) if self.record_log.size <= budget else self.covered
+        new_base_seq = min(new_base_seq, self.persisted)
+        if new_base_seq - self.record_log.base_seq < 64 and self.record_log.size <= budget:
             return False
-        if goal <= self.record_log.base_seq:
+        if new_base_seq <= self.record_log.base_seq:
             return False
-        self.record_log.rebase(goal)
+        self.record_log.rebase(new_base_seq)
         return True
--- a/postpass/replication/partition_table.py
+++ b/postpass/replication/partition_table.py
@@ -28,7 +28,19 @@
 
 @dataclass(eq=False)
 class PartitionTable:
-    """What all parts of a store share. Owns the partitions, the log on disk and the tasks that run beside it."""
+    """The state that all components of a store share. Owns the partitions, the log on disk and the background tasks.
+
+    Attributes:
+        settings: The settings of the process.
+        environment: Its clock, disk and random numbers.
+        configuration_view: The fleet's configuration, as this machine knows it.
+        peer_links: Links to other machines.
+        partitions: The partitions of which this store has a copy, by number.
+        counts: Counters since the process started, by name.
+        data_directory: The opened data directory; None until `load` has run.
+        background_tasks: Tasks that run in the background; each is referenced here until it ends.
+        leaving: Whether the store is handing its partitions over, since the process is about to end.
+    """
 
     settings: Settings
     environment: Environment
@@ -48,17 +60,17 @@
 
     @property
     def disk_id(self) -> str:
-        """Identity of the disk; a wiped one has another."""
+        """Identity of this store's disk; a wiped disk gets another one."""
         assert self.data_directory is not None
         return self.data_directory.name
 
     @property
     def own_vote(self) -> dict[str, str]:
-        """This store and its disk, as a voter among others."""
+        """This store's own vote: its name with the identity of its disk."""
         return {self.settings.name: self.disk_id}
 
     def partition(self, number: int) -> Partition:
-        """The partition of a number; made when it is first asked for."""
+        """Returns the partition with a number, which is created on first use."""
         if number not in self.partitions:
             self.partitions[number] = Partition(
                 number, self.settings.name, self.disk_id if self.data_directory else "", heard=now()
@@ -66,40 +78,47 @@
         return self.partitions[number]
 
     def write(self, partition: Partition, entries: Iterable[Any], vital: bool = True) -> int:
-        """Appends entries to the log on disk and notes up to which record it will be synced then.
+        """Appends entries to the log on disk, and notes which records of a partition will be persisted by the next sync.
 
         Args:
-            partition: The partition whose records end here.
+            partition: The partition; its records in memory end with the last one in `entries`.
             entries: Log entries.
-            vital: Whether they may use the space that is held back for records which the protocol needs.
+            vital: Whether they may use the reserved disk space, because the protocol needs them.
+
+        Returns:
+            The offset up to which the log on disk must be synced for the entries to be durable.
 
         Raises:
-            FaultError: The disk takes no more.
+            FaultError: The disk does not accept the entries.
         """
-        place = self.log.append(entries, vital)
-        partition.unsynced.append((place, partition.record_log.last))
-        return place
+        log_offset = self.log.append(entries, vital)
+        partition.unsynced.append((log_offset, partition.record_log.last))
+        return log_offset
 
     def other_members(self, partition: Partition, view: JobView) -> list[str]:
-        """Everyone who has, or should have, a copy, but this store."""
-        every = dict.fromkeys(
+        """Returns the names of all other stores that have, or should have, a copy: those of the configuration's order and
+        the members in the log, including the old ones while a change of members is not covered."""
+        candidates = dict.fromkeys(
             [
                 *self.configuration_view.order(partition.id),
                 *view.members,
                 *(view.old_members if view.members_seq > partition.covered else {}),
             ]
         )
-        return [n for n in every if n != self.settings.name]
+        return [n for n in candidates if n != self.settings.name]
 
     async def ask(self, name: str, verb: str, body: Body) -> PeerResponse:
-        """Asks another store; LACK if it has no address."""
+        """Sends a request to another store and returns its response; the fault LACK if the store has no address."""
         addr = self.configuration_view.addr(name)
         if not addr:
             return Err(Fault(verb, name, "gone or unknown", LACK))
         return await self.peer_links.request(addr, verb, body, self.settings.bounds.promise)
 
     def step_down(self, partition: Partition, epoch: int) -> None:
-        """Ends an ownership, if there is one, since an epoch was seen; the next election waits for the full timeout."""
+        """Ends the ownership of a partition, if there is one, because an epoch was seen or the owner can't go on.
+
+        The next election here waits for the full timeout, and nothing under a lower epoch is accepted.
+        """
         if partition.owning:
             log_events.emit(
                 Event.OWNER_STEPPED_DOWN, self.settings.name, part=partition.id, epoch=partition.epoch, seen=epoch
@@ -109,7 +128,11 @@
         partition.heard = now()
 
     async def load(self) -> None:
-        """Reads the log on disk into partitions."""
+        """Opens the data directory and reads the log on disk into partitions.
+
+        Raises:
+            FaultError: The data directory has a format that this release can't read.
+        """
         assert self.environment.disk is not None
         reserved = max(self.settings.segment_bytes // 4, 1024)
         self.data_directory = await open_data_directory(
@@ -129,7 +152,7 @@
             partition.persisted = partition.record_log.last
 
     def snapshot(self) -> Iterator[Any]:
-        """Entries that describe all partitions: what a compacted log begins with."""
+        """Returns the entries that describe all partitions, with which a compacted log begins."""
         for partition in self.partitions.values():
             record_log = partition.record_log
             yield promise_entry(partition.id, partition.promised)
--- a/postpass/replication/reconfiguration.py
+++ b/postpass/replication/reconfiguration.py
@@ -1,4 +1,4 @@
-"""Changes of a partition's members and predicate, one at a time, each a record."""
+"""Changes of a partition's members and stability predicate: one at a time, each as a record in the partition's log."""
 
 from __future__ import annotations
 
@@ -15,13 +15,16 @@
 
 @dataclass(eq=False)
 class Reconfiguration:
-    """Brings the members of owned partitions to what the configuration wants."""
+    """Changes the members and the predicate of owned partitions to those that the configuration asks for."""
 
     table: PartitionTable
     owner: PartitionOwner
 
     def change_next(self, partition: Partition) -> None:
-        """Brings predicate and members to what the configuration wants: one change at a time, each a record."""
+        """Appends a record for the next change of predicate or members that the configuration asks for, if any.
+
+        The next change waits until the last one is covered. Raises `FaultError` if the disk does not accept the record.
+        """
         configuration, view = self.table.configuration_view.manifest, partition.view
         assert configuration is not None
         if view.members_seq > partition.covered or view.predicate_seq > partition.covered:
@@ -42,9 +45,9 @@
             )
 
     def situation(self, partition: Partition) -> Situation:
-        """What a change of a partition's members is decided from, as its owner sees it now."""
-        recent = now() - self.table.settings.bounds.detect
-        heard = {n: f.disk for n, f in partition.mirrors.items() if f.disk and not f.silent and f.heard > recent}
+        """Returns the state from which a change of a partition's members is decided, as its owner sees it now."""
+        recent_since = now() - self.table.settings.bounds.detect
+        heard = {n: f.disk for n, f in partition.mirrors.items() if f.disk and not f.silent and f.heard > recent_since}
         ready = {
             n: d for n, d in heard.items() if partition.acknowledgements.get(n, d, "persisted") >= partition.covered
         }
@@ -60,12 +63,15 @@
         )
 
     def complete(self, partition: Partition) -> bool:
-        """As owner: do all members answer, and have they synced the last change of members with the mark that settles it?
-        From then on one that has left may lose its disk, and any one of them the next: all covered records, and the proof
-        of who the members are, is on the disks of all of them."""
-        here = self.situation(partition)  # `live` have synced all that is covered
-        return partition.proven() and here.live == set(here.current)
+        """As owner: returns whether all members answer and have synced the last change of members and the mark that
+        settles it.
+
+        From then on a store that has left may lose its disk, and after it any one of the members: all covered records, and
+        the proof of who the members are, are on the disks of all members.
+        """
+        situation = self.situation(partition)  # the stores in `live` have synced all covered records
+        return partition.proven() and situation.live == set(situation.current)
 
     def topology(self, partition: Partition) -> Topology:
-        """The zones of the machines, and what may be lost of them at once."""
+        """Returns the zones of the machines, and how much of them may be lost at once."""
         return Topology(partition.zones, self.table.settings.tolerance)
--- a/postpass/replication/store.py
+++ b/postpass/replication/store.py
@@ -1,12 +1,14 @@
-"""The store duty: partitions of durable jobs, replicated after Stabilizer.
+"""The store duty of a process: it holds partitions of durable jobs and replicates them as the Stabilizer paper describes.
 
-As owner, a store gives the records of a partition one order and streams them to each mirror without waiting; the
-acknowledgements and the predicate say what is covered. As mirror, it appends, syncs and acknowledges on a link of its
-own. Owners change by elections, under epochs.
+As the owner of a partition, a store sequences its records and streams them to each mirror without waiting for replies.
+The mirrors' acknowledgements and the stability predicate determine up to which record the log is covered, that is,
+replicated durably enough to be acknowledged to clients. As a mirror, a store appends the records, syncs them and
+acknowledges them over a separate link. A new owner is elected under a new, higher epoch.
 
-Where to look: `election` (when a store runs for owner) and `election_decision` (who wins), `owner` (the order of records),
-`streaming` and `mirror` (both ends of the stream), `acknowledger` (a mirror's answers), `leadership_check` (before a read),
-`reconfiguration` (members and predicate), `handover` (planned changes of owner), `catch_up` (fetching a longer log).
+Where to look: `election` (when a store runs for owner) and `election_decision` (who wins), `owner` (sequencing of
+records), `streaming` and `mirror` (both ends of the stream), `acknowledger` (a mirror's acknowledgements),
+`leadership_check` (confirms the ownership before a read), `reconfiguration` (changes of members and predicate), `handover`
+(planned changes of owner), `catch_up` (fetching a longer log).
 """
 
 from __future__ import annotations
@@ -50,10 +52,10 @@
 
 @dataclass(eq=False)
 class Store:
-    """Wires the parts of a store, routes the verbs of peers to them, and runs the heartbeat of the duty.
+    """Creates the components of a store, routes requests of peers to them by verb, and runs the store's heartbeat.
 
-    Each part owns its fields; what all share is in `table`. The daemon opens the store, runs its `tasks`, serves its
-    `handlers`, and calls `leave` before it ends.
+    Each component owns its fields; state that all of them share is in `table`. The daemon opens the store, runs its
+    `tasks`, serves its `handlers`, and calls `leave` before it ends.
     """
 
     settings: Settings
@@ -83,88 +85,96 @@
         )
 
     def ownership_began(self, number: int) -> None:
-        """An ownership begins: what was kept in memory for the one before counts no more."""
+        """Discards what was kept in memory for an earlier ownership of a partition, since a new ownership begins.
+
+        Args:
+            number: Number of the partition.
+        """
         self.leases.owner_states[number] = OwnerState()
         self.job_service.forget(number)
         self.shares.forget(number)
 
-    # --- asked for by the daemon and the job service (`PartitionAccess`)
+    # --- used by the daemon and the job service (`PartitionAccess`)
     @property
     def log(self) -> SegmentedLog:
-        """The log on disk."""
+        """The log on disk, which all partitions share."""
         return self.table.log
 
     @property
     def disk_id(self) -> str:
-        """Identity of the disk."""
+        """Identity of this store's disk; a wiped disk gets another one."""
         return self.table.disk_id
 
     @property
     def partitions(self) -> dict[int, Partition]:
-        """The partitions that have a copy here, by number."""
+        """The partitions of which this store has a copy, by number."""
         return self.table.partitions
 
     @property
     def counts(self) -> Counter[str]:
-        """Counters since the start, by name."""
+        """Counters since the process started, by name."""
         return self.table.counts
 
     @property
     def background_tasks(self) -> set[asyncio.Task[None]]:
-        """Background tasks; each is kept here until it ends."""
+        """Background tasks; each is referenced here until it ends, so that it is not garbage-collected."""
         return self.table.background_tasks
 
     @property
     def owner_states(self) -> dict[int, OwnerState]:
-        """What an owner keeps in memory to hand out items, by partition."""
+        """The in-memory state from which an owner leases items to schedulers, by partition."""
         return self.leases.owner_states
 
     async def open(self) -> None:
-        """Opens the data folder and reads the log."""
+        """Opens the data directory and reads the log on disk into partitions."""
         await self.table.load()
 
     async def leave(self) -> None:
-        """Hands owned partitions to others before the process ends."""
+        """Hands the owned partitions over to other stores before the process ends."""
         await self.handover.leave()
 
     async def ask(self, name: str, verb: str, body: Body) -> PeerResponse:
-        """Asks another store, by its name."""
+        """Sends a request to another store, given by name, and returns its response; LACK if it has no address."""
         return await self.table.ask(name, verb, body)
 
     def owned_partition(self, number: int, step: str) -> Result[Partition, Fault]:
-        """The partition if it is owned here and ready, or MOVED with a hint of its owner."""
+        """Returns the partition if this store is its ready owner, else the fault MOVED with its owner as a hint."""
         return self.leadership.owned_partition(number, step)
 
     async def confirm(self, partition: Partition) -> bool:
-        """Is this store still the owner? A round trip to the members."""
+        """Returns whether this store is still the owner, after a round trip to the members."""
         return await self.leadership.confirm(partition)
 
     def append(self, partition: Partition, kind: str, body: Body, vital: bool = True, raw: Payload = b"") -> Record:
-        """Sequences one record; raises FaultError, with nothing sequenced, if the disk won't take it."""
+        """Sequences one record, writes it to disk and streams it to the mirrors.
+
+        Raises:
+            FaultError: The disk does not accept it; nothing was sequenced.
+        """
         return self.owner.append(partition, kind, body, vital, raw)
 
     def rejection(self, partition: Partition) -> Fault | None:
-        """Why no further job is taken now; None if one is."""
+        """Returns the fault for which no further job is accepted now; None if jobs are accepted."""
         return self.jobs.rejection(partition)
 
     async def read(self, body: Body, step: str) -> Result[tuple[Partition, Job], Fault]:
-        """A covered job of the client that asks, after ownership was confirmed."""
+        """Returns a covered job of the requesting client, after the ownership of its partition was confirmed."""
         return await self.jobs.read(body, step)
 
     def members_awaited(self, partition: Partition) -> list[str]:
-        """As owner: whose acknowledgements the first uncovered record lacks."""
+        """As owner: returns the members whose acknowledgement of the first uncovered record is missing."""
         return members_awaited(partition)
 
     def complete(self, partition: Partition) -> bool:
-        """As owner: have all members synced the last change of members, with the proof of it?"""
+        """As owner: returns whether all members have synced the last change of members and the proof of it."""
         return self.reconfiguration.complete(partition)
 
     def tasks(self) -> list[Any]:
-        """What runs as long as the process does."""
+        """Returns the coroutines that run for as long as the process does."""
         return [self.table.log.sync_forever(), self.watch_sync(), self.tick(), self.mirror.watch_disk()]
 
     def handlers(self) -> dict[str, Any]:
-        """The verbs of peers and who answers them."""
+        """Returns the handlers of peers' requests, by verb."""
         return {
             "carry": self.mirror.on_carry, "ack": self.owner.on_ack, "promise": self.election.on_promise, "hello": self.mirror.on_hello, "fetch": self.catch_up.on_fetch,
             "submit": self.jobs.on_submit, "show": self.jobs.on_show, "page": self.jobs.on_page, "finish": self.jobs.on_finish, "take": self.leases.on_take,
@@ -173,14 +183,14 @@
         }  # fmt: skip
 
     async def watch_sync(self) -> None:
-        """Counts what the disk has synced, each time that it has."""
+        """Updates the partitions after each sync of the log on disk."""
         while True:
-            moved = self.table.log.sync_done
-            await moved.wait()
+            sync_done = self.table.log.sync_done
+            await sync_done.wait()
             self.synced()
 
     def synced(self) -> None:
-        """Tells each partition how far the log on disk is synced."""
+        """Updates each partition's persisted records to how far the log on disk is synced."""
         for partition in self.table.partitions.values():
             if partition.sync_to(self.table.log.synced):
                 if partition.owning:
@@ -189,7 +199,7 @@
                     self.acknowledger.schedule(partition)
 
     async def tick(self) -> None:
-        """The heartbeat of the duty, at random intervals around `bounds.beat` seconds."""
+        """Runs the store's heartbeat, at random intervals of 0.8 to 1.2 times `bounds.beat` seconds."""
         while True:
             await asyncio.sleep(self.table.settings.bounds.beat * (0.8 + 0.4 * self.table.environment.chance.random()))
             configuration = self.table.configuration_view.manifest
@@ -199,14 +209,14 @@
                 if self.table.settings.name in self.table.configuration_view.order(number):
                     self.table.partition(number)
             for partition in self.table.partitions.values():
-                # Nobody was heard since this process started, and no timeout is waited for: if there is an owner, one of
-                # those that are asked for promises hears it, and says so.
+                # After a start no owner has been heard from yet, and the detection time need not pass before an election:
+                # if there is an owner, one of the members asked for promises hears its heartbeats and refuses.
                 if not partition.contacted:
                     partition.contacted, partition.heard = (
                         True,
                         min(partition.heard, now() - self.table.settings.bounds.detect),
                     )
-            zones = {n: m["area"] for n, m in configuration["machines"].items()}
+            zones = {name: machine["area"] for name, machine in configuration["machines"].items()}
             for partition in list(self.table.partitions.values()):
                 partition.zones = zones
                 partition.disk = self.table.disk_id
@@ -222,8 +232,8 @@
                 self.synced()
 
     async def on_parts(self, _body: Body) -> PeerResponse:
-        """The partitions and the disk of this store, for operators."""
-        free, whole = self.table.log.disk.space()
+        """Returns the state of this store's partitions and of its disk, for operators."""
+        free_bytes, total_bytes = self.table.log.disk.space()
         rows = [
             {
                 "part": p.id, "owner": p.owner, "epoch": max(p.epoch, p.aligned), "last": p.record_log.last, "covered": p.covered,
@@ -231,17 +241,17 @@
                 "crew": p.members, "complete": self.reconfiguration.complete(p), "losses": p.view.losses,
                 "awaited": members_awaited(p) if p.owning else [],
                 "mirrors": {
-                    n: {"persisted": p.acknowledgements.get(n, f.disk, "persisted"), "silent": f.silent, "full": f.full, "disk": f.disk}
-                    for n, f in sorted(p.mirrors.items())
+                    name: {"persisted": p.acknowledgements.get(name, mirror.disk, "persisted"), "silent": mirror.silent, "full": mirror.full, "disk": mirror.disk}
+                    for name, mirror in sorted(p.mirrors.items())
                 },
-                "lots": len(p.view.jobs), "open": sum(x.state == "open" and not x.complete for x in p.view.jobs.values()),
+                "lots": len(p.view.jobs), "open": sum(job.state == "open" and not job.complete for job in p.view.jobs.values()),
             }
             for p in sorted(self.table.partitions.values(), key=lambda partition: partition.id)
         ]  # fmt: skip
-        return Ok({"disk": self.table.disk_id, "free": free, "size": whole, "parts": rows, "bad": self.table.log.failure,
+        return Ok({"disk": self.table.disk_id, "free": free_bytes, "size": total_bytes, "parts": rows, "bad": self.table.log.failure,
                    "held": self.table.log.reserved_bytes})  # fmt: skip
 
     def fail(self) -> None:
-        """After a failed sync: nothing this folder says counts any more."""
+        """Revokes the data directory's identity after a failed sync, so that none of its acknowledgements count."""
         if self.table.environment.disk is not None and self.table.log.failure:
             revoke_identity(self.table.environment.disk)
--- a/postpass/replication/streaming.py
+++ b/postpass/replication/streaming.py
@@ -1,4 +1,4 @@
-"""An owner's streams of records to its mirrors: one link a mirror, for all partitions owned here."""
+"""The owner's side of the streams to mirrors: one link to each mirror, for all partitions owned here."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 from postpass.runtime.environment import now
 from postpass.runtime.log_events import Event
 
-TURN = 4 * PACKET  # what one partition may send to a mirror before the others' heartbeats and records have their turn
+# Bytes that one partition may send to a mirror before the heartbeats and records of the other partitions have their turn.
+TURN_BYTES = 4 * PACKET
 
 
 @dataclass(eq=False)
@@ -27,11 +28,11 @@
     table: PartitionTable
     wake_events: dict[str, asyncio.Event] = field(default_factory=dict)
     send_loops: dict[str, asyncio.Task[None]] = field(default_factory=dict)
-    # A setting for measurements only: wait for each mirror's reply before the next record goes out.
+    # For measurements only: wait until a mirror has acknowledged a record before the next one is sent to it.
     wait_each: bool = False
 
     def wake_all(self, partition: Partition) -> None:
-        """Has the send loops of all other members look for something to send."""
+        """Wakes the send loops to all other members of a partition, and starts those that do not run yet."""
         for name in self.table.other_members(partition, partition.view):
             if name not in self.wake_events:
                 self.wake_events[name] = asyncio.Event()
@@ -39,7 +40,10 @@
             self.wake_events[name].set()
 
     async def send_loop(self, name: str) -> None:
-        """One FIFO link to one mirror, for all partitions owned here; nothing on it is waited for."""
+        """Streams all partitions owned here to one mirror, for ever, over one FIFO link.
+
+        Records are sent without waiting for acknowledgements, which arrive over another link. A broken link is replaced.
+        """
         link: Link | None = None
         bounds = self.table.settings.bounds
         heartbeats: dict[int, float] = {}  # partition -> when its last heartbeat was sent
@@ -55,30 +59,40 @@
                 await self.back_off(name, bounds.beat)
                 continue
             if link is None or link.closed or link.address != addr:
-                got = await Link.open(addr, bounds.silent / 2)
-                if isinstance(got, Err):
+                connection = await Link.open(addr, bounds.silent / 2)
+                if isinstance(connection, Err):
                     for partition in owned:
                         self.suspend_if_silent(partition, name)
-                    await self.back_off(name, bounds.beat, quiet=True)
+                    await self.back_off(name, bounds.beat, unreachable=True)
                     continue
-                link = got.unwrap()
+                link = connection.unwrap()
             if not await self.send_pass(name, link, owned, heartbeats):
                 await self.back_off(name, bounds.beat / 2)
 
     async def send_pass(self, name: str, link: Link, owned: list[Partition], heartbeats: dict[int, float]) -> bool:
-        """Sends heartbeats, then as much of each partition's records as has its turn; False if there were none."""
+        """Sends the heartbeats that are due, and then up to `TURN_BYTES` bytes of each partition's records.
+
+        Args:
+            name: The mirror.
+            link: The link to it.
+            owned: The owned partitions that the mirror has, or should have, a copy of.
+            heartbeats: When the last heartbeat was sent, by partition number; updated here.
+
+        Returns:
+            Whether any records were sent.
+        """
         bounds = self.table.settings.bounds
-        ready: list[tuple[Partition, MirrorProgress]] = []
+        ready_mirrors: list[tuple[Partition, MirrorProgress]] = []
         for partition in owned:
             if not partition.owning or link.closed:
                 continue
             mirror = partition.mirrors.setdefault(name, MirrorProgress(since=now(), heard=now()))
-            fresh = mirror.link is link and mirror.epoch == partition.epoch
-            if not fresh and not await self.handshake(partition, name, link, mirror):
+            handshake_valid = mirror.link is link and mirror.epoch == partition.epoch
+            if not handshake_valid and not await self.handshake(partition, name, link, mirror):
                 continue
             if not partition.owning:
                 continue
-            ready.append((partition, mirror))
+            ready_mirrors.append((partition, mirror))
             sent_at = heartbeats.get(partition.id, 0.0)
             if now() - sent_at >= bounds.beat * 0.9 or sent_at == 0:
                 heartbeats[partition.id] = now()
@@ -86,8 +100,10 @@
             self.suspend_if_silent(partition, name)
             if mirror.silent:
                 link.close("the mirror is silent")
-        # Heartbeats have gone out; then each partition has its turn, so that none waits behind another's big records.
-        turns = [self.send_pending(p, name, link, mirror) for p, mirror in ready if p.owning and not link.closed]
+        # Heartbeats are sent; now each partition has its turn, so that none waits behind the large records of another.
+        turns = [
+            self.send_pending(p, name, link, mirror) for p, mirror in ready_mirrors if p.owning and not link.closed
+        ]
         sent = any(turns)
         try:
             await asyncio.wait_for(link.drain(), bounds.silent)
@@ -95,19 +111,19 @@
             link.close("it takes nothing")
         return sent
 
-    async def back_off(self, name: str, limit: float, quiet: bool = False) -> None:
-        """Waits for a wake-up.
+    async def back_off(self, name: str, timeout: float, unreachable: bool = False) -> None:
+        """Waits until the send loop to a mirror is woken.
 
         Args:
             name: The mirror.
-            limit: Seconds after which it goes on anyhow.
-            quiet: Wait that long before a wake-up counts, since the mirror could not be reached.
+            timeout: Seconds after which the send loop continues without a wake-up.
+            unreachable: Whether to sleep for that long before waiting for a wake-up, since the mirror could not be reached.
         """
         wake_event = self.wake_events[name]
-        if quiet:
-            await asyncio.sleep(limit)
+        if unreachable:
+            await asyncio.sleep(timeout)
         try:
-            await asyncio.wait_for(wake_event.wait(), limit)
+            await asyncio.wait_for(wake_event.wait(), timeout)
         except TimeoutError:
             pass
         wake_event.clear()
@@ -121,28 +137,32 @@
             log_events.emit(Event.MIRROR_SILENT, self.table.settings.name, part=partition.id, mirror=name)
 
     def send(self, link: Link, partition: Partition, kind: str, seq: int, born: int, prior: int, body: bytes) -> None:
-        """Sends a whole message, packet by packet."""
+        """Sends all packets of a message."""
         message = OutgoingMessage(kind, seq, born, prior, body)
         while message.index < message.total:
             self.send_packet(link, partition, message)
 
     def send_packet(self, link: Link, partition: Partition, message: OutgoingMessage) -> int:
-        """Hands one more packet of a message to the link; returns about how many bytes that was."""
-        piece = message.body[message.index * PACKET : (message.index + 1) * PACKET]
+        """Queues the next packet of a message on the link; returns its approximate size in bytes."""
+        packet_body = message.body[message.index * PACKET : (message.index + 1) * PACKET]
         link.put("carry", IDL.Packet(
             part=partition.id, epoch=partition.epoch, owner=self.table.settings.name, kind=message.kind, seq=message.seq, born=message.born, prior=message.prior,
-            index=message.index, total=message.total, body=piece, covered=partition.covered,
+            index=message.index, total=message.total, body=packet_body, covered=partition.covered,
         ))  # fmt: skip
         message.index += 1
-        return len(piece) + 128
+        return len(packet_body) + 128
 
     def send_pending(self, partition: Partition, name: str, link: Link, mirror: MirrorProgress) -> bool:
-        """Hands the mirror whatever it has not been sent, as far as a pass may take."""
+        """Sends records that the mirror has not been sent yet, up to about `TURN_BYTES` bytes.
+
+        Returns:
+            Whether anything was sent, or a new handshake is needed.
+        """
         size = 0
-        while size < TURN:
+        while size < TURN_BYTES:
             if mirror.outgoing is None:
                 if mirror.next <= partition.record_log.base_seq:
-                    mirror.link = None  # the memory stream went past it; a new handshake begins with a snapshot
+                    mirror.link = None  # the record was folded into the base; a new handshake begins with a snapshot
                     return True
                 if mirror.next > partition.record_log.last:
                     break
@@ -160,7 +180,13 @@
         return size > 0
 
     async def handshake(self, partition: Partition, name: str, link: Link, mirror: MirrorProgress) -> bool:
-        """Learns where a mirror's log meets this one and begins its stream there, or with a snapshot."""
+        """Finds the last record that a mirror's log and this one have in common, and begins the stream after it; if there
+        is none that both still hold, the stream begins with a snapshot.
+
+        Returns:
+            Whether the stream has begun. If not, the mirror did not answer, follows a higher epoch, or has lost records that
+            it had acknowledged.
+        """
         epoch = partition.epoch
         hello = Hello(partition.id, epoch, self.table.settings.name)
         response = await link.request("hello", hello.encode(), self.table.settings.bounds.promise)
@@ -179,11 +205,11 @@
         if answer.last < acknowledged:
             await self.report_failed_disk(partition, name, link, answer, acknowledged)
             return False
-        meet = match(partition.record_log.marks(), partition.record_log.last, answer.marks, answer.last)
+        common_seq = match(partition.record_log.marks(), partition.record_log.last, answer.marks, answer.last)
         mirror.link, mirror.epoch, mirror.disk, mirror.outgoing = link, epoch, answer.disk, None
-        if meet >= 0:
-            self.send(link, partition, START, meet, partition.record_log.epoch_at(meet), 0, b"")
-            mirror.next = meet + 1
+        if common_seq >= 0:
+            self.send(link, partition, START, common_seq, partition.record_log.epoch_at(common_seq), 0, b"")
+            mirror.next = common_seq + 1
         else:
             self.begin_snapshot(partition, name, mirror)
         return True
@@ -191,18 +217,19 @@
     async def report_failed_disk(
         self, partition: Partition, name: str, link: Link, answer: HelloAnswer, acknowledged: int
     ) -> None:
-        """Tells a mirror that it acknowledged more under this very epoch: its disk lost what it had synced, which is no
-        torn tail."""
-        me = self.table.settings.name
+        """Reports to a mirror that its disk has failed: under this very epoch it acknowledged more records than its log has
+        now, so that it lost synced records, which a torn tail can't explain."""
+        own_name = self.table.settings.name
         log_events.emit(
-            Event.DISK_DAMAGED, me, part=partition.id, mirror=name, last=answer.last, acknowledged=acknowledged
+            Event.DISK_DAMAGED, own_name, part=partition.id, mirror=name, last=answer.last, acknowledged=acknowledged
         )
-        hello = Hello(partition.id, partition.epoch, me, failed_disk=answer.disk)
+        hello = Hello(partition.id, partition.epoch, own_name, failed_disk=answer.disk)
         await link.request("hello", hello.encode(), self.table.settings.bounds.promise)
         link.close("its disk lost what it had acknowledged")
 
     def begin_snapshot(self, partition: Partition, name: str, mirror: MirrorProgress) -> None:
-        """The logs have nothing in common that both still hold: the mirror's is replaced by base and records."""
+        """Begins the stream with a snapshot, which replaces the mirror's log by the base and the records after it, since
+        the logs have no record in common that both still hold."""
         record_log = partition.record_log
         log_events.emit(
             Event.MIRROR_REFILLED, self.table.settings.name, part=partition.id, mirror=name, base=record_log.base_seq
--- a/postpass/storage/__init__.py
+++ b/postpass/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What a process keeps on its disk: a segmented log with snapshots, and the directory that holds it."""
+"""The files that a process stores on its disk: a segmented log with snapshots, and the directory that holds it."""
--- a/postpass/storage/data_directory.py
+++ b/postpass/storage/data_directory.py
@@ -1,18 +1,18 @@
-"""The data directory of a process: its log, and the identity that says whose bytes these are.
+"""The data directory of a process: its log, and the identity under which its contents count for others.
 
 File format
     The file `identity` is a JSON object: `disk`, the name that the directory got when it was formatted, and `format`,
-    the highest number among the formats of its files (1 if left out). It is replaced as a whole and synced
+    the highest number among the formats of its files (1 if left out). It is replaced atomically and synced
     (`Disk.write`), so a crash leaves the old or the new one. The log beside it is described in `segmented_log`; a control
-    member also keeps its promises in `epochs`.
+    member also stores its promised epochs in `epochs`.
 
 Formats
     `FORMAT` is written into a new directory. A process raises the number (`raise_format`) before it first writes
-    something that older releases would misread; those refuse the directory and leave it as it was.
+    something that older releases would misread; those refuse the directory then and leave it unchanged.
 
 Damage
     A directory whose identity or log can't be read is formatted anew: its files get the prefix `damaged-`, and the new
-    identity has a new name. All others count votes and acknowledgements by that name, so what the old directory had
+    identity has a new name. Other processes count votes and acknowledgements by that name, so what the old directory had
     acknowledged is not counted for the new one until it has been refilled from other replicas.
 """
 
@@ -33,8 +33,8 @@
 EPOCHS_FILE_PREFIX = "epochs"
 DAMAGED_PREFIX = "damaged-"
 IDENTITY_BITS = 48  # random part of a directory's name
-FORMAT = 2  # of the files in a directory that is made now
-STATE_FORMAT = 3  # of a control member's whose state is a log; releases up to 0.2.0 leave such a directory alone
+FORMAT = 2  # format of the files in a newly created directory
+STATE_FORMAT = 3  # format with a control member's state as a log; releases up to 0.2.0 refuse such a directory
 
 
 @dataclass(frozen=True)
@@ -42,11 +42,11 @@
     """An opened data directory.
 
     Attributes:
-        name: identity of the bytes in the directory, not of the machine: one that was wiped or damaged gets another
-            name, and has no vote under it until it has been refilled.
-        fresh: whether it was formatted just now, and is empty.
+        name: identity of the contents of the directory, not of the machine: a directory that was wiped or damaged gets
+            another name, and has no vote under it until it has been refilled.
+        fresh: whether the directory was formatted just now, and is empty.
         log: its log, ready for appends.
-        entries: what the log held when it was opened, in order.
+        entries: the entries that the log held when it was opened, in order.
     """
 
     name: str
@@ -66,10 +66,10 @@
 ) -> DataDirectory:
     """Opens a data directory, or formats it if it is new or damaged.
 
-    Parameters: `process` is the name of the process; `random_source` draws the identity; `segment_bytes`, `reserve` and
-    `strict` are those of `SegmentedLog`; `highest_format` is the highest format that the caller reads.
+    Parameters: `process` is the name of the process; `random_source` generates the identity; `segment_bytes`, `reserve`
+    and `strict` are those of `SegmentedLog`; `highest_format` is the highest format that this process can read.
 
-    Raises `FaultError`, and has changed nothing then, if the directory has a higher format.
+    Raises `FaultError`, without having changed anything, if the directory has a higher format.
     """
     log = SegmentedLog(process, disk, segment_bytes, reserve=reserve, strict=strict)
     names = disk.names()
@@ -77,8 +77,8 @@
     if identity:
         try:
             return DataDirectory(identity, False, log, log.load())
-        except FaultError as stop:
-            log_events.emit(Event.DISK_DAMAGED, process, step=stop.fault.step, why=stop.fault.why)
+        except FaultError as error:
+            log_events.emit(Event.DISK_DAMAGED, process, step=error.fault.step, why=error.fault.why)
             log = SegmentedLog(process, disk, segment_bytes, reserve=reserve, strict=strict)
     _set_aside(disk, names)
     identity = f"{process}-{random_source.getrandbits(IDENTITY_BITS):012x}"
@@ -88,21 +88,21 @@
 
 
 def _read_identity(process: str, disk: Disk, highest_format: int) -> str:
-    """The directory's name; empty if the file doesn't tell. Raises `FaultError` for a format above the highest one."""
+    """Returns the directory's name; empty if the file is unreadable. Raises `FaultError` for too high a format."""
     identity = ""
     try:
         record = json.loads(disk.read(IDENTITY_FILE))
         identity = str(record["disk"])
         if record.get("format", 1) > highest_format:
-            why = f"the folder has format {record['format']}, this release reads up to {highest_format}; nothing was touched"
-            raise FaultError(Fault("open data folder", process, why))
+            reason = f"the folder has format {record['format']}, this release reads up to {highest_format}; nothing was touched"
+            raise FaultError(Fault("open data folder", process, reason))
     except (ValueError, KeyError, TypeError):
         log_events.emit(Event.DISK_DAMAGED, process, file=IDENTITY_FILE, why="unreadable")
     return identity
 
 
 def _set_aside(disk: Disk, names: list[str]) -> None:
-    """Renames what a directory held, so that it is never read again; what was set aside twice is removed."""
+    """Renames the files of a damaged directory, so that they are never read again; removes those renamed twice already."""
     for name in names:
         if name.startswith((SEGMENT_PREFIX, SNAPSHOT_PREFIX, EPOCHS_FILE_PREFIX)):
             disk.rename(name, f"{DAMAGED_PREFIX}{name}")
@@ -112,19 +112,19 @@
 
 
 async def write_identity(disk: Disk, name: str, format_number: int) -> None:
-    """Replaces the directory's identity: its name, and the format that its files have from now on."""
+    """Replaces the directory's identity file: its name, and the format that its files have from now on."""
     await disk.write(IDENTITY_FILE, json.dumps({"disk": name, "format": format_number}).encode())
 
 
 async def raise_format(disk: Disk, format_number: int) -> None:
-    """Raises the format of an older directory, which releases that don't read that format then refuse."""
+    """Raises the format of an older directory; releases that can't read the new format refuse the directory from then on."""
     record = json.loads(disk.read(IDENTITY_FILE))
     if record.get("format", 1) < format_number:
         await write_identity(disk, str(record["disk"]), format_number)
 
 
 def revoke_identity(disk: Disk) -> None:
-    """Takes the directory's name away after a failed sync: the next start formats it, so that nothing in it votes."""
+    """Removes the directory's identity after a failed sync: the next start formats it, so that nothing in it counts."""
     try:
         disk.remove(IDENTITY_FILE)
     except OSError:
--- a/postpass/storage/segmented_log.py
+++ b/postpass/storage/segmented_log.py
@@ -15,9 +15,9 @@
     it replaces are removed only after that.
 
 Why a torn write is harmless
-    A loss of power can leave part of the bytes that were appended after the last sync. Nobody was told that those are
-    durable, so `load` cuts the segment at the first frame that is short or does not match its checksum. This is done
-    in the last segment alone, and only if no complete frame follows: anything else is damage to bytes that had been
+    A loss of power can leave part of the bytes that were appended after the last sync. Those were never reported as
+    durable, so `load` truncates the segment at the first frame that is short or does not match its checksum. This is done
+    in the last segment only, and only if no complete frame follows: anything else is damage to bytes that had been
     synced, which raises `FaultError`, and the data directory is then formatted anew (see `data_directory`).
 """
 
@@ -47,19 +47,19 @@
 
 
 def frame(entry: Any) -> bytes:
-    """An `IDL.Entry` as it stands in a file: head and payload."""
+    """Encodes an `IDL.Entry` as a frame of a file: head and payload."""
     payload = pack(entry)
     return HEAD.pack(len(payload), zlib.crc32(payload)) + payload
 
 
 def scan(data: bytes) -> tuple[list[Any], int]:
-    """The complete entries from the start of a file, and the offset at which the last of them ends."""
+    """Returns the complete entries from the start of a file, and the offset at which the last of them ends."""
     entries: list[Any] = []
     offset = 0
     while offset + HEAD.size <= len(data):
         size, checksum = HEAD.unpack_from(data, offset)
         payload = data[offset + HEAD.size : offset + HEAD.size + size]
-        # No entry is empty, but zeros, which a file system may leave behind a tail, would pass for one.
+        # No entry is empty. Without this check, zeros that a file system may leave after the tail would be read as one.
         if size == 0 or size > MAXIMUM_ENTRY_BYTES or len(payload) < size or zlib.crc32(payload) != checksum:
             break
         entries.append(unpack(IDL.Entry, payload))
@@ -68,7 +68,8 @@
 
 
 def is_complete_but_damaged(data: bytes, offset: int) -> bool:
-    """Whether a frame of full length with a wrong checksum stands there. A torn write leaves a short one, or zeros."""
+    """Returns whether there is a frame of full length with a wrong checksum at an offset, which means damage: a torn write
+    leaves a short frame, or zeros."""
     if offset + HEAD.size > len(data):
         return False
     size, checksum = HEAD.unpack_from(data, offset)
@@ -77,7 +78,7 @@
 
 
 def has_entry_after(data: bytes, offset: int) -> bool:
-    """Whether a complete frame stands anywhere behind an unreadable one: then that is damage, not a torn tail."""
+    """Returns whether there is a complete frame anywhere after an unreadable one: then that is damage, not a torn tail."""
     return any(
         0 < size <= len(data) - start - HEAD.size
         and zlib.crc32(data[start + HEAD.size : start + HEAD.size + size]) == checksum
@@ -102,25 +103,25 @@
     Offsets count the bytes appended since the process started, over all segments.
 
     Invariants: `synced` <= `end`; entries up to `synced` survive a loss of power; once `failure` is set, nothing more is
-    called synced and every call raises `FaultError`, because a failed sync may have dropped pages that a later one
-    reports as written.
+    reported as synced and every operation raises `FaultError`, because a failed sync may have dropped pages that a later
+    one reports as written.
 
     Attributes:
         process: name of the process, for events and errors.
         segment_bytes: a segment that is longer than this (and than half the last snapshot) is due for compaction.
-        end: offset behind the last byte appended.
+        end: offset after the last byte appended.
         synced: offset up to which everything is durable.
         segment_number: number of the segment that is appended to; segment_size: its length in bytes.
         logged_bytes: bytes in all the segments since the last snapshot.
         snapshot_bytes: length of the last snapshot.
         failure: why the disk is no longer trusted; empty while it is.
-        reserve: bytes that only vital entries (ends, results, trims) may use.
+        reserve: bytes of the disk that only vital entries (ends, results, trims) may use.
         group_commit: False only in measurements, where each append gets a sync of its own.
-        strict: a last frame of full length with a wrong checksum counts as damage instead of a torn tail.
-        unsynced_offsets: without group commit, the ends of the appends that still wait for their sync.
+        strict: whether a last frame of full length with a wrong checksum counts as damage instead of a torn tail.
+        unsynced_offsets: without group commit, the end offsets of the appends that still wait for their sync.
         unsynced: set while there is something to sync.
         sync_done: set after each sync, and then replaced by a new event.
-        lock: held while a file is synced or a snapshot written.
+        lock: locked while a file is synced or a snapshot is written.
     """
 
     process: str
@@ -147,11 +148,11 @@
         return f"{SEGMENT_PREFIX}{self.segment_number:08d}"
 
     def load(self) -> list[Any]:
-        """Reads the last snapshot and the segments after it, cuts a torn tail and removes the files that the snapshot
+        """Reads the last snapshot and the segments after it, truncates a torn tail and removes the files that the snapshot
         replaces.
 
-        Returns all entries in the order in which they were appended. Raises `FaultError`, whose fault names file and
-        offset, if a file is damaged or missing; the files are left as they are then.
+        Returns all entries in the order in which they were appended. Raises `FaultError`, whose fault names the file and
+        the offset, if a file is damaged or missing; the files are left unchanged then.
         """
         names = self.disk.names()
         snapshots = [n for n in names if n.startswith(SNAPSHOT_PREFIX)]
@@ -192,8 +193,8 @@
     def append(self, entries: Iterable[Any], vital: bool = True) -> int:
         """Appends entries to the current segment, without a sync; returns the offset to pass to `wait_synced`.
 
-        Entries that aren't `vital` leave `reserved_bytes` free. Raises `FaultError`: with code FULL if the disk has no
-        room, with code BROKE if it failed before.
+        Entries that aren't `vital` leave `reserved_bytes` of the disk free. Raises `FaultError`: with code FULL if the
+        disk is full, with code BROKE if it failed before.
         """
         if self.failure:
             raise self._failure_at("append")
@@ -214,14 +215,14 @@
         return self.end
 
     async def sync_forever(self) -> None:
-        """The task that syncs: whatever is appended while one sync runs is covered by the next."""
+        """Syncs whenever something was appended, for ever; what is appended during one sync is synced by the next."""
         while True:
             await self.unsynced.wait()
             self.unsynced.clear()
             await self.sync()
 
     async def sync(self) -> None:
-        """Makes durable what was appended before the call. Raises `FaultError` if the disk fails; see `failure`."""
+        """Makes all bytes durable that were appended before it began. Raises `FaultError` if the disk fails; see `failure`."""
         async with self.lock:
             offset = self.end
             if not self.group_commit and self.unsynced_offsets:
@@ -237,37 +238,37 @@
         self._notify_sync()
 
     async def wait_synced(self, offset: int) -> None:
-        """Returns once everything below an offset is durable. Raises `FaultError` if the disk failed before."""
+        """Waits until everything below an offset is durable. Raises `FaultError` if the disk has failed before that."""
         while self.synced < offset:
             if self.failure:
                 raise self._failure_at("sync")
             await self.sync_done.wait()
 
     def is_compaction_due(self) -> bool:
-        """Whether the segment has outgrown the last snapshot, and there is room for another one."""
+        """Returns whether the segment is large compared to the last snapshot, and the disk has space for another one."""
         outgrown = self.segment_size > max(self.segment_bytes, self.snapshot_bytes // 2)
         return outgrown and self.disk.space()[0] > self.next_snapshot_bytes
 
     @property
     def next_snapshot_bytes(self) -> int:
-        """The most that the next snapshot can take: the last one and all that was logged since."""
+        """Upper bound of the size of the next snapshot: the last one and everything logged since."""
         return self.snapshot_bytes + self.logged_bytes
 
     @property
     def reserved_bytes(self) -> int:
-        """Free bytes that new jobs may not use: for ends, results and trims, and for the snapshot that frees space."""
+        """Free bytes that new jobs may not use: for ends, results and trims, and for the snapshot that will free space."""
         return self.reserve + self.next_snapshot_bytes
 
     async def compact(self, entries: Iterator[Any]) -> None:
         """Writes a snapshot of all entries, begins a new segment and removes the older files.
 
-        If the disk has no room for it, nothing is lost: the segments stay, and event 114 is logged. Raises `FaultError`
-        if the disk fails otherwise.
+        If the disk has no space for it, nothing is lost: the segments are kept, and event 114 is logged. Raises
+        `FaultError` if the disk fails for another reason.
         """
         async with self.lock:
             data = b"".join(map(frame, entries)) + frame(IDL.Entry(part=-1, op=SEALED))
-            # From here on the old segment takes no more: whatever is appended while the snapshot is written goes to
-            # the new one, which is read after it.
+            # From here on nothing is appended to the old segment: whatever is appended while the snapshot is written goes
+            # to the new segment, which is read after the snapshot.
             old_number, old_size, old_name, offset = self.segment_number, self.segment_size, self.segment_name, self.end
             new_number = old_number + 1
             self.segment_number, self.segment_size = new_number, 0
@@ -279,7 +280,8 @@
                     self._fail("snapshot", f"snapshot failed: {error.strerror}", error)
                 log_events.emit(Event.DISK_FULL, self.process, step="snapshot", bytes=len(data))
                 if self.segment_size == 0:
-                    # Nothing was appended meanwhile: without a file of its own the number would be a gap.
+                    # Nothing was appended meanwhile, so the new segment has no file: its number would be a gap, which
+                    # `load` takes for a missing segment.
                     self.segment_number, self.segment_size = old_number, old_size
                 return
             self.synced = max(self.synced, offset)
