--- a/postpass/replication/acknowledgements.py
+++ b/postpass/replication/acknowledgements.py
@@ -29,7 +29,7 @@
         """Returns the highest sequence number that a disk of a node has acknowledged; 0 if it has acknowledged none."""
         return self.counts.get((node, disk, kind), 0)
 
-    def reach(self, members: Mapping[str, str], predicate: Callable[[Callable[[str, str], int]], int]) -> int:
+    def evaluate(self, members: Mapping[str, str], predicate: Callable[[Callable[[str, str], int]], int]) -> int:
         """Returns the sequence number up to which a predicate holds.
 
         Args:
--- a/postpass/replication/acknowledger.py
+++ b/postpass/replication/acknowledger.py
@@ -108,7 +108,10 @@
         bounds = self.table.settings.bounds
         affected_partitions = [p for p in self.table.partitions.values() if p.owner == owner and not p.owning]
         for partition in affected_partitions:
-            partition.refused_owner, partition.heard = owner, min(partition.heard, now() - bounds.detect)
+            partition.refused_owner, partition.last_heard_at = (
+                owner,
+                min(partition.last_heard_at, now() - bounds.detect),
+            )
         # The members that will be asked for promises notice the broken link at the same time as this one; they need a
         # moment for their own probes.
         await asyncio.sleep(bounds.beat / 8)
--- a/postpass/replication/catch_up.py
+++ b/postpass/replication/catch_up.py
@@ -11,7 +11,7 @@
 from postpass.replication.messages import BasePiece, FetchAnswer, FetchRequest, PromiseAnswer
 from postpass.replication.partition import Partition, empty_log
 from postpass.replication.partition_table import PartitionTable
-from postpass.replication.record_log import Record, RecordLog, match
+from postpass.replication.record_log import Record, RecordLog, last_common_seq
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime.errors import MOVED, Fault
 
@@ -40,7 +40,7 @@
         """
         assert voter_promise.position is not None and voter_promise.marks is not None
         last = voter_promise.position.last
-        common_seq = match(partition.record_log.marks(), partition.record_log.last, voter_promise.marks, last)
+        common_seq = last_common_seq(partition.record_log.marks(), partition.record_log.last, voter_promise.marks, last)
         own_log = partition.record_log
         # The copy has a base of its own, since more records may be folded into this store's base during the requests.
         staged_log = RecordLog(
@@ -111,7 +111,9 @@
             return
         # The disk is always written first: records that it did not accept must not be in memory, otherwise the next record
         # leaves a gap in the log on disk.
-        common_seq = match(partition.record_log.marks(), partition.record_log.last, staged_log.marks(), staged_log.last)
+        common_seq = last_common_seq(
+            partition.record_log.marks(), partition.record_log.last, staged_log.marks(), staged_log.last
+        )
         if common_seq < 0:
             entries = [base_entry(partition.id, staged_log.base_seq, staged_log.base_epoch, staged_log.base.dump())]
             entries += [r.entry(partition.id) for r in staged_log.recs]
--- a/postpass/replication/election.py
+++ b/postpass/replication/election.py
@@ -81,7 +81,7 @@
         if self.table.settings.name not in ranks or partition.in_election or self.table.leaving:
             return
         bounds = self.table.settings.bounds
-        if now() - partition.heard > bounds.detect + ranks.index(self.table.settings.name) * bounds.stagger:
+        if now() - partition.last_heard_at > bounds.detect + ranks.index(self.table.settings.name) * bounds.stagger:
             self.run_soon(partition, 0)
 
     def run_soon(self, partition: Partition, handed_epoch: int) -> None:
@@ -178,7 +178,7 @@
         """
         bounds = self.table.settings.bounds
         if not handed_epoch and not await self.could_win(partition):
-            partition.heard = now() - bounds.detect + bounds.stagger
+            partition.last_heard_at = now() - bounds.detect + bounds.stagger
             return
         epoch = partition.promised + 1
         partition.promised = epoch
@@ -190,7 +190,7 @@
         promises = await self.collect_promises(partition, request)
         retry_at = now() - bounds.detect + bounds.stagger * self.table.environment.chance.random()
         if promises is None or not await self.try_to_lead(partition, epoch, promises):
-            partition.heard = max(partition.heard, retry_at)
+            partition.last_heard_at = max(partition.last_heard_at, retry_at)
 
     async def could_win(self, partition: Partition) -> bool:
         """Returns whether enough members would promise.
@@ -246,7 +246,7 @@
             self.owner.become_owner(partition, epoch, view.losses, voters, step, list(candidacy.lost_jobs or ()))
         except FaultError:
             partition.step_down()
-            partition.heard = now()
+            partition.last_heard_at = now()
         return True
 
     def write_promise(self, partition: Partition, epoch: int) -> int:
@@ -263,7 +263,9 @@
         partition, epoch, disk = self.table.partition(request.partition), request.epoch, self.table.disk_id
         promised_before = partition.promised
         was_handed_over = bool(request.handed_epoch) and request.handed_epoch == max(partition.aligned, partition.epoch)
-        owner_alive = partition.owning or (partition.contacted and now() - partition.heard < bounds.detect * 0.9)
+        owner_alive = partition.owning or (
+            partition.contacted and now() - partition.last_heard_at < bounds.detect * 0.9
+        )
         if request.probe:
             return Ok(PromiseAnswer(disk, promised_before, not owner_alive or was_handed_over).encode())
         if epoch <= partition.promised or (owner_alive and not was_handed_over):
@@ -272,7 +274,7 @@
         if partition.owning:
             self.table.step_down(partition, epoch)
         partition.aligned = 0
-        partition.heard, partition.contacted = now(), True
+        partition.last_heard_at, partition.contacted = now(), True
         try:
             await self.table.log.wait_synced(self.write_promise(partition, epoch))
         except FaultError as error:
--- a/postpass/replication/handover.py
+++ b/postpass/replication/handover.py
@@ -82,7 +82,7 @@
         if (
             mirror is None
             or mirror.silent
-            or current_time - mirror.heard >= bounds.beat * RECENT_HEARTBEATS
+            or current_time - mirror.last_heard_at >= bounds.beat * RECENT_HEARTBEATS
             or partition.view.members.get(name) != mirror.disk
         ):
             return False
@@ -102,7 +102,7 @@
             return False
         log_events.emit(Event.OWNERSHIP_HANDED_OVER, self.table.settings.name, part=partition.id, to=name, epoch=epoch)
         partition.step_down()
-        partition.aligned, partition.heard = epoch, now()
+        partition.aligned, partition.last_heard_at = epoch, now()
         if not await self._ask(name, Hello(partition.id, epoch, self.table.settings.name, handover=True)):
             self._take_back(partition, epoch)
         return True
--- a/postpass/replication/leadership_check.py
+++ b/postpass/replication/leadership_check.py
@@ -58,7 +58,7 @@
 
     async def _ask_members(self, partition: Partition, epoch: int) -> bool:
         voters = self.table.own_vote
-        if partition.confirmed(voters):
+        if partition.is_ownership_confirmed(voters):
             return partition.epoch == epoch
         confirmed = asyncio.Event()
 
@@ -71,7 +71,7 @@
             answer = HelloAnswer.decode(response.unwrap())
             if answer.accepted:
                 voters[name] = answer.disk
-                if partition.epoch == epoch and partition.confirmed(voters):
+                if partition.epoch == epoch and partition.is_ownership_confirmed(voters):
                     confirmed.set()
             elif answer.promised > epoch and partition.epoch == epoch:
                 self.table.step_down(partition, answer.promised)
--- a/postpass/replication/mirror.py
+++ b/postpass/replication/mirror.py
@@ -74,7 +74,12 @@
                 return Err(error.fault)
             if partition.promised != epoch:
                 return Ok(HelloAnswer(disk, partition.promised, False).encode())
-        partition.heard, partition.owner, partition.contacted, partition.refused_owner = now(), hello.owner, True, ""
+        partition.last_heard_at, partition.owner, partition.contacted, partition.refused_owner = (
+            now(),
+            hello.owner,
+            True,
+            "",
+        )
         partition.handshake_epoch = 0 if partition.aligned == epoch else epoch
         # The owner has just connected: an older link for acknowledgements may lead to a process that has ended.
         self.acknowledger.reconnected.add(hello.owner)
@@ -117,7 +122,7 @@
             # this store.
             self.acknowledger.schedule(partition, packet.owner, gap=True)
             return
-        partition.heard, partition.owner = now(), packet.owner
+        partition.last_heard_at, partition.owner = now(), packet.owner
         try:
             self.accept_packet(partition, packet)
         except FaultError as error:
--- a/postpass/replication/owner.py
+++ b/postpass/replication/owner.py
@@ -132,7 +132,7 @@
             # The record was sequenced in memory but is not on disk: this store can't go on as the owner of this log.
             partition.cut(record.seq - 1)
             partition.step_down()
-            partition.heard = now()
+            partition.last_heard_at = now()
             raise FaultError(Fault("append", self.table.settings.name, error.fault.why, SLOW)) from error
         self.table.counts[f"rec_{kind}"] += 1
         self.streams.wake_all(partition)
@@ -155,7 +155,7 @@
             mirror = partition.mirrors.get(ack.name)
             if mirror is None or mirror.disk != ack.disk:
                 continue
-            mirror.heard, mirror.silent, mirror.full = now(), False, bool(ack.full)
+            mirror.last_heard_at, mirror.silent, mirror.full = now(), False, bool(ack.full)
             if ack.gap:
                 mirror.link = None
                 self.streams.wake_all(partition)
--- a/postpass/replication/owner_duties.py
+++ b/postpass/replication/owner_duties.py
@@ -36,16 +36,16 @@
         configuration, bounds, current_time = self.table.configuration_view.manifest, self.table.settings.bounds, now()
         assert configuration is not None
         responsive_disks = {
-            name: mirror.disk
-            for name, mirror in partition.mirrors.items()
-            if current_time - mirror.heard < bounds.detect
+            n: mirror.disk
+            for n, mirror in partition.mirrors.items()
+            if current_time - mirror.last_heard_at < bounds.detect
         }
-        if not partition.confirmed(responsive_disks | {self.table.settings.name: self.table.disk_id}):
-            if current_time - partition.heard > bounds.detect * 1.5:
+        if not partition.is_ownership_confirmed(responsive_disks | {self.table.settings.name: self.table.disk_id}):
+            if current_time - partition.last_heard_at > bounds.detect * 1.5:
                 self.table.step_down(partition, partition.epoch)
                 return
         else:
-            partition.heard = current_time
+            partition.last_heard_at = current_time
         self.streams.wake_all(partition)
         self.cover_watch.observe(partition)
         if self.cannot_cover(partition):
@@ -69,7 +69,7 @@
                 mirror = partition.mirrors.get(name)
                 if (
                     mirror is not None
-                    and current_time - mirror.since > bounds.detect
+                    and current_time - mirror.tracked_since > bounds.detect
                     and self.handover.can_take_over(partition, name)
                 ):
                     self.handover.begin(partition, name)
@@ -85,9 +85,10 @@
             n: mirror for n in expected_names if (mirror := partition.mirrors.get(n)) is not None and mirror.disk
         }
         if len(answering_mirrors) < len(expected_names) or any(
-            mirror.silent or current_time - mirror.heard > bounds.detect for mirror in answering_mirrors.values()
+            mirror.silent or current_time - mirror.last_heard_at > bounds.detect
+            for mirror in answering_mirrors.values()
         ):
             return False
-        return partition.hopeless(
+        return partition.is_uncoverable(
             {n: mirror.disk for n, mirror in answering_mirrors.items()} | {self.table.settings.name: self.table.disk_id}
         )
--- a/postpass/replication/owner_lookup.py
+++ b/postpass/replication/owner_lookup.py
@@ -16,34 +16,40 @@
     """One round of a search for the owner of one partition. Owned by the request that searches.
 
     A round asks each machine once: first the machine that was named as the owner most recently, then the guesses, then the
-    members in their agreed order; those of `doubtful` come last. Within one round every member is asked, unless the owner
+    members in their agreed order; those of `unresponsive` come last. Within one round every member is asked, unless the owner
     is found before.
 
     Attributes:
         guesses: Names of machines that may be the owner, the likeliest first.
         members: Names of the members in their agreed order.
-        doubtful: Names of machines that did not answer lately.
+        unresponsive: Names of machines that did not answer lately.
         tried: Names of machines that were asked in this round.
-        named: Names that machines gave as the owner in this round, the newest first.
+        named_owners: Names that machines gave as the owner in this round, the newest first.
     """
 
     guesses: tuple[str, ...]
     members: tuple[str, ...]
-    doubtful: frozenset[str] = frozenset()
+    unresponsive: frozenset[str] = frozenset()
     tried: list[str] = field(default_factory=list)
-    named: list[str] = field(default_factory=list)
+    named_owners: list[str] = field(default_factory=list)
 
     @classmethod
     def over(
-        cls, guesses: Iterable[str], members: Iterable[str], doubtful: Collection[str] = (), tried: Iterable[str] = ()
+        cls,
+        guesses: Iterable[str],
+        members: Iterable[str],
+        unresponsive: Collection[str] = (),
+        tried: Iterable[str] = (),
     ) -> OwnerLookup:
         """Returns a round among the given machines, except for those in `tried`; empty guesses are left out."""
-        return cls(tuple(n for n in guesses if n), tuple(members), frozenset(doubtful), list(tried))
+        return cls(tuple(n for n in guesses if n), tuple(members), frozenset(unresponsive), list(tried))
 
     def next_name(self) -> str:
         """Returns the name of the machine to ask next; empty once all machines of this round were asked."""
-        candidates = [n for n in dict.fromkeys([*self.named, *self.guesses, *self.members]) if n not in self.tried]
-        return min(candidates, key=lambda name: name in self.doubtful, default="")
+        candidates = [
+            n for n in dict.fromkeys([*self.named_owners, *self.guesses, *self.members]) if n not in self.tried
+        ]
+        return min(candidates, key=lambda name: name in self.unresponsive, default="")
 
     def asked(self, name: str) -> None:
         """Notes that a machine is being asked."""
@@ -52,7 +58,7 @@
     def follow(self, owner: str) -> None:
         """Notes the owner that a machine has named, which is asked next; empty if that machine knows none."""
         if owner and owner not in self.tried:
-            self.named.insert(0, owner)
+            self.named_owners.insert(0, owner)
 
     def ask_again(self, name: str) -> None:
         """Has a machine that was asked in this round asked once more, as the next one, since it is becoming the owner."""
--- a/postpass/replication/partition.py
+++ b/postpass/replication/partition.py
@@ -32,16 +32,16 @@
     Attributes:
         kind: One of the kinds of messages in `replication.messages`: beat, start, snap or rec.
         seq: Sequence number of the record, or of the last record in the base.
-        born: Epoch under which that record was sequenced.
-        prior: Epoch of the record before it.
+        record_epoch: Epoch under which that record was sequenced.
+        previous_epoch: Epoch of the record before it.
         body: The bytes, which are split into packets of `PACKET` bytes.
         index: Number of the next packet to send, from 0.
     """
 
     kind: str
     seq: int
-    born: int
-    prior: int
+    record_epoch: int
+    previous_epoch: int
     body: bytes
     index: int = 0
 
@@ -55,30 +55,30 @@
 class MirrorProgress:
     """Progress of the owner's stream to one mirror.
 
-    Invariant: the records below `next` were sent over `link`, in order, once each, except for the remaining packets of
-    `outgoing`. The send loop to the mirror owns the object; `PartitionOwner.on_ack` sets `heard`, `silent` and `full`, and
+    Invariant: the records below `next_seq` were sent over `link`, in order, once each, except for the remaining packets of
+    `outgoing`. The send loop to the mirror owns the object; `PartitionOwner.on_ack` sets `last_heard_at`, `silent` and `full`, and
     clears `link` if the mirror reports a gap.
 
     Attributes:
         link: The link on which the handshake was completed; None if a handshake is needed.
         epoch: Epoch of that handshake.
-        next: Sequence number of the next record to send.
+        next_seq: Sequence number of the next record to send.
         disk: Identity of the mirror's disk.
-        heard: When the mirror's last acknowledgement arrived, in monotonic seconds.
+        last_heard_at: When the mirror's last acknowledgement arrived, in monotonic seconds.
         silent: Whether that is longer ago than `bounds.silent`; the mirror is not relied on then.
         full: Whether the mirror's disk is full.
-        since: When the owner began to track the mirror, in monotonic seconds.
+        tracked_since: When the owner began to track the mirror, in monotonic seconds.
         outgoing: The message that is being sent; None between two messages.
     """
 
     link: object = None
     epoch: int = 0
-    next: int = 0
+    next_seq: int = 0
     disk: str = ""
-    heard: float = 0.0
+    last_heard_at: float = 0.0
     silent: bool = False
     full: bool = False
-    since: float = 0.0
+    tracked_since: float = 0.0
     outgoing: OutgoingMessage | None = None
 
 
@@ -118,7 +118,7 @@
         record_log: The records in memory: a base and the records after it.
         promised: Highest epoch that this store has promised to follow.
         owner: Name of the owner that this store follows; empty if none is known.
-        heard: As follower, when the owner or a candidate was last heard from; as owner, when a quorum last was.
+        last_heard_at: As follower, when the owner or a candidate was last heard from; as owner, when a quorum last was.
         refused_owner: An owner whose machine has refused a connection since it was last heard from, which shows that its
             process has ended; empty if there is none.
         contacted: Whether an owner or a candidate has been heard from since the process started, or this store has already
@@ -149,7 +149,7 @@
     record_log: RecordLog = field(default_factory=empty_log)
     promised: int = 0
     owner: str = ""
-    heard: float = 0.0
+    last_heard_at: float = 0.0
     refused_owner: str = ""
     contacted: bool = False
     aligned: int = 0
@@ -223,11 +223,11 @@
             rules += [(members, view.old_predicate) for members, _ in list(rules)]
         return rules
 
-    def reach(self, text: str = "") -> int:
+    def frontier(self, text: str = "") -> int:
         """Returns the stability frontier: the highest sequence number that satisfies every rule, so that while members
         or predicate change it is the minimum over the old and the new ones."""
         return min(
-            self.acknowledgements.reach(members, self.predicate_over(predicate, members))
+            self.acknowledgements.evaluate(members, self.predicate_over(predicate, members))
             for members, predicate in self.rules(self.view, text)
         )
 
@@ -235,20 +235,20 @@
         """Recomputes the stability frontier after an acknowledgement or a sync; returns whether `covered` has risen."""
         if not self.view.members:
             return False
-        seq = min(self.reach(), self.record_log.last)
+        seq = min(self.frontier(), self.record_log.last)
         advanced = False
         # Once a change of members is covered, the old members no longer apply, which may advance the frontier further.
         while seq >= self.epoch_mark and seq > self.covered:
             self.covered, advanced = seq, True
             self.acknowledgements.advance(seq)
-            seq = min(self.reach(), self.record_log.last)
+            seq = min(self.frontier(), self.record_log.last)
         if advanced or self.waiters:
             self._wake()
         return advanced
 
     def _wake(self) -> None:
         """Resolves the waiters whose record is covered, also by their additional predicate."""
-        frontiers = {t: self.reach(t) for t in dict.fromkeys([t for _, t, _ in self.waiters if t])}
+        frontiers = {t: self.frontier(t) for t in dict.fromkeys([t for _, t, _ in self.waiters if t])}
         remaining = []
         for seq, text, future in self.waiters:
             if future.done():
@@ -279,7 +279,7 @@
         except TimeoutError:
             return False
 
-    def enough(self, view: JobView, voters: Members, test: Callable[..., bool]) -> bool:
+    def satisfies_all_rules(self, view: JobView, voters: Members, criterion: Callable[..., bool]) -> bool:
         """Returns whether voters suffice under every rule that may apply.
 
         Args:
@@ -288,7 +288,7 @@
             test: `promises_suffice` or `confirm_suffice`.
         """
         return bool(view.members) and all(
-            test(
+            criterion(
                 self.predicate_over(predicate, members),
                 tuple(members),
                 [n for n, d in voters.items() if members.get(n) == d],
@@ -298,11 +298,11 @@
 
     def may_lead(self, view: JobView, voters: Members) -> bool:
         """Returns whether the promises of these voters (name -> disk) suffice to become owner."""
-        return self.enough(view, voters, promises_suffice)
+        return self.satisfies_all_rules(view, voters, promises_suffice)
 
-    def confirmed(self, voters: Members) -> bool:
+    def is_ownership_confirmed(self, voters: Members) -> bool:
         """Returns whether the confirmations of these voters (name -> disk) prove that there is no later owner."""
-        return self.enough(self.view, voters, confirm_suffice)
+        return self.satisfies_all_rules(self.view, voters, confirm_suffice)
 
     def can_cover(self, names: set[str]) -> bool:
         """Returns whether records can be covered with acknowledgements of these members only."""
@@ -311,7 +311,7 @@
             for members, predicate in self.rules(self.view)
         )
 
-    def hopeless(self, disks: Members) -> bool:
+    def is_uncoverable(self, disks: Members) -> bool:
         """Returns whether some rule can never be satisfied again if no other disks (name -> disk) than these are left."""
         return any(
             not covers(self.predicate_over(predicate, members), {n for n, d in members.items() if disks.get(n) == d})
@@ -365,7 +365,7 @@
         proof = max(self.view.members_seq, self.view.settled_seq)
         return self.ready and self.view.unsettled() == 0 and proof <= self.covered
 
-    def sync_to(self, log_offset: int) -> bool:
+    def mark_synced(self, log_offset: int) -> bool:
         """Updates `persisted` after a sync of the log on disk; returns whether it has risen.
 
         Args:
@@ -398,7 +398,7 @@
         Returns:
             Whether records were folded. Fewer than 64 are left alone while the log is within the budget.
         """
-        delivered_seqs = [f.next - 1 for f in self.mirrors.values() if not f.silent]
+        delivered_seqs = [f.next_seq - 1 for f in self.mirrors.values() if not f.silent]
         new_base_seq = min([self.covered, *delivered_seqs]) if self.record_log.size <= budget else self.covered
         new_base_seq = min(new_base_seq, self.persisted)
         if new_base_seq - self.record_log.base_seq < 64 and self.record_log.size <= budget:
--- a/postpass/replication/partition_table.py
+++ b/postpass/replication/partition_table.py
@@ -73,7 +73,7 @@
         """Returns the partition with a number, which is created on first use."""
         if number not in self.partitions:
             self.partitions[number] = Partition(
-                number, self.settings.name, self.disk_id if self.data_directory else "", heard=now()
+                number, self.settings.name, self.disk_id if self.data_directory else "", last_heard_at=now()
             )
         return self.partitions[number]
 
@@ -98,14 +98,14 @@
     def other_members(self, partition: Partition, view: JobView) -> list[str]:
         """Returns the names of all other stores that have, or should have, a copy: those of the configuration's order and
         the members in the log, including the old ones while a change of members is not covered."""
-        candidates = dict.fromkeys(
+        copy_holders = dict.fromkeys(
             [
                 *self.configuration_view.order(partition.id),
                 *view.members,
                 *(view.old_members if view.members_seq > partition.covered else {}),
             ]
         )
-        return [n for n in candidates if n != self.settings.name]
+        return [n for n in copy_holders if n != self.settings.name]
 
     async def ask(self, name: str, verb: str, body: Body) -> PeerResponse:
         """Sends a request to another store and returns its response; the fault LACK if the store has no address."""
@@ -125,7 +125,7 @@
             )
             partition.step_down()
         partition.promised = max(partition.promised, epoch)
-        partition.heard = now()
+        partition.last_heard_at = now()
 
     async def load(self) -> None:
         """Opens the data directory and reads the log on disk into partitions.
--- a/postpass/replication/reconfiguration.py
+++ b/postpass/replication/reconfiguration.py
@@ -47,13 +47,19 @@
     def situation(self, partition: Partition) -> Situation:
         """Returns the state from which a change of a partition's members is decided, as its owner sees it now."""
         recent_since = now() - self.table.settings.bounds.detect
-        heard = {n: f.disk for n, f in partition.mirrors.items() if f.disk and not f.silent and f.heard > recent_since}
+        answering_disks = {
+            n: f.disk
+            for n, f in partition.mirrors.items()
+            if f.disk and not f.silent and f.last_heard_at > recent_since
+        }
         ready = {
-            n: d for n, d in heard.items() if partition.acknowledgements.get(n, d, "persisted") >= partition.covered
+            n: d
+            for n, d in answering_disks.items()
+            if partition.acknowledgements.get(n, d, "persisted") >= partition.covered
         }
         if partition.persisted >= partition.covered:
             ready[self.table.settings.name] = self.table.disk_id
-        answering = [*heard, self.table.settings.name]
+        answering = [*answering_disks, self.table.settings.name]
         return Situation(
             partition.view.members,
             self.table.configuration_view.order(partition.id),
--- a/postpass/replication/record_log.py
+++ b/postpass/replication/record_log.py
@@ -122,7 +122,9 @@
         return runs
 
 
-def match(own_marks: list[tuple[int, int]], own_last: int, other_marks: list[tuple[int, int]], other_last: int) -> int:
+def last_common_seq(
+    own_marks: list[tuple[int, int]], own_last: int, other_marks: list[tuple[int, int]], other_last: int
+) -> int:
     """Returns the highest sequence number up to which two logs have the same records, given the marks (see
     `RecordLog.marks`) and the last sequence number of each; -1 if it is below a base and therefore unknown."""
 
--- a/postpass/replication/stability.py
+++ b/postpass/replication/stability.py
@@ -220,7 +220,7 @@
     return predicate(lambda node, kind: 1 if node in synced_nodes else 0) >= 1
 
 
-def quorums(predicate: Callable[[Count], int], nodes: tuple[str, ...]) -> list[frozenset[str]]:
+def minimal_quorums(predicate: Callable[[Count], int], nodes: tuple[str, ...]) -> list[frozenset[str]]:
     """Returns the minimal sets of nodes that cover a record, that is, those without a smaller covering subset."""
     covering_sets = [
         frozenset(c) for n in range(1, len(nodes) + 1) for c in itertools.combinations(nodes, n) if covers(predicate, c)
--- a/postpass/replication/store.py
+++ b/postpass/replication/store.py
@@ -187,12 +187,12 @@
         while True:
             sync_done = self.table.log.sync_done
             await sync_done.wait()
-            self.synced()
+            self.apply_sync()
 
-    def synced(self) -> None:
+    def apply_sync(self) -> None:
         """Updates each partition's persisted records to how far the log on disk is synced."""
         for partition in self.table.partitions.values():
-            if partition.sync_to(self.table.log.synced):
+            if partition.mark_synced(self.table.log.synced):
                 if partition.owning:
                     self.owner.advance(partition)
                 else:
@@ -212,9 +212,9 @@
                 # After a start no owner has been heard from yet, and the detection time need not pass before an election:
                 # if there is an owner, one of the members asked for promises hears its heartbeats and refuses.
                 if not partition.contacted:
-                    partition.contacted, partition.heard = (
+                    partition.contacted, partition.last_heard_at = (
                         True,
-                        min(partition.heard, now() - self.table.settings.bounds.detect),
+                        min(partition.last_heard_at, now() - self.table.settings.bounds.detect),
                     )
             zones = {name: machine["area"] for name, machine in configuration["machines"].items()}
             for partition in list(self.table.partitions.values()):
@@ -229,7 +229,7 @@
             self.shares.watch()
             if self.table.log.is_compaction_due():
                 await self.table.log.compact(self.table.snapshot())
-                self.synced()
+                self.apply_sync()
 
     async def on_parts(self, _body: Body) -> PeerResponse:
         """Returns the state of this store's partitions and of its disk, for operators."""
--- a/postpass/replication/streaming.py
+++ b/postpass/replication/streaming.py
@@ -10,7 +10,7 @@
 from postpass.replication.messages import HEARTBEAT, RECORD, SNAPSHOT, START, Hello, HelloAnswer
 from postpass.replication.partition import MirrorProgress, OutgoingMessage, Partition
 from postpass.replication.partition_table import PartitionTable
-from postpass.replication.record_log import match
+from postpass.replication.record_log import last_common_seq
 from postpass.rpc.codec import IDL, PACKET
 from postpass.rpc.connection import Link
 from postpass.runtime import log_events
@@ -86,7 +86,7 @@
         for partition in owned:
             if not partition.owning or link.closed:
                 continue
-            mirror = partition.mirrors.setdefault(name, MirrorProgress(since=now(), heard=now()))
+            mirror = partition.mirrors.setdefault(name, MirrorProgress(tracked_since=now(), last_heard_at=now()))
             handshake_valid = mirror.link is link and mirror.epoch == partition.epoch
             if not handshake_valid and not await self.handshake(partition, name, link, mirror):
                 continue
@@ -130,15 +130,17 @@
 
     def suspend_if_silent(self, partition: Partition, name: str) -> None:
         """Stops a stream whose mirror has not acknowledged for `bounds.silent` seconds."""
-        mirror = partition.mirrors.setdefault(name, MirrorProgress(since=now(), heard=now()))
-        if not mirror.silent and now() - mirror.heard > self.table.settings.bounds.silent:
+        mirror = partition.mirrors.setdefault(name, MirrorProgress(tracked_since=now(), last_heard_at=now()))
+        if not mirror.silent and now() - mirror.last_heard_at > self.table.settings.bounds.silent:
             mirror.silent = True
             mirror.link = None
             log_events.emit(Event.MIRROR_SILENT, self.table.settings.name, part=partition.id, mirror=name)
 
-    def send(self, link: Link, partition: Partition, kind: str, seq: int, born: int, prior: int, body: bytes) -> None:
+    def send(
+        self, link: Link, partition: Partition, kind: str, seq: int, record_epoch: int, previous_epoch: int, body: bytes
+    ) -> None:
         """Sends all packets of a message."""
-        message = OutgoingMessage(kind, seq, born, prior, body)
+        message = OutgoingMessage(kind, seq, record_epoch, previous_epoch, body)
         while message.index < message.total:
             self.send_packet(link, partition, message)
 
@@ -146,7 +148,7 @@
         """Queues the next packet of a message on the link; returns its approximate size in bytes."""
         packet_body = message.body[message.index * PACKET : (message.index + 1) * PACKET]
         link.put("carry", IDL.Packet(
-            part=partition.id, epoch=partition.epoch, owner=self.table.settings.name, kind=message.kind, seq=message.seq, born=message.born, prior=message.prior,
+            part=partition.id, epoch=partition.epoch, owner=self.table.settings.name, kind=message.kind, seq=message.seq, born=message.record_epoch, prior=message.previous_epoch,
             index=message.index, total=message.total, body=packet_body, covered=partition.covered,
         ))  # fmt: skip
         message.index += 1
@@ -161,19 +163,21 @@
         size = 0
         while size < TURN_BYTES:
             if mirror.outgoing is None:
-                if mirror.next <= partition.record_log.base_seq:
+                if mirror.next_seq <= partition.record_log.base_seq:
                     mirror.link = None  # the record was folded into the base; a new handshake begins with a snapshot
                     return True
-                if mirror.next > partition.record_log.last:
+                if mirror.next_seq > partition.record_log.last:
                     break
-                if self.wait_each and mirror.next - 1 > partition.acknowledgements.get(name, mirror.disk, "persisted"):
+                if self.wait_each and mirror.next_seq - 1 > partition.acknowledgements.get(
+                    name, mirror.disk, "persisted"
+                ):
                     return False
-                record = partition.record_log.get(mirror.next)
-                prior = partition.record_log.epoch_at(record.seq - 1)
+                record = partition.record_log.get(mirror.next_seq)
+                previous_epoch = partition.record_log.epoch_at(record.seq - 1)
                 mirror.outgoing = OutgoingMessage(
-                    RECORD, record.seq, record.epoch, prior, record.body + b"\n" + record.kind.encode()
+                    RECORD, record.seq, record.epoch, previous_epoch, record.body + b"\n" + record.kind.encode()
                 )
-                mirror.next += 1
+                mirror.next_seq += 1
             size += self.send_packet(link, partition, mirror.outgoing)
             if mirror.outgoing.index == mirror.outgoing.total:
                 mirror.outgoing = None
@@ -205,11 +209,11 @@
         if answer.last < acknowledged:
             await self.report_failed_disk(partition, name, link, answer, acknowledged)
             return False
-        common_seq = match(partition.record_log.marks(), partition.record_log.last, answer.marks, answer.last)
+        common_seq = last_common_seq(partition.record_log.marks(), partition.record_log.last, answer.marks, answer.last)
         mirror.link, mirror.epoch, mirror.disk, mirror.outgoing = link, epoch, answer.disk, None
         if common_seq >= 0:
             self.send(link, partition, START, common_seq, partition.record_log.epoch_at(common_seq), 0, b"")
-            mirror.next = common_seq + 1
+            mirror.next_seq = common_seq + 1
         else:
             self.begin_snapshot(partition, name, mirror)
         return True
@@ -238,4 +242,4 @@
         mirror.outgoing = OutgoingMessage(
             SNAPSHOT, record_log.base_seq, record_log.base_epoch, 0, record_log.base.dump()
         )
-        mirror.next = record_log.base_seq + 1
+        mirror.next_seq = record_log.base_seq + 1
--- a/tests/replication/test_acknowledgements.py
+++ b/tests/replication/test_acknowledgements.py
@@ -19,6 +19,6 @@
     for node in ("s1", "s2", "s3"):
         rec.put(node, "old", "persisted", 7)
     low: Callable[[Callable[[str, str], int]], int] = lambda c: min(c(n, "persisted") for n in ("s1", "s2", "s3"))  # noqa: E731
-    assert rec.reach({"s1": "old", "s2": "old", "s3": "old"}, low) == 7
-    assert rec.reach({"s1": "old", "s2": "new", "s3": "old"}, low) == 0
-    assert rec.reach({"s1": "old", "s2": "old"}, low) == 0
+    assert rec.evaluate({"s1": "old", "s2": "old", "s3": "old"}, low) == 7
+    assert rec.evaluate({"s1": "old", "s2": "new", "s3": "old"}, low) == 0
+    assert rec.evaluate({"s1": "old", "s2": "old"}, low) == 0
--- a/tests/replication/test_owner_lookup.py
+++ b/tests/replication/test_owner_lookup.py
@@ -99,7 +99,7 @@
 
 
 def test_those_that_gave_no_answer_lately_are_asked_last() -> None:
-    lookup = OwnerLookup.over(["s1"], MEMBERS, doubtful=["s1", "s2"])
+    lookup = OwnerLookup.over(["s1"], MEMBERS, unresponsive=["s1", "s2"])
     asked = []
     while name := lookup.next_name():
         lookup.asked(name)
--- a/tests/replication/test_partition.py
+++ b/tests/replication/test_partition.py
@@ -23,7 +23,7 @@
         part.acknowledgements.put(name, name.replace("s", "d"), "persisted", 2)
     assert not part.advance() and part.covered == 0
     part.unsynced.append((10, 2))
-    assert not part.sync_to(9) and part.sync_to(10) and part.advance() and part.covered == 2
+    assert not part.mark_synced(9) and part.mark_synced(10) and part.advance() and part.covered == 2
 
 
 def test_four_stores_cover_with_three_synced_copies_never_two() -> None:
@@ -114,7 +114,7 @@
     fresh, view = _restarted(part)
     assert fresh.may_lead(view, now) and not fresh.may_lead(view, {"s1": "d1", "s2": "d2", "s3": "d3"})
     fresh.lead(2)
-    assert not fresh.hopeless(now)
+    assert not fresh.is_uncoverable(now)
     fresh.epoch_mark = fresh.make("mark", {}).seq
     for name, disk in now.items():
         fresh.acknowledgements.put(name, disk, "persisted", fresh.epoch_mark)
@@ -169,7 +169,7 @@
     for _ in range(100):
         part.make("mark", {})
     part.persisted = part.covered = 102
-    part.mirrors = {"s2": MirrorProgress(next=103), "s3": MirrorProgress(next=70)}
+    part.mirrors = {"s2": MirrorProgress(next_seq=103), "s3": MirrorProgress(next_seq=70)}
     assert part.trim(1 << 20) and part.record_log.base_seq == 69
     part.mirrors["s3"].silent = True
     assert not part.trim(1 << 20)  # too little to be worth it
--- a/tests/replication/test_record_log.py
+++ b/tests/replication/test_record_log.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from postpass.replication.record_log import Record, RecordLog, match
+from postpass.replication.record_log import Record, RecordLog, last_common_seq
 
 
 def _tape(*epochs: int) -> RecordLog:
@@ -14,8 +14,8 @@
 
 def test_match_finds_where_two_logs_part() -> None:
     def meet(one: RecordLog, two: RecordLog) -> int:
-        there = match(one.marks(), one.last, two.marks(), two.last)
-        assert there == match(two.marks(), two.last, one.marks(), one.last)
+        there = last_common_seq(one.marks(), one.last, two.marks(), two.last)
+        assert there == last_common_seq(two.marks(), two.last, one.marks(), one.last)
         return there
 
     assert meet(_tape(1, 1, 1), _tape(1, 1)) == 2
--- a/tests/replication/test_stability.py
+++ b/tests/replication/test_stability.py
@@ -8,8 +8,8 @@
     build,
     confirm_suffice,
     loss_flaw,
+    minimal_quorums,
     promises_suffice,
-    quorums,
 )
 
 
@@ -39,11 +39,11 @@
 def test_trap_one_kth_min_is_no_majority_of_four() -> None:
     source = build("KTH_MIN(SIZEOF($ALLWNODES)/2+1, $ALLWNODES)", SCENE).unwrap()
     ours = build(DEFAULT, SCENE).unwrap()
-    assert {len(q) for q in quorums(source, SCENE.nodes)} == {2}
-    assert {len(q) for q in quorums(ours, SCENE.nodes)} == {3}
+    assert {len(q) for q in minimal_quorums(source, SCENE.nodes)} == {2}
+    assert {len(q) for q in minimal_quorums(ours, SCENE.nodes)} == {3}
     for n in range(1, 8):
         scene = four(*"abcdefg"[:n])
-        assert {len(q) for q in quorums(build(DEFAULT, scene).unwrap(), scene.nodes)} == {n // 2 + 1}
+        assert {len(q) for q in minimal_quorums(build(DEFAULT, scene).unwrap(), scene.nodes)} == {n // 2 + 1}
 
 
 def test_faults_are_named_with_their_place() -> None:
