--- a/postpass/replication/acknowledger.py
+++ b/postpass/replication/acknowledger.py
@@ -126,7 +126,7 @@
             partition: The partition.
             full: Whether this store's disk is full.
         """
-        aligned = partition.aligned > 0 and partition.aligned == partition.promised
+        aligned = partition.aligned_epoch > 0 and partition.aligned_epoch == partition.promised
         return IDL.Ack(
             part=partition.id, epoch=partition.promised, name=self.table.settings.name, disk=self.table.disk_id, promised=partition.promised,
             received=partition.record_log.last if aligned else 0, persisted=partition.persisted if aligned else 0,
--- a/postpass/replication/cover_watch.py
+++ b/postpass/replication/cover_watch.py
@@ -21,7 +21,9 @@
     first_uncovered = partition.covered + 1
     if partition.record_log.last < first_uncovered:
         return []
-    counted_disks = {(name, disk) for members, _ in partition.rules(partition.view) for name, disk in members.items()}
+    counted_disks = {
+        (name, disk) for members, _ in partition.active_rules(partition.view) for name, disk in members.items()
+    }
     behind = {
         name
         for name, disk in counted_disks
--- a/postpass/replication/election.py
+++ b/postpass/replication/election.py
@@ -262,7 +262,9 @@
         request, bounds = PromiseRequest.decode(body), self.table.settings.bounds
         partition, epoch, disk = self.table.partition(request.partition), request.epoch, self.table.disk_id
         promised_before = partition.promised
-        was_handed_over = bool(request.handed_epoch) and request.handed_epoch == max(partition.aligned, partition.epoch)
+        was_handed_over = bool(request.handed_epoch) and request.handed_epoch == max(
+            partition.aligned_epoch, partition.epoch
+        )
         owner_alive = partition.owning or (
             partition.contacted and now() - partition.last_heard_at < bounds.detect * 0.9
         )
@@ -273,7 +275,7 @@
         partition.promised = epoch
         if partition.owning:
             self.table.step_down(partition, epoch)
-        partition.aligned = 0
+        partition.aligned_epoch = 0
         partition.last_heard_at, partition.contacted = now(), True
         try:
             await self.table.log.wait_synced(self.write_promise(partition, epoch))
--- a/postpass/replication/handover.py
+++ b/postpass/replication/handover.py
@@ -102,7 +102,7 @@
             return False
         log_events.emit(Event.OWNERSHIP_HANDED_OVER, self.table.settings.name, part=partition.id, to=name, epoch=epoch)
         partition.step_down()
-        partition.aligned, partition.last_heard_at = epoch, now()
+        partition.aligned_epoch, partition.last_heard_at = epoch, now()
         if not await self._ask(name, Hello(partition.id, epoch, self.table.settings.name, handover=True)):
             self._take_back(partition, epoch)
         return True
@@ -125,6 +125,6 @@
 
         If the other member runs as well because only its answer was lost, the epochs decide between the two.
         """
-        can_run = partition.aligned == epoch and not partition.owning and not partition.in_election
+        can_run = partition.aligned_epoch == epoch and not partition.owning and not partition.in_election
         if can_run and not self.table.leaving:
             self.run_election(partition, epoch)
--- a/postpass/replication/mirror.py
+++ b/postpass/replication/mirror.py
@@ -67,7 +67,7 @@
             partition.promised = epoch
             if partition.owning:
                 self.table.step_down(partition, epoch)
-            partition.aligned = 0
+            partition.aligned_epoch = 0
             try:
                 await self.table.log.wait_synced(self.election.write_promise(partition, epoch))
             except FaultError as error:
@@ -80,7 +80,7 @@
             True,
             "",
         )
-        partition.handshake_epoch = 0 if partition.aligned == epoch else epoch
+        partition.handshake_epoch = 0 if partition.aligned_epoch == epoch else epoch
         # The owner has just connected: an older link for acknowledgements may lead to a process that has ended.
         self.acknowledger.reconnected.add(hello.owner)
         record_log = partition.record_log
@@ -88,7 +88,7 @@
 
     def would_take_over(self, partition: Partition, epoch: int) -> bool:
         """Returns whether this store would run for owner at once if the owner of an epoch stepped down for it."""
-        can_run = partition.aligned == epoch and not partition.in_election and not partition.owning
+        can_run = partition.aligned_epoch == epoch and not partition.in_election and not partition.owning
         return can_run and not self.table.leaving
 
     def take_over(self, partition: Partition, epoch: int) -> bool:
@@ -126,13 +126,13 @@
         try:
             self.accept_packet(partition, packet)
         except FaultError as error:
-            partition.aligned = partition.handshake_epoch = 0
+            partition.aligned_epoch = partition.handshake_epoch = 0
             if error.fault.code != FULL:
                 raise
             log_events.emit(Event.DISK_FULL, self.table.settings.name, part=partition.id)
         partition.covered = (
             max(partition.covered, min(packet.covered, partition.record_log.last))
-            if partition.aligned == packet.epoch
+            if partition.aligned_epoch == packet.epoch
             else partition.covered
         )
         self.acknowledger.schedule(partition, packet.owner)
@@ -150,7 +150,7 @@
         if packet.index == 0:
             partition.packets = []
         if packet.index != len(partition.packets):
-            partition.packets, partition.aligned, partition.handshake_epoch = [], 0, 0
+            partition.packets, partition.aligned_epoch, partition.handshake_epoch = [], 0, 0
             return
         partition.packets.append(packet.body)
         if packet.index + 1 < packet.total:
@@ -166,16 +166,16 @@
                 log_offset = self.table.log.append([cut_entry(partition.id, packet.seq)])
                 partition.cut(packet.seq)
                 partition.unsynced.append((log_offset, packet.seq))
-            partition.aligned = packet.epoch if continues_log else 0
+            partition.aligned_epoch = packet.epoch if continues_log else 0
         elif packet.kind == SNAPSHOT:
             log_offset = self.table.log.append([base_entry(partition.id, packet.seq, packet.born, body)])
             partition.record_log = RecordLog(packet.seq, packet.born, JobView.load(body))
             partition.unsynced.clear()
             partition.unsynced.append((log_offset, packet.seq))
-            partition.persisted, partition.aligned, partition.covered = 0, packet.epoch, packet.seq
-        elif packet.kind == RECORD and partition.aligned == packet.epoch:
+            partition.persisted, partition.aligned_epoch, partition.covered = 0, packet.epoch, packet.seq
+        elif packet.kind == RECORD and partition.aligned_epoch == packet.epoch:
             if packet.seq != record_log.last + 1 or packet.prior != record_log.last_epoch:
-                partition.aligned = 0
+                partition.aligned_epoch = 0
                 return
             body, _, kind = body.rpartition(b"\n")
             record = Record(packet.seq, packet.born, kind.decode(), body)
--- a/postpass/replication/partition.py
+++ b/postpass/replication/partition.py
@@ -13,7 +13,7 @@
 from postpass.replication.record_log import Record, RecordLog
 from postpass.replication.stability import (
     DEFAULT,
-    Count,
+    AcknowledgedSeq,
     PredicateScope,
     build,
     confirm_suffice,
@@ -101,12 +101,12 @@
     """The state of one partition on one store. `Partition` owns all its fields; the components of the store change them
     between two awaits, on the same event loop, so that no lock is needed.
 
-    States: follower (`epoch` is 0), aligned follower (`aligned` is the epoch of the owner's stream), owner (`epoch` > 0),
+    States: follower (`epoch` is 0), aligned follower (`aligned_epoch` is the epoch of the owner's stream), owner (`epoch` > 0),
     and ready owner (`covered` has reached `epoch_mark`). Times are monotonic, in seconds.
 
     Invariants:
     - `promised` is synced before it is sent to anyone, never decreases, and nothing under a lower epoch is accepted.
-    - Records of a stream are appended only while `aligned` is the epoch that the stream runs under.
+    - Records of a stream are appended only while `aligned_epoch` is the epoch that the stream runs under.
     - `persisted` <= record_log.last, and the records that it counts were synced after they were aligned.
     - `covered` never decreases, and a covered record is never cut.
     - As owner: nothing counts as covered until the first mark record of the own epoch (`epoch_mark`) is covered.
@@ -123,7 +123,7 @@
             process has ended; empty if there is none.
         contacted: Whether an owner or a candidate has been heard from since the process started, or this store has already
             been allowed to run for owner without waiting for the detection time.
-        aligned: Epoch of the owner whose log this one matches up to its end; 0 if a handshake is needed first.
+        aligned_epoch: Epoch of the owner whose log this one matches up to its end; 0 if a handshake is needed first.
         covered: Sequence number up to which the stability predicate holds, as far as this store knows.
         persisted: Sequence number up to which this store has synced the records.
         unsynced: Writes that are not yet synced: (offset in the log on disk, sequence number of the last record).
@@ -152,7 +152,7 @@
     last_heard_at: float = 0.0
     refused_owner: str = ""
     contacted: bool = False
-    aligned: int = 0
+    aligned_epoch: int = 0
     covered: int = 0
     persisted: int = 0
     unsynced: deque[tuple[int, int]] = field(default_factory=deque)
@@ -200,13 +200,13 @@
         names = tuple(members)
         return PredicateScope(names, tuple((n, self.zones.get(n, "")) for n in names), self.me)
 
-    def predicate_over(self, text: str, members: Members) -> Callable[[Count], int]:
+    def predicate_over(self, text: str, members: Members) -> Callable[[AcknowledgedSeq], int]:
         """Compiles a predicate for these members; returns the default one if it is invalid for them."""
         return build(text or DEFAULT, self.scope(members)).unwrap_or_else(
             lambda _: build(DEFAULT, self.scope(members)).unwrap()
         )
 
-    def rules(self, view: JobView, text: str = "") -> list[tuple[Members, str]]:
+    def active_rules(self, view: JobView, text: str = "") -> list[tuple[Members, str]]:
         """Returns the pairs of members and predicate that apply, each of which has to be satisfied.
 
         While a change is not known to be covered, the old members and predicate apply as well. It is known to be covered
@@ -228,7 +228,7 @@
         or predicate change it is the minimum over the old and the new ones."""
         return min(
             self.acknowledgements.evaluate(members, self.predicate_over(predicate, members))
-            for members, predicate in self.rules(self.view, text)
+            for members, predicate in self.active_rules(self.view, text)
         )
 
     def advance(self) -> bool:
@@ -293,7 +293,7 @@
                 tuple(members),
                 [n for n, d in voters.items() if members.get(n) == d],
             )
-            for members, predicate in self.rules(view)
+            for members, predicate in self.active_rules(view)
         )
 
     def may_lead(self, view: JobView, voters: Members) -> bool:
@@ -308,19 +308,19 @@
         """Returns whether records can be covered with acknowledgements of these members only."""
         return all(
             covers(self.predicate_over(predicate, members), names & set(members))
-            for members, predicate in self.rules(self.view)
+            for members, predicate in self.active_rules(self.view)
         )
 
     def is_uncoverable(self, disks: Members) -> bool:
         """Returns whether some rule can never be satisfied again if no other disks (name -> disk) than these are left."""
         return any(
             not covers(self.predicate_over(predicate, members), {n for n, d in members.items() if disks.get(n) == d})
-            for members, predicate in self.rules(self.view)
+            for members, predicate in self.active_rules(self.view)
         )
 
     def lead(self, epoch: int) -> None:
         """Becomes the owner under an epoch, with the log as it is here."""
-        self.epoch, self.owner, self.aligned = epoch, self.me, epoch
+        self.epoch, self.owner, self.aligned_epoch = epoch, self.me, epoch
         self.view = latest_view(self.record_log)
         self.acknowledgements = Acknowledgements()
         self.acknowledgements.put(self.me, self.disk, "received", self.record_log.last)
@@ -329,7 +329,7 @@
 
     def step_down(self) -> None:
         """Ends the ownership; those who wait for a record to be covered get False, which proves nothing of the record."""
-        self.epoch, self.aligned, self.epoch_mark, self.uncoverable_since = 0, 0, 0, 0.0
+        self.epoch, self.aligned_epoch, self.epoch_mark, self.uncoverable_since = 0, 0, 0, 0.0
         self.view, self.acknowledgements, self.mirrors = JobView(), Acknowledgements(), {}
         for _, _, future in self.waiters:
             if not future.done():
--- a/postpass/replication/stability.py
+++ b/postpass/replication/stability.py
@@ -45,7 +45,7 @@
 """
 
 # Returns the highest sequence number that a node has acknowledged: (node, type of acknowledgement) -> sequence number.
-Count = Callable[[str, str], int]
+AcknowledgedSeq = Callable[[str, str], int]
 
 
 @lru_cache(maxsize=1)
@@ -127,22 +127,22 @@
     if tree.data == "node":
         return _resolve_nodes(tree, scope)
     if tree.data == "group":
-        inner = _evaluate(tree.children[0], scope)
+        operand = _evaluate(tree.children[0], scope)
         if len(tree.children) > 1 and tree.children[1] is not None:
             kind = str(tree.children[1])[1:]
-            if not isinstance(inner, NodeSet):
+            if not isinstance(operand, NodeSet):
                 raise PredicateError(f"{_location(tree)}: .{kind} belongs to nodes, not to a number")
             if kind not in ACKNOWLEDGEMENT_TYPES:
                 raise PredicateError(
                     f"{_location(tree)}: unknown type .{kind}; known are {', '.join(ACKNOWLEDGEMENT_TYPES)}"
                 )
-            return NodeSet(inner.names, kind)
-        return inner
+            return NodeSet(operand.names, kind)
+        return operand
     if tree.data == "size":
-        inner = _evaluate(tree.children[0], scope)
-        if not isinstance(inner, NodeSet):
+        operand = _evaluate(tree.children[0], scope)
+        if not isinstance(operand, NodeSet):
             raise PredicateError(f"{_location(tree)}: SIZEOF wants nodes")
-        return len(inner.names)
+        return len(operand.names)
     left, right = _evaluate(tree.children[0], scope), _evaluate(tree.children[1], scope)
     if isinstance(left, NodeSet) and isinstance(right, NodeSet) and tree.data == "minus":
         return NodeSet(tuple(n for n in left.names if n not in right.names), left.kind or right.kind)
@@ -159,7 +159,7 @@
     return operators[str(tree.data)](left, right)
 
 
-def _compile(tree: Tree[Token], scope: PredicateScope) -> Callable[[Count], int]:
+def _compile(tree: Tree[Token], scope: PredicateScope) -> Callable[[AcknowledgedSeq], int]:
     operator_name = str(tree.children[0])
     operand_list = tree.children[1]
     assert not isinstance(operand_list, str)
@@ -172,7 +172,7 @@
         if not isinstance(first_value, int):
             raise PredicateError(f"{_location(args[0])}: {operator_name} wants a number first")
         rank, args = first_value, args[1:]
-    operands: list[Callable[[Count], int]] = []
+    operands: list[Callable[[AcknowledgedSeq], int]] = []
     for arg in args:
         assert not isinstance(arg, str)
         if arg.data == "pred":
@@ -192,7 +192,7 @@
 
 
 @lru_cache(maxsize=256)
-def build(text: str, scope: PredicateScope) -> Result[Callable[[Count], int], str]:
+def build(text: str, scope: PredicateScope) -> Result[Callable[[AcknowledgedSeq], int], str]:
     """Compiles a predicate.
 
     Args:
@@ -214,13 +214,13 @@
         return Err(str(error))
 
 
-def covers(predicate: Callable[[Count], int], synced: Iterable[str]) -> bool:
+def covers(predicate: Callable[[AcknowledgedSeq], int], synced: Iterable[str]) -> bool:
     """Returns whether the predicate holds for a record that only the nodes in `synced` have on disk."""
     synced_nodes = frozenset(synced)
     return predicate(lambda node, kind: 1 if node in synced_nodes else 0) >= 1
 
 
-def minimal_quorums(predicate: Callable[[Count], int], nodes: tuple[str, ...]) -> list[frozenset[str]]:
+def minimal_quorums(predicate: Callable[[AcknowledgedSeq], int], nodes: tuple[str, ...]) -> list[frozenset[str]]:
     """Returns the minimal sets of nodes that cover a record, that is, those without a smaller covering subset."""
     covering_sets = [
         frozenset(c) for n in range(1, len(nodes) + 1) for c in itertools.combinations(nodes, n) if covers(predicate, c)
@@ -254,14 +254,16 @@
     return ""
 
 
-def promises_suffice(predicate: Callable[[Count], int], nodes: tuple[str, ...], voters: Iterable[str]) -> bool:
+def promises_suffice(
+    predicate: Callable[[AcknowledgedSeq], int], nodes: tuple[str, ...], voters: Iterable[str]
+) -> bool:
     """Returns whether promises of the nodes in `voters` suffice to lead: whether this set intersects every covering set,
     so that it knows every covered record, and every other set of promises that suffices."""
     voting_nodes = frozenset(voters) & frozenset(nodes)
     return 2 * len(voting_nodes) > len(nodes) and not covers(predicate, frozenset(nodes) - voting_nodes)
 
 
-def confirm_suffice(predicate: Callable[[Count], int], nodes: tuple[str, ...], voters: Iterable[str]) -> bool:
+def confirm_suffice(predicate: Callable[[AcknowledgedSeq], int], nodes: tuple[str, ...], voters: Iterable[str]) -> bool:
     """Returns whether confirmations of the nodes in `voters` suffice: whether no new owner can have been elected without
     the promise of one of them."""
     voting_nodes = frozenset(voters) & frozenset(nodes)
--- a/postpass/replication/store.py
+++ b/postpass/replication/store.py
@@ -171,7 +171,7 @@
 
     def tasks(self) -> list[Any]:
         """Returns the coroutines that run for as long as the process does."""
-        return [self.table.log.sync_forever(), self.watch_sync(), self.tick(), self.mirror.watch_disk()]
+        return [self.table.log.sync_forever(), self.watch_sync(), self.run_heartbeat(), self.mirror.watch_disk()]
 
     def handlers(self) -> dict[str, Any]:
         """Returns the handlers of peers' requests, by verb."""
@@ -198,7 +198,7 @@
                 else:
                     self.acknowledger.schedule(partition)
 
-    async def tick(self) -> None:
+    async def run_heartbeat(self) -> None:
         """Runs the store's heartbeat, at random intervals of 0.8 to 1.2 times `bounds.beat` seconds."""
         while True:
             await asyncio.sleep(self.table.settings.bounds.beat * (0.8 + 0.4 * self.table.environment.chance.random()))
@@ -236,7 +236,7 @@
         free_bytes, total_bytes = self.table.log.disk.space()
         rows = [
             {
-                "part": p.id, "owner": p.owner, "epoch": max(p.epoch, p.aligned), "last": p.record_log.last, "covered": p.covered,
+                "part": p.id, "owner": p.owner, "epoch": max(p.epoch, p.aligned_epoch), "last": p.record_log.last, "covered": p.covered,
                 "persisted": p.persisted, "owning": p.owning, "ready": p.ready, "bytes": p.record_log.size,
                 "crew": p.members, "complete": self.reconfiguration.complete(p), "losses": p.view.losses,
                 "awaited": members_awaited(p) if p.owning else [],
--- a/postpass/replication/streaming.py
+++ b/postpass/replication/streaming.py
@@ -188,8 +188,8 @@
         is none that both still hold, the stream begins with a snapshot.
 
         Returns:
-            Whether the stream has begun. If not, the mirror did not answer, follows a higher epoch, or has lost records that
-            it had acknowledged.
+            Whether the stream has begun. If not, the mirror did not answer, does not follow this epoch, or has lost records
+            that it had acknowledged, or the ownership has ended meanwhile.
         """
         epoch = partition.epoch
         hello = Hello(partition.id, epoch, self.table.settings.name)
--- a/tests/replication/test_cover_watch.py
+++ b/tests/replication/test_cover_watch.py
@@ -1,4 +1,5 @@
-"""A frontier that stands still is told, with whose acknowledgements are missing."""
+"""Tests of postpass.replication.cover_watch: a stalled frontier is reported with the members whose acknowledgements are
+missing."""
 
 from __future__ import annotations
 
@@ -21,28 +22,28 @@
 
 
 def stop_acknowledging(store: Store, number: int) -> None:
-    """The store follows on, but its disk syncs no further record of a partition."""
-    partition, plain = store.partitions[number], store.acknowledger.acknowledgement
+    """Makes a store acknowledge no further record of a partition as synced, while it goes on following the owner."""
+    partition, original = store.partitions[number], store.acknowledger.acknowledgement
     persisted = partition.persisted
 
-    def acknowledgement(asked: Partition, full: bool) -> Any:
-        told = plain(asked, full)
-        if asked is partition:
-            told.persisted = min(told.persisted, persisted)
-        return told
+    def acknowledgement(requested: Partition, full: bool) -> Any:
+        message = original(requested, full)
+        if requested is partition:
+            message.persisted = min(message.persisted, persisted)
+        return message
 
     store.acknowledger.acknowledgement = acknowledgement  # type: ignore[method-assign, assignment]
 
 
-async def hand_in(fleet: Fleet, owner: str, number: int) -> Any:
-    """Hands a job in at the owner, which waits for one second."""
+async def submit_job(fleet: Fleet, owner: str, number: int) -> Any:
+    """Submits a job to the owner, which waits for one second until it is covered; returns the owner's response."""
     job = {"id": "job", "class": "plain", "items": ["x"], "due": 9e9, "caller": ""}
-    ask = {"part": number, "lot": job, "wait": 1.0}
-    return await fleet.ask(owner, lambda d: d.store.jobs.on_submit(ask))
+    request = {"part": number, "lot": job, "wait": 1.0}
+    return await fleet.ask(owner, lambda d: d.store.jobs.on_submit(request))
 
 
 async def owned_fleet(loop: SimLoop) -> tuple[Fleet, Partition]:
-    """A fleet, and a partition that its first store owns."""
+    """Returns a fleet, and a partition that its first store owns."""
     fleet = Fleet(loop)
     fleet.start()
     assert await fleet.until(fleet.joined, 20.0) >= 0
@@ -51,36 +52,36 @@
     return fleet, next(p for p in store_of(fleet, "s1").partitions.values() if p.ready)
 
 
-def test_records_that_are_not_covered_for_the_detection_time_are_told_with_who_is_awaited() -> None:
+def test_records_uncovered_for_the_detection_time_are_reported_with_the_awaited_members() -> None:
     async def main(loop: SimLoop) -> tuple[Any, Any, float, list[str]]:
         fleet, partition = await owned_fleet(loop)
         for name in ("s2", "s3", "s4"):
             stop_acknowledging(store_of(fleet, name), partition.id)
         log_events.RECENT.clear()
-        answer = await hand_in(fleet, "s1", partition.id)
+        response = await submit_job(fleet, "s1", partition.id)
         await fleet.until(lambda: False, DETECT + 1.0)
         store = store_of(fleet, "s1")
         rows = (await store.on_parts({})).unwrap()["parts"]
         row = next(r for r in rows if r["part"] == partition.id)
-        told = [text for number, text in log_events.RECENT if number == Event.COVER_STALLED]
-        return answer, row["awaited"], store.cover_watch.longest(), told
+        reports = [text for number, text in log_events.RECENT if number == Event.COVER_STALLED]
+        return response, row["awaited"], store.cover_watch.longest(), reports
 
-    answer, awaited, longest, told = run_sim(main, 1)
-    assert answer.is_err()
+    response, awaited, longest, reports = run_sim(main, 1)
+    assert response.is_err()
     assert awaited == ["s2", "s3", "s4"]
     assert longest >= DETECT
-    assert len(told) == 1 and "awaited=s2,s3,s4" in told[0]
+    assert len(reports) == 1 and "awaited=s2,s3,s4" in reports[0]
 
 
-def test_a_frontier_that_moves_is_not_told() -> None:
+def test_an_advancing_frontier_is_not_reported() -> None:
     async def main(loop: SimLoop) -> tuple[Any, float, list[str]]:
         fleet, partition = await owned_fleet(loop)
         stop_acknowledging(store_of(fleet, "s4"), partition.id)
         log_events.RECENT.clear()
-        answer = await hand_in(fleet, "s1", partition.id)
+        response = await submit_job(fleet, "s1", partition.id)
         await fleet.until(lambda: False, DETECT + 1.0)
-        told = [text for number, text in log_events.RECENT if number == Event.COVER_STALLED]
-        return answer, store_of(fleet, "s1").cover_watch.longest(), told
+        reports = [text for number, text in log_events.RECENT if number == Event.COVER_STALLED]
+        return response, store_of(fleet, "s1").cover_watch.longest(), reports
 
-    answer, longest, told = run_sim(main, 1)
-    assert answer.is_ok() and longest == 0.0 and told == []
+    response, longest, reports = run_sim(main, 1)
+    assert response.is_ok() and longest == 0.0 and reports == []
--- a/tests/replication/test_election_decision.py
+++ b/tests/replication/test_election_decision.py
@@ -1,4 +1,4 @@
-"""Tests of postpass.replication.election_decision: each branch, and the order in which they are asked."""
+"""Tests of postpass.replication.election_decision: each branch, and the order in which the conditions are checked."""
 
 from __future__ import annotations
 
--- a/tests/replication/test_messages.py
+++ b/tests/replication/test_messages.py
@@ -1,4 +1,4 @@
-"""Tests of postpass.replication.messages: the keys and their order are those of the wire."""
+"""Tests of postpass.replication.messages: the JSON keys and their order stay as peers of other releases expect them."""
 
 from __future__ import annotations
 
--- a/tests/replication/test_owner_lookup.py
+++ b/tests/replication/test_owner_lookup.py
@@ -1,4 +1,7 @@
-"""The search for a partition's owner, over every belief that machines may have, and faulty searches that must be found."""
+"""Tests of postpass.replication.owner_lookup, over every combination of what machines may take for the owner.
+
+Faulty variants of the search are run as well, to show that the checks detect them.
+"""
 
 from __future__ import annotations
 
@@ -11,14 +14,14 @@
 from postpass.replication.owner_lookup import OwnerLookup
 
 MEMBERS = ("s1", "s2", "s3")
-FORMER = "s4"  # was a member once, and is gone from the fleet
+FORMER = "s4"  # a former member, which has left the fleet
 NAMES = ("", *MEMBERS, FORMER)
 
 
 @dataclass(frozen=True)
 class World:
-    """Who owns the partition, whom each member names as the owner, which machines don't answer, and what the searching
-    store remembers."""
+    """One combination: the owner of the partition, the owner that each other member names, the machines that don't answer,
+    and the guesses of the searching store."""
 
     owner: str
     named: dict[str, str]
@@ -26,12 +29,12 @@
     guesses: tuple[str, str]
 
     def answer(self, name: str) -> str | None:
-        """What a machine says: itself if it owns the partition, else whom it follows; None if it does not answer."""
+        """Returns the owner that a machine names: itself if it is the owner; None if it does not answer."""
         return None if name in self.silent else self.owner if name == self.owner else self.named[name]
 
 
 def worlds() -> Iterator[World]:
-    """Every belief of every member, every set of silent machines without the owner, every pair of guesses."""
+    """Yields every combination of what the members name, of silent machines other than the owner, and of two guesses."""
     for owner in MEMBERS:
         others = [n for n in MEMBERS if n != owner]
         for beliefs in itertools.product(NAMES, repeat=len(others)):
@@ -45,45 +48,45 @@
 
 
 def product(world: World) -> OwnerLookup:
-    """The product's search."""
+    """Returns the search as it is implemented."""
     return OwnerLookup.over(world.guesses, MEMBERS)
 
 
 def guesses_alone(world: World) -> OwnerLookup:
-    """The members are asked only where nothing is guessed, as up to release 0.3."""
+    """Returns a search that asks the members only if there are no guesses, as up to release 0.3."""
     guesses = [guess for guess in world.guesses if guess]
     return OwnerLookup.over(guesses, () if guesses else MEMBERS)
 
 
-class Forgetful(OwnerLookup):
-    """A search that doesn't follow what it is told."""
+class IgnoringLookup(OwnerLookup):
+    """A search that ignores the owners that machines name."""
 
     def follow(self, owner: str) -> None:
-        """Told in vain."""
+        """Ignores the named owner."""
 
 
 def asked_until_found(world: World, search: Search) -> list[str] | None:
-    """Who is asked in one round, the owner last; None if the owner is not found."""
-    lookup, asked = search(world), []
+    """Returns the machines that are asked in one round, the owner last; None if the owner is not found."""
+    lookup, asked_names = search(world), []
     while name := lookup.next_name():
         lookup.asked(name)
-        asked.append(name)
-        told = world.answer(name)
-        if told == name:
-            return asked
-        if told is not None:
-            lookup.follow(told)
+        asked_names.append(name)
+        named_owner = world.answer(name)
+        if named_owner == name:
+            return asked_names
+        if named_owner is not None:
+            lookup.follow(named_owner)
     return None
 
 
 def test_one_round_finds_the_owner_whatever_anyone_believes() -> None:
-    every = list(worlds())
-    searches = [asked_until_found(world, product) for world in every]
-    assert len(every) == 3 * 5**2 * 2**2 * 5**2
-    assert all(asked is not None for asked in searches)
-    # Nobody is asked twice, and nobody but the members and the two guesses.
-    assert max(len(asked) for asked in searches if asked is not None) <= len(MEMBERS) + 1
-    assert all(len(set(asked)) == len(asked) for asked in searches if asked is not None)
+    all_worlds = list(worlds())
+    searches = [asked_until_found(world, product) for world in all_worlds]
+    assert len(all_worlds) == 3 * 5**2 * 2**2 * 5**2
+    assert all(names is not None for names in searches)
+    # No machine is asked twice, and none but the members and the two guesses.
+    assert max(len(names) for names in searches if names is not None) <= len(MEMBERS) + 1
+    assert all(len(set(names)) == len(names) for names in searches if names is not None)
 
 
 def test_a_search_by_guesses_alone_is_found_to_miss_the_owner() -> None:
@@ -92,23 +95,23 @@
 
 
 def test_an_owner_that_is_no_member_any_more_is_found_by_those_that_follow_it() -> None:
-    """It is about to hand the partition on; the members follow its stream and say so."""
+    """Such an owner is about to hand the partition over; the members follow its stream and name it."""
     world = World("s5", dict.fromkeys(MEMBERS, "s5"), frozenset(), ("", ""))
     assert asked_until_found(world, product) == ["s1", "s5"]
-    assert asked_until_found(world, lambda w: Forgetful.over(w.guesses, MEMBERS)) is None
+    assert asked_until_found(world, lambda w: IgnoringLookup.over(w.guesses, MEMBERS)) is None
 
 
-def test_those_that_gave_no_answer_lately_are_asked_last() -> None:
+def test_machines_that_did_not_answer_lately_are_asked_last() -> None:
     lookup = OwnerLookup.over(["s1"], MEMBERS, unresponsive=["s1", "s2"])
-    asked = []
+    asked_names = []
     while name := lookup.next_name():
         lookup.asked(name)
-        asked.append(name)
-    assert asked == ["s3", "s1", "s2"]
+        asked_names.append(name)
+    assert asked_names == ["s3", "s1", "s2"]
 
 
 @pytest.mark.parametrize("becoming", MEMBERS)
-def test_one_that_becomes_the_owner_is_asked_again_at_once(becoming: str) -> None:
+def test_a_machine_that_becomes_the_owner_is_asked_again_at_once(becoming: str) -> None:
     lookup = OwnerLookup.over(["s1"], MEMBERS)
     while lookup.next_name() != becoming:
         lookup.asked(lookup.next_name())
--- a/tests/replication/test_partition.py
+++ b/tests/replication/test_partition.py
@@ -17,7 +17,7 @@
     return part
 
 
-def test_trap_two_the_owners_own_sync_counts_only_once_done() -> None:
+def test_the_owners_own_copy_counts_only_once_it_is_synced() -> None:
     part = _owner(persisted=False)
     for name in ("s2", "s3"):
         part.acknowledgements.put(name, name.replace("s", "d"), "persisted", 2)
@@ -30,7 +30,7 @@
     part = _owner()
     part.acknowledgements.put("s2", "d2", "persisted", 2)
     part.acknowledgements.put("s3", "d3", "received", 2)
-    part.acknowledgements.put("s4", "other", "persisted", 2)  # a wiped disk has no voice
+    part.acknowledgements.put("s4", "other", "persisted", 2)  # acknowledgements of a wiped disk don't count
     assert not part.advance()
     part.acknowledgements.put("s3", "d3", "persisted", 2)
     assert part.advance() and part.covered == 2
@@ -55,24 +55,24 @@
     part.acknowledgements.put("s1", "d1", "persisted", 3)
     for name in ("s2", "s3"):
         part.acknowledgements.put(name, name.replace("s", "d"), "persisted", 3)
-    assert not part.advance() and part.covered == 2  # the old rule holds, the new one doesn't
+    assert not part.advance() and part.covered == 2  # the old predicate is satisfied, the new one isn't
     part.acknowledgements.put("s4", "d4", "persisted", 3)
     assert part.advance() and part.covered == 3
     part.make("predicate", {"text": ""})
     part.acknowledgements.put("s1", "d1", "persisted", 4)
     for name in ("s2", "s3"):
         part.acknowledgements.put(name, name.replace("s", "d"), "persisted", 4)
-    assert not part.advance()  # the new rule holds, the old one doesn't
+    assert not part.advance()  # the new predicate is satisfied, the old one isn't
     part.acknowledgements.put("s4", "d4", "persisted", 4)
     assert part.advance() and part.covered == 4
     part.make("mark", {})
     part.acknowledgements.put("s1", "d1", "persisted", 5)
     for name in ("s2", "s3"):
         part.acknowledgements.put(name, name.replace("s", "d"), "persisted", 5)
-    assert part.advance() and part.covered == 5  # from here on three are enough again
+    assert part.advance() and part.covered == 5  # from here on three copies suffice again
 
 
-def test_a_changed_crew_needs_promises_under_both() -> None:
+def test_a_change_of_members_needs_promises_under_the_old_and_the_new_members() -> None:
     part = _owner()
     part.covered = 2
     part.make("crew", {"crew": {"s1": "d1", "s2": "new", "s3": "d3", "s4": "d4"}})
@@ -84,7 +84,7 @@
     assert not part.may_lead(view, {"s1": "d1", "s2": "d2", "s3": "d3"})
 
 
-def test_a_store_that_leaves_is_told_of_as_a_member_until_that_is_covered() -> None:
+def test_a_store_that_leaves_counts_as_a_member_until_the_change_is_covered() -> None:
     part = _owner()
     part.covered = 2
     part.make("crew", {"crew": {"s1": "d1", "s2": "d2", "s3": "d3"}})
@@ -94,29 +94,29 @@
 
 
 def _restarted(part: Partition) -> tuple[Partition, JobView]:
-    """The same log after a loss of power: what was heard of `covered` is forgotten."""
+    """Returns a partition with the same log after a loss of power, and its view: what was known of `covered` is lost."""
     fresh = Partition(0, "s1", "d1", RecordLog(base=JobView(), recs=list(part.record_log.recs)), zones=part.zones)
     return fresh, latest_view(fresh.record_log)
 
 
-def test_a_log_that_settles_a_change_needs_no_word_of_who_was_there_before() -> None:
+def test_a_log_that_settles_a_change_needs_no_promises_of_the_old_members() -> None:
     part = _owner()
     part.covered = 2
     part.make("crew", {"crew": {"s1": "d1", "s2": "new", "s3": "d3", "s4": "d4"}})
-    assert not part.provable()  # nothing proves what isn't covered
+    assert not part.provable()  # a change that isn't covered can't be settled
     part.covered = 3
-    now = {"s1": "d1", "s2": "new", "s3": "d3"}  # of the four before the change only two are left
+    remaining = {"s1": "d1", "s2": "new", "s3": "d3"}  # of the four disks before the change only two are left
     fresh, view = _restarted(part)
-    assert not fresh.may_lead(view, now)
+    assert not fresh.may_lead(view, remaining)
     assert part.provable() == 3
     part.make("mark", {"settled": 3})
     assert not part.provable()
     fresh, view = _restarted(part)
-    assert fresh.may_lead(view, now) and not fresh.may_lead(view, {"s1": "d1", "s2": "d2", "s3": "d3"})
+    assert fresh.may_lead(view, remaining) and not fresh.may_lead(view, {"s1": "d1", "s2": "d2", "s3": "d3"})
     fresh.lead(2)
-    assert not fresh.is_uncoverable(now)
+    assert not fresh.is_uncoverable(remaining)
     fresh.epoch_mark = fresh.make("mark", {}).seq
-    for name, disk in now.items():
+    for name, disk in remaining.items():
         fresh.acknowledgements.put(name, disk, "persisted", fresh.epoch_mark)
     assert fresh.advance() and fresh.covered == fresh.epoch_mark
 
@@ -126,7 +126,7 @@
     members = {"s1": "d1", "s2": "d2", "s3": "d3"}
     for name, disk in members.items():
         part.acknowledgements.put(name, disk, "persisted", 2)
-    assert not part.proven() and part.advance() and part.proven()  # founded: there is nothing to settle
+    assert not part.proven() and part.advance() and part.proven()  # the first members: there is nothing to settle
     change = part.make("crew", {"crew": members | {"s4": "new"}}).seq
     assert not part.proven()
     for name, disk in members.items():
@@ -138,11 +138,11 @@
         part.acknowledgements.put(name, disk, "persisted", mark)
     assert part.advance() and part.proven()
     part.make("mark", {})
-    assert part.proven()  # what comes after is nothing to wait for
+    assert part.proven()  # records after the proof need not be covered
     part.record_log.rebase(mark)
     part.record_log.base = JobView.load(part.base_dump())
     part.view = latest_view(part.record_log)
-    assert part.proven()  # a base holds only what is covered
+    assert part.proven()  # a base contains only covered records
 
 
 def test_a_mark_settles_only_changes_up_to_what_was_covered_when_it_was_written() -> None:
@@ -152,19 +152,21 @@
     part.make("mark", {"settled": 2})
     part.make("crew", {"crew": {"s1": "d1", "s2": "new", "s3": "d3", "s4": "d4"}})
     fresh, view = _restarted(part)
-    assert len(fresh.rules(view)) == 4 and view.unsettled() == 5
+    assert len(fresh.active_rules(view)) == 4 and view.unsettled() == 5
     part.make("mark", {"settled": 3})
     fresh, view = _restarted(part)
-    assert [c["s2"] for c, _ in fresh.rules(view)] == ["new", "d2"] and {t for _, t in fresh.rules(view)} == {
-        "MIN($ALLWNODES)"
-    }
+    assert [c["s2"] for c, _ in fresh.active_rules(view)] == ["new", "d2"] and {
+        t for _, t in fresh.active_rules(view)
+    } == {"MIN($ALLWNODES)"}
     assert JobView.load(view.dump()).unsettled() == 5
     part.make("mark", {"settled": 5})
     fresh, view = _restarted(part)
-    assert fresh.rules(view) == [(view.members, "MIN($ALLWNODES)")] and JobView.load(view.dump()).unsettled() == 0
+    assert (
+        fresh.active_rules(view) == [(view.members, "MIN($ALLWNODES)")] and JobView.load(view.dump()).unsettled() == 0
+    )
 
 
-def test_buffers_are_freed_once_delivered_everywhere_and_past_the_budget_for_all() -> None:
+def test_records_are_folded_once_sent_to_all_mirrors_and_beyond_the_budget_once_covered() -> None:
     part = _owner()
     for _ in range(100):
         part.make("mark", {})
@@ -172,5 +174,5 @@
     part.mirrors = {"s2": MirrorProgress(next_seq=103), "s3": MirrorProgress(next_seq=70)}
     assert part.trim(1 << 20) and part.record_log.base_seq == 69
     part.mirrors["s3"].silent = True
-    assert not part.trim(1 << 20)  # too little to be worth it
+    assert not part.trim(1 << 20)  # fewer than 64 records are not worth folding while the log is within the budget
     assert part.trim(10) and part.record_log.base_seq == 102 and not part.record_log.recs
--- a/tests/replication/test_takeover.py
+++ b/tests/replication/test_takeover.py
@@ -1,4 +1,4 @@
-"""How soon partitions have owners again, on simulated time."""
+"""Tests of how soon partitions have owners again after restarts and failures, on simulated time."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Test_owners_after_a_start:
-    def test_stand_at_once_when_all_were_down(self) -> None:
+    def test_are_elected_at_once_when_all_were_down(self) -> None:
         async def main(loop: SimLoop) -> tuple[float, float, int]:
             fleet = Fleet(loop)
             fleet.start()
@@ -36,16 +36,16 @@
             known = await fleet.until(
                 lambda: [s.configuration_view.manifest is not None for s in stores(fleet)] == [True] * 4, 10.0
             )
-            took = await fleet.until(lambda: owned(fleet), 10.0)
-            return known, took, takeovers(fleet)
+            duration = await fleet.until(lambda: owned(fleet), 10.0)
+            return known, duration, takeovers(fleet)
 
-        known, took, changes = run_sim(main, 3)
+        known, duration, changes = run_sim(main, 3)
         detect = 12.0 / 8
         assert 0 <= known < 3.0
-        assert 0 <= took < detect / 2  # nobody waits out a silence
-        assert changes == 8  # and nobody takes what is handed back at once
+        assert 0 <= duration < detect / 2  # no store waits for the detection time
+        assert changes == 8  # and no store takes a partition over that it hands over again at once
 
-    def test_leave_a_living_owner_alone_when_one_store_comes_back(self) -> None:
+    def test_do_not_replace_a_live_owner_when_one_store_restarts(self) -> None:
         async def main(loop: SimLoop) -> tuple[int, int]:
             fleet = Fleet(loop)
             fleet.start()
@@ -54,28 +54,28 @@
             fleet.first = False
             fleet.kill("s1")
             fleet.boot("s1")
-            back = fleet.nodes["s1"].daemon
+            restarted = fleet.nodes["s1"].daemon
             await fleet.until(lambda: False, 4.0)
-            assert isinstance(back, DataPlane) or back is None
-            mine = stores(fleet)[0]
-            return mine.counts["takeovers"], sum(p.ready for p in mine.partitions.values())
+            assert isinstance(restarted, DataPlane) or restarted is None
+            store = stores(fleet)[0]
+            return store.counts["takeovers"], sum(p.ready for p in store.partitions.values())
 
-        taken, ready = run_sim(main, 4)
-        assert (taken, ready) == (2, 2)  # its own two again, and no other
+        store_takeovers, ready = run_sim(main, 4)
+        assert (store_takeovers, ready) == (2, 2)  # the two that it owned before, and no other
 
-    def test_stand_at_once_when_the_owners_machine_refuses_connections(self) -> None:
+    def test_are_elected_at_once_when_the_owners_machine_refuses_connections(self) -> None:
         async def main(loop: SimLoop) -> tuple[float, int]:
             fleet = Fleet(loop)
             fleet.start()
             assert await fleet.until(lambda: fleet.joined() and owned(fleet), 20.0) >= 0
             await fleet.until(lambda: False, 3.0)
             before = takeovers(fleet)
-            mine = stores(fleet)[0].counts["takeovers"]
+            by_killed_store = stores(fleet)[0].counts["takeovers"]
             fleet.kill("s1")
             assert not owned(fleet)
-            took = await fleet.until(lambda: owned(fleet), 10.0)
-            return took, takeovers(fleet) - (before - mine)
+            duration = await fleet.until(lambda: owned(fleet), 10.0)
+            return duration, takeovers(fleet) - (before - by_killed_store)
 
-        took, changes = run_sim(main, 5)
-        assert 0 <= took < 0.3  # of a silence of 1.5 s, and 0.5 s more for each rank
+        duration, changes = run_sim(main, 5)
+        assert 0 <= duration < 0.3  # an election by timeout takes 1.5 s of silence, and 0.5 s more for each rank
         assert changes == 2
--- a/tests/storage/test_segmented_log.py
+++ b/tests/storage/test_segmented_log.py
@@ -23,22 +23,22 @@
     log = SegmentedLog("s1", disk)
     log.append([_entry(n, b"body%d" % n) for n in range(1, 6)])
     asyncio.run(log.sync())
-    whole = len(disk.read("log-00000000"))
+    synced_bytes = len(disk.read("log-00000000"))
     log.append([_entry(6)])
-    disk.files["log-00000000"] = disk.files["log-00000000"][: whole + 9]
-    again = SegmentedLog("s1", disk)
-    assert [e.seq for e in again.load()] == [1, 2, 3, 4, 5]
-    assert len(disk.read("log-00000000")) == whole
-    disk.damage("log-00000000", whole // 2)
+    disk.files["log-00000000"] = disk.files["log-00000000"][: synced_bytes + 9]
+    reopened = SegmentedLog("s1", disk)
+    assert [e.seq for e in reopened.load()] == [1, 2, 3, 4, 5]
+    assert len(disk.read("log-00000000")) == synced_bytes
+    disk.damage("log-00000000", synced_bytes // 2)
     try:
         SegmentedLog("s1", disk).load()
-    except FaultError as bad:
-        assert "log-00000000 is damaged at byte" in bad.fault.why
+    except FaultError as error:
+        assert "log-00000000 is damaged at byte" in error.fault.why
     else:
-        raise AssertionError("damage was not seen")
+        raise AssertionError("the damage was not detected")
 
 
-def test_snapshots_replace_older_segments_and_a_full_disk_holds_room_back() -> None:
+def test_snapshots_replace_older_segments_and_only_vital_entries_use_the_reserve() -> None:
     import random
 
     from sim.disk import SimDisk
@@ -52,19 +52,19 @@
     assert [e.seq for e in SegmentedLog("s1", disk).load()] == [3, 4]
     try:
         log.append([_entry(5, b"z" * 900)], vital=False)
-    except FaultError as bad:
-        assert bad.fault.code == FULL
+    except FaultError as error:
+        assert error.fault.code == FULL
     else:
-        raise AssertionError("the room held back was given away")
+        raise AssertionError("an entry that is not vital used the reserved bytes")
     log.append([_entry(5, b"z" * 900)], vital=True)
     disk.fails = True
     try:
         asyncio.run(log.sync())
-    except FaultError as bad:
-        assert "sync of log-00000001 failed" in bad.fault.why
+    except FaultError as error:
+        assert "sync of log-00000001 failed" in error.fault.why
     try:
         log.append([_entry(6)])
-    except FaultError as bad:
-        assert "failed" in bad.fault.why
+    except FaultError as error:
+        assert "failed" in error.fault.why
     else:
-        raise AssertionError("data was trusted after a failed sync")
+        raise AssertionError("an append succeeded after a failed sync")
