--- a/postpass/batch/__init__.py
+++ b/postpass/batch/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs of many items: their records, the service that keeps them, and the scheduler that works through them."""
+"""Jobs of many items: their records, the services that store them, and the scheduler that runs their items."""
--- a/postpass/batch/background.py
+++ b/postpass/batch/background.py
@@ -1,4 +1,4 @@
-"""Tasks that nobody waits for."""
+"""Background tasks that nothing awaits."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def spawn(tasks: set[asyncio.Task[Any]], coroutine: Coroutine[Any, Any, Any]) -> None:
-    """Runs a coroutine in a task that is kept in `tasks` until it ends, since the loop alone wouldn't keep it."""
+    """Runs a coroutine as a task, kept in `tasks` until it ends: the event loop alone holds only a weak reference."""
     task = asyncio.create_task(coroutine)
     tasks.add(task)
     task.add_done_callback(tasks.discard)
--- a/postpass/batch/capacity.py
+++ b/postpass/batch/capacity.py
@@ -1,7 +1,7 @@
-"""How many items of jobs may run at each worker.
+"""Computes how many items of jobs may run at each worker.
 
 Items of a class run on slots that live requests lend and take back; items of a route run on a part of the slots that
-follows how often the worker rejects them.
+shrinks when the worker rejects one and grows with each that ran.
 """
 
 from __future__ import annotations
@@ -23,27 +23,27 @@
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
 
-PROBES_UNTIL_STALE = 4  # what was heard of a worker counts for so many probing intervals
-DEFAULT_RESERVE = 0.25  # of the live load that is kept free for its growth
-LOANS_KEPT = 500  # loans that the figures of the simulator are taken from
+PROBES_UNTIL_STALE = 4  # probing intervals after which a worker's last report counts as stale
+DEFAULT_RESERVE = 0.25  # share of the live load that is kept free on top of it, for its growth
+MAX_RECORDED_LOANS = 500  # latest loans kept; measurements in the simulator read them
 LOAN_RECALLED = 152  # number of the log event
-GROWTH = 0.5  # slots by which a worker's limit grows with each item that ran
+LIMIT_INCREASE = 0.5  # slots by which a worker's limit grows with each completed item
 
 
-def batch_slots(slots: int, own: int, live: int, reserve: int, warm: bool) -> int:
-    """Slots for items at one worker: the class's own share, or what live requests and the reserve leave if that is more.
+def batch_slots(slots: int, own_slots: int, live: int, reserve: int, warm: bool) -> int:
+    """Returns the slots for items at one worker: the class's own share, or what live use and reserve leave, if more.
 
-    A worker that still warms up gets none.
+    A worker that is still warming up gets none.
     """
-    return max(own, slots - live - reserve) if warm else 0
+    return max(own_slots, slots - live - reserve) if warm else 0
 
 
 @dataclass(eq=False)
 class ClassCapacity:
     """Slots for the items of classes: lent by live requests, and handed back to them.
 
-    `borrows` and `reserves` are switched off by the simulator, to measure against a plain baseline. `loans` are pairs
-    of the loop time when live requests came back, and the seconds until their slots were free.
+    The simulator switches off `borrows` and `reserves`, to measure against a plain baseline. `loans` are pairs of the
+    loop time when live requests needed their slots again, and the seconds until these were free.
     """
 
     settings: Settings
@@ -54,58 +54,67 @@
     borrows: bool = True
     reserves: bool = True
     loans: list[tuple[float, float]] = field(default_factory=list)
-    over_since: dict[tuple[str, str], float] = field(default_factory=dict)  # (pool, worker) -> loop time
+    # (pool, worker) -> loop time since when more items run there than allowed
+    surplus_since: dict[tuple[str, str], float] = field(default_factory=dict)
 
     def slots(self, configuration: Configuration, item_class: str) -> dict[str, int]:
-        """How many items of a class each worker may run now, those running included."""
-        terms = configuration["classes"][item_class]
-        servers = configuration["pools"][terms["pool"]]["servers"]
-        stale = self.settings.bounds.probe * PROBES_UNTIL_STALE
-        names = [name for name in sorted(servers) if not self.worker_load.barred(terms["pool"], name, stale)]
-        own = math.floor(terms["share"] * sum(servers[name]["slots"] for name in names))
-        lent = self.borrows and any(configuration["classes"][c].get("lends") for c in terms.get("borrows", []))
-        out = {}
+        """Returns how many items of a class each worker may run now, including those that run."""
+        class_config = configuration["classes"][item_class]
+        servers = configuration["pools"][class_config["pool"]]["servers"]
+        stale_after_s = self.settings.bounds.probe * PROBES_UNTIL_STALE
+        names = [
+            name for name in sorted(servers) if not self.worker_load.barred(class_config["pool"], name, stale_after_s)
+        ]
+        own_slots = math.floor(class_config["share"] * sum(servers[name]["slots"] for name in names))
+        may_borrow = self.borrows and any(
+            configuration["classes"][c].get("lends") for c in class_config.get("borrows", [])
+        )
+        slots_by_worker = {}
         for i, name in enumerate(names):
-            share = share_of(own, i, len(names))
-            free = self.slots_at(terms, name, servers[name]["slots"], share)
-            out[name] = free if lent else min(free, share)
-        return out
-
-    def slots_at(self, terms: Class, worker: str, slots: int, share: int) -> int:
-        """How many items of a class with these terms a worker with `slots` may run, if live requests lend theirs."""
-        spot = self.worker_load.state_of(terms["pool"], worker)
-        # Live use: what the worker reported, less what this scheduler ran there when it did.
-        live = max(0, (spot.report.running + spot.report.waiting if spot.report else 0) - spot.in_flight_at_poll)
-        peak = max(0.0, spot.peak_use - spot.in_flight_at_poll)
-        reserve = math.ceil(terms.get("reserve", DEFAULT_RESERVE) * max(live, peak)) if self.reserves else 0
-        return batch_slots(slots, share, live, reserve, self.worker_load.warm_part(terms["pool"], worker) >= 1)
+            share = share_of(own_slots, i, len(names))
+            free = self.slots_at(class_config, name, servers[name]["slots"], share)
+            slots_by_worker[name] = free if may_borrow else min(free, share)
+        return slots_by_worker
+
+    def slots_at(self, class_config: Class, worker: str, slots: int, share: int) -> int:
+        """Returns how many items of a class with these terms a worker may run, if live requests lend it their slots."""
+        worker_state = self.worker_load.state_of(class_config["pool"], worker)
+        # Slots used by live requests: what the worker reported, less the items that this scheduler ran there then.
+        live = max(
+            0,
+            (worker_state.report.running + worker_state.report.waiting if worker_state.report else 0)
+            - worker_state.in_flight_at_poll,
+        )
+        peak = max(0.0, worker_state.peak_use - worker_state.in_flight_at_poll)
+        reserve = math.ceil(class_config.get("reserve", DEFAULT_RESERVE) * max(live, peak)) if self.reserves else 0
+        return batch_slots(slots, share, live, reserve, self.worker_load.warm_part(class_config["pool"], worker) >= 1)
 
     def hand_back(self, configuration: Configuration, item_class: str, slots: dict[str, int]) -> None:
-        """Cancels items where live requests came back; they are put back, and run again later.
+        """Cancels items at workers whose slots live requests need again; they wait here, and run again later.
 
-        The items due last go first, and among those the ones that got least far.
+        The items with the latest due times are cancelled first, and among equals those with the least output so far.
         """
         pool = configuration["classes"][item_class]["pool"]
-        for worker, most in slots.items():
+        for worker, allowed in slots.items():
             running = [i for i in self.items.running() if i.worker == worker and i.item_class == item_class]
-            surplus = len(running) - most
+            surplus = len(running) - allowed
             if surplus <= 0:
-                self.note_returned(pool, worker)
+                self.record_loan(pool, worker)
                 continue
-            self.over_since.setdefault((pool, worker), now())
+            self.surplus_since.setdefault((pool, worker), now())
             for item in sorted(running, key=lambda i: (-i.due, i.pieces))[:surplus]:
                 self.recall(item)
             log_events.emit(LOAN_RECALLED, self.settings.name, server=worker, items=surplus)
 
-    def note_returned(self, pool: str, worker: str) -> None:
-        """Notes how long a loan took to come back, if one was recalled at this worker."""
-        began = self.over_since.pop((pool, worker), None)
-        if began is not None:
-            self.loans.append((began, now() - began))
-            del self.loans[:-LOANS_KEPT]
+    def record_loan(self, pool: str, worker: str) -> None:
+        """Records how long it took to free the borrowed slots of a worker, if items were recalled there."""
+        recalled_at = self.surplus_since.pop((pool, worker), None)
+        if recalled_at is not None:
+            self.loans.append((recalled_at, now() - recalled_at))
+            del self.loans[:-MAX_RECORDED_LOANS]
 
     def recall(self, item: LeasedItem) -> None:
-        """Cancels the run of an item, which stays held here."""
+        """Cancels the run of an item; its lease is kept, and it waits to be placed again."""
         self.ended_items.labels(item.item_class, "put back").inc()
         self.recalled_items.inc()
         if item.task is not None:
@@ -114,44 +123,47 @@
 
 @dataclass(eq=False)
 class WorkerLimit:
-    """How many items of routes one worker takes, by what it said to those before. Invariant: `most` is 1 to its slots."""
+    """The number of items of routes that one worker may run, adapted to whether it rejected or ran previous ones.
 
-    most: float
+    Invariant: `max_items` is between 1 and the worker's number of slots.
+    """
+
+    max_items: float
     closed_until: float = 0.0  # loop time in seconds
     running: int = 0
 
     def rejected(self, pause: float) -> None:
-        """The worker rejected an item: halves the limit, and sends it none for `pause` seconds."""
-        self.most, self.closed_until = max(1.0, self.most / 2), now() + pause
+        """Halves the limit after the worker rejected an item, and closes it to items for `pause` seconds."""
+        self.max_items, self.closed_until = max(1.0, self.max_items / 2), now() + pause
 
     def completed(self, slots: int) -> None:
-        """The worker, which has so many slots, ran an item: raises the limit."""
-        self.most = min(max(1.0, float(slots)), self.most + GROWTH)
+        """Raises the limit, up to the worker's slots, after it ran an item."""
+        self.max_items = min(max(1.0, float(slots)), self.max_items + LIMIT_INCREASE)
 
     @property
     def allowed(self) -> float:
-        """How many items may run there now; none for a moment after a rejection."""
-        return self.most if now() >= self.closed_until else 0.0
+        """The number of items that may run there now; 0 during the pause after a rejection."""
+        return self.max_items if now() >= self.closed_until else 0.0
 
 
 @dataclass(eq=False)
 class RouteCapacity:
-    """Slots for the items of routes: what live requests leave, and what the workers said to those before.
+    """Slots for the items of routes: those that live requests leave, within each worker's `WorkerLimit`.
 
-    `live_load` tells what others have at each worker; None while nothing was heard.
+    `live_load` returns the load that others put on each worker; None while nothing is known of it.
     """
 
     limits: dict[tuple[str, str], WorkerLimit] = field(default_factory=dict)  # (pool, worker) -> limit
     live_load: Callable[[], LoadReport | None] = lambda: None
     options: RoutingOptions = DEFAULT_OPTIONS
-    usual_seconds: float = 0.0  # that a run takes, smoothed; 0 before the first
+    usual_seconds: float = 0.0  # smoothed duration of a run; 0 before the first
 
-    def note_run(self, seconds: float) -> None:
-        """An item was done, after so many seconds at its worker."""
+    def record_run(self, seconds: float) -> None:
+        """Updates `usual_seconds` with the duration of a run that ended."""
         self.usual_seconds = usual_seconds(self.usual_seconds, seconds)
 
     def free(self, configuration: Configuration, pool: str) -> dict[str, int]:
-        """How many more items each worker of a pool that may be sent to gets now."""
+        """Returns how many more items each worker of a pool may get now; barred workers are left out."""
         load = self.live_load()
         workers = []
         for name, server in configuration["pools"][pool]["servers"].items():
@@ -159,13 +171,13 @@
                 continue
             slots = server["slots"]
             limit = self.limits.setdefault((pool, name), WorkerLimit(max(1.0, float(slots))))
-            others = None if load is None else load.get(name, IDLE)
-            live, failing = (None, False) if others is None else (others.requests, others.fails_most)
+            other_load = None if load is None else load.get(name, IDLE)
+            live, failing = (None, False) if other_load is None else (other_load.requests, other_load.fails_most)
             workers.append(ItemWorker(name, slots, limit.running, live, limit.allowed, failing))
         return item_rooms(workers, self.options)
 
     def barred(self, configuration: Configuration, pool: str, worker: str) -> str:
-        """Why a worker gets no items; empty if it may."""
+        """Returns why a worker may get no items; empty if it may get some."""
         server = configuration["pools"][pool]["servers"].get(worker) if pool in configuration["pools"] else None
         if server is None:
             return "it left the manifest"
@@ -174,7 +186,7 @@
         return "its area is evacuated" if server["area"] in configuration.get("evacuated", []) else ""
 
     def forget_removed(self, configuration: Configuration) -> None:
-        """Forgets idle workers that the configuration doesn't name any more."""
+        """Drops the limits of idle workers that are no longer in the configuration."""
         pools = configuration["pools"]
         removed = [key for key in self.limits if key[0] not in pools or key[1] not in pools[key[0]]["servers"]]
         for key in removed:
--- a/postpass/batch/item_run.py
+++ b/postpass/batch/item_run.py
@@ -1,4 +1,4 @@
-"""Running one item at one worker, and telling its owner how it ended."""
+"""Runs one item at one worker, and reports the result to the item's owner."""
 
 from __future__ import annotations
 
@@ -29,20 +29,20 @@
     import aiohttp
 
 ROUTE_STATUS = {RunEnd.DONE: ItemStatus.DONE, RunEnd.FAILED: ItemStatus.FAILED, RunEnd.NEVER: ItemStatus.ABANDONED}
-ROUTE_TIMEOUT = 10  # the longest that an item of a route runs, in recovery bounds
+ROUTE_TIMEOUT = 10  # time limit of a run of an item of a route, in multiples of the recovery bound
 
 
 def not_run(fault: Fault) -> bool:
-    """Is it sure that the worker did not run the item?"""
+    """Returns whether it is certain that the worker did not run the item."""
     return fault.unsent or fault.hint == REJECTED_HINT
 
 
 @dataclass(eq=False)
 class ItemRunner:
-    """Runs items, each in a task of its own that the placement starts.
+    """Runs items, each in its own task, which the placement starts.
 
     Invariant: nothing is sent once the lease of the item's partition has expired, which is checked again right before
-    the bytes go out. `slot_freed` is set whenever an item of a route has left its worker.
+    the bytes are sent. `slot_freed` is set whenever a run of an item of a route has ended.
     """
 
     settings: Settings
@@ -59,12 +59,16 @@
     workers: Workers | None = None  # None: items of routes are not run here
 
     # --- items of routes
-    def route_gate(self, item: LeasedItem, pool: str, worker: str) -> str:
-        """Why an item of a route may not go out; empty if it may. Asked right before its bytes do, also after a freeze."""
+    def route_admission_check(self, item: LeasedItem, pool: str, worker: str) -> str:
+        """Returns why an item of a route may not be sent; empty if it may.
+
+        Called right before its bytes are sent, so that it also holds if the process was frozen since the item was
+        placed.
+        """
         configuration = self.configuration_view.manifest
-        flaw = self.lease_gate(item)
-        if flaw:
-            return flaw
+        reason = self.lease_admission_check(item)
+        if reason:
+            return reason
         if now() - self.configuration_view.last_contact > self.settings.bounds.deaf:
             return "no news for too long"
         if self.configuration_view.revision < item.since:
@@ -74,8 +78,8 @@
             return "the route goes elsewhere now"
         return self.capacity.barred(configuration, pool, worker)
 
-    def lease_gate(self, item: LeasedItem) -> str:
-        """Why this scheduler may not send an item at all; empty if it may."""
+    def lease_admission_check(self, item: LeasedItem) -> str:
+        """Returns why this scheduler may not send an item to any worker; empty if it may."""
         if not self.election.active or not self.items.holds(item):
             return "the item went back"
         if self.items.lease_expired(item.partition):
@@ -83,41 +87,44 @@
         return ""
 
     async def run_request(self, configuration: Configuration, route: Route, item: LeasedItem) -> None:
-        """Runs an item of a route at `item.worker`, on from the text that it has.
+        """Runs an item of a route at `item.worker`, continuing after the text that it has.
 
-        An item that was not answered whole stays here, with its text so far, and goes on elsewhere.
+        An item without a complete response stays leased here with its text so far, and continues at another worker.
         """
         slots = configuration["pools"][item.pool]["servers"][item.worker]["slots"]
         limit = self.capacity.limits[(item.pool, item.worker)]
-        began = now()
+        started_at = now()
         try:
-            end = await self.send_request(configuration, route, item)
+            run_end = await self.send_request(configuration, route, item)
             limit.completed(slots)
-            self.capacity.note_run(now() - began)
-        except FaultError as stop:
+            self.capacity.record_run(now() - started_at)
+        except FaultError as error:
             poll = self.settings.bounds.poll
-            if not_run(stop.fault):
+            if not_run(error.fault):
                 limit.rejected(poll)
                 item.not_before = now() + poll / 4
-                end = RunEnd.NOT_RUN
+                run_end = RunEnd.NOT_RUN
             else:
                 item.not_before = now() + poll
-                end = RunEnd.CUT
+                run_end = RunEnd.CUT
         except asyncio.CancelledError:
             item.task = None
             raise
         finally:
             limit.running -= 1
             self.slot_freed.set()
-        self.ended_items.labels(item.item_class, end).inc()
-        if end not in ROUTE_STATUS:
+        self.ended_items.labels(item.item_class, run_end).inc()
+        if run_end not in ROUTE_STATUS:
             item.task = None
             return
-        text = item.text.text if end == RunEnd.DONE else ""
-        await self.finish(item, ItemResult(ROUTE_STATUS[end], text, item.tries, output_checksum(text)))
+        text = item.text.text if run_end == RunEnd.DONE else ""
+        await self.finish(item, ItemResult(ROUTE_STATUS[run_end], text, item.tries, output_checksum(text)))
 
     async def send_request(self, configuration: Configuration, route: Route, item: LeasedItem) -> RunEnd:
-        """Sends an item to its worker and reads the answer; raises FaultError if that is not a whole one."""
+        """Sends an item to its worker and appends the response to `item.text`.
+
+        Returns how the run ended; raises FaultError if the response is not complete.
+        """
         assert self.workers is not None
         assert item.request is not None
         pool, worker = item.pool, item.worker
@@ -125,44 +132,47 @@
         return await run_item(
             self.workers, self.dialect, url, worker, route["host"], item.request,
             ClientIdentity(item.client, hides_key="tenants" in configuration), item.text,
-            lambda: self.route_gate(item, pool, worker), self.settings.bounds.recover * ROUTE_TIMEOUT,
+            lambda: self.route_admission_check(item, pool, worker), self.settings.bounds.recover * ROUTE_TIMEOUT,
         )  # fmt: skip
 
     # --- items of classes
-    def prompt_gate(self, item: LeasedItem, pool: str) -> str:
-        """Why an item of a class may not go out; empty if it may. Asked right before the bytes do."""
-        stale = self.settings.bounds.probe * PROBES_UNTIL_STALE
-        return self.lease_gate(item) or self.worker_load.barred(pool, item.worker, stale)
+    def prompt_admission_check(self, item: LeasedItem, pool: str) -> str:
+        """Returns why an item of a class may not be sent; empty if it may. Called right before its bytes are sent."""
+        stale_after_s = self.settings.bounds.probe * PROBES_UNTIL_STALE
+        return self.lease_admission_check(item) or self.worker_load.barred(pool, item.worker, stale_after_s)
 
     async def run_prompt(self, configuration: Configuration, pool: str, item: LeasedItem) -> None:
-        """Runs an item of a class at `item.worker`. What the owner did not take is leased again, once it isn't held."""
-        spot = self.worker_load.state_of(pool, item.worker)
-        spot.in_flight[item.item_class] += 1
+        """Runs an item of a class at `item.worker`.
+
+        Afterwards the item is no longer held here, so its owner leases it again if it did not record a result.
+        """
+        worker_state = self.worker_load.state_of(pool, item.worker)
+        worker_state.in_flight[item.item_class] += 1
         try:
             output = await self.send_prompt(configuration, pool, item)
-            end, result = RunEnd.DONE, ItemResult(ItemStatus.DONE, output, checksum=output_checksum(output))
-        except FaultError as stop:
-            end = RunEnd.NOT_RUN if not_run(stop.fault) else RunEnd.BROKEN
-            result = ItemResult(ItemStatus.FAILED, str(stop.fault))
-            if stop.fault.unsent:
-                spot.unusable = spot.unusable or stop.fault.why
+            run_end, result = RunEnd.DONE, ItemResult(ItemStatus.DONE, output, checksum=output_checksum(output))
+        except FaultError as error:
+            run_end = RunEnd.NOT_RUN if not_run(error.fault) else RunEnd.BROKEN
+            result = ItemResult(ItemStatus.FAILED, str(error.fault))
+            if error.fault.unsent:
+                worker_state.unusable = worker_state.unusable or error.fault.why
         except asyncio.CancelledError:
             item.task = None
             raise
         finally:
-            spot.in_flight[item.item_class] -= 1
-        self.ended_items.labels(item.item_class, end).inc()
-        await self.finish(item, result if end != RunEnd.NOT_RUN else None)
+            worker_state.in_flight[item.item_class] -= 1
+        self.ended_items.labels(item.item_class, run_end).inc()
+        await self.finish(item, result if run_end != RunEnd.NOT_RUN else None)
 
     async def send_prompt(self, configuration: Configuration, pool: str, item: LeasedItem) -> str:
-        """Sends a prompt to its worker and returns the whole output; raises FaultError if there is none."""
-        terms, seen = configuration["pools"][pool], self.worker_load.state_of(pool, item.worker).report
-        model = seen.weights if seen else ""
+        """Sends a prompt to its worker and returns the complete output; raises FaultError if it does not get one."""
+        pool_config, load_report = configuration["pools"][pool], self.worker_load.state_of(pool, item.worker).report
+        model = load_report.weights if load_report else ""
         output: list[str] = []
         async for text in complete(
-            self.session, terms["servers"][item.worker]["url"], model, item.prompt,
-            lambda: self.prompt_gate(item, pool), lambda: None, self.settings.bounds.recover,
-            self.configuration_view.limit("pieces"), terms.get("offsets", True),
+            self.session, pool_config["servers"][item.worker]["url"], model, item.prompt,
+            lambda: self.prompt_admission_check(item, pool), lambda: None, self.settings.bounds.recover,
+            self.configuration_view.limit("pieces"), pool_config.get("offsets", True),
         ):  # fmt: skip
             output.append(text)
             item.pieces += 1
@@ -170,7 +180,7 @@
 
     # --- the end of an item
     async def finish(self, item: LeasedItem, result: ItemResult | None) -> None:
-        """Tells the result, if there is one, and holds the item no longer, also if that fails."""
+        """Reports the result, if there is one, and removes the item from those held here, even if reporting fails."""
         try:
             if result is not None:
                 await self.report_result(item, result)
@@ -179,14 +189,15 @@
             item.task = None
 
     async def report_result(self, item: LeasedItem, result: ItemResult) -> None:
-        """Brings a result to the owner, wherever it is now; the owner may hear it more than once.
+        """Reports a result to the owner, whichever machine that is by now; the owner may receive it more than once.
 
-        Gives up after the recovery bound, and a failure as soon as an owner refuses it: the item is then leased anew.
+        Gives up after the recovery bound, or, if the result is not `done`, as soon as an owner refuses it: the item is
+        then leased again.
         """
         bounds = self.settings.bounds
-        until = now() + bounds.recover
+        deadline = now() + bounds.recover
         item.reporting = True
-        while now() < until:
+        while now() < deadline:
             body = result.as_json(ItemKey(item.job, item.item))
             answer = await self.owners.ask(item.partition, "done", body, bounds.detect)
             if isinstance(answer, Ok):
--- a/postpass/batch/job_service.py
+++ b/postpass/batch/job_service.py
@@ -1,4 +1,8 @@
-"""The owner's side of jobs that come by a route: accepting under the route's quota, reading, ending, expiry."""
+"""The owner's side of jobs that come by a route: accepting them under the route's quota, reading them, and expiry.
+
+A record is *covered* once the members that have acknowledged it satisfy the partition's stability predicate: it is then
+replicated durably. Keys and texts of messages call a job a `lot`.
+"""
 
 from __future__ import annotations
 
@@ -19,134 +23,138 @@
 from postpass.runtime.environment import now
 from postpass.runtime.errors import CLASH, FULL, LACK, MOVED, SLOW, Fault, FaultError
 
-PAGE_BYTES = 900_000  # of texts in one page of results
-PAGE_ITEMS = 500
-ROW_BYTES = 128  # of a row of a page, beside its text
-DEFAULT_ACCEPT_S = 5.0  # seconds that an edge waits for a job to be kept
-DEFAULT_RETENTION_S = 3600.0
-RETENTION_SLACK = 1.1  # a job stays so much longer than its retention
+PAGE_BYTES = 900_000  # bytes of text in one page of results
+PAGE_ITEMS = 500  # most results on one page
+ROW_BYTES = 128  # bytes that a row of a page takes beside its text
+DEFAULT_ACCEPT_S = 5.0  # seconds that an edge waits for a job to be covered
+DEFAULT_RETENTION_S = 3600.0  # unless the configuration has another
+RETENTION_SLACK = 1.1  # a job stays this many times as long as its retention
 
 
 @dataclass(eq=False)
 class JobService:
-    """Takes and shows the jobs of routes in the partitions that are owned here.
+    """Accepts and serves the jobs of routes in the partitions that are owned here.
 
-    Invariants: a job is sequenced only under a grant of the holder of its budget; one task at a time tries to
-    take a job, and all that send it share it.
+    Invariants: a job is appended to the log (sequenced) only after the holder of its budget has granted its tokens; one
+    task at a time tries to accept a job, and all requests that submit the same job wait for that task.
     """
 
     store: PartitionAccess
-    taking: dict[tuple[int, str], asyncio.Task[Fault | None]] = field(default_factory=dict)  # (partition, job)
+    accept_tasks: dict[tuple[int, str], asyncio.Task[Fault | None]] = field(default_factory=dict)  # (partition, job)
     first_seen: dict[tuple[int, int, str], float] = field(default_factory=dict)  # (partition, epoch, job) -> loop time
 
     def __post_init__(self) -> None:
         self.quota = QuotaService(self.store)
 
     def handlers(self) -> dict[str, Any]:
-        """The verbs of peers that are answered here."""
+        """Returns the handlers of the verbs that this service answers."""
         return {
             "accept": self.on_accept, "results": self.on_results, "item": self.on_item,
             "reserve": self.quota.on_reserve, "waiting": self.quota.on_waiting,
         }  # fmt: skip
 
     def forget(self, partition: int) -> None:
-        """A new ownership begins: nothing of the one before counts."""
+        """Drops the state of a partition when a new ownership begins: nothing from the one before is valid."""
         self.quota.forget(partition)
         for key in [key for key in self.first_seen if key[0] == partition]:
             del self.first_seen[key]
 
     def report(self) -> None:
-        """Tells the holders of budgets what came to an end here; once a heartbeat."""
+        """Reports to the holders of budgets which tokens no longer wait here; called once a heartbeat."""
         self.quota.report()
 
-    def failed(self, step: str, why: str, code: int) -> Err[Fault]:
-        """A fault of this store."""
+    def failure(self, step: str, why: str, code: int) -> Err[Fault]:
+        """Returns a fault in the name of this store."""
         return Err(Fault(step, self.store.settings.name, why, code))
 
     # --- accepting
     async def on_accept(self, body: Body) -> PeerResponse:
-        """Verb `accept`: takes a job, and answers that it is kept only once it is covered.
+        """Verb `accept`: accepts a job, and responds that it is kept only once its record is covered.
 
-        Refused (CROWD, FULL) only if nothing was sequenced and nothing that was sent here before may still be; CLASH if
-        another job has the id; otherwise unknown (SLOW).
+        Refuses the job (CROWD, FULL) only if nothing was sequenced, and no earlier request for it can still be
+        sequenced; responds CLASH if another job has the id; otherwise the outcome is unknown (SLOW).
         """
-        got = self.store.owned_partition(body["part"], "accept")
-        if isinstance(got, Err):
-            return got
-        partition, (job, payload) = got.unwrap(), pack_items(body["lot"])
+        lookup = self.store.owned_partition(body["part"], "accept")
+        if isinstance(lookup, Err):
+            return lookup
+        partition, (job, payload) = lookup.unwrap(), pack_items(body["lot"])
         limit = min(float(body.get("wait", DEFAULT_ACCEPT_S)), self.store.settings.bounds.recover)
         if job["id"] not in partition.view.jobs:
-            refused = await self.take_once(partition, job, payload, limit)
-            if refused is not None:
-                return Err(refused)
-        kept = partition.view.jobs.get(job["id"])
-        if kept is None:
-            return self.failed("accept", "not known yet", SLOW)
-        if kept.digest != job_digest(job) and not self.is_the_same(kept, body["lot"]):
-            return self.failed("accept", "a lot with this id and other content is here", CLASH)
-        if await partition.wait(kept.seq, "", limit):
-            self.wake(partition)
+            refusal = await self.accept_once(partition, job, payload, limit)
+            if refusal is not None:
+                return Err(refusal)
+        existing = partition.view.jobs.get(job["id"])
+        if existing is None:
+            return self.failure("accept", "not known yet", SLOW)
+        if existing.digest != job_digest(job) and not self.has_same_content(existing, body["lot"]):
+            return self.failure("accept", "a lot with this id and other content is here", CLASH)
+        if await partition.wait(existing.seq, "", limit):
+            self.notify_scheduler(partition)
             return Ok({"id": job["id"], "state": "kept"})
-        awaited = ", ".join(self.store.members_awaited(partition))
-        return self.failed("accept", f"not covered yet, without the word of {awaited or 'nobody'}", SLOW)
+        missing_members = ", ".join(self.store.members_awaited(partition))
+        return self.failure("accept", f"not covered yet, without the word of {missing_members or 'nobody'}", SLOW)
 
-    def is_the_same(self, kept: Job, job: Body) -> bool:
-        """Is this the job that is kept, but for the name that its route has now, and for its client's name?
+    def has_same_content(self, existing: Job, job: Body) -> bool:
+        """Returns whether this is the existing job, apart from the names of its route and its client.
 
-        A client that showed no key when the job was kept, or needs none now, has no name, and may be any; two names
-        that differ are two clients.
+        The route may have been renamed since. A client that showed no key when the job was accepted, or needs none now,
+        has no name and may be any client; two names that differ are two clients.
         """
-        if "route" not in kept.body:
+        if "route" not in existing.body:
             return False
-        now_named, then_named = job.get("caller", ""), kept.body.get("caller", "")
-        if now_named and then_named and now_named != then_named:
+        client_now, client_then = job.get("caller", ""), existing.body.get("caller", "")
+        if client_now and client_then and client_now != client_then:
             return False
-        names = {key: value for key, value in kept.body.items() if key in ("route", "caller")}
+        names = {key: value for key, value in existing.body.items() if key in ("route", "caller")}
         content = {key: value for key, value in job.items() if key not in ("route", "caller")}
-        again, _ = pack_items(names | content)
-        return kept.digest == job_digest(again)
+        resubmitted, _ = pack_items(names | content)
+        return existing.digest == job_digest(resubmitted)
 
-    async def take_once(self, partition: Partition, job: Body, payload: bytes, limit: float) -> Fault | None:
-        """Takes a job, or waits for the task that does so already, for `limit` seconds at the longest."""
+    async def accept_once(self, partition: Partition, job: Body, payload: bytes, limit: float) -> Fault | None:
+        """Accepts a job, or waits for the task already doing so, for at most `limit` seconds; None on success."""
         key = (partition.id, job["id"])
-        task = self.taking.get(key)
+        task = self.accept_tasks.get(key)
         if task is None:
-            task = self.taking[key] = asyncio.create_task(self.take(partition, partition.epoch, job, payload, limit))
-            task.add_done_callback(lambda _: self.taking.pop(key, None))
+            task = self.accept_tasks[key] = asyncio.create_task(
+                self.accept_job(partition, partition.epoch, job, payload, limit)
+            )
+            task.add_done_callback(lambda _: self.accept_tasks.pop(key, None))
         done, _ = await asyncio.wait([task], timeout=limit)
         return task.result() if done else Fault("accept", self.store.settings.name, "not known yet", SLOW)
 
-    async def take(self, partition: Partition, epoch: int, job: Body, payload: bytes, limit: float) -> Fault | None:
-        """Sequences a job once its tokens are granted, if this store still owns the partition then; None if it did."""
-        flaw = self.store.rejection(partition)
-        if flaw is not None:
-            return flaw
+    async def accept_job(
+        self, partition: Partition, epoch: int, job: Body, payload: bytes, limit: float
+    ) -> Fault | None:
+        """Appends a job once its tokens are granted, if this store then still owns the partition; None on success."""
+        fault = self.store.rejection(partition)
+        if fault is not None:
+            return fault
         tokens, key = sum(item["tokens"] for item in job["items"]), budget_key_of(job)
         pending = self.quota.pending_of(partition.id)
         pending[key] += tokens
         try:
-            refused = await self.quota.acquire(partition, key, pending, tokens, limit)
-            if refused is not None:
-                return refused
+            refusal = await self.quota.acquire(partition, key, pending, tokens, limit)
+            if refusal is not None:
+                return refusal
             if partition.epoch != epoch:
                 return Fault("accept", self.store.settings.name, "not the owner any more", MOVED)
-            return self.sequence(partition, job, payload)
+            return self.append_job(partition, job, payload)
         finally:
             pending[key] -= tokens
 
-    def sequence(self, partition: Partition, job: Body, payload: bytes) -> Fault | None:
-        """Puts a job into the partition's records; FULL if the disk won't take it."""
-        # Where its items may go is up to this revision of the configuration or a later one, never to one before.
+    def append_job(self, partition: Partition, job: Body, payload: bytes) -> Fault | None:
+        """Appends a job to the partition's log; None on success, FULL if the disk can't store it."""
+        # Its items may be placed only by this revision of the configuration or a later one, never by an earlier one.
         since = max(int(job.get("since", 0)), self.store.configuration_view.revision)
         try:
             self.store.append(partition, "lot", job | {"since": since}, vital=False, raw=payload)
-        except FaultError as stop:
-            fault = stop.fault
+        except FaultError as error:
+            fault = error.fault
             return fault if fault.code == FULL else Fault("accept", self.store.settings.name, fault.why, SLOW)
         return None
 
-    def wake(self, partition: Partition) -> None:
-        """Tells the scheduler that there is something to take."""
+    def notify_scheduler(self, partition: Partition) -> None:
+        """Notifies the scheduler that the partition has items to lease."""
         store = self.store
         name = store.owner_states[partition.id].scheduler
         address = store.configuration_view.addr(name) if name else ""
@@ -158,30 +166,30 @@
 
     # --- reading
     async def read(self, body: Body, step: str) -> Result[tuple[Partition, Job], Fault]:
-        """The partition and the job that a request names; LACK if the job did not come by a route."""
-        got = await self.store.read(body, step)
-        if isinstance(got, Ok) and "route" not in got.unwrap()[1].body:
-            return self.failed(step, "no such lot", LACK)
-        return got
+        """Returns the partition and the job that a request names; LACK if the job did not come by a route."""
+        lookup = await self.store.read(body, step)
+        if isinstance(lookup, Ok) and "route" not in lookup.unwrap()[1].body:
+            return self.failure(step, "no such lot", LACK)
+        return lookup
 
     async def on_results(self, body: Body) -> PeerResponse:
-        """Verb `results`: covered results from a position on, held until there is one."""
+        """Verb `results`: responds with covered results from a position on; a long poll that waits for one."""
         request = ResultsRequest.from_json(body)
-        until = now() + request.hold_s
+        deadline = now() + request.hold_s
         while True:
-            got = await self.read(body, "results")
-            if isinstance(got, Err):
-                return got
-            partition, job = got.unwrap()
+            lookup = await self.read(body, "results")
+            if isinstance(lookup, Err):
+                return lookup
+            partition, job = lookup.unwrap()
             rows, start = self.covered_rows(partition, job, request.start), request.start
-            if rows or now() >= until or job.state != JobState.OPEN or start >= job.size:
+            if rows or now() >= deadline or job.state != JobState.OPEN or start >= job.size:
                 return Ok(ResultsResponse(job.size, rows, start + len(rows)).as_json())
-            # Until the next one is covered; then it is read anew, and confirmed anew.
+            # Wait until the next result is covered; then the job is read again, which confirms ownership again.
             seq = job.results[job.order[start]].seq if len(job.order) > start else partition.record_log.last + 1
-            await partition.wait(seq, "", max(0.0, until - now()))
+            await partition.wait(seq, "", max(0.0, deadline - now()))
 
     def covered_rows(self, partition: Partition, job: Job, start: int) -> list[ResultRow]:
-        """Covered results from a position on, as many as a page takes."""
+        """Returns covered results from a position on, as many as fit on a page."""
         rows: list[ResultRow] = []
         size = 0
         for position in job.order[start : start + PAGE_ITEMS]:
@@ -193,47 +201,50 @@
         return rows
 
     async def on_item(self, body: Body) -> PeerResponse:
-        """Verb `item`: the body of an item that isn't listed yet, in base64; LACK if there is none that waits."""
-        got = await self.read(body, "item")
-        if isinstance(got, Err):
-            return got
-        partition, job = got.unwrap()
+        """Verb `item`: responds with the base64 body of an item without a covered result; LACK if there is none."""
+        lookup = await self.read(body, "item")
+        if isinstance(lookup, Err):
+            return lookup
+        partition, job = lookup.unwrap()
         ids = [item["id"] for item in job.body["items"]]
         position = ids.index(body["item"]) if body["item"] in ids else -1
         listed = position in job.results and job.results[position].seq <= partition.covered
         if position < 0 or listed or job.state == JobState.ENDED:
-            return self.failed("item", "no such item that waits", LACK)
-        found = job.item_body(position)
-        if found is None:
-            # The last result is not covered yet.
-            return self.failed("item", "not known yet", SLOW)
-        return Ok({"body": base64.b64encode(found).decode()})
-
-    # --- time
-    def may_leave(self, partition: Partition, job: Job) -> bool:
-        """May the job leave? Gives up what has expired, or whose route a configuration since its 202 has no more.
-
-        Times count from when this owner saw the job first: later than it was sent, never earlier, whatever the wall
-        clocks do.
+            return self.failure("item", "no such item that waits", LACK)
+        item_bytes = job.item_body(position)
+        if item_bytes is None:
+            # The bodies are released, since all results are there, but the last one is not covered yet.
+            return self.failure("item", "not known yet", SLOW)
+        return Ok({"body": base64.b64encode(item_bytes).decode()})
+
+    # --- expiry and retention
+    def may_be_dropped(self, partition: Partition, job: Job) -> bool:
+        """Returns whether the job's retention has passed.
+
+        Abandons the job's items if it has expired, or if its route is missing from a configuration that is as new as
+        the one under which the client got its 202, or newer. Times count from when this owner first saw the job: that
+        is later than the job was sent, never earlier, whatever the wall clocks do.
         """
         store = self.store
         age = now() - self.first_seen.setdefault((partition.id, partition.epoch, job.id), now())
         if job.complete or job.state == JobState.ENDED:
             return age > self.retention() * RETENTION_SLACK
-        known = store.configuration_view.revision >= job.body.get("since", 0)
-        gone = known and self.quota.route(job.body["route"]) is None
-        if (gone or age > job.body["expire"]) and job.seq <= partition.covered:
+        revision_known = store.configuration_view.revision >= job.body.get("since", 0)
+        route_removed = revision_known and self.quota.route(job.body["route"]) is None
+        if (route_removed or age > job.body["expire"]) and job.seq <= partition.covered:
             self.abandon(partition, job)
         return False
 
     def retention(self) -> float:
-        """Seconds that a job stays once it is complete or ended."""
+        """Returns the seconds for which a job stays once it is complete or ended."""
         configuration = self.store.configuration_view.manifest
-        keep = self.store.settings.bounds.keep
-        return keep or (configuration.get("retention", DEFAULT_RETENTION_S) if configuration else DEFAULT_RETENTION_S)
+        override = self.store.settings.bounds.keep
+        return override or (
+            configuration.get("retention", DEFAULT_RETENTION_S) if configuration else DEFAULT_RETENTION_S
+        )
 
     def abandon(self, partition: Partition, job: Job) -> None:
-        """Gives up all items that have no result."""
+        """Records all items that have no result as abandoned."""
         for position in range(job.size):
             if position not in job.results:
                 status = str(ItemStatus.ABANDONED)
--- a/postpass/batch/leased_items.py
+++ b/postpass/batch/leased_items.py
@@ -1,4 +1,4 @@
-"""The items that a scheduler holds under the leases of their owners."""
+"""The items that a scheduler holds under leases from their partitions' owners."""
 
 from __future__ import annotations
 
@@ -11,40 +11,40 @@
 from postpass.runtime.environment import now
 from postpass.worker_api.openai import Prompt
 
-ROUTE_CLASS = "route:"  # the class of the items of a route is its name behind this
-Key = tuple[int, str, int]  # partition, job, position in the job
+ROUTE_CLASS = "route:"  # prefix; the class of the items of a route is this and the route's name
+LeasedItemKey = tuple[int, str, int]  # partition, job, position in the job
 
 
 @dataclass(eq=False)
 class LeasedItem:
-    """An item held here, waiting or running.
+    """An item leased to this scheduler, waiting or running.
 
-    Invariant: at most one task runs it; it is held until its result was taken, its job was ended, or it went back to the
-    owner. It runs while `task` is set, and waits otherwise.
+    Invariant: at most one task runs it. It is held until the owner has recorded its result, its job was ended, or it
+    was returned to the owner. It runs while `task` is set, and waits otherwise.
     """
 
     partition: int
     job: str
     item: int
     item_class: str
-    due: float  # seconds of the wall clock
+    due: float  # wall-clock time in seconds
     prompt: Prompt
     client: str
     worker: str = ""
     task: asyncio.Task[None] | None = None
-    pieces: int = 0  # pieces of output that came in this run
-    # An item of a route: the request, the pool it was placed in, and what is known of its text.
+    pieces: int = 0  # pieces of output that have arrived in this run
+    # Only for an item of a route: the request, the pool it was placed in, and the text so far.
     request: Item | None = None
-    tries: int = 0  # failures that it may have
-    since: int = 0  # no earlier revision of the configuration may place it
+    tries: int = 0  # failures after which it is given up
+    since: int = 0  # earliest revision of the configuration that may place it
     pool: str = ""
     text: Text = field(default_factory=Text)
     not_before: float = 0.0  # loop time before which it isn't placed again, in seconds
-    reporting: bool = False  # its result is on its way to the owner
+    reporting: bool = False  # whether its result is being reported to the owner
 
     @classmethod
-    def granted(cls, partition: int, grant: ItemGrant) -> LeasedItem:
-        """An item as an owner leases it, waiting."""
+    def from_grant(cls, partition: int, grant: ItemGrant) -> LeasedItem:
+        """Returns an item as an owner leased it, waiting."""
         return cls(
             partition=partition,
             job=grant.job,
@@ -59,35 +59,35 @@
         )
 
     @property
-    def key(self) -> Key:
-        """What tells it from all other items."""
+    def key(self) -> LeasedItemKey:
+        """The key that identifies the item among all items."""
         return (self.partition, self.job, self.item)
 
     @property
     def route(self) -> str:
-        """The name of its route, if it came by one."""
+        """The name of the item's route, if it came by one."""
         return self.item_class.removeprefix(ROUTE_CLASS)
 
     @property
     def is_running(self) -> bool:
-        """Is a task running it?"""
+        """Whether a task is running the item."""
         return self.task is not None
 
 
-def nearest_due(item: LeasedItem) -> tuple[float, str, int]:
-    """Sorts items by their due time."""
+def due_order(item: LeasedItem) -> tuple[float, str, int]:
+    """Returns the sort key for items by due time, then by job and position."""
     return (item.due, item.job, item.item)
 
 
 @dataclass(eq=False)
 class LeasedItems:
-    """All items held here, in the order in which they came, and when the leases of their partitions run out.
+    """All items leased to this scheduler, in the order in which they came, and when each partition's lease expires.
 
-    Owned by the scheduler; its size is bounded by the slots of the pools. `leases` holds the loop time in seconds until
-    which a partition's owner lets this scheduler start items.
+    Owned by the scheduler; its size is bounded by the slots of the pools. `leases` holds, by partition, the loop time
+    in seconds until which the partition's owner allows this scheduler to start items.
     """
 
-    by_key: dict[Key, LeasedItem] = field(default_factory=dict)
+    by_key: dict[LeasedItemKey, LeasedItem] = field(default_factory=dict)
     leases: dict[int, float] = field(default_factory=dict)
 
     def __iter__(self) -> Iterator[LeasedItem]:
@@ -97,49 +97,49 @@
         return len(self.by_key)
 
     def add(self, item: LeasedItem) -> None:
-        """Takes an item, unless it is held already."""
+        """Adds an item, unless one with the same key is held already."""
         self.by_key.setdefault(item.key, item)
 
     def holds(self, item: LeasedItem) -> bool:
-        """Is it still this very item that is held?"""
+        """Returns whether this very object is held, and not another with the same key."""
         return self.by_key.get(item.key) is item
 
     def running(self) -> list[LeasedItem]:
-        """The items that run."""
+        """Returns the items that run."""
         return [item for item in self if item.is_running]
 
     def waiting(self) -> list[LeasedItem]:
-        """The items that wait for a worker."""
+        """Returns the items that wait for a worker."""
         return [item for item in self if not item.is_running]
 
-    def of_job(self, job: str) -> list[LeasedItem]:
-        """The items of a job."""
+    def items_of_job(self, job: str) -> list[LeasedItem]:
+        """Returns the items of a job."""
         return [item for item in self if item.job == job]
 
     def unreported(self, partition: int) -> list[ItemKey]:
-        """The items of a partition whose leases are to be renewed."""
+        """Returns the items of a partition whose leases are to be renewed: those whose result is not being reported."""
         return [ItemKey(item.job, item.item) for item in self if item.partition == partition and not item.reporting]
 
     def partitions(self) -> set[int]:
-        """The partitions that items are held of."""
+        """Returns the partitions whose items are held."""
         return {item.partition for item in self}
 
     def lease_expired(self, partition: int) -> bool:
-        """May nothing of this partition be started any more?"""
+        """Returns whether the partition's lease has expired, so that none of its items may be started."""
         return now() >= self.leases.get(partition, 0.0)
 
     def remove(self, item: LeasedItem) -> None:
-        """Holds an item no longer; it may be gone already."""
+        """Removes an item, if it is still held."""
         self.by_key.pop(item.key, None)
 
     def drop(self, item: LeasedItem) -> None:
-        """Holds an item no longer, and cancels its run."""
+        """Removes an item and cancels its run."""
         self.remove(item)
         if item.task is not None:
             item.task.cancel()
 
     def drop_all(self) -> None:
-        """Drops every item and every lease."""
+        """Drops all items and all leases."""
         for item in list(self):
             self.drop(item)
         self.leases.clear()
--- a/postpass/batch/leases.py
+++ b/postpass/batch/leases.py
@@ -1,4 +1,8 @@
-"""Leases of items: an owner hands out what waits to the one scheduler, and takes the results."""
+"""Leases of items: a partition's owner leases waiting items to the one active scheduler, and records the results.
+
+Only items of *covered* jobs are leased: those whose record is acknowledged as the partition's stability predicate
+requires, and so replicated durably.
+"""
 
 from __future__ import annotations
 
@@ -22,37 +26,39 @@
 from postpass.runtime.errors import BAD, CLASH, SLOW, Fault, FaultError
 from postpass.worker_api.openai import Prompt
 
-DEFAULT_TRIES = 5  # failures that an item of a class may have
-LEASES_KEPT = 2  # an owner counts an item as leased for so many times the bound that a scheduler goes by
+DEFAULT_TRIES = 5  # failures after which an item of a class is given up
+OWNER_LEASE_FACTOR = 2  # an owner holds an item as leased for this many times the duration that a scheduler relies on
 
 
 @dataclass(eq=False)
 class Lease:
-    """One item in the hands of a scheduler.
+    """The lease of one item to a scheduler.
 
     Attributes:
         scheduler: Name of the scheduler that runs the item.
-        until: Monotonic time in seconds at which the item may be handed out again, unless it is renewed.
-        since: Monotonic time in seconds at which it was handed out, as far as this owner knows.
+        expires_at: Monotonic time in seconds at which the item may be leased again, unless the lease is renewed.
+        granted_at: Monotonic time in seconds at which the item was leased, as far as this owner knows.
     """
 
     scheduler: str
-    until: float
-    since: float
+    expires_at: float
+    granted_at: float
 
 
 @dataclass(eq=False)
 class OwnerState:
-    """What an owner keeps in memory to hand out items.
+    """The state that an owner keeps in memory for leasing out items.
 
-    Invariant: an item is leased to one scheduler at a time. Losing all of this costs repeated work, never a promise.
+    Invariant: an item is leased to one scheduler at a time. Losing all of this costs repeated work, but breaks
+    no promise to a client.
 
     Attributes:
-        leases: The items that schedulers run.
-        term: Highest term of a scheduler that has asked.
+        leases: The leases by item.
+        term: Highest term under which a scheduler has asked.
         scheduler: Name of the scheduler of that term.
-        usual_seconds: How long it takes from a lease to the item's result, smoothed; 0 before the first.
-        done_at: When this owner first saw a job ended, or a rejection, claim or loss, in monotonic seconds; for retention.
+        usual_seconds: Smoothed seconds from an item's lease to its result; 0 before the first result.
+        done_at: When this owner first saw a job ended, or a rejection, claim or loss, in monotonic seconds. The
+            retention counts from then.
     """
 
     leases: dict[ItemKey, Lease] = field(default_factory=dict)
@@ -61,31 +67,31 @@
     done_at: dict[str, float] = field(default_factory=dict)
     usual_seconds: float = 0.0
 
-    def renew(self, request: TakeRequest, until: float) -> None:
-        """Leases what a scheduler says that it holds."""
+    def renew(self, request: TakeRequest, expires_at: float) -> None:
+        """Renews the leases of the items that the scheduler says it holds, or creates them if this owner has none."""
         for key in request.leased:
-            known = self.leases.get(key)
-            self.leases[key] = Lease(request.scheduler, until, known.since if known else now())
+            existing = self.leases.get(key)
+            self.leases[key] = Lease(request.scheduler, expires_at, existing.granted_at if existing else now())
 
     def end_lease(self, key: ItemKey, status: str) -> None:
-        """The item's result came; learns how long one that was done took."""
+        """Removes the lease of an item that has a result; an item that is done updates `usual_seconds`."""
         lease = self.leases.pop(key, None)
         if lease is not None and status == ItemStatus.DONE:
-            self.usual_seconds = usual_seconds(self.usual_seconds, now() - lease.since)
+            self.usual_seconds = usual_seconds(self.usual_seconds, now() - lease.granted_at)
 
-    def release_expired(self, view: JobView, request: TakeRequest, moment: float) -> None:
-        """Forgets leases of jobs that are gone, and those not renewed that expired or were another scheduler's."""
+    def release_expired(self, view: JobView, request: TakeRequest, current_time: float) -> None:
+        """Drops leases of jobs that no longer exist, and unrenewed ones that expired or belong to another scheduler."""
         renewed = set(request.leased)
         for key, lease in list(self.leases.items()):
-            lost = lease.until < moment or lease.scheduler != request.scheduler
-            if key.job not in view.jobs or (key not in renewed and lost):
+            expired = lease.expires_at < current_time or lease.scheduler != request.scheduler
+            if key.job not in view.jobs or (key not in renewed and expired):
                 del self.leases[key]
 
 
-def outcome(job: Job, position: int, result: ItemResult) -> ItemResult | None:
-    """What is recorded of an item's result; None if the item is tried again, and the failure is to be counted."""
+def result_to_record(job: Job, position: int, result: ItemResult) -> ItemResult | None:
+    """Returns the result to record for an item; None if it is tried again, and only the failure is to be counted."""
     of_route = "route" in job.body
-    # A worker said of an abandoned item of a route that it can never be done.
+    # An item of a route is reported as abandoned only if a worker said that it can never be done.
     if result.status == ItemStatus.DONE or (result.status == ItemStatus.ABANDONED and of_route):
         return result
     if job.failures(position) + 1 < (DEFAULT_TRIES if result.tries is None else result.tries):
@@ -94,7 +100,7 @@
 
 
 def item_grant(job: Job, position: int) -> ItemGrant:
-    """An item as a scheduler needs it."""
+    """Returns an item with all that a scheduler needs to run it."""
     body, item_class = job.body, item_class_of(job.body)
     client = body.get("caller", "")
     if "route" not in body:
@@ -108,21 +114,24 @@
 
 
 def job_demand(job: Job, leased: int) -> Demand:
-    """What the items of a job that wait, and are not leased, ask for. Those of classes are not told apart by client."""
+    """Returns the demand of a job's items that wait and are not leased. For classes, clients are not distinguished."""
     waiting = max(0, job.size - len(job.results) - leased)
     client = job.body.get("caller", "") if "route" in job.body else ""
     return Demand(float(job.body["due"]), client, waiting, round(waiting * job.mean_tokens))
 
 
 def ended_jobs(view: JobView, leased: list[ItemKey]) -> list[str]:
-    """The jobs of some leased items whose items need not run any more."""
+    """Returns those jobs of the leased items whose items need not run any more."""
     jobs = {name: view.jobs.get(name) for name in sorted({key.job for key in leased})}
     return [name for name, job in jobs.items() if job is None or job.state != JobState.OPEN or job.complete]
 
 
 @dataclass(eq=False)
 class Leases:
-    """Hands out items of owned partitions. Owns an `OwnerState` for each; it is dropped when an ownership begins."""
+    """Leases out items of owned partitions.
+
+    Owns an `OwnerState` for each partition, which is replaced by a new one whenever this store becomes the owner.
+    """
 
     table: PartitionTable
     owner: PartitionOwner
@@ -130,30 +139,30 @@
     owner_states: defaultdict[int, OwnerState] = field(default_factory=lambda: defaultdict(OwnerState))
 
     async def on_take(self, body: Body) -> PeerResponse:
-        """Hands out items of covered, open jobs, in their serving order, to the one scheduler of the highest term.
+        """Verb `take`: leases items of covered, open jobs in serving order to the scheduler of the highest term.
 
-        A lower one is refused: CLASH, with the highest term as hint.
+        A scheduler with a lower term is refused with CLASH, and the highest term as hint.
         """
-        got = self.leadership.owned_partition(body["part"], "take")
-        if isinstance(got, Err):
-            return got
-        partition, request = got.unwrap(), TakeRequest.from_json(body)
-        state, moment = self.owner_states[partition.id], now()
+        lookup = self.leadership.owned_partition(body["part"], "take")
+        if isinstance(lookup, Err):
+            return lookup
+        partition, request = lookup.unwrap(), TakeRequest.from_json(body)
+        state, current_time = self.owner_states[partition.id], now()
         if (request.term, request.scheduler) < (state.term, state.scheduler):
             why = f"scheduler {state.scheduler} has term {state.term}"
             return Err(Fault("take", self.table.settings.name, why, CLASH, str(state.term)))
         state.term, state.scheduler = request.term, request.scheduler
-        until = moment + self.table.settings.bounds.lease * LEASES_KEPT
-        # Before anything is waited for: an item whose end is told right after this question is leased no longer.
-        state.renew(request, until)
-        # The answer starts a lease at the scheduler: only an owner that is one now may give it.
+        expires_at = current_time + self.table.settings.bounds.lease * OWNER_LEASE_FACTOR
+        # Before the first await: if a result arrives while this waits, its lease must not be created again afterwards.
+        state.renew(request, expires_at)
+        # The response starts a lease at the scheduler, so only a store that is still the owner may send it.
         if not await self.leadership.confirm(partition):
             return Err(Fault("take", self.table.settings.name, "could not be confirmed", SLOW))
-        state.release_expired(partition.view, request, moment)
-        return Ok(self.grant(partition, state, request, until).as_json())
+        state.release_expired(partition.view, request, current_time)
+        return Ok(self.grant(partition, state, request, expires_at).as_json())
 
-    def grant(self, partition: Partition, state: OwnerState, request: TakeRequest, until: float) -> TakeResponse:
-        """Leases as many items of each class as are wanted, until that loop time."""
+    def grant(self, partition: Partition, state: OwnerState, request: TakeRequest, expires_at: float) -> TakeResponse:
+        """Leases as many items of each class as are wanted, until the loop time `expires_at`."""
         view = partition.view
         jobs = [
             job
@@ -167,32 +176,34 @@
             jobs = self.in_serving_order(jobs, state, leased)
         for job in jobs:
             item_class = item_class_of(job.body)
-            # Counted, not listed: what a poll costs must not grow with all items that wait.
+            # Counted without listing them: the cost of a poll must not grow with the number of waiting items.
             waiting[item_class] = waiting.get(item_class, 0) + job.size - len(job.results) - leased[job.id]
-            free = (i for i in range(job.size) if i not in job.results and (job.id, i) not in state.leases)
-            for position in list(islice(free, max(wanted.get(item_class, 0), 0))):
-                state.leases[ItemKey(job.id, position)] = Lease(request.scheduler, until, now())
+            available_positions = (
+                i for i in range(job.size) if i not in job.results and (job.id, i) not in state.leases
+            )
+            for position in list(islice(available_positions, max(wanted.get(item_class, 0), 0))):
+                state.leases[ItemKey(job.id, position)] = Lease(request.scheduler, expires_at, now())
                 grants.append(item_grant(job, position))
                 wanted[item_class] -= 1
         return TakeResponse(grants, ended_jobs(view, request.leased), waiting)
 
     def in_serving_order(self, jobs: list[Job], state: OwnerState, leased: Counter[str]) -> list[Job]:
-        """Jobs in the order in which their items are handed out; `leased` counts the items of each that are leased."""
+        """Returns jobs in the order in which their items are leased; `leased` has the number of leased items by job."""
         by_due = sorted(jobs, key=lambda job: (job.body["due"], job.seq))
         earliest = self.table.environment.wall() + state.usual_seconds
-        # As many are leased at a time as end in the usual time.
+        # Items end per second: in the usual time of one item, as many end as are leased at a time.
         rate = leased.total() / state.usual_seconds if state.usual_seconds > 0 else 0.0
         return fair_serving_order(by_due, lambda job: job_demand(job, leased[job.id]), earliest, rate)
 
     async def on_done(self, body: Body) -> PeerResponse:
-        """Records an item's result; only a whole output comes here as done. The first one wins.
+        """Verb `done`: records an item's result, unless it has one already; only a complete output is reported as done.
 
-        Answers whether it was taken; BAD if the output doesn't fit its checksum.
+        Responds whether the result was recorded; BAD if the output doesn't match its checksum.
         """
-        got = self.leadership.owned_partition(body["part"], "done")
-        if isinstance(got, Err):
-            return got
-        partition, key = got.unwrap(), ItemKey(body["id"], body["item"])
+        lookup = self.leadership.owned_partition(body["part"], "done")
+        if isinstance(lookup, Err):
+            return lookup
+        partition, key = lookup.unwrap(), ItemKey(body["id"], body["item"])
         state = self.owner_states[partition.id]
         job = partition.view.jobs.get(key.job)
         state.end_lease(key, body["status"])
@@ -201,12 +212,12 @@
         result = ItemResult.from_json(body)
         if result.status == ItemStatus.DONE and not result.intact:
             return Err(Fault("done", self.table.settings.name, "the output doesn't match its sum", BAD))
-        recorded = outcome(job, key.item, result)
+        recorded = result_to_record(job, key.item, result)
         try:
             if recorded is None:
                 self.owner.append(partition, "mark", {"failed": [key.job, key.item]})
                 return Ok({"taken": False})
             self.owner.append(partition, "result", ItemResult(recorded.status, recorded.output).as_json(key))
-        except FaultError as stop:
-            return Err(stop.fault)
+        except FaultError as error:
+            return Err(error.fault)
         return Ok({"taken": True})
--- a/postpass/batch/messages.py
+++ b/postpass/batch/messages.py
@@ -1,7 +1,8 @@
-"""The batch messages between edge, owner and scheduler, with their JSON codecs.
+"""The messages about jobs between edge, owner and scheduler, with their JSON codecs.
 
-The JSON keys, and their order, are part of the protocol between releases. An *edge* takes jobs from clients, the *owner*
-of a partition keeps them, and the active *scheduler* leases their items from the owners and runs them at workers.
+The JSON keys, and their order, are part of the protocol between releases; they call a job a `lot`, a client a `caller`.
+An *edge* takes jobs from clients, the *owner* of a partition stores them, and the active *scheduler* leases their items
+from the owners and runs them at workers.
 """
 
 from __future__ import annotations
@@ -15,13 +16,13 @@
 from postpass.worker_api.openai import Prompt
 
 NO_PROMPT = Prompt((), "")
-CHECKSUM_DIGITS = 16  # hexadecimal digits of an output's SHA-256 that go with it
+CHECKSUM_DIGITS = 16  # hexadecimal digits of an output's SHA-256 that are sent with it
 
 
 class Item(TypedDict):
     """An opaque request of a job that came by a route, by its JSON keys.
 
-    `headers` and `body` go to a worker untouched; `body` is base64. `tokens` count against the route's quota.
+    `headers` and `body` are passed to a worker unchanged; `body` is base64. `tokens` count against the route's quota.
     """
 
     id: str
@@ -32,20 +33,20 @@
 
 
 class ItemStatus(StrEnum):
-    """What a scheduler tells of an item that a worker has answered."""
+    """What a scheduler reports of an item after a worker has responded."""
 
     DONE = "done"
-    FAILED = "failed"  # it may be tried again
-    ABANDONED = "abandoned"  # it never will be done
+    FAILED = "failed"  # it may be retried
+    ABANDONED = "abandoned"  # it can never be done
 
 
 def output_checksum(output: str) -> str:
-    """The checksum by which an owner knows that an output came whole."""
+    """Returns the checksum by which an owner verifies that an output arrived complete."""
     return hashlib.sha256(output.encode()).hexdigest()[:CHECKSUM_DIGITS]
 
 
 class BudgetKey(NamedTuple):
-    """Whose waiting tokens are counted together: the jobs of a tenant on a route.
+    """Identifies a budget, in which the waiting tokens of a tenant's jobs on a route are counted.
 
     `tenant` is its name; empty where requests need no key.
     """
@@ -55,7 +56,7 @@
 
 
 class ItemKey(NamedTuple):
-    """Names an item: its job, and its position there."""
+    """Identifies an item of a partition: its job, and its position there."""
 
     job: str
     item: int
@@ -63,10 +64,10 @@
 
 @dataclass(frozen=True)
 class TakeRequest:
-    """A scheduler asks an owner for items, and renews the leases of those it holds (verb `take`).
+    """A scheduler requests items from an owner, and renews the leases of those it holds (verb `take`).
 
-    `wanted` is the number of further items by class; `leased` the items that the scheduler has from this owner. An owner
-    serves the highest (`term`, `scheduler`) that it has heard of.
+    `wanted` is the number of further items by class; `leased` are the items that the scheduler holds from this owner.
+    An owner serves the highest (`term`, `scheduler`) that it has seen.
     """
 
     scheduler: str
@@ -75,7 +76,7 @@
     leased: list[ItemKey]
 
     def as_json(self) -> Body:
-        """The body of the request, without the partition."""
+        """Returns the body of the request, without the partition."""
         return {
             "sched": self.scheduler,
             "term": self.term,
@@ -85,7 +86,7 @@
 
     @classmethod
     def from_json(cls, body: Body) -> TakeRequest:
-        """Reads the body of a request."""
+        """Decodes the body of a request."""
         return cls(body["sched"], body["term"], body["room"], [ItemKey(job, item) for job, item in body["held"]])
 
 
@@ -93,8 +94,8 @@
 class ItemGrant:
     """An item that an owner leases to a scheduler.
 
-    `due` is in seconds of the wall clock. An item of a class has a `prompt`, one of a route a `request`; `tries` is the
-    number of failures that it may have, and no configuration before revision `since` may place it.
+    `due` is wall-clock time in seconds. An item of a class has a `prompt`, one of a route a `request`; `tries` is the
+    number of failures after which it is given up, and no configuration before revision `since` may place it.
     """
 
     job: str
@@ -108,7 +109,7 @@
     since: int = 0
 
     def as_json(self) -> Body:
-        """One row of the answer."""
+        """Returns one row of the response."""
         row: Body = {
             "lot": self.job,
             "item": self.item,
@@ -122,7 +123,7 @@
 
     @classmethod
     def from_json(cls, row: Body) -> ItemGrant:
-        """Reads one row of the answer."""
+        """Decodes one row of the response."""
         return cls(
             job=row["lot"],
             item=row["item"],
@@ -138,10 +139,10 @@
 
 @dataclass(frozen=True)
 class TakeResponse:
-    """An owner's answer to `take`.
+    """An owner's response to `take`.
 
-    `items` are leased to the scheduler; the held items of `stopped_jobs` are to be stopped; `waiting` counts by class the
-    items that nobody held before this answer, for schedulers of earlier releases.
+    `items` are leased to the scheduler, which is to stop the items of `stopped_jobs` that it holds. `waiting` counts by
+    class the items that no scheduler held before this response; schedulers of earlier releases read it.
     """
 
     items: list[ItemGrant]
@@ -149,21 +150,21 @@
     waiting: dict[str, int] = field(default_factory=dict)
 
     def as_json(self) -> Body:
-        """The body of the answer."""
+        """Returns the body of the response."""
         return {"items": [item.as_json() for item in self.items], "stop": self.stopped_jobs, "ahead": self.waiting}
 
     @classmethod
     def from_json(cls, body: Body) -> TakeResponse:
-        """Reads the body of an answer."""
+        """Decodes the body of a response."""
         return cls([ItemGrant.from_json(row) for row in body["items"]], body["stop"], body["ahead"])
 
 
 @dataclass(frozen=True)
 class ItemResult:
-    """The end of an item as a scheduler tells it to the owner (verb `done`).
+    """An item's result as a scheduler reports it to the owner (verb `done`).
 
-    `tries` is the number of failures that the item may have, None for the owner's default. `checksum` is that of the
-    output, empty where the output is only a reason.
+    `tries` is the number of failures after which the item is given up, None for the owner's default. `checksum` is that
+    of the output; it is empty where the output is only the reason for a failure.
     """
 
     status: ItemStatus
@@ -172,7 +173,7 @@
     checksum: str = ""
 
     def as_json(self, key: ItemKey) -> Body:
-        """The body of the request, without the partition."""
+        """Returns the body of the request, without the partition."""
         body: Body = {"id": key.job, "item": key.item, "status": str(self.status), "output": self.output}
         if self.tries is not None:
             body["tries"] = self.tries
@@ -182,22 +183,22 @@
 
     @classmethod
     def from_json(cls, body: Body) -> ItemResult:
-        """Reads the body of a request, but for the item's name."""
+        """Decodes the body of a request, except for the item's key."""
         tries = int(body["tries"]) if "tries" in body else None
         return cls(ItemStatus(body["status"]), body["output"], tries, body.get("sum", ""))
 
     @property
     def intact(self) -> bool:
-        """Does the checksum fit the output?"""
+        """Whether the checksum matches the output."""
         return output_checksum(self.output) == self.checksum
 
 
 @dataclass(frozen=True)
 class ReserveRequest:
-    """An owner tells the holder of a budget what waits there, and asks for more (verb `reserve`).
+    """An owner reports to the holder of a budget how many tokens wait, and asks for more (verb `reserve`).
 
-    `owner` is the partition that asks, under its `epoch`; `number` grows with each count that it tells. `tokens` wait
-    there already; with `wanted` 0 the owner only tells its count.
+    `owner` is the partition whose owner asks, under its `epoch`; `number` grows with each count that it reports.
+    `tokens` wait there already; with `wanted` 0 the owner only reports its count.
     """
 
     key: BudgetKey
@@ -208,7 +209,7 @@
     wanted: int
 
     def as_json(self, holder: int) -> Body:
-        """The body of the request to the owner of partition `holder`; it names a tenant only if there is one."""
+        """Returns the body of the request to the owner of partition `holder`; it has a tenant only if there is one."""
         tenant = {"tenant": self.key.tenant} if self.key.tenant else {}
         return {
             "part": holder,
@@ -222,36 +223,37 @@
 
     @classmethod
     def from_json(cls, body: Body) -> ReserveRequest:
-        """Reads the body of a request."""
+        """Decodes the body of a request."""
         key = BudgetKey(body["route"], body.get("tenant", ""))
         return cls(key, body["from"], body["epoch"], body["number"], body["count"], body["want"])
 
 
 @dataclass(frozen=True)
 class WaitingResponse:
-    """What waits on a route at one owner, as its answer to a budget's holder tells it (verb `waiting`)."""
+    """The tokens that wait on a route at one owner: its response to the holder of the budget (verb `waiting`)."""
 
     epoch: int
     number: int
     tokens: int
 
     def as_json(self) -> Body:
-        """The body of the answer."""
+        """Returns the body of the response."""
         return {"epoch": self.epoch, "number": self.number, "count": self.tokens}
 
     @classmethod
     def from_json(cls, body: Body) -> WaitingResponse:
-        """Reads the body of an answer."""
+        """Decodes the body of a response."""
         return cls(body["epoch"], body["number"], body["count"])
 
 
 @dataclass(frozen=True)
 class TenantCounts:
-    """What waits at one owner for tenants whose budgets have the same holder: a report (verb `reserve`), or the answer to
-    the holder's question (verb `waiting`).
+    """The tokens that wait at one owner for tenants whose budgets have the same holder.
 
-    `owner` is the partition that tells it, under its `epoch`; `number` as in `ReserveRequest`. If `complete`, nothing waits
-    there for the holder's other tenants.
+    It is either a report to the holder (verb `reserve`), or the response to the holder's request (verb `waiting`).
+
+    `owner` is the partition whose owner reports, under its `epoch`; `number` is as in `ReserveRequest`. If `complete`,
+    nothing waits there for the holder's other tenants.
     """
 
     owner: int
@@ -261,7 +263,7 @@
     counts: dict[BudgetKey, int]
 
     def as_json(self) -> Body:
-        """The body of the message, without the holder's partition."""
+        """Returns the body of the message, without the holder's partition."""
         return {
             "from": self.owner,
             "epoch": self.epoch,
@@ -272,13 +274,13 @@
 
     @classmethod
     def from_json(cls, body: Body) -> TenantCounts:
-        """Reads the body of a message."""
+        """Decodes the body of a message."""
         counts = {BudgetKey(route, tenant): tokens for route, tenant, tokens in body["counts"]}
         return cls(body["from"], body["epoch"], body["number"], body["complete"], counts)
 
 
 class ResultRow(TypedDict):
-    """The end of an item as clients of a route read it, by its JSON keys."""
+    """An item's result as clients of a route read it, by its JSON keys."""
 
     id: str
     state: str
@@ -287,32 +289,33 @@
 
 @dataclass(frozen=True)
 class ResultsRequest:
-    """Asks the owner for the results of a job from a position on (verb `results`).
+    """Requests the results of a job from a position on from the owner (verb `results`).
 
-    `hold_s` is the time in seconds that the owner may hold the request until there is a result.
+    `hold_s` is the time in seconds for which the owner may hold the request until there is a result.
     """
 
     start: int
     hold_s: float
 
     def as_json(self) -> Body:
-        """The body of the request, without the job."""
+        """Returns the body of the request, without the job."""
         return {"start": self.start, "hold": self.hold_s}
 
     @classmethod
     def from_json(cls, body: Body) -> ResultsRequest:
-        """Reads the body of a request."""
+        """Decodes the body of a request."""
         return cls(body["start"], float(body.get("hold", 0.0)))
 
 
 @dataclass(frozen=True)
 class ResultsResponse:
-    """Covered results from a position on; `total` is the number of the job's items, `next_start` where to go on."""
+    """Covered results from a position on; `total` is the number of the job's items, `next_start` where the next page
+    starts."""
 
     total: int
     results: list[ResultRow]
     next_start: int
 
     def as_json(self) -> Body:
-        """The body of the answer."""
+        """Returns the body of the response."""
         return {"total": self.total, "results": self.results, "next": self.next_start}
--- a/postpass/batch/owner_client.py
+++ b/postpass/batch/owner_client.py
@@ -12,27 +12,27 @@
 from postpass.rpc.peer_links import PeerLinks
 from postpass.runtime.errors import CLASH, MOVED, Fault
 
-ASKED_AT_MOST = 2  # machines that one request goes to
+MAX_MACHINES_ASKED = 2  # the machine assumed to be the owner, and the one that it names
 
 
 @dataclass(eq=False)
 class OwnerClient:
-    """Asks the owner of a partition, as far as it is known; `owners` is a guess that each answer corrects."""
+    """Sends requests to the owners of partitions; `owners` is a guess that each response corrects."""
 
     settings: Settings
     configuration_view: ConfigurationView
     peer_links: PeerLinks
-    owners: dict[int, str] = field(default_factory=dict)  # partition -> name of the machine that is asked first
+    owners: dict[int, str] = field(default_factory=dict)  # partition -> machine to ask first
 
     async def ask(self, partition: int, verb: str, body: Body, wait: float) -> PeerResponse:
-        """Asks once, and follows one hint; who wants more asks again.
+        """Sends one request, and follows one hint to another machine; further retries are left to the users of this.
 
-        `wait` is the longest that a machine is waited for, in seconds. Fails with the fault of the last machine asked.
+        `wait` is the time limit for each machine, in seconds. Fails with the fault of the last machine asked.
         """
         order = self.configuration_view.order(partition)
         name = self.owners.get(partition) or (order[0] if order else "")
         answer: PeerResponse = Err(Fault(verb, self.settings.name, "no owner known"))
-        for _ in range(ASKED_AT_MOST):
+        for _ in range(MAX_MACHINES_ASKED):
             address = self.configuration_view.addr(name)
             if not address:
                 self.owners.pop(partition, None)
@@ -46,7 +46,7 @@
                 name = fault.hint
                 continue
             if fault.code != CLASH and order:
-                place = order.index(name) if name in order else -1
-                self.owners[partition] = order[(place + 1) % len(order)]
+                position = order.index(name) if name in order else -1
+                self.owners[partition] = order[(position + 1) % len(order)]
             return answer
         return answer
--- a/postpass/batch/partition_access.py
+++ b/postpass/batch/partition_access.py
@@ -1,4 +1,4 @@
-"""What the batch package asks of the store that it runs in."""
+"""The interface through which the batch package uses the store that it runs in."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class PartitionAccess(Protocol):
-    """The partitions of a store, as the services of jobs see them; `Store` is the one in use."""
+    """A store's partitions, as the job services use them; `Store` implements this."""
 
     settings: Settings
     environment: Environment
@@ -29,33 +29,33 @@
 
     @property
     def partitions(self) -> dict[int, Partition]:
-        """The partitions that have a copy here, by number."""
+        """The partitions that have a replica here, by number."""
 
     @property
     def background_tasks(self) -> set[asyncio.Task[None]]:
-        """Background tasks; each is kept here until it ends."""
+        """Background tasks; each is referenced here until it ends."""
 
     @property
     def owner_states(self) -> dict[int, OwnerState]:
-        """What an owner keeps in memory to hand out items, by partition."""
+        """The state for leasing out items, by partition."""
 
     async def ask(self, name: str, verb: str, body: Body) -> PeerResponse:
-        """Asks another store, by its name."""
+        """Sends a request to another store, by its name."""
 
     def owned_partition(self, number: int, step: str) -> Result[Partition, Fault]:
-        """The partition if it is owned here and ready, or MOVED with a hint of its owner."""
+        """Returns the partition if it is owned here and ready, else MOVED with its owner as hint."""
 
     async def confirm(self, partition: Partition) -> bool:
-        """Is this store still the owner? A round trip to the members."""
+        """Returns whether this store is still the owner, after a round trip to the members."""
 
     def append(self, partition: Partition, kind: str, body: Body, vital: bool = True, raw: Payload = b"") -> Record:
-        """Sequences one record; raises FaultError, with nothing sequenced, if the disk won't take it."""
+        """Appends one record to the log; raises FaultError, with nothing appended, if the disk can't store it."""
 
     def members_awaited(self, partition: Partition) -> list[str]:
-        """As owner: whose acknowledgements the first uncovered record lacks."""
+        """Returns the members whose acknowledgement of the first uncovered record is missing; called by the owner."""
 
     def rejection(self, partition: Partition) -> Fault | None:
-        """Why no further job is taken now; None if one is."""
+        """Returns why no further job is accepted now; None if one is."""
 
     async def read(self, body: Body, step: str) -> Result[tuple[Partition, Job], Fault]:
-        """A covered job of the client that asks, after ownership was confirmed."""
+        """Returns the partition and a covered job of the client that asks, after confirming ownership."""
--- a/postpass/batch/partition_client.py
+++ b/postpass/batch/partition_client.py
@@ -1,4 +1,4 @@
-"""Requests of one partition's owner to that of another."""
+"""Requests from one partition's owner to the owner of another."""
 
 from __future__ import annotations
 
@@ -13,23 +13,26 @@
 from postpass.runtime.environment import now
 from postpass.runtime.errors import BROKE, LACK, MOVED, SLOW, Fault
 
-TRYING_SHARE = 0.8  # of the time limit; the rest is left for the last answer
-PAUSES_PER_HEARTBEAT = 8  # between two rounds of the search, and before one that becomes the owner is asked again
+RETRY_TIME_SHARE = 0.8  # share of the time limit in which attempts start; the rest is for the last response
+# Heartbeat divided by the pause between two rounds of the search, and before a machine that is becoming the owner is
+# asked again.
+PAUSES_PER_HEARTBEAT = 8
 
 
-def may_pass(fault: Fault) -> bool:
-    """May another try, perhaps at another machine, have an answer?"""
+def is_retriable(fault: Fault) -> bool:
+    """Returns whether a retry, perhaps at another machine, may succeed."""
     return fault.code in (MOVED, SLOW, LACK, BROKE) or fault.unsent
 
 
 @dataclass(eq=False)
 class PartitionClient:
-    """Asks the owner of any partition.
+    """Sends requests to the owner of any partition.
 
     Attributes:
-        store: The store in whose place it asks.
-        owners: Who answered last as the owner of a partition, by its number; dropped when it doesn't any more.
-        silent_since: When a machine last gave no answer, in monotonic seconds. It is asked last for the detection time.
+        store: The store in whose name it sends requests.
+        owners: The machine that last responded as a partition's owner, by partition; removed once it doesn't any more.
+        silent_since: When a machine last gave no response, in monotonic seconds. For the detection time it is asked
+            last.
     """
 
     store: PartitionAccess
@@ -37,35 +40,35 @@
     silent_since: dict[str, float] = field(default_factory=dict)
 
     async def ask(self, partition: int, verb: str, body: Body, limit: float) -> PeerResponse:
-        """Asks until there is an answer, following where the owner is said to be, for `limit` seconds at the longest.
+        """Retries until the owner responds, following hints to where it is, for at most `limit` seconds.
 
-        Fails at once with a fault that another try won't change, else with the last one.
+        Fails at once with a fault that a retry can't change, otherwise with the last one.
         """
-        store, until = self.store, now() + limit * TRYING_SHARE
+        store, deadline = self.store, now() + limit * RETRY_TIME_SHARE
         pause = store.settings.bounds.beat / PAUSES_PER_HEARTBEAT
-        lookup = self._lookup(partition)
-        last: PeerResponse = Err(Fault(verb, store.settings.name, "no owner known", SLOW))
-        while now() < until:
+        lookup = self._new_lookup(partition)
+        last_response: PeerResponse = Err(Fault(verb, store.settings.name, "no owner known", SLOW))
+        while now() < deadline:
             name = lookup.next_name()
             if not name:
                 await asyncio.sleep(pause)
-                lookup = self._lookup(partition)
+                lookup = self._new_lookup(partition)
                 continue
             lookup.asked(name)
-            last = await store.ask(name, verb, body | {"part": partition})
-            if isinstance(last, Ok):
+            last_response = await store.ask(name, verb, body | {"part": partition})
+            if isinstance(last_response, Ok):
                 self.owners[partition] = name
                 self.silent_since.pop(name, None)
-                return last
-            fault = last.unwrap_err()
-            if not may_pass(fault):
-                return last
+                return last_response
+            fault = last_response.unwrap_err()
+            if not is_retriable(fault):
+                return last_response
             self.owners.pop(partition, None)
-            await self._learn(lookup, name, fault, pause)
-        return last
+            await self._update_lookup(lookup, name, fault, pause)
+        return last_response
 
-    async def _learn(self, lookup: OwnerLookup, name: str, fault: Fault, pause: float) -> None:
-        """What a machine that did not answer as the owner says of the search."""
+    async def _update_lookup(self, lookup: OwnerLookup, name: str, fault: Fault, pause: float) -> None:
+        """Updates the search after a machine did not respond as the owner: notes silence, or follows its hint."""
         if fault.code != MOVED:
             self.silent_since[name] = now()
         elif fault.hint == name:
@@ -74,10 +77,10 @@
         else:
             lookup.follow(fault.hint)
 
-    def _lookup(self, partition: int) -> OwnerLookup:
-        """A round over who answered last, whom the copy here follows, and all members."""
+    def _new_lookup(self, partition: int) -> OwnerLookup:
+        """Starts a round over the last known owner, the owner that the replica here follows, and all members."""
         store, recent = self.store, now() - self.store.settings.bounds.detect
-        copy = store.partitions.get(partition)
-        self.silent_since = {name: moment for name, moment in self.silent_since.items() if moment > recent}
-        guesses = [self.owners.get(partition, ""), copy.owner if copy is not None else ""]
-        return OwnerLookup.over(guesses, store.configuration_view.order(partition), self.silent_since)
+        local_copy = store.partitions.get(partition)
+        self.silent_since = {name: silent_at for name, silent_at in self.silent_since.items() if silent_at > recent}
+        candidates = [self.owners.get(partition, ""), local_copy.owner if local_copy is not None else ""]
+        return OwnerLookup.over(candidates, store.configuration_view.order(partition), self.silent_since)
--- a/postpass/batch/placement.py
+++ b/postpass/batch/placement.py
@@ -1,4 +1,4 @@
-"""Which worker gets which of the items that wait, and the start of their runs."""
+"""Assigns waiting items to workers, and starts their runs."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from postpass.batch.capacity import RouteCapacity
 from postpass.batch.free_slots import FreeSlots, Slots
 from postpass.batch.item_run import ItemRunner
-from postpass.batch.leased_items import LeasedItem, LeasedItems, nearest_due
+from postpass.batch.leased_items import LeasedItem, LeasedItems, due_order
 from postpass.configuration.configuration import Configuration, Route
 from postpass.configuration.header_names import Dialect
 from postpass.configuration.settings import Settings
@@ -23,49 +23,49 @@
 
 
 def weighted_pool(key: str, split: list[tuple[str, int]]) -> str:
-    """One of some pools by their weights, the same for the same key."""
+    """Returns one of the pools, chosen by their weights; always the same one for the same key."""
     total = sum(weight for _, weight in split)
-    point = int.from_bytes(hashlib.sha256(key.encode()).digest()[:8], "big") % max(1, total)
+    remaining = int.from_bytes(hashlib.sha256(key.encode()).digest()[:8], "big") % max(1, total)
     for pool, weight in split:
-        point -= weight
-        if point < 0:
+        remaining -= weight
+        if remaining < 0:
             return pool
     return split[0][0]
 
 
 def pools_of_jobs(configuration: Configuration) -> list[str]:
-    """The pools that routes of jobs go to, each once."""
-    parts = [
+    """Returns the pools that routes of jobs send items to, each once."""
+    split_entries = [
         part for route in configuration.get("routes", {}).values() if route["kind"] == "lot" for part in route["split"]
     ]
-    pools = dict.fromkeys(part["pool"] for part in parts if part["weight"] > 0)
+    pools = dict.fromkeys(part["pool"] for part in split_entries if part["weight"] > 0)
     return [pool for pool in pools if pool in configuration["pools"]]
 
 
 def prompt_prefix(headers: dict[str, str], dialect: Dialect) -> str:
-    """The first shared part of an item's prompt; empty if its headers don't tell one."""
-    parts = next((value for name, value in headers.items() if name.lower() == dialect.prompt), "")
-    return parts.split(",")[0].split(":")[0] if "," in parts else ""
+    """Returns the first shared part of an item's prompt; empty if its headers don't name one."""
+    prompt_parts = next((value for name, value in headers.items() if name.lower() == dialect.prompt), "")
+    return prompt_parts.split(",")[0].split(":")[0] if "," in prompt_parts else ""
 
 
 def item_demand(item: LeasedItem) -> Demand:
-    """What an item of a route asks for in a queue."""
+    """Returns the demand of an item of a route, for sharing slots fairly."""
     return Demand(item.due, item.client, 1, item.request["tokens"] if item.request is not None else 0)
 
 
 def fair_order(items: list[LeasedItem]) -> list[LeasedItem]:
-    """Nearest due first, to the second; among equals, the clients take turns."""
-    turn: Counter[str] = Counter()
+    """Returns items by due time, rounded down to a second; within a second, the clients take turns."""
+    turns: Counter[str] = Counter()
     ranked = []
-    for item in sorted(items, key=nearest_due):
-        turn[item.client] += 1
-        ranked.append((math.floor(item.due), turn[item.client], item.due, item.item, item))
+    for item in sorted(items, key=due_order):
+        turns[item.client] += 1
+        ranked.append((math.floor(item.due), turns[item.client], item.due, item.item, item))
     return [row[-1] for row in sorted(ranked, key=lambda row: row[:4])]
 
 
 @dataclass(eq=False)
 class Placement:
-    """Places waiting items on workers that have a free slot; an item that finds none goes on waiting."""
+    """Places waiting items on workers that have a free slot; an item that finds none keeps waiting."""
 
     settings: Settings
     environment: Environment
@@ -75,41 +75,43 @@
     runner: ItemRunner
 
     def place_prompts(self, configuration: Configuration, slots: dict[str, Slots]) -> None:
-        """Starts items of classes; `slots` tells for each class how many items a worker may run, those running included."""
+        """Starts items of classes; `slots` has by class how many items each worker may run, including running ones."""
         for item in fair_order([i for i in self.items.waiting() if i.request is None]):
             class_slots = slots.get(item.item_class)
             if class_slots is None or self.items.lease_expired(item.partition):
                 continue
-            worker = self.prompt_worker(configuration, item, class_slots)
+            worker = self.worker_for_prompt(configuration, item, class_slots)
             if worker is None:
                 continue
             item.worker, item.pieces = worker, 0
             pool = configuration["classes"][item.item_class]["pool"]
             item.task = asyncio.create_task(self.runner.run_prompt(configuration, pool, item))
 
-    def prompt_worker(self, configuration: Configuration, item: LeasedItem, slots: Slots) -> str | None:
-        """The worker that the class's plug-ins choose for an item; None if none has a free slot."""
-        terms = configuration["classes"][item.item_class]
-        servers = configuration["pools"][terms["pool"]]["servers"]
+    def worker_for_prompt(self, configuration: Configuration, item: LeasedItem, slots: Slots) -> str | None:
+        """Returns the worker that the class's plug-ins choose for an item; None if none has a free slot."""
+        class_config = configuration["classes"][item.item_class]
+        servers = configuration["pools"][class_config["pool"]]["servers"]
         load = Counter(i.worker for i in self.items.running())
-        ask = PlacementRequest(item.item_class, item.prompt.shared, len(item.prompt.text), self.settings.zone)
-        affine = affinity_worker(affinity_key(self.settings.name, terms.get("prefix", ""), ask), sorted(slots))
+        request = PlacementRequest(item.item_class, item.prompt.shared, len(item.prompt.text), self.settings.zone)
+        affine_worker = affinity_worker(
+            affinity_key(self.settings.name, class_config.get("prefix", ""), request), sorted(slots)
+        )
         candidates = tuple(
-            Candidate(name, servers[name]["area"], free, servers[name]["slots"], load[name], name == affine)
+            Candidate(name, servers[name]["area"], free, servers[name]["slots"], load[name], name == affine_worker)
             for name in slots
             if (free := slots[name] - load[name]) >= 1
         )
-        return place(self.settings.name, terms.get("place", ""), ask, candidates) if candidates else None
+        return place(self.settings.name, class_config.get("place", ""), request, candidates) if candidates else None
 
     def place_requests(self, configuration: Configuration) -> None:
-        """Starts items of routes, nearest due first, those that can't be done in time behind."""
+        """Starts items of routes, by due time; those that can't be done in time come last."""
         waiting = [i for i in self.items.waiting() if i.request is not None and i.not_before <= now()]
         if not waiting or self.runner.workers is None:
             return
         free, pools = self.free_slots(configuration), pools_of_jobs(configuration)
         if not free.any_in(pools):
             return
-        by_due = sorted(waiting, key=nearest_due)
+        by_due = sorted(waiting, key=due_order)
         rate = self.starting_rate(free, pools)
         for item in fair_serving_order(by_due, item_demand, self.earliest_due, rate, self.capacity.options):
             if not free.any_in(pools):
@@ -121,28 +123,28 @@
                 self.start_request(configuration, route, item, free)
 
     def free_slots(self, configuration: Configuration) -> FreeSlots:
-        """The workers' free slots, for one placement run."""
+        """Returns the workers' free slots, for one placement run."""
         return FreeSlots(lambda pool: self.capacity.free(configuration, pool))
 
     def starting_rate(self, free: FreeSlots, pools: list[str]) -> float:
-        """How many items of routes start in a second while there are enough; 0 before one was done."""
+        """Returns how many items of routes start per second while enough are waiting; 0 before the first was done."""
         if self.capacity.usual_seconds <= 0:
             return 0.0
         running = sum(limit.running for limit in self.capacity.limits.values())
         return (running + sum(sum(free.of(pool).values()) for pool in pools)) / self.capacity.usual_seconds
 
-    def kept_in_time(self, configuration: Configuration, items: list[LeasedItem]) -> int:
-        """How many of some waiting items can be done in time, within the shares of their clients."""
+    def count_in_time(self, configuration: Configuration, items: list[LeasedItem]) -> int:
+        """Returns how many of some waiting items can be done in time, within their clients' fair shares."""
         earliest = self.earliest_due
-        demands = [item_demand(item) for item in sorted(items, key=nearest_due) if item.due >= earliest]
+        demands = [item_demand(item) for item in sorted(items, key=due_order) if item.due >= earliest]
         if not self.capacity.options.fair_items or has_single_client(demands):
             return len(demands)
         rate = self.starting_rate(self.free_slots(configuration), pools_of_jobs(configuration))
         return len(within_shares(demands, earliest, rate)[0])
 
     def start_request(self, configuration: Configuration, route: Route, item: LeasedItem, free: FreeSlots) -> None:
-        """Starts an item of a route at a worker that has a free slot, which it takes; it goes on waiting if none has."""
-        worker = self.request_worker(item, free.of(item.pool))
+        """Starts an item of a route at a worker with a free slot, and takes the slot; without one the item waits."""
+        worker = self.worker_for_request(item, free.of(item.pool))
         if worker is None:
             return
         item.worker = worker
@@ -152,11 +154,14 @@
 
     @property
     def earliest_due(self) -> float:
-        """The first due time that an item of a route can meet which starts now, in seconds of the wall clock."""
+        """The earliest due time, in wall-clock seconds, that an item of a route can meet if it starts now."""
         return self.environment.wall() + self.capacity.usual_seconds
 
     def choose_pool(self, configuration: Configuration, route: Route, item: LeasedItem) -> bool:
-        """Places an item in a pool of its route, where it stays as long as the route goes there; False if there is none."""
+        """Assigns an item to a pool of its route; returns whether there is one.
+
+        The item keeps its pool as long as the route sends items there.
+        """
         split = [
             (part["pool"], part["weight"])
             for part in route["split"]
@@ -168,9 +173,9 @@
             item.pool = weighted_pool(item.request["id"], split)
         return True
 
-    def request_worker(self, item: LeasedItem, rooms: Slots) -> str | None:
-        """The worker for an item; None if none has room."""
+    def worker_for_request(self, item: LeasedItem, slots: Slots) -> str | None:
+        """Returns the worker for an item; None if none has a free slot."""
         if item.request is None:
             return None
         key = prompt_prefix(item.request["headers"], self.runner.dialect) or item.job
-        return choose_item_worker(rooms, key.encode(), self.capacity.options)
+        return choose_item_worker(slots, key.encode(), self.capacity.options)
--- a/postpass/batch/quota.py
+++ b/postpass/batch/quota.py
@@ -1,4 +1,4 @@
-"""Tokens that wait on a route, over all partitions: the counts that the one holder of a budget keeps."""
+"""The tokens that wait on a route, summed over all partitions: the counts that the one holder of a budget keeps."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from postpass.batch.messages import BudgetKey, TenantCounts
 from postpass.configuration.configuration import partition_of
 
-HOLDERS_KEPT = 1 << 14  # budgets whose holder's partition is remembered
+HOLDER_CACHE_SIZE = 1 << 14  # budgets whose holder's partition is remembered
 
 
-@lru_cache(HOLDERS_KEPT)
+@lru_cache(HOLDER_CACHE_SIZE)
 def holder_of(key: BudgetKey, partitions: int) -> int:
-    """The partition whose owner holds a budget."""
+    """Returns the partition whose owner holds a budget."""
     name = f"route:{key.route}"
     return partition_of(f"{name}:tenant:{key.tenant}" if key.tenant else name, partitions)
 
 
 @dataclass(frozen=True)
 class ReportedCount:
-    """What the owner of a partition said last. Invariant: a later word of it has a higher (epoch, number)."""
+    """The last count reported by a partition's owner. Invariant: a later report of it has a higher (epoch, number)."""
 
     epoch: int
     number: int
@@ -29,16 +29,16 @@
 
 @dataclass(eq=False)
 class Budget:
-    """The waiting tokens of one route, or of one tenant on it. Owned by the holder of its budget, for one epoch.
+    """The waiting tokens of one route, or of one tenant on it. Owned by the budget's holder, for one epoch.
 
-    Invariants: nothing is granted before every partition's owner was heard under the holder's own epoch; what is granted
-    counts until the partition's owner tells a later count, which holds it for as long as it may be used.
+    Invariants: nothing is granted before every partition's owner has reported under the holder's own epoch; granted
+    tokens count until the partition's owner reports a later count, which includes them for as long as they may be used.
     """
 
     reported: dict[int, ReportedCount] = field(default_factory=dict)  # by partition
 
     def report(self, partition: int, epoch: int, number: int, tokens: int) -> bool:
-        """Takes an owner's count; False if a later word of that partition was heard before."""
+        """Stores an owner's count; False if it is not later than the partition's last one, and was ignored."""
         last = self.reported.get(partition)
         if last is not None and (epoch, number) <= (last.epoch, last.number):
             return False
@@ -46,50 +46,49 @@
         return True
 
     def unreported(self, partitions: int) -> list[int]:
-        """Those of so many partitions whose owners have told no count yet."""
+        """Returns the partitions, of the given number, whose owners have reported no count yet."""
         return [partition for partition in range(partitions) if partition not in self.reported]
 
     @property
     def tokens(self) -> int:
-        """All tokens that wait, and those that were granted since."""
+        """All tokens that wait, including those granted since the last reports."""
         return sum(count.tokens for count in self.reported.values())
 
-    def take(self, partition: int, want: int, most: int) -> bool:
-        """Grants a partition, which has reported, `want` further tokens; False if more than `most` would wait then."""
-        if self.tokens + want > most:
+    def take(self, partition: int, wanted: int, limit: int) -> bool:
+        """Grants further tokens to a partition that has reported; False if more than `limit` would wait then."""
+        if self.tokens + wanted > limit:
             return False
         last = self.reported[partition]
-        self.reported[partition] = ReportedCount(last.epoch, last.number, last.tokens + want)
+        self.reported[partition] = ReportedCount(last.epoch, last.number, last.tokens + wanted)
         return True
 
 
 @dataclass(eq=False)
-class BudgetBook:
+class OwnedBudgets:
     """The budgets that one owner of a partition holds, for one epoch.
 
-    Invariant: a partition in `complete` has reported to every budget of a tenant, those that are asked for later included.
+    Invariant: a partition in `complete` has reported to every tenant's budget, including those that are created later.
     """
 
     budgets: dict[BudgetKey, Budget] = field(default_factory=dict)
-    complete: dict[int, ReportedCount] = field(
-        default_factory=dict
-    )  # no tokens, by partition that has told all its counts
+    # By partition that has reported all its counts: a count of no tokens, for the budgets not among these.
+    complete: dict[int, ReportedCount] = field(default_factory=dict)
 
     def budget(self, key: BudgetKey) -> Budget:
-        """The budget of a key; a new one knows that nothing waits where all counts were told without it."""
-        found = self.budgets.get(key)
-        if found is None:
-            found = self.budgets[key] = Budget(dict(self.complete) if key.tenant else {})
-        return found
-
-    def report(self, told: TenantCounts) -> None:
-        """Takes an owner's counts, but for those of which a later word was heard before."""
-        for key, tokens in told.counts.items():
-            self.budget(key).report(told.owner, told.epoch, told.number, tokens)
-        last = self.complete.get(told.owner)
-        if not told.complete or (last is not None and (told.epoch, told.number) <= (last.epoch, last.number)):
+        """Returns the budget of a key; a new one has count 0 for partitions that reported all counts without it."""
+        key_budget = self.budgets.get(key)
+        if key_budget is None:
+            key_budget = self.budgets[key] = Budget(dict(self.complete) if key.tenant else {})
+        return key_budget
+
+    def report(self, message: TenantCounts) -> None:
+        """Stores an owner's counts, except those of which a later one was received before."""
+        for key, tokens in message.counts.items():
+            self.budget(key).report(message.owner, message.epoch, message.number, tokens)
+        last = self.complete.get(message.owner)
+        if not message.complete or (last is not None and (message.epoch, message.number) <= (last.epoch, last.number)):
             return
-        self.complete[told.owner] = ReportedCount(told.epoch, told.number, 0)
+        self.complete[message.owner] = ReportedCount(message.epoch, message.number, 0)
         for key, budget in self.budgets.items():
-            if key.tenant and key not in told.counts:
-                budget.report(told.owner, told.epoch, told.number, 0)
+            if key.tenant and key not in message.counts:
+                budget.report(message.owner, message.epoch, message.number, 0)
--- a/postpass/batch/quota_holder.py
+++ b/postpass/batch/quota_holder.py
@@ -1,4 +1,7 @@
-"""The holder of budgets: the owner of the partition that their names choose. It hears what waits elsewhere, and grants."""
+"""The holder of budgets: the owner of the partition that their names hash to.
+
+It receives the counts of waiting tokens from the owners of all partitions, and grants further tokens.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 from postpass.batch.messages import BudgetKey, ReserveRequest, TenantCounts, WaitingResponse
 from postpass.batch.partition_access import PartitionAccess
 from postpass.batch.partition_client import PartitionClient
-from postpass.batch.quota import Budget, BudgetBook
+from postpass.batch.quota import Budget, OwnedBudgets
 from postpass.configuration.configuration import quota_of
 from postpass.replication.partition import Partition
 from postpass.rpc.codec import Body, PeerResponse
@@ -21,59 +24,60 @@
 class QuotaHolder:
     """Grants tokens to owners that ask, for the budgets whose partition is owned here.
 
-    Invariant: one task at a time asks all owners for the counts of tenants; whoever needs them meanwhile shares it.
+    Invariant: one task at a time asks all owners for the counts of tenants; requests that need them meanwhile wait for
+    the same task.
     """
 
     store: PartitionAccess
     client: PartitionClient
-    books: dict[tuple[int, int], BudgetBook] = field(default_factory=dict)  # by (partition, epoch)
-    learning: dict[tuple[int, int], asyncio.Task[None]] = field(default_factory=dict)  # by (partition, epoch)
+    budgets_by_ownership: dict[tuple[int, int], OwnedBudgets] = field(default_factory=dict)  # by (partition, epoch)
+    fetch_tasks: dict[tuple[int, int], asyncio.Task[None]] = field(default_factory=dict)  # by (partition, epoch)
 
     def forget(self, partition: int) -> None:
-        """A new ownership begins: nothing of the one before counts."""
-        for key in [key for key in self.books if key[0] == partition]:
-            del self.books[key]
+        """Drops the budgets of a partition when a new ownership begins: nothing from the one before is valid."""
+        for key in [key for key in self.budgets_by_ownership if key[0] == partition]:
+            del self.budgets_by_ownership[key]
 
     async def on_reserve(self, body: Body) -> PeerResponse:
-        """Verb `reserve`: hears an owner's counts, and grants what it wants if it fits."""
-        got = self.store.owned_partition(body["part"], "reserve")
-        if isinstance(got, Err):
-            return got
-        partition = got.unwrap()
-        book = self.books.setdefault((partition.id, partition.epoch), BudgetBook())
+        """Verb `reserve`: stores an owner's counts, and grants the tokens that it wants if the quota allows it."""
+        lookup = self.store.owned_partition(body["part"], "reserve")
+        if isinstance(lookup, Err):
+            return lookup
+        partition = lookup.unwrap()
+        owned_budgets = self.budgets_by_ownership.setdefault((partition.id, partition.epoch), OwnedBudgets())
         if "counts" in body:
-            book.report(TenantCounts.from_json(body))
+            owned_budgets.report(TenantCounts.from_json(body))
             return Ok({})
-        return await self.reserve(partition, book, ReserveRequest.from_json(body))
+        return await self.reserve(partition, owned_budgets, ReserveRequest.from_json(body))
 
-    async def reserve(self, partition: Partition, book: BudgetBook, request: ReserveRequest) -> PeerResponse:
-        """Hears the count of one budget, and grants what the owner wants if it fits."""
-        epoch, budget = partition.epoch, book.budget(request.key)
-        # Before anyone is asked for a count: what an owner answers then would make this word of it a late one.
-        is_news = budget.report(request.owner, request.epoch, request.number, request.tokens)
+    async def reserve(self, partition: Partition, owned_budgets: OwnedBudgets, request: ReserveRequest) -> PeerResponse:
+        """Stores the count of one budget, and grants the tokens that the owner wants if the quota allows it."""
+        epoch, budget = partition.epoch, owned_budgets.budget(request.key)
+        # Before any owner is asked for its count: its response would have a higher number, and make this report late.
+        is_newer = budget.report(request.owner, request.epoch, request.number, request.tokens)
         if not request.wanted:
             return Ok({})
-        if not is_news:
-            return self.failed("a later word came before this one", CLASH)
-        if not await self.learn_missing(partition, book, budget, request):
-            return self.failed("not all partitions have told their counts", SLOW)
-        # Under the epoch: a holder that comes later asks every owner, which counts what it asked for here.
+        if not is_newer:
+            return self.failure("a later word came before this one", CLASH)
+        if not await self.fetch_missing_counts(partition, owned_budgets, budget, request):
+            return self.failure("not all partitions have told their counts", SLOW)
+        # Still under this epoch: a later holder asks every owner, and each counts the tokens that it requested here.
         if not await self.store.confirm(partition) or partition.epoch != epoch:
-            return self.failed("could not be confirmed", SLOW)
-        most = quota_of(self.store.configuration_view.manifest, request.key.route)
-        if most and not budget.take(request.owner, self.wanted_beyond(budget, request), most):
-            return self.failed(f"{budget.tokens} of {most} tokens wait on the route", CROWD)
+            return self.failure("could not be confirmed", SLOW)
+        quota = quota_of(self.store.configuration_view.manifest, request.key.route)
+        if quota and not budget.take(request.owner, self.uncounted_tokens(budget, request), quota):
+            return self.failure(f"{budget.tokens} of {quota} tokens wait on the route", CROWD)
         return Ok({})
 
-    def wanted_beyond(self, budget: Budget, request: ReserveRequest) -> int:
-        """The wanted tokens that are not in the owner's count; a word of it that came since the question holds them."""
+    def uncounted_tokens(self, budget: Budget, request: ReserveRequest) -> int:
+        """Returns the wanted tokens that are not in the owner's count: 0 if a later report already includes them."""
         last = budget.reported[request.owner]
         return 0 if (last.epoch, last.number) > (request.epoch, request.number) else request.wanted
 
-    async def learn_missing(
-        self, partition: Partition, book: BudgetBook, budget: Budget, request: ReserveRequest
+    async def fetch_missing_counts(
+        self, partition: Partition, owned_budgets: OwnedBudgets, budget: Budget, request: ReserveRequest
     ) -> bool:
-        """Asks the owners that have told no count of a budget yet; False if one gave no answer."""
+        """Asks the owners that have reported no count of a budget yet; False if one still has not."""
         configuration = self.store.configuration_view.manifest
         assert configuration is not None
         partitions = configuration["parts"]
@@ -81,38 +85,40 @@
         if not unreported:
             return True
         if request.key.tenant:
-            await self.learn_tenants(partition, book, partitions)
+            await self.fetch_tenant_counts(partition, owned_budgets, partitions)
         else:
-            await asyncio.gather(*(self.learn_count(budget, owner, request.key) for owner in unreported))
+            await asyncio.gather(*(self.fetch_route_count(budget, owner, request.key) for owner in unreported))
         return not budget.unreported(partitions)
 
-    async def learn_count(self, budget: Budget, owner: int, key: BudgetKey) -> None:
-        """Asks one owner what waits there on a route; it may not answer."""
+    async def fetch_route_count(self, budget: Budget, owner: int, key: BudgetKey) -> None:
+        """Asks one owner for its count of a route; without a response, the count stays missing."""
         answer = await self.client.ask(owner, "waiting", {"route": key.route}, self.store.settings.bounds.beat)
         if isinstance(answer, Ok):
-            told = WaitingResponse.from_json(answer.unwrap())
-            budget.report(owner, told.epoch, told.number, told.tokens)
+            response = WaitingResponse.from_json(answer.unwrap())
+            budget.report(owner, response.epoch, response.number, response.tokens)
 
-    async def learn_tenants(self, partition: Partition, book: BudgetBook, partitions: int) -> None:
-        """Asks the owners that have not told all their counts, unless a task does so already."""
-        place = (partition.id, partition.epoch)
-        task = self.learning.get(place)
+    async def fetch_tenant_counts(self, partition: Partition, owned_budgets: OwnedBudgets, partitions: int) -> None:
+        """Asks the owners that have not reported all their counts, or waits for the task that is already doing so."""
+        ownership = (partition.id, partition.epoch)
+        task = self.fetch_tasks.get(ownership)
         if task is None:
-            task = self.learning[place] = asyncio.create_task(self.ask_all(partition.id, book, partitions))
-            task.add_done_callback(lambda _: self.learning.pop(place, None))
+            task = self.fetch_tasks[ownership] = asyncio.create_task(
+                self.fetch_all_tenant_counts(partition.id, owned_budgets, partitions)
+            )
+            task.add_done_callback(lambda _: self.fetch_tasks.pop(ownership, None))
         await asyncio.wait([task])
 
-    async def ask_all(self, holder: int, book: BudgetBook, partitions: int) -> None:
-        """Asks the owners that have not told all their counts of tenants whose budgets are held by a partition."""
-        missing = [owner for owner in range(partitions) if owner not in book.complete]
-        await asyncio.gather(*(self.ask_counts(holder, book, owner) for owner in missing))
+    async def fetch_all_tenant_counts(self, holder: int, owned_budgets: OwnedBudgets, partitions: int) -> None:
+        """Asks the owners that have not reported all their counts of the tenants whose budgets `holder` holds."""
+        missing = [owner for owner in range(partitions) if owner not in owned_budgets.complete]
+        await asyncio.gather(*(self.fetch_owner_tenant_counts(holder, owned_budgets, owner) for owner in missing))
 
-    async def ask_counts(self, holder: int, book: BudgetBook, owner: int) -> None:
-        """Asks one owner what waits there for all tenants whose budgets a partition holds; it may not answer."""
+    async def fetch_owner_tenant_counts(self, holder: int, owned_budgets: OwnedBudgets, owner: int) -> None:
+        """Asks one owner for its counts of all tenants whose budgets `holder` holds; it may not respond."""
         answer = await self.client.ask(owner, "waiting", {"holder": holder}, self.store.settings.bounds.beat)
         if isinstance(answer, Ok):
-            book.report(TenantCounts.from_json(answer.unwrap()))
+            owned_budgets.report(TenantCounts.from_json(answer.unwrap()))
 
-    def failed(self, why: str, code: int) -> PeerResponse:
-        """A fault of this store."""
+    def failure(self, why: str, code: int) -> PeerResponse:
+        """Returns a fault in the name of this store."""
         return Err(Fault("reserve", self.store.settings.name, why, code))
--- a/postpass/batch/retention.py
+++ b/postpass/batch/retention.py
@@ -1,4 +1,4 @@
-"""How long ended jobs, rejections and claims stay in a partition."""
+"""Drops ended jobs, rejections and claims from partitions once their retention has passed."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from postpass.replication.partition_table import PartitionTable
 from postpass.runtime.environment import now
 
-DROPPED_AT_ONCE = 200  # entries that one record drops at the most
+DROPPED_AT_ONCE = 200  # most entries that one record drops
 
 
-def expired(state: OwnerState, prefix: str, names: Iterable[str], keep: float) -> list[str]:
-    """Those that this owner has seen for longer than `keep` seconds; `prefix` tells them from others of the name."""
-    return [name for name in names if now() - state.done_at.setdefault(f"{prefix}{name}", now()) > keep]
+def expired_names(state: OwnerState, prefix: str, names: Iterable[str], retention_s: float) -> list[str]:
+    """Returns the names first seen by this owner more than `retention_s` seconds ago; `prefix` is their kind."""
+    return [name for name in names if now() - state.done_at.setdefault(f"{prefix}{name}", now()) > retention_s]
 
 
 @dataclass(eq=False)
 class Retention:
-    """Drops what the retention has passed from owned partitions."""
+    """Drops entries whose retention has passed from owned partitions."""
 
     table: PartitionTable
     owner: PartitionOwner
@@ -31,18 +31,18 @@
     job_service: JobService
 
     def drop_expired(self, partition: Partition) -> None:
-        """Drops what has ended for longer than the retention; a job that is long overdue is ended first."""
+        """Drops entries that ended longer ago than the retention; a job that is long overdue is ended first."""
         configuration = self.table.configuration_view.manifest
         assert configuration is not None
-        keep = configuration.get("retention", DEFAULT_RETENTION_S)
+        retention_s = configuration.get("retention", DEFAULT_RETENTION_S)
         state, view = self.leases.owner_states[partition.id], partition.view
-        jobs = self.expired_jobs(partition, state, keep)
+        jobs = self.expired_jobs(partition, state, retention_s)
         if jobs is None:
             return
         # Rejections and claims stay as long as finished jobs do, counted from when this owner first saw them.
-        rejected = expired(state, "rejected ", view.rejected, keep)
-        claims = expired(state, "claim ", view.claims, keep)
-        lost = expired(state, "lost ", view.lost, keep)
+        rejected = expired_names(state, "rejected ", view.rejected, retention_s)
+        claims = expired_names(state, "claim ", view.claims, retention_s)
+        lost = expired_names(state, "lost ", view.lost, retention_s)
         if not (jobs or rejected or claims or lost):
             return
         dropped = (jobs + rejected + lost)[:DROPPED_AT_ONCE]
@@ -51,16 +51,16 @@
             for name in names:
                 state.done_at.pop(f"{prefix}{name}", None)
 
-    def expired_jobs(self, partition: Partition, state: OwnerState, keep: float) -> list[str] | None:
-        """The jobs that may leave; None if one that is long overdue had to be ended instead."""
-        out = []
+    def expired_jobs(self, partition: Partition, state: OwnerState, retention_s: float) -> list[str] | None:
+        """Returns the jobs that may be dropped; None if a job that is long overdue had to be ended instead."""
+        droppable = []
         for job in partition.view.jobs.values():
             if "route" in job.body:
-                if self.job_service.may_leave(partition, job):
-                    out.append(job.id)
+                if self.job_service.may_be_dropped(partition, job):
+                    droppable.append(job.id)
             elif job.complete or job.state == JobState.ENDED:
-                out += expired(state, "", [job.id], keep)
-            elif self.table.environment.wall() > job.body["due"] + keep:
+                droppable += expired_names(state, "", [job.id], retention_s)
+            elif self.table.environment.wall() > job.body["due"] + retention_s:
                 self.owner.append(partition, "end", {"id": job.id})
                 return None
-        return out
+        return droppable
--- a/postpass/batch/scheduler.py
+++ b/postpass/batch/scheduler.py
@@ -1,8 +1,9 @@
-"""The scheduler of a daemon: works through jobs on the slots that live traffic leaves.
+"""The scheduler of a daemon: runs the items of jobs on the slots that live requests leave free.
 
 It wires the election, which decides whether this scheduler is active; the dispatch loop, which leases items from the
-owners of partitions; the capacity of the workers; the placement; and the runner, which runs each item at a worker. One
-scheduler is active at a time as far as anybody knows; what keeps two of them apart are the owners' leases and terms.
+owners of partitions; the capacity of the workers; the placement; and the runner, which runs each item at a worker. The
+election tries to have one scheduler active at a time, but two may be for a while; the owners' leases and terms then
+keep the two from running the same items.
 """
 
 from __future__ import annotations
@@ -36,7 +37,10 @@
 
 @dataclass(eq=False)
 class Scheduler:
-    """The parts of a scheduler, and what the daemon asks of it. States: standby, active, leaving (see the election)."""
+    """The parts of a scheduler, and its interface to the daemon.
+
+    States: standby, active, leaving (see `SchedulerElection`).
+    """
 
     settings: Settings
     environment: Environment
@@ -70,7 +74,11 @@
         )  # fmt: skip
 
     def register_metrics(self) -> tuple[Counter, Counter]:
-        """Registers the scheduler's metrics; returns the counters of items by their end, and of items recalled."""
+        """Registers the scheduler's metrics.
+
+        Returns the counter of runs by how they ended, and that of recalled items, whose runs were cancelled to give
+        their slots back to live requests.
+        """
         ended_items = Counter("postpass_items", "Items by class and end", ["kind", "end"], registry=self.registry)
         recalled_items = Counter("postpass_loans_back", "Items cancelled to hand room back", registry=self.registry)
         Gauge("postpass_items_running", "Items at workers", registry=self.registry).set_function(
@@ -86,26 +94,26 @@
 
     @property
     def active(self) -> bool:
-        """Does it lease and run items?"""
+        """Whether this scheduler leases and runs items."""
         return self.election.active
 
     @property
     def poll_interval(self) -> float:
-        """Seconds between two questions to workers and owners."""
+        """Seconds between two polls of workers and owners."""
         return self.dispatcher.poll_interval
 
     def tasks(self) -> list[Any]:
-        """The coroutines that the daemon runs for as long as it lives."""
+        """Returns the coroutines that the daemon runs until it stops."""
         return [self.election.run(), self.dispatcher.run()]
 
     async def on_wake(self, body: Body) -> PeerResponse:
         """Verb `wake`: the owner of partition `part` has new items."""
-        self.dispatcher.woken.add(body["part"])
+        self.dispatcher.woken_partitions.add(body["part"])
         self.wake.set()
         return Ok({})
 
     def own_use(self) -> LoadReport:
-        """The items of routes that run, by worker."""
+        """Returns how many items of routes run here, by worker."""
         counts: dict[str, int] = {}
         for (_, worker), limit in self.route_capacity.limits.items():
             if limit.running:
@@ -113,24 +121,24 @@
         return {worker: WorkerUse(items=items) for worker, items in counts.items()}
 
     def note_load(self) -> None:
-        """There is news of the load of workers: an item that waits may find a slot."""
+        """Wakes the dispatch loop after news of the workers' load, since a waiting item may find a slot now."""
         if self.active and any(item.request is not None for item in self.items.waiting()):
             self.wake.set()
 
     def leave(self) -> None:
-        """Takes and starts no more; what runs may come to its end."""
+        """Stops taking and starting items; running ones may finish."""
         self.election.leaving = True
         for item in self.items.waiting():
             self.items.drop(item)
 
     async def drain(self) -> None:
-        """Waits until nothing runs here any more, then steps back."""
+        """Waits until nothing runs here any more, then becomes a standby."""
         while running := [item.task for item in self.items if item.task is not None]:
             await asyncio.wait(running)
-        self.election.turn(False, "it is leaving")
+        self.election.set_active(False, "it is leaving")
 
     def status(self) -> Body:
-        """What operators see of it, by the keys of the daemon's status."""
+        """Returns the scheduler's state for operators, by the keys of the daemon's status."""
         return {
             "active": self.active,
             "term": self.election.term,
--- a/postpass/batch/scheduler_election.py
+++ b/postpass/batch/scheduler_election.py
@@ -1,7 +1,7 @@
 """Which scheduler is active, and under which term.
 
-The first live machine in the order of the configuration is active. That is a hint only: two may believe it of themselves
-for a while. Owners serve the highest term that they have heard of and refuse lower ones.
+The first live machine in the order of the configuration is active. This is not exclusive: two machines may be active
+for a while. Owners serve the highest term that they have seen and refuse lower ones.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 from postpass.runtime import log_events
 from postpass.runtime.environment import Environment
 
-SAID_IT_LEAVES = 1 << 20  # missed heartbeats that a machine which says that it leaves is counted to have
+LEAVING_MISSED_HEARTBEATS = 1 << 20  # missed heartbeats counted for a machine that says it is leaving
 ACTIVATED, DEACTIVATED = 150, 151  # numbers of the log events
 
 
 @dataclass(eq=False)
 class SchedulerElection:
-    """Whether this scheduler is active. States: standby, active; `leaving` never becomes active again.
+    """Decides whether this scheduler is active. States: standby, active; once `leaving`, it never becomes active again.
 
-    `term` grows each time that it becomes active, and whenever an owner tells of a higher one. `on_deactivated` is
-    called as soon as it is not active any more.
+    `term` grows each time that the scheduler becomes active, and whenever an owner reports a higher one.
+    `on_deactivated` is called as soon as the scheduler is no longer active.
     """
 
     settings: Settings
@@ -40,43 +40,46 @@
     active: bool = False
     term: int = 0
     leaving: bool = False
-    missed: Counter[str] = field(default_factory=Counter)  # by machine: heartbeats missed in a row
+    missed_heartbeats: Counter[str] = field(default_factory=Counter)  # by machine: heartbeats missed in a row
 
     async def run(self) -> None:
-        """Asks the machines that come before this one, once a heartbeat; runs until it is cancelled."""
+        """Pings the machines that precede this one in the order, once a heartbeat; runs until it is cancelled."""
         heartbeat = self.settings.bounds.beat
         while True:
             await asyncio.sleep(heartbeat * (0.8 + 0.4 * self.environment.chance.random()))
             order = self.configuration_view.duty("sched")
             if self.settings.name not in order:
-                self.turn(False, "not in the order")
+                self.set_active(False, "not in the order")
                 continue
-            before = order[: order.index(self.settings.name)]
+            predecessors = order[: order.index(self.settings.name)]
             answers = await asyncio.gather(
-                *(self.peer_links.request(self.configuration_view.addr(name), "ping", {}, heartbeat) for name in before)
+                *(
+                    self.peer_links.request(self.configuration_view.addr(name), "ping", {}, heartbeat)
+                    for name in predecessors
+                )
             )
-            for name, answer in zip(before, answers, strict=True):
+            for name, answer in zip(predecessors, answers, strict=True):
                 self.count_answer(name, answer)
-            self.decide(before)
+            self.decide(predecessors)
 
     def count_answer(self, name: str, answer: PeerResponse) -> None:
-        """Counts a heartbeat of a machine, or the lack of one."""
+        """Resets or increments the missed heartbeats of a machine."""
         alive = isinstance(answer, Ok) and not answer.unwrap()["ready"]
-        self.missed[name] = 0 if alive else self.missed[name] + 1
+        self.missed_heartbeats[name] = 0 if alive else self.missed_heartbeats[name] + 1
         if isinstance(answer, Ok) and answer.unwrap()["leaving"]:
-            self.missed[name] = SAID_IT_LEAVES
+            self.missed_heartbeats[name] = LEAVING_MISSED_HEARTBEATS
 
-    def decide(self, before: list[str]) -> None:
-        """Takes over if all machines before this one are silent, steps back if one of them answers."""
+    def decide(self, predecessors: list[str]) -> None:
+        """Activates this scheduler if all its predecessors are silent; deactivates it if one of them responds."""
         bounds = self.settings.bounds
-        all_silent = all(self.missed[name] * bounds.beat >= bounds.detect / 2 for name in before)
-        if self.active and before and any(self.missed[name] == 0 for name in before):
-            self.turn(False, "one before it is back")
+        all_silent = all(self.missed_heartbeats[name] * bounds.beat >= bounds.detect / 2 for name in predecessors)
+        if self.active and predecessors and any(self.missed_heartbeats[name] == 0 for name in predecessors):
+            self.set_active(False, "one before it is back")
         elif not self.active and all_silent and not self.leaving:
-            self.turn(True, "the first live one")
+            self.set_active(True, "the first live one")
 
-    def turn(self, active: bool, why: str) -> None:
-        """Becomes active under a higher term, or a standby; does nothing if it is so already."""
+    def set_active(self, active: bool, why: str) -> None:
+        """Becomes active under a higher term, or a standby; does nothing if that is the state already."""
         if active == self.active:
             return
         self.active = active
@@ -86,6 +89,6 @@
         else:
             self.on_deactivated()
 
-    def outbid(self, term: int) -> None:
-        """An owner refused this scheduler for one of that term: asks under a higher one from now on."""
+    def exceed_term(self, term: int) -> None:
+        """Raises the term above that of the scheduler for which an owner refused this one."""
         self.term = max(self.term, term) + 1
--- a/postpass/batch/told_counts.py
+++ b/postpass/batch/told_counts.py
@@ -1,4 +1,4 @@
-"""What the holders of budgets know of one owner's counts."""
+"""The counts that one owner has sent to the holders of budgets, and which of them these have acknowledged."""
 
 from __future__ import annotations
 
@@ -9,53 +9,58 @@
 
 
 @dataclass(frozen=True)
-class ToldCount:
-    """The last word on a budget: its number, and the tokens that the holder counts since; None if it may not have heard it."""
+class SentCount:
+    """The last report on a budget: its number, and the tokens that the holder counts since; None if that is unknown."""
 
     number: int
     tokens: int | None
 
 
 @dataclass(eq=False)
-class ToldCounts:
-    """What the owner of a partition has told the holders of budgets, under one epoch.
+class SentCounts:
+    """The counts that the owner of a partition has sent to the holders of budgets, under one epoch.
 
-    Invariant: a budget whose holder may count other tokens than wait here is among `changed`, until it was told anew.
+    Invariant: a budget whose holder may count other tokens than wait here is among `changed` until it is reported
+    again.
 
     Attributes:
         epoch: The epoch of the ownership.
-        number: Number of the last word.
-        by_key: The last word on each budget, but for budgets of tenants of which nothing was told since `complete`.
-        complete: The partitions whose owners were told all counts of tenants whose budgets they hold.
+        number: Number of the last report.
+        by_key: The last report on each budget, except budgets of tenants on which nothing was reported since the holder
+            became `complete`.
+        complete: The partitions whose owners have received all counts of the tenants whose budgets they hold.
     """
 
     epoch: int
     number: int = 0
-    by_key: dict[BudgetKey, ToldCount] = field(default_factory=dict)
+    by_key: dict[BudgetKey, SentCount] = field(default_factory=dict)
     complete: set[int] = field(default_factory=set)
 
     def next_number(self) -> int:
-        """The number of a new word."""
+        """Returns the number for a new report."""
         self.number += 1
         return self.number
 
-    def note(self, key: BudgetKey, number: int, tokens: int | None) -> None:
-        """The holder counts so many tokens since a word; None if that is not known. Later words stand."""
+    def record(self, key: BudgetKey, number: int, tokens: int | None) -> None:
+        """Records how many tokens the holder counts since the report of that number; None if that is unknown.
+
+        Does nothing if a later report was recorded.
+        """
         last = self.by_key.get(key)
         if last is not None and number < last.number:
             return
-        self.by_key[key] = ToldCount(number, tokens)
+        self.by_key[key] = SentCount(number, tokens)
 
     def is_known(self, key: BudgetKey, tokens: int) -> bool:
-        """Does the holder count just so many tokens?"""
-        told = self.by_key.get(key)
-        if told is None:
+        """Returns whether the holder is known to count exactly this number of tokens."""
+        sent = self.by_key.get(key)
+        if sent is None:
             return bool(key.tenant) and tokens == 0
-        return told.tokens == tokens
+        return sent.tokens == tokens
 
     def changed(self, counts: Mapping[BudgetKey, int]) -> dict[BudgetKey, int]:
-        """The budgets of tenants of which holders are to hear, with what waits now; `counts` may leave out zeros."""
-        for key in [key for key, told in self.by_key.items() if key.tenant and told.tokens == 0 and key not in counts]:
+        """Returns the tenants' budgets to report, with what waits now; `counts` may leave out zeros."""
+        for key in [key for key, sent in self.by_key.items() if key.tenant and sent.tokens == 0 and key not in counts]:
             del self.by_key[key]
-        gone = {key: 0 for key in self.by_key if key.tenant and key not in counts}
-        return gone | {key: tokens for key, tokens in counts.items() if key.tenant and not self.is_known(key, tokens)}
+        ended = {key: 0 for key in self.by_key if key.tenant and key not in counts}
+        return ended | {key: tokens for key, tokens in counts.items() if key.tenant and not self.is_known(key, tokens)}
--- a/tests/batch/test_fair_grants.py
+++ b/tests/batch/test_fair_grants.py
@@ -1,4 +1,4 @@
-"""Which jobs an owner's items are handed out of first, with and without clients that are told apart."""
+"""The order in which an owner leases out items of its jobs, with and without distinguished clients."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 
 def job(name: str, client: str, due: float) -> Job:
-    """A job of a route with some items."""
+    """Returns a job of a route with `ITEMS` items, due so many seconds after `WALL`."""
     items = [{"id": f"{name}-{number}", "tokens": 100, "size": 0} for number in range(ITEMS)]
     return Job(name, 1, {"route": "r", "caller": client, "items": items, "due": WALL + due, "tries": 1}, "")
 
 
-def granted(jobs: list[Job], wanted: int, usual_seconds: float = 1.0) -> list[str]:
-    """The jobs of so many granted items, at an owner whose scheduler ends ten a second if items usually take one."""
+def granted_jobs(jobs: list[Job], wanted: int, usual_seconds: float = 1.0) -> list[str]:
+    """Returns the jobs whose items are granted, by an owner where ten items end in each `usual_seconds`."""
     running = job("running", "", 100.0)
     view = JobView(jobs={each.id: each for each in [running, *jobs]})
     state = OwnerState(usual_seconds=usual_seconds)
@@ -41,24 +41,24 @@
 
 
 def crowd(client: str, due: float = 5.0) -> list[Job]:
-    """Twelve jobs of one client, each due a little later than the one before."""
+    """Returns twelve jobs of one client, each due a little later than the one before."""
     return [job(f"{client}{number}", client, due + number / 100) for number in range(12)]
 
 
 def test_a_job_is_not_behind_the_crowd_of_another_client_that_can_not_be_done_in_time() -> None:
     jobs = [*crowd("hot"), job("small", "small", 6.0)]
-    assert granted(jobs, 3 * ITEMS) == ["small", "hot0", "hot1"]
+    assert granted_jobs(jobs, 3 * ITEMS) == ["small", "hot0", "hot1"]
 
 
 def test_the_nearest_due_time_comes_first_while_all_can_be_done() -> None:
     jobs = [*crowd("hot", due=60.0), job("small", "small", 61.0)]
-    assert granted(jobs, 3 * ITEMS) == ["hot0", "hot1", "hot2"]
+    assert granted_jobs(jobs, 3 * ITEMS) == ["hot0", "hot1", "hot2"]
 
 
 @pytest.mark.parametrize("usual_seconds", [0.0, 1.0])
 def test_jobs_of_one_client_go_by_due_time_alone(usual_seconds: float) -> None:
     jobs = [*crowd(""), job("other", "", 6.0)]
-    assert granted(jobs, 3 * ITEMS, usual_seconds) == ["0", "1", "2"]
+    assert granted_jobs(jobs, 3 * ITEMS, usual_seconds) == ["0", "1", "2"]
 
 
 def test_what_is_leased_or_done_is_not_asked_for() -> None:
--- a/tests/batch/test_item_answers.py
+++ b/tests/batch/test_item_answers.py
@@ -1,4 +1,4 @@
-"""Properties of items' results, over all the ways in which workers' answers to items can go wrong."""
+"""Properties of items' results, over all the failures of workers' responses to items."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def bounded(play: Play) -> Play:
-    """A worker that tells a shorter length than it sends has declared the shorter text whole."""
+    """Excludes a declared length shorter than the body: the worker has then declared the shorter text complete."""
     return replace(play, framing="chunked") if play.framing == "too short" else play
 
 
@@ -41,22 +41,22 @@
 
 
 def test_sound_workers_end_every_item() -> None:
-    told = run_items(ItemScene(((), ()), (5, 3)))
-    assert judge_items(told) == [] and len(told.results) == 8
-    assert told.results["lot0", 4][0]["output"] == whole_text("lot0-4")
+    outcome = run_items(ItemScene(((), ()), (5, 3)))
+    assert judge_items(outcome) == [] and len(outcome.results) == 8
+    assert outcome.results["lot0", 4][0]["output"] == whole_text("lot0-4")
 
 
 def test_the_request_before_may_have_been_of_the_same_item() -> None:
-    # Found by a hunt: the check took the failure for another item's.
-    told = run_items(ItemScene(((Play(cut=74), Play("never", identity="previous")),), (1,)))
-    assert judge_items(told) == [] and told.results["lot0", 0][0]["status"] == "abandoned"
+    # A search for failures found this: the check took the failure for that of another item.
+    outcome = run_items(ItemScene(((Play(cut=74), Play("never", identity="previous")),), (1,)))
+    assert judge_items(outcome) == [] and outcome.results["lot0", 0][0]["status"] == "abandoned"
 
 
 def test_a_late_answer_to_another_item_is_no_text_of_this_one() -> None:
-    # With eight items for three places, the last of them goes out on a connection that brings an answer once more.
-    told = run_items(ItemScene(((Play(surplus="repeat", surplus_delay=0.3),),), (8,)))
-    assert judge_items(told) == [] and len(told.results) == 8
-    assert len(told.record.runs) == 9
+    # With eight items for three slots, the last one is sent on a connection on which a response arrives twice.
+    outcome = run_items(ItemScene(((Play(surplus="repeat", surplus_delay=0.3),),), (8,)))
+    assert judge_items(outcome) == [] and len(outcome.results) == 8
+    assert len(outcome.record.runs) == 9
 
 
 @pytest.mark.parametrize("framing", ["length", "chunked"])
@@ -64,6 +64,6 @@
     size = len(run_items(ItemScene(((Play(framing=framing),),), (1,))).record.runs[0].raw)
     for i in range(size):
         play = Play(framing=framing, cut=i, cut_end=end_at(i))
-        told = run_items(ItemScene(((play,), (play,)), (1,)))
-        assert judge_items(told) == []
-        assert play.cut_end == "silence" or len(told.results) == 1
+        outcome = run_items(ItemScene(((play,), (play,)), (1,)))
+        assert judge_items(outcome) == []
+        assert play.cut_end == "silence" or len(outcome.results) == 1
--- a/tests/batch/test_item_request.py
+++ b/tests/batch/test_item_request.py
@@ -1,4 +1,4 @@
-"""Events of runs, joined to a text."""
+"""Requests for items of routes: their headers, and the events of the responses, joined to a text."""
 
 from __future__ import annotations
 
@@ -59,9 +59,9 @@
             "body": "q83v",
             "headers": {"X-Model": "m", "X-Urgency": "0", "Host": "other", "X-Call-Id": "j"},
         }
-        heads = request_headers(Dialect(), request, WITHOUT_TENANTS, "h.example", "w1", 5000, 12)
-        names = [k for k, _ in heads]
-        assert len(names) == len(set(names)) and dict(heads) == {
+        headers = request_headers(Dialect(), request, WITHOUT_TENANTS, "h.example", "w1", 5000, 12)
+        names = [k for k, _ in headers]
+        assert len(names) == len(set(names)) and dict(headers) == {
             b"host": b"h.example", b"x-call-id": b"i1", b"x-deadline-ms": b"5000", b"x-want-worker": b"w1",
             b"content-length": b"3", b"X-Model": b"m", b"last-event-id": b"12", b"x-urgency": b"9",
         }  # fmt: skip
@@ -75,8 +75,8 @@
             "body": "q83v",
             "headers": {"X-Tenant": "t2", "x-tenant": "t3", "AUTHORIZATION": "Bearer k1", "authorization": "Bearer k2"},
         }
-        heads = request_headers(Dialect(), request, client, "h.example", "w1", 5000, 12)
-        named = [(name.lower(), value) for name, value in heads]
+        headers = request_headers(Dialect(), request, client, "h.example", "w1", 5000, 12)
+        named = [(name.lower(), value) for name, value in headers]
         assert [value for name, value in named if name == b"x-tenant"] == ([b"t1"] if client.tenant else [])
         keys = [value for name, value in named if name == b"authorization"]
         assert keys == ([b"Bearer k1", b"Bearer k2"] if client is WITHOUT_TENANTS else [])
@@ -84,14 +84,14 @@
     @pytest.mark.parametrize("name", ["blå", "Łódź", "東京"])
     def test_a_tenant_is_named_as_on_requests_whatever_the_characters_of_its_name(self, name: str) -> None:
         request: Item = {"id": "i1", "path": "/x", "tokens": 3, "body": "q83v", "headers": {}}
-        heads = request_headers(Dialect(), request, ClientIdentity(name), "h.example", "w1", 5000, 12)
+        headers = request_headers(Dialect(), request, ClientIdentity(name), "h.example", "w1", 5000, 12)
         scope: Any = {"method": "POST", "raw_path": b"/x", "query_string": b"", "headers": []}
         route: Any = {"tokens": False, "kind": "once", "resumable": False, "target": 1.0, "gap": 0.0, "rank": 0}
         unused: Any = None
         relayed = build_request(
             HeaderNames(Dialect()), "r", route, ClientIdentity(name), scope, b"", 0.0, 1.0, unused
         )  # fmt: skip
-        assert dict(heads)[b"x-tenant"] == dict(relayed.headers)[b"x-tenant"] == name.encode()
+        assert dict(headers)[b"x-tenant"] == dict(relayed.headers)[b"x-tenant"] == name.encode()
 
 
 ITEM: Item = {"id": "i1", "path": "/x", "headers": {}, "body": "q83v", "tokens": 3}
@@ -104,34 +104,34 @@
 
 
 def run_against(answers: list[bytes]) -> list[tuple[str, str]]:
-    """Runs an item anew for each answer; how each ended ('shed', 'broken' or its end), and its text."""
+    """Runs an item once for each response; returns how each run ended ('shed', 'broken' or its end), and its text."""
 
     async def play(_connection: int, _number: int, _head: bytes, writer: asyncio.StreamWriter) -> None:
-        writer.write(left.pop(0))
+        writer.write(remaining_answers.pop(0))
         await asyncio.sleep(0.01)
         writer.close()
 
-    async def main(links: ConnectionPool, *_: Any) -> list[tuple[str, str]]:
-        out = []
+    async def main(connections: ConnectionPool, *_: Any) -> list[tuple[str, str]]:
+        endings = []
         for _answer in answers:
             text = Text()
             try:
-                end: str = await run_item(
-                    links, Dialect(), "http://w:1", "w1", "h", ITEM, WITHOUT_TENANTS, text, lambda: "", 1.0
+                ending: str = await run_item(
+                    connections, Dialect(), "http://w:1", "w1", "h", ITEM, WITHOUT_TENANTS, text, lambda: "", 1.0
                 )  # fmt: skip
-            except FaultError as bad:
-                end = bad.fault.hint or "broken"
-            out.append((end, text.text))
-        return out
+            except FaultError as error:
+                ending = error.fault.hint or "broken"
+            endings.append((ending, text.text))
+        return endings
 
-    left = list(answers)
+    remaining_answers = list(answers)
     return run(play, main)  # type: ignore[no-any-return]
 
 
 class Test_Answers_of_an_item:
     def test_whole_ones_end_it(self) -> None:
-        whole = answer("200 OK", SEALED, event(0, "a") + event(1, "b"))
-        assert run_against([whole, answer("500 No", SEALED, b"no"), answer("422 No", b"X-Call-Id: i1\r\n", b"no")]) == [
+        complete = answer("200 OK", SEALED, event(0, "a") + event(1, "b"))
+        assert run_against([complete, answer("500 No", SEALED, b"no"), answer("422 No", b"X-Call-Id: i1\r\n", b"no")]) == [
             ("done", "a\nb"), ("failed", ""), ("never", "")]  # fmt: skip
 
     def test_those_of_another_request_prove_nothing(self) -> None:
--- a/tests/batch/test_job_api.py
+++ b/tests/batch/test_job_api.py
@@ -1,10 +1,10 @@
-"""What a lot's body may be."""
+"""Validation of a job's body."""
 
 from typing import Any
 
 import pytest
 
-from postpass.batch.job_api import job_flaw, known_body
+from postpass.batch.job_api import drop_unknown_fields, job_flaw
 from tests.platform.test_settings import ANY_JSON
 
 
@@ -13,7 +13,7 @@
 
 
 class Test_job_flaw:
-    def test_a_proper_lot_has_none(self) -> None:
+    def test_a_valid_job_has_none(self) -> None:
         assert job_flaw({"items": [item(), item(id="i2")]}) == ""
 
     @pytest.mark.parametrize(
@@ -22,34 +22,37 @@
             ([], "(top)"), ({}, "items"), ({"items": []}, "items"), ({"items": [item()] * 201}, "items"),
             ({"items": [item(), item()]}, "items[1].id"), ({"items": [item(path="a")]}, "items[0].path"),
             ({"items": [item(body="?")]}, "items[0].body"), ({"items": [item(tokens=-1)]}, "items[0].tokens"),
-            ({"items": [item(tokens="9")]}, "items[0].tokens"), ({"items": [item(headers={"a": 1})]}, "items[0].headers.a"),
-            ({"items": [item(headers={"a": "b\r\nc"})]}, "items[0].headers.'a'"),
-            ({"items": [item(headers={"a": "b\0c"})]}, "items[0].headers.'a'"),
-            ({"items": [item(headers={"a": "b\u20acc"})]}, "items[0].headers.'a'"),
-            ({"items": [item(headers={"content-length ": "5"})]}, "items[0].headers.'content-length '"),
-            ({"items": [item(headers={"\u00fc": "5"})]}, "items[0].headers.'\u00fc'"),
-            ({"items": [item(path="/\u20ac")]}, "items[0].path"),
+            ({"items": [item(tokens="9")]}, "items[0].tokens"), ({"items": [item(headers={"a": 1})]},
+            "items[0].headers.a"), ({"items": [item(headers={"a": "b\r\nc"})]}, "items[0].headers.'a'"), ({"items":
+            [item(headers={"a": "b\0c"})]}, "items[0].headers.'a'"), ({"items": [item(headers={"a": "b\u20acc"})]},
+            "items[0].headers.'a'"), ({"items": [item(headers={"content-length ": "5"})]},
+            "items[0].headers.'content-length '"), ({"items": [item(headers={"\u00fc": "5"})]},
+            "items[0].headers.'\u00fc'"), ({"items": [item(path="/\u20ac")]}, "items[0].path"),
         ],
     )  # fmt: skip
-    def test_a_flaw_is_told_with_its_path(self, raw: Any, path: str) -> None:
+    def test_an_error_names_its_path(self, raw: Any, path: str) -> None:
         assert job_flaw(raw).split(":")[0] == path
 
 
 class Test_known_body:
     @pytest.mark.parametrize("value", ANY_JSON, ids=repr)
     def test_a_field_that_is_not_read_is_skipped_at_every_depth_whatever_its_type(self, value: Any) -> None:
-        body = known_body({"later": value, "items": [item(later=value), item(id="i2") | {"more": {"later": value}}]})
+        body = drop_unknown_fields(
+            {"later": value, "items": [item(later=value), item(id="i2") | {"more": {"later": value}}]}
+        )
         assert body == {"items": [item(), item(id="i2")]} and job_flaw(body) == ""
 
     def test_names_of_headers_are_no_fields(self) -> None:
         headers = {"x-model": "m", "x-later": "7"}
-        assert known_body({"items": [item(headers=headers)]})["items"][0]["headers"] == headers
-        assert job_flaw(known_body({"items": [item(headers={"later": 4})]})).startswith("items[0].headers.later: ")
+        assert drop_unknown_fields({"items": [item(headers=headers)]})["items"][0]["headers"] == headers
+        assert job_flaw(drop_unknown_fields({"items": [item(headers={"later": 4})]})).startswith(
+            "items[0].headers.later: "
+        )
 
     def test_a_number_of_tokens_may_have_a_point(self) -> None:
-        body = known_body({"items": [item(tokens=940.0)]})
+        body = drop_unknown_fields({"items": [item(tokens=940.0)]})
         assert job_flaw(body) == "" and type(body["items"][0]["tokens"]) is int
 
-    def test_what_has_another_shape_keeps_its_flaw(self) -> None:
+    def test_a_body_of_another_shape_keeps_its_error(self) -> None:
         for raw, path in (([], "(top)"), ({"items": {}}, "items"), ({"items": [4]}, "items[0]")):
-            assert job_flaw(known_body(raw)).split(":")[0] == path
+            assert job_flaw(drop_unknown_fields(raw)).split(":")[0] == path
--- a/tests/batch/test_job_service.py
+++ b/tests/batch/test_job_service.py
@@ -1,4 +1,4 @@
-"""Lots of a route through a whole fleet on simulated time, with workers stood in for by an object."""
+"""Jobs of a route in a whole fleet on simulated time, with a fake for the workers."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class Pretend:
-    """Every item has three events; the first run of an item whose id ends in `cut` is cut after the second."""
+    """Fake workers: every item has three events; the first run of an item whose id ends in `cut` is cut after two."""
 
     def __init__(self) -> None:
         self.runs: list[tuple[str, int]] = []
@@ -56,16 +56,16 @@
             raise FaultError(Fault("gate", addr, why, unsent=True))
         if self.full:
             return Answer(503, [(b"x-not-run", b"1")], [], False)
-        heads = dict(headers)
-        name, last = heads[b"x-call-id"].decode(), int(heads.get(b"last-event-id", b"-1"))
+        sent_headers = dict(headers)
+        name, last = sent_headers[b"x-call-id"].decode(), int(sent_headers.get(b"last-event-id", b"-1"))
         again = any(n == name for n, _ in self.runs)
         self.runs.append((name, last))
-        own = [(b"x-call-id", name.encode()), (b"x-seal", b"s")]
+        own_headers = [(b"x-call-id", name.encode()), (b"x-seal", b"s")]
         if name.endswith(("never", "fails")):
-            return Answer(422 if name.endswith("never") else 500, own, [], False)
-        most = 2 if name.endswith("cut") and not again else 3
-        parts = [f"id: {n}\ndata: {body.decode()}{n}\n\n".encode() for n in range(last + 1, most)]
-        return Answer(200, own, parts, most < 3)
+            return Answer(422 if name.endswith("never") else 500, own_headers, [], False)
+        events_sent = 2 if name.endswith("cut") and not again else 3
+        parts = [f"id: {n}\ndata: {body.decode()}{n}\n\n".encode() for n in range(last + 1, events_sent)]
+        return Answer(200, own_headers, parts, events_sent < 3)
 
 
 def lot(*ends: str, tokens: int = 10) -> bytes:
@@ -80,19 +80,19 @@
     logging.set_verbosity(logging.FATAL)
     workers = Pretend()
 
-    def make(daemon: Any) -> None:
+    def replace_workers(daemon: Any) -> None:
         if isinstance(daemon, DataPlane):
-            opened = daemon.open
+            open_daemon = daemon.open
 
-            async def open_more() -> None:
-                await opened()
+            async def open_with_workers() -> None:
+                await open_daemon()
                 if daemon.scheduler is not None:
                     daemon.scheduler.runner.workers = workers
 
-            daemon.open = open_more  # type: ignore[method-assign]
+            daemon.open = open_with_workers  # type: ignore[method-assign]
 
     async def main(loop: SimLoop) -> None:
-        fleet = SimFleet(loop, manifest() | {"routes": {"r": dict(ROUTE) | route}}, 1, make=make)
+        fleet = SimFleet(loop, manifest() | {"routes": {"r": dict(ROUTE) | route}}, 1, make=replace_workers)
         await fleet.found()
 
         def api(name: str) -> JobApi:
@@ -108,27 +108,27 @@
     run_sim(main, 1)
 
 
-def named_scheds(fleet: SimFleet) -> dict[str, Scheduler]:
+def schedulers_by_name(fleet: SimFleet) -> dict[str, Scheduler]:
     daemons = {n: b.daemon for n, b in fleet.boxes.items()}
     return {n: d.scheduler for n, d in daemons.items() if isinstance(d, DataPlane) and d.scheduler is not None}
 
 
-def scheds(fleet: SimFleet) -> list[Scheduler]:
-    return list(named_scheds(fleet).values())
+def schedulers(fleet: SimFleet) -> list[Scheduler]:
+    return list(schedulers_by_name(fleet).values())
 
 
-async def all_of(api: JobApi, name: str) -> list[dict[str, Any]]:
-    out: list[dict[str, Any]] = []
+async def all_results(api: JobApi, name: str) -> list[dict[str, Any]]:
+    rows: list[dict[str, Any]] = []
     for _ in range(40):
-        got = (await api.results(name, len(out), 1.0)).unwrap()
-        out += got["results"]
-        assert got["next"] == len(out)
-        if len(out) == got["total"]:
-            return out
-    raise AssertionError(f"no end, {out}")
+        page = (await api.results(name, len(rows), 1.0)).unwrap()
+        rows += page["results"]
+        assert page["next"] == len(rows)
+        if len(rows) == page["total"]:
+            return rows
+    raise AssertionError(f"no end, {rows}")
 
 
-class Test_a_lot_of_a_route:
+class Test_a_job_of_a_route:
     def test_is_kept_runs_and_reads_the_same_at_every_edge(self) -> None:
         async def check(fleet: SimFleet, apis: list[JobApi], workers: Pretend) -> None:
             began = fleet.loop.clock
@@ -137,12 +137,12 @@
             assert (await apis[1].accept("r", ROUTE, "l1", lot("a", "cut", "never", "fails")))[0] == 202
             assert (await apis[1].accept("r", ROUTE, "l1", lot("other")))[0] == 409
             assert (await apis[1].item("l1", "i0a")).unwrap() == b"t"
-            rows = await all_of(apis[0], "l1")
+            rows = await all_results(apis[0], "l1")
             assert {r["id"]: (r["state"], r["text"]) for r in rows} == {
                 "i0a": ("done", "t0\nt1\nt2"), "i1cut": ("done", "t0\nt1\nt2"), "i2never": ("abandoned", ""),
                 "i3fails": ("abandoned", ""),
             }  # fmt: skip
-            assert rows == await all_of(apis[1], "l1")
+            assert rows == await all_results(apis[1], "l1")
             assert ("i1cut", 1) in workers.runs and len(workers.runs) == 6
             assert (await apis[1].item("l1", "i0a")).unwrap_err() == 404
             assert (await apis[0].results("l2", 0, 0)).unwrap_err() == 404
@@ -155,8 +155,8 @@
             plain = json.loads(lot("a"))
             more = {"later": [1], "items": [item | {"later": {"deep": [None]}} for item in plain["items"]]}
             assert (await apis[0].accept("r", ROUTE, "l1", json.dumps(more).encode()))[0] == 202
-            assert (await apis[1].accept("r", ROUTE, "l1", lot("a")))[0] == 202  # the very same one
-            assert [row["state"] for row in await all_of(apis[1], "l1")] == ["done"]
+            assert (await apis[1].accept("r", ROUTE, "l1", lot("a")))[0] == 202  # the same job
+            assert [row["state"] for row in await all_results(apis[1], "l1")] == ["done"]
 
         with_lots(check)
 
@@ -199,16 +199,16 @@
             )
             fleet.kill(owner, silent=True)
             await asyncio.sleep(6.0)
-            await apis[1].results("l1", 0, 0.0)  # the first question may go to the owner that is gone
+            await apis[1].results("l1", 0, 0.0)  # the first request may go to the owner that was killed
             workers.full = False
-            assert [r["state"] for r in await all_of(apis[1], "l1")] == ["abandoned"]
+            assert [r["state"] for r in await all_results(apis[1], "l1")] == ["abandoned"]
             assert len(workers.runs) == 4
 
         with_lots(check)
 
     def test_is_refused_past_the_quota_and_taken_once_there_is_room(self) -> None:
         async def check(fleet: SimFleet, apis: list[JobApi], workers: Pretend) -> None:
-            workers.full = True  # nothing leaves the count by being done
+            workers.full = True  # so that no item is done, which would lower the count
             codes = [(await apis[n % 2].accept("r", ROUTE, f"l{n}", lot("a", tokens=400)))[0] for n in range(4)]
             assert codes == [202, 202, 429, 429]
             assert (await apis[0].finish("l0")).is_ok() and (await apis[1].finish("l0")).is_ok()
@@ -224,7 +224,7 @@
             brief: Route = ROUTE | {"expire": 3.0}  # type: ignore[assignment]
             assert (await apis[0].accept("r", brief, "l1", lot("a", "b")))[0] == 202
             began = fleet.loop.clock
-            assert [r["state"] for r in await all_of(apis[1], "l1")] == ["abandoned", "abandoned"]
+            assert [r["state"] for r in await all_results(apis[1], "l1")] == ["abandoned", "abandoned"]
             assert 2.9 <= fleet.loop.clock - began <= 5.0 and workers.runs == []
 
         with_lots(check)
@@ -234,35 +234,37 @@
             workers.full = True
             assert (await apis[0].accept("r", ROUTE, "l1", lot("a", "b")))[0] == 202
             await asyncio.sleep(1.0)
-            assert sum(len(s.items) for s in scheds(fleet)) == 2
+            assert sum(len(s.items) for s in schedulers(fleet)) == 2
             assert (
                 await fleet.apply({**fleet.configuration, "routes": {}}, apis[0].edge.configuration_view.revision) == 2
             )
             began = fleet.loop.clock
-            assert [r["state"] for r in await all_of(apis[1], "l1")] == ["abandoned", "abandoned"]
+            assert [r["state"] for r in await all_results(apis[1], "l1")] == ["abandoned", "abandoned"]
             assert fleet.loop.clock - began < 1.0
             workers.full = False
             await asyncio.sleep(1.0)
-            assert workers.runs == [] and sum(len(s.items) for s in scheds(fleet)) == 0
+            assert workers.runs == [] and sum(len(s.items) for s in schedulers(fleet)) == 0
 
         with_lots(check)
 
     def test_goes_by_no_configuration_older_than_its_acceptance(self) -> None:
         async def check(fleet: SimFleet, apis: list[JobApi], workers: Pretend) -> None:
             known = apis[0].edge.configuration_view.revision
-            apis[0].edge.configuration_view.revision += 2  # as if this edge alone had heard of two more
-            told = asyncio.create_task(apis[0].accept("gone", ROUTE, "l1", lot("a")))
+            apis[0].edge.configuration_view.revision += 2  # as if only this edge knew of two further revisions
+            removed_route = asyncio.create_task(apis[0].accept("gone", ROUTE, "l1", lot("a")))
             again = asyncio.create_task(apis[0].accept("r", ROUTE, "l2", lot("b")))
-            assert [(await t)[0] for t in (told, again)] == [202, 202]
+            assert [(await t)[0] for t in (removed_route, again)] == [202, 202]
             apis[0].edge.configuration_view.revision = known
             await asyncio.sleep(2.0)
-            assert workers.runs == []  # the route is there, but may have gone elsewhere since
-            assert (await apis[1].results("l1", 0, 0)).unwrap()["results"] == []  # and this one may have come since
+            assert workers.runs == []  # the route exists, but may go to other pools by now
+            assert (await apis[1].results("l1", 0, 0)).unwrap()[
+                "results"
+            ] == []  # and this route may have been added by now
             for turn in range(2):
                 configuration = fleet.configuration | {"retention": 3600.0 + turn}
                 assert await fleet.apply(configuration, known + turn) == known + turn + 1
-            assert [r["state"] for r in await all_of(apis[1], "l2")] == ["done"]
-            assert [r["state"] for r in await all_of(apis[1], "l1")] == ["abandoned"]
+            assert [r["state"] for r in await all_results(apis[1], "l2")] == ["done"]
+            assert [r["state"] for r in await all_results(apis[1], "l1")] == ["abandoned"]
 
         with_lots(check)
 
@@ -272,24 +274,24 @@
             for name, ends in (("l1", ("a", "b")), ("l2", ("c", "d"))):
                 assert (await apis[1].accept("r", ROUTE, name, lot(*ends)))[0] == 202
             await asyncio.sleep(0.5)
-            held = next(n for n, s in named_scheds(fleet).items() if s.items)
-            fleet.freeze(held)
+            frozen = next(n for n, s in schedulers_by_name(fleet).items() if s.items)
+            fleet.freeze(frozen)
             api = apis[1]
-            assert held != "e2"  # where this runs
+            assert frozen != "e2"  # the machine on which this check runs
             async with asyncio.timeout(10.0):
                 while (await api.finish("l1")).is_err():
                     await asyncio.sleep(0.2)
             ended = fleet.loop.clock
             await asyncio.sleep(3.0)
             workers.full = False
-            term = max(s.election.term for s in scheds(fleet))
-            fleet.thaw(held)
-            assert {r["state"] for r in await all_of(api, "l2")} == {"done"}
+            term = max(s.election.term for s in schedulers(fleet))
+            fleet.thaw(frozen)
+            assert {r["state"] for r in await all_results(api, "l2")} == {"done"}
             await asyncio.sleep(2.0)
             assert fleet.loop.clock - ended > 3.0
-            # Nothing of the ended one; each item of the other once, and once more only where a scheduler took over since.
+            # No item of the ended job; each item of the other once, or twice if another scheduler took over since.
             runs = Counter(n for n, _ in workers.runs)
-            takeovers = max(s.election.term for s in scheds(fleet)) - term
+            takeovers = max(s.election.term for s in schedulers(fleet)) - term
             assert set(runs) == {"i0c", "i1d"} and max(runs.values()) <= 1 + min(1, takeovers)
 
         with_lots(check, at="e2")
--- a/tests/batch/test_leased_items.py
+++ b/tests/batch/test_leased_items.py
@@ -1,4 +1,4 @@
-"""What a scheduler holds, and what an owner makes of its results."""
+"""The items that a scheduler holds; the leases of an owner, and what it records of results."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from postpass.batch.job import Job, JobView
 from postpass.batch.leased_items import LeasedItem, LeasedItems
-from postpass.batch.leases import Lease, OwnerState, outcome
+from postpass.batch.leases import Lease, OwnerState, result_to_record
 from postpass.batch.messages import ItemKey, ItemResult, ItemStatus, TakeRequest
 from postpass.worker_api.openai import Prompt
 from sim.loop import SimLoop, run_sim
@@ -32,7 +32,7 @@
 def test_an_item_of_a_class_fails_after_its_tries_with_the_reason() -> None:
     job, results = OF_CLASS.copy(), []
     for _ in range(5):
-        results.append(outcome(job, KEY.item, ItemResult(ItemStatus.FAILED, "why")))
+        results.append(result_to_record(job, KEY.item, ItemResult(ItemStatus.FAILED, "why")))
         job.count_failure(KEY.item)
     assert results == [None] * 4 + [ItemResult(ItemStatus.FAILED, "why")]
     assert OF_CLASS.failures(KEY.item) == 0 and job.failures(KEY.item + 1) == 0
@@ -41,24 +41,24 @@
 def test_an_item_of_a_route_is_abandoned_after_its_own_tries_or_when_a_worker_says_never() -> None:
     job = OF_ROUTE.copy()
     failed, never = ItemResult(ItemStatus.FAILED, "why", 2), ItemResult(ItemStatus.ABANDONED, "", 2)
-    assert outcome(job, KEY.item, failed) is None
+    assert result_to_record(job, KEY.item, failed) is None
     job.count_failure(KEY.item)
-    abandoned = outcome(job, KEY.item, failed)
-    assert abandoned == ItemResult(ItemStatus.ABANDONED, "") and outcome(job, KEY.item, never) == never
+    abandoned = result_to_record(job, KEY.item, failed)
+    assert abandoned == ItemResult(ItemStatus.ABANDONED, "") and result_to_record(job, KEY.item, never) == never
 
 
 def test_leases_stay_while_they_are_renewed_or_last_and_their_scheduler_is_the_same() -> None:
     view = JobView(jobs={"x": OF_CLASS})
     state = OwnerState(
         {
-            ItemKey("x", 0): Lease("e1", 1.0, 0.0), ItemKey("x", 1): Lease("e1", 9.0, 0.0), ItemKey("x", 2): Lease("e2", 9.0, 0.0),
-            ItemKey("gone", 0): Lease("e1", 9.0, 0.0), ItemKey("x", 3): Lease("e1", 1.0, 0.0),
+            ItemKey("x", 0): Lease("e1", 1.0, 0.0), ItemKey("x", 1): Lease("e1", 9.0, 0.0), ItemKey("x", 2): Lease("e2",
+            9.0, 0.0), ItemKey("gone", 0): Lease("e1", 9.0, 0.0), ItemKey("x", 3): Lease("e1", 1.0, 0.0),
         }
     )  # fmt: skip
     request = TakeRequest("e1", 1, {}, [ItemKey("x", 0)])
     state.renew(request, 7.0)
     state.release_expired(view, request, 5.0)
-    assert {key: lease.until for key, lease in state.leases.items()} == {("x", 0): 7.0, ("x", 1): 9.0}
+    assert {key: lease.expires_at for key, lease in state.leases.items()} == {("x", 0): 7.0, ("x", 1): 9.0}
 
 
 def test_an_owner_learns_how_long_items_take_from_the_lease_to_the_result() -> None:
--- a/tests/batch/test_messages.py
+++ b/tests/batch/test_messages.py
@@ -1,4 +1,4 @@
-"""The batch messages: their keys are those of release 0.2.0, in their order, and each is read as it was written."""
+"""The batch messages: keys and their order are those of release 0.2.0, and decoding restores what was encoded."""
 
 from __future__ import annotations
 
--- a/tests/batch/test_placement.py
+++ b/tests/batch/test_placement.py
@@ -1,4 +1,4 @@
-"""Which items go first, and which pool an item goes to."""
+"""The order in which items are placed, and the pools and workers that they are placed on."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 @dataclass(eq=False)
 class CrowdedFleet:
-    """A placement over workers that are all alike, which counts how often the load at the workers was looked up."""
+    """A placement over identical workers; counts how often the workers' load was looked up."""
 
     workers: int
     slots: int
@@ -81,10 +81,10 @@
 
     def add_waiting(self, count: int) -> None:
         for number in range(count):
-            one = item("x", number, 9.0, "")
-            one.item_class = f"route:{ROUTE_NAME}"
-            one.request = {"id": f"i{number}", "path": "/", "headers": {}, "body": "", "tokens": 1}
-            self.items.add(one)
+            waiting_item = item("x", number, 9.0, "")
+            waiting_item.item_class = f"route:{ROUTE_NAME}"
+            waiting_item.request = {"id": f"i{number}", "path": "/", "headers": {}, "body": "", "tokens": 1}
+            self.items.add(waiting_item)
 
     async def place(self) -> None:
         self.placement.place_requests(self.configuration)
@@ -99,7 +99,7 @@
         await fleet.place()
         assert fleet.lookups == 1
         assert len(fleet.started) == min(waiting, 18), "a tenth of the 20 slots is kept for live requests"
-        per_worker = Counter(one.worker for one in fleet.started)
+        per_worker = Counter(started_item.worker for started_item in fleet.started)
         assert max(per_worker.values()) <= 4
 
     asyncio.run(scene())
@@ -123,17 +123,17 @@
 
 
 class CountingCapacity(RouteCapacity):
-    """Counts how often it was asked for the free slots of a pool."""
+    """Counts how often the free slots of a pool were looked up."""
 
-    asked = 0
+    lookups = 0
 
     def free(self, configuration: Any, pool: str) -> dict[str, int]:
-        self.asked += 1
+        self.lookups += 1
         return super().free(configuration, pool)
 
 
 def requests(*clients: str, due: float = WALL + 10) -> LeasedItems:
-    """One waiting item of a route for each client, each due a little later than the one before."""
+    """Returns one waiting item of a route for each client, each due a little later than the one before."""
     items = LeasedItems(leases={0: 1e12})
     for number, client in enumerate(clients):
         item = LeasedItem(0, f"j{number}", 0, "route:r", due + number / 1000, Prompt((), ""), client)
@@ -142,8 +142,8 @@
     return items
 
 
-def place(items: LeasedItems, workers: int, slots: int) -> tuple[list[str], CountingCapacity]:
-    """The jobs whose items a placing round starts, and what it asked of the capacity."""
+def place_items(items: LeasedItems, workers: int, slots: int) -> tuple[list[str], CountingCapacity]:
+    """Returns the jobs whose items a placement run starts, and the capacity that it used."""
 
     class Runner:
         workers = object()
@@ -172,21 +172,21 @@
 
 
 def test_a_round_asks_for_the_free_slots_of_a_pool_once_however_many_items_wait() -> None:
-    started, capacity = place(requests(*[""] * 200), workers=4, slots=8)
+    started, capacity = place_items(requests(*[""] * 200), workers=4, slots=8)
     assert started == [f"j{number}" for number in range(4 * 6)]  # three quarters of the slots, nearest due first
-    assert capacity.asked == 1 and {limit.running for limit in capacity.limits.values()} == {6}
+    assert capacity.lookups == 1 and {limit.running for limit in capacity.limits.values()} == {6}
 
 
 def test_the_items_of_one_client_do_not_wait_behind_the_crowd_of_another() -> None:
     clients = ["hot"] * 200 + ["small"] * 5
-    # 24 slots of items that take half a second: 205 take some 4 seconds.
-    assert place(requests(*clients), workers=4, slots=8)[0] == [f"j{number}" for number in range(24)]
-    started = place(requests(*clients, due=WALL + 2), workers=4, slots=8)[0]
+    # In 24 slots, with half a second for each, 205 items take about 4 seconds.
+    assert place_items(requests(*clients), workers=4, slots=8)[0] == [f"j{number}" for number in range(24)]
+    started = place_items(requests(*clients, due=WALL + 2), workers=4, slots=8)[0]
     assert set(started) == {f"j{number}" for number in [*range(19), *range(200, 205)]}
 
 
-def kept_in_time(items: LeasedItems) -> int:
-    """How many waiting items a scheduler with 24 slots counts as those that it goes on with."""
+def count_in_time(items: LeasedItems) -> int:
+    """Returns how many waiting items a scheduler with 24 slots counts as those that can be done in time."""
     servers = {f"w{number}": {"slots": 8, "area": "a"} for number in range(4)}
     split = [{"pool": "gpu", "weight": 1}]
     configuration: Any = {"pools": {"gpu": {"servers": servers}}, "routes": {"r": {"kind": "lot", "split": split}}}
@@ -195,12 +195,12 @@
     placement = Placement(none, clock, none, items, RouteCapacity(usual_seconds=0.5), none)
 
     async def count() -> int:
-        return placement.kept_in_time(configuration, items.waiting())
+        return placement.count_in_time(configuration, items.waiting())
 
     return asyncio.run(count())
 
 
 def test_what_is_beyond_the_share_of_a_client_does_not_keep_out_the_items_of_others() -> None:
     alone, together = requests(*["hot"] * 200, due=WALL + 2), requests(*["hot"] * 200, "small", due=WALL + 2)
-    assert kept_in_time(alone) == 200 and kept_in_time(together) < 100
-    assert kept_in_time(requests(*["hot"] * 50, "small", due=WALL + 2)) == 51
+    assert count_in_time(alone) == 200 and count_in_time(together) < 100
+    assert count_in_time(requests(*["hot"] * 50, "small", due=WALL + 2)) == 51
--- a/tests/batch/test_quota_owner_changes.py
+++ b/tests/batch/test_quota_owner_changes.py
@@ -21,26 +21,26 @@
 
 
 def route_of_budget(number: int) -> str:
-    """The name of a route whose budget a partition holds."""
+    """Returns the name of a route whose budget is held by the owner of this partition."""
     return next(name for n in range(1000) if partition_of(f"route:{(name := f'lots{n}')}", PARTITIONS) == number)
 
 
-def configured(route: str) -> dict[str, Any]:
-    """A configuration whose one route for jobs has this name."""
-    wanted = document(1)
-    wanted["routes"][2]["name"] = route
-    return wanted
+def configuration_with_route(route: str) -> dict[str, Any]:
+    """Returns a configuration whose one route for jobs has this name."""
+    configuration = document(1)
+    configuration["routes"][2]["name"] = route
+    return configuration
 
 
 def job(number: int, turn: int) -> tuple[str, bytes]:
-    """A job that falls to a partition, by its id, and what a client sends."""
+    """Returns the id of a job that belongs to this partition, and the body that a client sends."""
     name = next(n for k in range(1000) if partition_of(n := f"job{turn}-{k}", PARTITIONS) == number)
     item = {"id": f"{name}-0", "path": "/lots/x", "headers": {}, "body": base64.b64encode(b"t").decode(), "tokens": 9}
     return name, json.dumps({"items": [item]}).encode()
 
 
 async def statuses(fleet: Fleet, route: str, turn: int) -> dict[int, int]:
-    """The answer to a job of each partition, handed in at an edge."""
+    """Submits a job to each partition through an edge; returns the statuses by partition."""
     daemon = fleet.nodes["e1"].daemon
     assert isinstance(daemon, DataPlane) and daemon.edge is not None
     api, terms = JobApi(daemon.edge), daemon.edge.configuration["routes"][route]
@@ -57,7 +57,7 @@
 
 
 async def retire(fleet: Fleet, name: str) -> None:
-    """Empties a store and takes it away for good."""
+    """Retires a store: waits until its partitions have moved, then kills it for good."""
     assert (await fleet.ask("c1", lambda c: c.retire(name))).is_ok()
     while not (await fleet.ask("c1", lambda c: c.retired(name))).unwrap()["done"]:
         await asyncio.sleep(0.1)
@@ -66,9 +66,9 @@
 
 @pytest.mark.parametrize("budget", range(PARTITIONS))
 def test_jobs_of_all_partitions_are_kept_after_the_budgets_owner_was_retired(budget: int) -> None:
-    """Stores are added, the owner of the budget's partition is emptied and taken away, and the next one loses power.
+    """Stores are added, the owner of the budget's partition is retired, and the next owner loses power.
 
-    A store that was a member before remembers an owner that is gone; it must find the present one all the same."""
+    A store that used to be a member remembers an owner that no longer exists; it must still find the current one."""
 
     async def main(loop: SimLoop) -> tuple[dict[int, int], list[str]]:
         fleet = Fleet(loop, stores=4, edges=1)
@@ -76,7 +76,7 @@
         assert await fleet.until(lambda: fleet.joined() and len(fleet.owners()) == PARTITIONS, 20.0) >= 0
         fleet.first = False
         route = route_of_budget(budget)
-        assert (await fleet.ask("c1", lambda c: c.apply_source(configured(route), 0))).is_ok()
+        assert (await fleet.ask("c1", lambda c: c.apply_source(configuration_with_route(route), 0))).is_ok()
         await asyncio.sleep(2.0)
         assert set((await statuses(fleet, route, 0)).values()) == {202}
         retired = fleet.owners()[budget]
@@ -87,7 +87,7 @@
         await asyncio.sleep(2.0)
         lost = fleet.owners()[budget]
         fleet.kill(lost, silent=True)
-        await statuses(fleet, route, 1)  # nobody promises anything for these
+        await statuses(fleet, route, 1)  # any response is allowed during the failover
         fleet.boot(lost)
         assert await fleet.until(lambda: len(fleet.owners()) == PARTITIONS, RECOVER) >= 0
         await asyncio.sleep(2.0)
--- a/tests/batch/test_tenant_jobs.py
+++ b/tests/batch/test_tenant_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs of tenants through a whole fleet: each has the quota of the route by itself, also after owners are lost."""
+"""Jobs of tenants in a whole fleet: each tenant has the route's quota separately, also after owners are lost."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 async def add_tenants(fleet: SimFleet, api: JobApi) -> None:
-    """A configuration with two tenants, in force everywhere."""
+    """Applies a configuration with two tenants, and waits until it is in force everywhere."""
     tenants = {name: {"keys": [key_digest(name.encode())], "rate": 0, "burst": 0} for name in ("firm", "other")}
     revision = api.edge.configuration_view.revision
     assert await fleet.apply({**fleet.configuration, "tenants": tenants}, revision) == revision + 1
@@ -28,30 +28,30 @@
 
 
 async def hand_in(api: JobApi, tenant: str, job_id: str, tokens: int) -> int:
-    """The status of a job of one item that an edge hands in for a tenant."""
+    """Submits a job of one item for a tenant through an edge; returns the status."""
     items = json.loads(lot("a", tokens=tokens))["items"]
     job = api.job_body("r", ROUTE, job_id, items, tenant)
     partition = partition_of(job_id, api.edge.configuration["parts"])
-    answer = await api.edge.owners.ask(partition, "accept", {"lot": job}, now() + api.patience())
+    answer = await api.edge.owners.ask(partition, "accept", {"lot": job}, now() + api.owner_timeout())
     return 202 if answer.is_ok() else api.not_accepted(job_id, answer.unwrap_err()).status
 
 
 async def ask(api: JobApi, tenant: str, job_id: str, verb: str, body: dict[str, Any]) -> dict[str, Any]:
-    """An owner's answer about a job of a tenant."""
+    """Returns an owner's response about a job of a tenant."""
     partition = partition_of(job_id, api.edge.configuration["parts"])
-    wanted = body | {"id": job_id, "caller": tenant}
-    return (await api.edge.owners.ask(partition, verb, wanted, now() + api.patience())).unwrap()
+    request = body | {"id": job_id, "caller": tenant}
+    return (await api.edge.owners.ask(partition, verb, request, now() + api.owner_timeout())).unwrap()
 
 
 def job_of(fleet: SimFleet, partition: int, turn: int) -> str:
-    """The id of a job that falls to a partition."""
+    """Returns the id of a job that belongs to this partition."""
     parts = fleet.configuration["parts"]
     return next(name for n in range(1000) if partition_of(name := f"j{turn}-{n}", parts) == partition)
 
 
 def test_each_tenant_has_its_own_quota_also_after_its_holder_was_lost() -> None:
     async def check(fleet: SimFleet, apis: list[JobApi], workers: Pretend) -> None:
-        workers.full = True  # nothing leaves the count by being done
+        workers.full = True  # so that no item is done, which would lower the count
         await add_tenants(fleet, apis[0])
         parts = fleet.configuration["parts"]
         holder = holder_of(BudgetKey("r", "firm"), parts)
@@ -67,8 +67,8 @@
             await asyncio.sleep(0.2)
         assert status == (202 if 300 * min(parts, 3) + 100 <= QUOTA else 429)
         await asyncio.sleep(2.0)
-        left = QUOTA - 300 * min(parts, 3) - 100
-        assert await hand_in(apis[0], "firm", "more", left + 1) == 429
+        remaining = QUOTA - 300 * min(parts, 3) - 100
+        assert await hand_in(apis[0], "firm", "more", remaining + 1) == 429
         assert await hand_in(apis[0], "other", "o3", 1) == 429
 
     with_lots(check)
--- a/tests/batch/test_waiting_tokens.py
+++ b/tests/batch/test_waiting_tokens.py
@@ -1,4 +1,4 @@
-"""The count of waiting tokens that a view keeps equals what a walk over its jobs finds, after any records."""
+"""A view's running count of waiting tokens equals a fresh count over all its jobs, after any records."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 ids = st.sampled_from(JOBS)
 items = st.lists(st.builds(lambda tokens: {"id": "i", "tokens": tokens}, st.integers(0, 50)), max_size=MOST_ITEMS)
 jobs_of_routes = st.builds(
-    lambda name, route, tenant, of_job: (
+    lambda name, route, tenant, job_items: (
         "lot",
-        {"id": name, "route": route, "items": of_job, "sum": "s"} | ({"caller": tenant} if tenant else {}),
+        {"id": name, "route": route, "items": job_items, "sum": "s"} | ({"caller": tenant} if tenant else {}),
     ),
     ids, st.sampled_from(["r", "s"]), st.sampled_from(["", "t1", "t2"]), items,
 )  # fmt: skip
@@ -37,20 +37,20 @@
 records = st.lists(st.one_of(jobs_of_routes, jobs_of_classes, results, results, ends, drops, rejections, losses))
 
 
-def walked(view: JobView) -> dict[BudgetKey, int]:
-    """What waits in a view by a walk over all its items, as it was counted before the view kept the count."""
-    counted: Counter[BudgetKey] = Counter()
+def counted_from_jobs(view: JobView) -> dict[BudgetKey, int]:
+    """Counts the waiting tokens of a view over all its items, as was done before the view kept a running count."""
+    totals: Counter[BudgetKey] = Counter()
     for job in view.jobs.values():
         if "route" not in job.body or job.state != JobState.OPEN or job.complete:
             continue
         for position, item in enumerate(job.body["items"]):
             if position not in job.results:
-                counted[BudgetKey(job.body["route"], job.body.get("caller", ""))] += item["tokens"]
-    return {key: tokens for key, tokens in counted.items() if tokens}
+                totals[BudgetKey(job.body["route"], job.body.get("caller", ""))] += item["tokens"]
+    return {key: tokens for key, tokens in totals.items() if tokens}
 
 
 def known_positions(view: JobView, kind: str, body: dict[str, Any]) -> bool:
-    """Does a record name an item that its job has? Owners write no others."""
+    """Returns whether a record names an item that its job has; owners write no others."""
     job = view.jobs.get(body.get("id", ""))
     return kind != "result" or job is None or body["item"] < job.size
 
@@ -65,7 +65,7 @@
         view = JobView.load(view.dump()) if seq == dumped_at else view.copy()
         assert view.waiting_tokens == counted_before
         view.fold(Record(seq, 1, kind, json.dumps(body).encode()))
-        assert view.waiting_tokens == walked(view)
+        assert view.waiting_tokens == counted_from_jobs(view)
         assert before.waiting_tokens == counted_before
 
 
