--- a/bench/capacity/measurements/jobs.py
+++ b/bench/capacity/measurements/jobs.py
@@ -34,7 +34,7 @@
     the platform's limit on the items of a job."""
     pylog.disable(pylog.CRITICAL)
     if lifted:
-        job_api.job_flaw.__defaults__ = (NO_ITEM_LIMIT,)
+        job_api.find_job_error.__defaults__ = (NO_ITEM_LIMIT,)
 
     async def main(loop: SimLoop) -> Row:
         fleet = announced_fleet(loop, SIZES, Engine(pace=0.005, crowd=0.0))
--- a/postpass/batch/item_request.py
+++ b/postpass/batch/item_request.py
@@ -36,7 +36,7 @@
     BROKEN = "broken"  # the response to an item of a class was cut off
 
 
-FINAL = {500: RunEnd.FAILED, 422: RunEnd.NEVER}  # how a run ends, by the status of a worker's own failure
+FINAL_STATUSES = {500: RunEnd.FAILED, 422: RunEnd.NEVER}  # how a run ends, by the status of a worker's own failure
 
 
 class Exchange(Protocol):
@@ -71,7 +71,7 @@
 
 
 @dataclass(eq=False)
-class Text:
+class ItemText:
     """The part of an item's text that has arrived so far, over all its runs.
 
     Invariant: `pieces` are the data of the events from the first to `last`, each once and in order; a run that does not
@@ -88,13 +88,13 @@
 
 
 @dataclass(eq=False)
-class Events:
+class EventReader:
     """Parses the server-sent events of one run and appends them to a text."""
 
-    text: Text
+    text: ItemText
     incomplete_line: bytes = b""  # what has arrived of a line that hasn't ended
-    number: int = -1
-    data: list[str] = field(default_factory=list)
+    event_id: int = -1
+    data_lines: list[str] = field(default_factory=list)
 
     def feed(self, chunk: bytes) -> None:
         """Parses a chunk; raises FaultError if it is not valid events, or an event doesn't follow the one before."""
@@ -111,29 +111,29 @@
         if field_name == b"id":
             if not value.isdigit():
                 raise FaultError(Fault("read event", "", f"an id that is no number: {value!r:.40}"))
-            self.number = int(value)
+            self.event_id = int(value)
         elif field_name == b"data":
             try:
-                self.data.append(value.decode())
+                self.data_lines.append(value.decode())
             except UnicodeDecodeError as error:
                 raise FaultError(Fault("read event", "", "data that is not UTF-8")) from error
         elif not line:
-            if self.data:
-                self.event()
-            self.data, self.number = [], -1
+            if self.data_lines:
+                self.append_event()
+            self.data_lines, self.event_id = [], -1
 
-    def event(self) -> None:
+    def append_event(self) -> None:
         """Appends the event just parsed to the text; raises FaultError if it doesn't follow the one before."""
         is_first = self.text.last < 0
-        if self.number < 0 or (self.number > 1 if is_first else self.number != self.text.last + 1):
-            raise FaultError(Fault("read event", "", f"event {self.number} after {self.text.last}"))
-        self.text.pieces.append("\n".join(self.data))
-        self.text.last = self.number
+        if self.event_id < 0 or (self.event_id > 1 if is_first else self.event_id != self.text.last + 1):
+            raise FaultError(Fault("read event", "", f"event {self.event_id} after {self.text.last}"))
+        self.text.pieces.append("\n".join(self.data_lines))
+        self.text.last = self.event_id
 
     @property
     def complete(self) -> bool:
         """Whether no event is left incomplete."""
-        return not self.incomplete_line.strip() and not self.data
+        return not self.incomplete_line.strip() and not self.data_lines
 
 
 def request_headers(
@@ -177,9 +177,8 @@
 
 
 async def run_item(
-    workers: Workers, dialect: Dialect, url: str, worker: str, host: str, item: Item, client: ClientIdentity, text:
-        Text,
-    admission_check: Callable[[], str], limit: float,
+    workers: Workers, dialect: Dialect, url: str, worker: str, host: str, item: Item, client: ClientIdentity,
+    text: ItemText, admission_check: Callable[[], str], limit: float,
 ) -> RunEnd:  # fmt: skip
     """Runs an item of a client's job at a worker, for at most `limit` seconds, continuing after what `text` has.
 
@@ -194,9 +193,9 @@
     )  # fmt: skip
     try:
         check_head(exchange, dialect, worker)
-        if exchange.status in FINAL:
+        if exchange.status in FINAL_STATUSES:
             await drain_body(exchange, worker)
-            return FINAL[exchange.status]
+            return FINAL_STATUSES[exchange.status]
         if exchange.status != 200:
             raise FaultError(Fault("run item", worker, f"status {exchange.status}", BROKE))
         await read_text(exchange, text, worker)
@@ -214,9 +213,9 @@
         raise FaultError(Fault("run item", worker, checked.why, BROKE))
 
 
-async def read_text(exchange: Exchange, text: Text, worker: str) -> None:
+async def read_text(exchange: Exchange, text: ItemText, worker: str) -> None:
     """Reads the events of a response into a text; raises FaultError if they are cut off, or there are none."""
-    events = Events(text)
+    events = EventReader(text)
     async for chunk in exchange.chunks():
         events.feed(chunk)
     if not events.complete or text.last < 0:
--- a/postpass/batch/item_run.py
+++ b/postpass/batch/item_run.py
@@ -198,7 +198,7 @@
         deadline = now() + bounds.recover
         item.reporting = True
         while now() < deadline:
-            body = result.as_json(ItemKey(item.job, item.item))
+            body = result.as_json(ItemKey(item.job, item.position))
             answer = await self.owners.ask(item.partition, "done", body, bounds.detect)
             if isinstance(answer, Ok):
                 return
--- a/postpass/batch/job_api.py
+++ b/postpass/batch/job_api.py
@@ -45,7 +45,7 @@
     body: Body
 
 
-def job_flaw(body: Any, max_items: int = MAX_ITEMS) -> str:
+def find_job_error(body: Any, max_items: int = MAX_ITEMS) -> str:
     """Returns the first error in the body that `drop_unknown_fields` left, with its path; empty if there is none."""
     errors = validation_errors(Items, body)
     if errors:
@@ -120,7 +120,7 @@
             body = drop_unknown_fields(json.loads(data))
         except (ValueError, RecursionError) as error:
             return JobAnswer(400, {"error": f"(top): not JSON: {error}"})
-        validation_error = job_flaw(body)
+        validation_error = find_job_error(body)
         if validation_error:
             return JobAnswer(400, {"error": validation_error})
         job = self.job_body(name, route, job_id, body["items"], tenant)
--- a/postpass/batch/leased_items.py
+++ b/postpass/batch/leased_items.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from postpass.batch.item_request import Text
+from postpass.batch.item_request import ItemText
 from postpass.batch.messages import Item, ItemGrant, ItemKey
 from postpass.runtime.environment import now
 from postpass.worker_api.openai import Prompt
@@ -25,7 +25,7 @@
 
     partition: int
     job: str
-    item: int
+    position: int
     item_class: str
     due: float  # wall-clock time in seconds
     prompt: Prompt
@@ -38,7 +38,7 @@
     tries: int = 0  # failures after which it is given up
     since: int = 0  # earliest revision of the configuration that may place it
     pool: str = ""
-    text: Text = field(default_factory=Text)
+    text: ItemText = field(default_factory=ItemText)
     not_before: float = 0.0  # loop time before which it isn't placed again, in seconds
     reporting: bool = False  # whether its result is being reported to the owner
 
@@ -48,7 +48,7 @@
         return cls(
             partition=partition,
             job=grant.job,
-            item=grant.item,
+            position=grant.position,
             item_class=grant.item_class,
             due=grant.due,
             prompt=grant.prompt,
@@ -61,7 +61,7 @@
     @property
     def key(self) -> LeasedItemKey:
         """The key that identifies the item among all items."""
-        return (self.partition, self.job, self.item)
+        return (self.partition, self.job, self.position)
 
     @property
     def route(self) -> str:
@@ -76,7 +76,7 @@
 
 def due_order(item: LeasedItem) -> tuple[float, str, int]:
     """Returns the sort key for items by due time, then by job and position."""
-    return (item.due, item.job, item.item)
+    return (item.due, item.job, item.position)
 
 
 @dataclass(eq=False)
@@ -118,7 +118,7 @@
 
     def unreported(self, partition: int) -> list[ItemKey]:
         """Returns the items of a partition whose leases are to be renewed: those whose result is not being reported."""
-        return [ItemKey(item.job, item.item) for item in self if item.partition == partition and not item.reporting]
+        return [ItemKey(item.job, item.position) for item in self if item.partition == partition and not item.reporting]
 
     def partitions(self) -> set[int]:
         """Returns the partitions whose items are held."""
--- a/postpass/batch/leases.py
+++ b/postpass/batch/leases.py
@@ -170,7 +170,7 @@
             if job.state == JobState.OPEN and not job.complete and job.seq <= partition.covered
         ]
         wanted, waiting = dict(request.wanted), dict.fromkeys(request.wanted, 0)
-        leased = Counter(key.job for key in state.leases if key.item not in view.jobs[key.job].results)
+        leased = Counter(key.job for key in state.leases if key.position not in view.jobs[key.job].results)
         grants = []
         if any(wanted.values()):
             jobs = self.in_serving_order(jobs, state, leased)
@@ -207,15 +207,15 @@
         state = self.owner_states[partition.id]
         job = partition.view.jobs.get(key.job)
         state.end_lease(key, body["status"])
-        if job is None or job.state != JobState.OPEN or key.item in job.results:
+        if job is None or job.state != JobState.OPEN or key.position in job.results:
             return Ok({"taken": False})
         result = ItemResult.from_json(body)
         if result.status == ItemStatus.DONE and not result.intact:
             return Err(Fault("done", self.table.settings.name, "the output doesn't match its sum", BAD))
-        recorded = result_to_record(job, key.item, result)
+        recorded = result_to_record(job, key.position, result)
         try:
             if recorded is None:
-                self.owner.append(partition, "mark", {"failed": [key.job, key.item]})
+                self.owner.append(partition, "mark", {"failed": [key.job, key.position]})
                 return Ok({"taken": False})
             self.owner.append(partition, "result", ItemResult(recorded.status, recorded.output).as_json(key))
         except FaultError as error:
--- a/postpass/batch/messages.py
+++ b/postpass/batch/messages.py
@@ -59,7 +59,7 @@
     """Identifies an item of a partition: its job, and its position there."""
 
     job: str
-    item: int
+    position: int
 
 
 @dataclass(frozen=True)
@@ -87,7 +87,9 @@
     @classmethod
     def from_json(cls, body: Body) -> TakeRequest:
         """Decodes the body of a request."""
-        return cls(body["sched"], body["term"], body["room"], [ItemKey(job, item) for job, item in body["held"]])
+        return cls(
+            body["sched"], body["term"], body["room"], [ItemKey(job, position) for job, position in body["held"]]
+        )
 
 
 @dataclass(frozen=True)
@@ -99,7 +101,7 @@
     """
 
     job: str
-    item: int
+    position: int
     item_class: str
     due: float
     client: str
@@ -112,7 +114,7 @@
         """Returns one row of the response."""
         row: Body = {
             "lot": self.job,
-            "item": self.item,
+            "item": self.position,
             "class": self.item_class,
             "due": self.due,
             "caller": self.client,
@@ -126,7 +128,7 @@
         """Decodes one row of the response."""
         return cls(
             job=row["lot"],
-            item=row["item"],
+            position=row["item"],
             item_class=row["class"],
             due=row["due"],
             client=row["caller"],
@@ -174,7 +176,7 @@
 
     def as_json(self, key: ItemKey) -> Body:
         """Returns the body of the request, without the partition."""
-        body: Body = {"id": key.job, "item": key.item, "status": str(self.status), "output": self.output}
+        body: Body = {"id": key.job, "item": key.position, "status": str(self.status), "output": self.output}
         if self.tries is not None:
             body["tries"] = self.tries
         if self.checksum:
--- a/postpass/batch/placement.py
+++ b/postpass/batch/placement.py
@@ -59,7 +59,7 @@
     ranked = []
     for item in sorted(items, key=due_order):
         turns[item.client] += 1
-        ranked.append((math.floor(item.due), turns[item.client], item.due, item.item, item))
+        ranked.append((math.floor(item.due), turns[item.client], item.due, item.position, item))
     return [row[-1] for row in sorted(ranked, key=lambda row: row[:4])]
 
 
--- a/postpass/batch/quota.py
+++ b/postpass/batch/quota.py
@@ -54,7 +54,7 @@
         """All tokens that wait, including those granted since the last reports."""
         return sum(count.tokens for count in self.reported.values())
 
-    def take(self, partition: int, wanted: int, limit: int) -> bool:
+    def grant(self, partition: int, wanted: int, limit: int) -> bool:
         """Grants further tokens to a partition that has reported; False if more than `limit` would wait then."""
         if self.tokens + wanted > limit:
             return False
--- a/postpass/batch/quota_holder.py
+++ b/postpass/batch/quota_holder.py
@@ -65,7 +65,7 @@
         if not await self.store.confirm(partition) or partition.epoch != epoch:
             return self.failure("could not be confirmed", SLOW)
         quota = quota_of(self.store.configuration_view.manifest, request.key.route)
-        if quota and not budget.take(request.owner, self.uncounted_tokens(budget, request), quota):
+        if quota and not budget.grant(request.owner, self.uncounted_tokens(budget, request), quota):
             return self.failure(f"{budget.tokens} of {quota} tokens wait on the route", CROWD)
         return Ok({})
 
--- a/postpass/batch/scheduler.py
+++ b/postpass/batch/scheduler.py
@@ -120,7 +120,7 @@
                 counts[worker] = counts.get(worker, 0) + limit.running
         return {worker: WorkerUse(items=items) for worker, items in counts.items()}
 
-    def note_load(self) -> None:
+    def on_load_update(self) -> None:
         """Wakes the dispatch loop after news of the workers' load, since a waiting item may find a slot now."""
         if self.active and any(item.request is not None for item in self.items.waiting()):
             self.wake.set()
--- a/postpass/daemon/data_plane.py
+++ b/postpass/daemon/data_plane.py
@@ -133,7 +133,7 @@
             self.relay.workers.others_load = self.others_of_edge
         if self.scheduler is not None:
             self.scheduler.route_capacity.live_load = self.others_of_scheduler
-            exchange.updated = self.scheduler.note_load
+            exchange.updated = self.scheduler.on_load_update
             if self.relay is None:
                 exchange.wanted = lambda: self.scheduler is not None and self.scheduler.active
 
--- a/tests/batch/test_item_request.py
+++ b/tests/batch/test_item_request.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from postpass.batch.item_request import Events, Text, request_headers, run_item
+from postpass.batch.item_request import EventReader, ItemText, request_headers, run_item
 from postpass.batch.messages import Item
 from postpass.configuration.header_names import Dialect
 from postpass.gateway.client_identity import PUBLIC, WITHOUT_TENANTS, ClientIdentity
@@ -25,27 +25,27 @@
 class Test_Events:
     @pytest.mark.parametrize("size", [1, 3, 7, 1000])
     def test_a_text_is_the_data_of_all_events_whatever_the_chunks(self, size: int) -> None:
-        text = Text()
-        events = Events(text)
+        text = ItemText()
+        events = EventReader(text)
         run = b"x-weight-versions: 3\n" + event(0, "one") + event(1, "") + b"id: 2\r\ndata: tw\xc3\xb6\r\n\r\n"
         for i in range(0, len(run), size):
             events.feed(run[i : i + size])
         assert (text.text, text.last, events.complete) == ("one\n\ntwö", 2, True)
 
     def test_a_run_goes_on_only_where_the_one_before_it_was_cut(self) -> None:
-        text = Text()
-        Events(text).feed(event(1, "a") + event(2, "b") + b"id: 3\ndata: c")
+        text = ItemText()
+        EventReader(text).feed(event(1, "a") + event(2, "b") + b"id: 3\ndata: c")
         assert (text.text, text.last) == ("a\nb", 2)
         for wrong in (event(2, "b"), event(4, "d"), event(1, "a"), b"data: x\n\n", b"id: x\n"):
             with pytest.raises(FaultError):
-                Events(text).feed(wrong)
-        Events(text).feed(event(3, "c"))
+                EventReader(text).feed(wrong)
+        EventReader(text).feed(event(3, "c"))
         assert (text.text, text.last) == ("a\nb\nc", 3)
 
     def test_a_run_that_begins_late_or_ends_within_an_event_is_not_whole(self) -> None:
         with pytest.raises(FaultError):
-            Events(Text()).feed(event(2, "b"))
-        events = Events(Text())
+            EventReader(ItemText()).feed(event(2, "b"))
+        events = EventReader(ItemText())
         events.feed(event(0, "a") + b"id: 1\ndata: b\n")
         assert not events.complete
 
@@ -114,7 +114,7 @@
     async def main(connections: ConnectionPool, *_: Any) -> list[tuple[str, str]]:
         endings = []
         for _answer in answers:
-            text = Text()
+            text = ItemText()
             try:
                 ending: str = await run_item(
                     connections, Dialect(), "http://w:1", "w1", "h", ITEM, WITHOUT_TENANTS, text, lambda: "", 1.0
--- a/tests/batch/test_job_api.py
+++ b/tests/batch/test_job_api.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from postpass.batch.job_api import drop_unknown_fields, job_flaw
+from postpass.batch.job_api import drop_unknown_fields, find_job_error
 from tests.platform.test_settings import ANY_JSON
 
 
@@ -12,9 +12,9 @@
     return {"id": "i1", "path": "/a/1", "headers": {"x-model": "m"}, "body": "q83v", "tokens": 9} | other
 
 
-class Test_job_flaw:
+class Test_find_job_error:
     def test_a_valid_job_has_none(self) -> None:
-        assert job_flaw({"items": [item(), item(id="i2")]}) == ""
+        assert find_job_error({"items": [item(), item(id="i2")]}) == ""
 
     @pytest.mark.parametrize(
         ("raw", "path"),
@@ -31,7 +31,7 @@
         ],
     )  # fmt: skip
     def test_an_error_names_its_path(self, raw: Any, path: str) -> None:
-        assert job_flaw(raw).split(":")[0] == path
+        assert find_job_error(raw).split(":")[0] == path
 
 
 class Test_known_body:
@@ -40,19 +40,19 @@
         body = drop_unknown_fields(
             {"later": value, "items": [item(later=value), item(id="i2") | {"more": {"later": value}}]}
         )
-        assert body == {"items": [item(), item(id="i2")]} and job_flaw(body) == ""
+        assert body == {"items": [item(), item(id="i2")]} and find_job_error(body) == ""
 
     def test_names_of_headers_are_no_fields(self) -> None:
         headers = {"x-model": "m", "x-later": "7"}
         assert drop_unknown_fields({"items": [item(headers=headers)]})["items"][0]["headers"] == headers
-        assert job_flaw(drop_unknown_fields({"items": [item(headers={"later": 4})]})).startswith(
+        assert find_job_error(drop_unknown_fields({"items": [item(headers={"later": 4})]})).startswith(
             "items[0].headers.later: "
         )
 
     def test_a_number_of_tokens_may_have_a_point(self) -> None:
         body = drop_unknown_fields({"items": [item(tokens=940.0)]})
-        assert job_flaw(body) == "" and type(body["items"][0]["tokens"]) is int
+        assert find_job_error(body) == "" and type(body["items"][0]["tokens"]) is int
 
     def test_a_body_of_another_shape_keeps_its_error(self) -> None:
         for raw, path in (([], "(top)"), ({"items": {}}, "items"), ({"items": [4]}, "items[0]")):
-            assert job_flaw(drop_unknown_fields(raw)).split(":")[0] == path
+            assert find_job_error(drop_unknown_fields(raw)).split(":")[0] == path
--- a/tests/batch/test_job_service.py
+++ b/tests/batch/test_job_service.py
@@ -42,7 +42,7 @@
     def close(self) -> None: ...
 
 
-class Pretend:
+class FakeWorkers:
     """Fake workers: every item has three events; the first run of an item whose id ends in `cut` is cut after two."""
 
     def __init__(self) -> None:
@@ -68,7 +68,7 @@
         return Answer(200, own_headers, parts, events_sent < 3)
 
 
-def lot(*ends: str, tokens: int = 10) -> bytes:
+def job_json(*ends: str, tokens: int = 10) -> bytes:
     items = [
         {"id": f"i{n}{end}", "path": "/lot/x", "headers": {}, "body": base64.b64encode(b"t").decode(), "tokens": tokens}
         for n, end in enumerate(ends)
@@ -76,9 +76,9 @@
     return json.dumps({"items": items}).encode()
 
 
-def with_lots(check: Callable[[SimFleet, list[JobApi], Pretend], Any], at: str = "e1", **route: Any) -> None:
+def run_with_fleet(check: Callable[[SimFleet, list[JobApi], FakeWorkers], Any], at: str = "e1", **route: Any) -> None:
     logging.set_verbosity(logging.FATAL)
-    workers = Pretend()
+    workers = FakeWorkers()
 
     def replace_workers(daemon: Any) -> None:
         if isinstance(daemon, DataPlane):
@@ -130,12 +130,12 @@
 
 class Test_a_job_of_a_route:
     def test_is_kept_runs_and_reads_the_same_at_every_edge(self) -> None:
-        async def check(fleet: SimFleet, apis: list[JobApi], workers: Pretend) -> None:
+        async def check(fleet: SimFleet, apis: list[JobApi], workers: FakeWorkers) -> None:
             began = fleet.loop.clock
-            assert (await apis[0].accept("r", ROUTE, "l1", lot("a", "cut", "never", "fails")))[0] == 202
+            assert (await apis[0].accept("r", ROUTE, "l1", job_json("a", "cut", "never", "fails")))[0] == 202
             assert fleet.loop.clock - began < 0.1
-            assert (await apis[1].accept("r", ROUTE, "l1", lot("a", "cut", "never", "fails")))[0] == 202
-            assert (await apis[1].accept("r", ROUTE, "l1", lot("other")))[0] == 409
+            assert (await apis[1].accept("r", ROUTE, "l1", job_json("a", "cut", "never", "fails")))[0] == 202
+            assert (await apis[1].accept("r", ROUTE, "l1", job_json("other")))[0] == 409
             assert (await apis[1].item("l1", "i0a")).unwrap() == b"t"
             rows = await all_results(apis[0], "l1")
             assert {r["id"]: (r["state"], r["text"]) for r in rows} == {
@@ -148,45 +148,45 @@
             assert (await apis[0].results("l2", 0, 0)).unwrap_err() == 404
             assert fleet.loop.clock - began < 2.0
 
-        with_lots(check)
+        run_with_fleet(check)
 
     def test_is_taken_without_the_fields_that_are_not_read(self) -> None:
-        async def check(fleet: SimFleet, apis: list[JobApi], workers: Pretend) -> None:
-            plain = json.loads(lot("a"))
+        async def check(fleet: SimFleet, apis: list[JobApi], workers: FakeWorkers) -> None:
+            plain = json.loads(job_json("a"))
             more = {"later": [1], "items": [item | {"later": {"deep": [None]}} for item in plain["items"]]}
             assert (await apis[0].accept("r", ROUTE, "l1", json.dumps(more).encode()))[0] == 202
-            assert (await apis[1].accept("r", ROUTE, "l1", lot("a")))[0] == 202  # the same job
+            assert (await apis[1].accept("r", ROUTE, "l1", job_json("a")))[0] == 202  # the same job
             assert [row["state"] for row in await all_results(apis[1], "l1")] == ["done"]
 
-        with_lots(check)
+        run_with_fleet(check)
 
     def test_is_the_same_one_when_it_comes_again_under_another_name_of_its_route(self) -> None:
-        async def check(fleet: SimFleet, apis: list[JobApi], workers: Pretend) -> None:
+        async def check(fleet: SimFleet, apis: list[JobApi], workers: FakeWorkers) -> None:
             workers.full = True
-            assert (await apis[0].accept("r", ROUTE, "l1", lot("a")))[0] == 202
+            assert (await apis[0].accept("r", ROUTE, "l1", job_json("a")))[0] == 202
             renamed = {**fleet.configuration, "routes": {"r": dict(ROUTE), "r2": dict(ROUTE)}}
             await fleet.apply(renamed, apis[0].edge.configuration_view.revision)
-            assert (await apis[1].accept("r2", ROUTE, "l1", lot("a")))[0] == 202
-            assert (await apis[1].accept("r2", ROUTE, "l1", lot("other")))[0] == 409
+            assert (await apis[1].accept("r2", ROUTE, "l1", job_json("a")))[0] == 202
+            assert (await apis[1].accept("r2", ROUTE, "l1", job_json("other")))[0] == 409
 
-        with_lots(check)
+        run_with_fleet(check)
 
     @pytest.mark.parametrize("timeout", [0.4, 1.5])
     def test_is_answered_within_its_routes_timeout(self, timeout: float) -> None:
-        async def check(fleet: SimFleet, apis: list[JobApi], workers: Pretend) -> None:
+        async def check(fleet: SimFleet, apis: list[JobApi], workers: FakeWorkers) -> None:
             number = partition_of("l1", fleet.configuration["parts"])
             for name in apis[0].edge.configuration_view.order(number):
                 fleet.freeze(name)
             began = fleet.loop.clock
-            answer = await apis[0].accept("r", ROUTE | {"timeout": timeout}, "l1", lot("a"))  # type: ignore[arg-type]
+            answer = await apis[0].accept("r", ROUTE | {"timeout": timeout}, "l1", job_json("a"))  # type: ignore[arg-type]
             assert answer.status in (503, 504) and fleet.loop.clock - began < timeout + 0.3
 
-        with_lots(check)
+        run_with_fleet(check)
 
     def test_counts_the_failures_of_an_item_beyond_a_takeover(self) -> None:
-        async def check(fleet: SimFleet, apis: list[JobApi], workers: Pretend) -> None:
+        async def check(fleet: SimFleet, apis: list[JobApi], workers: FakeWorkers) -> None:
             stubborn: Route = ROUTE | {"tries": 4}  # type: ignore[assignment]
-            assert (await apis[0].accept("r", stubborn, "l1", lot("fails")))[0] == 202
+            assert (await apis[0].accept("r", stubborn, "l1", job_json("fails")))[0] == 202
             while len(workers.runs) < 2:
                 await asyncio.sleep(0.01)
             workers.full = True
@@ -204,35 +204,35 @@
             assert [r["state"] for r in await all_results(apis[1], "l1")] == ["abandoned"]
             assert len(workers.runs) == 4
 
-        with_lots(check)
+        run_with_fleet(check)
 
     def test_is_refused_past_the_quota_and_taken_once_there_is_room(self) -> None:
-        async def check(fleet: SimFleet, apis: list[JobApi], workers: Pretend) -> None:
+        async def check(fleet: SimFleet, apis: list[JobApi], workers: FakeWorkers) -> None:
             workers.full = True  # so that no item is done, which would lower the count
-            codes = [(await apis[n % 2].accept("r", ROUTE, f"l{n}", lot("a", tokens=400)))[0] for n in range(4)]
+            codes = [(await apis[n % 2].accept("r", ROUTE, f"l{n}", job_json("a", tokens=400)))[0] for n in range(4)]
             assert codes == [202, 202, 429, 429]
             assert (await apis[0].finish("l0")).is_ok() and (await apis[1].finish("l0")).is_ok()
             await asyncio.sleep(1.0)
-            assert (await apis[0].accept("r", ROUTE, "l2", lot("a", tokens=400)))[0] == 202
-            assert (await apis[0].accept("r", ROUTE, "l3", lot("a", tokens=400)))[0] == 429
+            assert (await apis[0].accept("r", ROUTE, "l2", job_json("a", tokens=400)))[0] == 202
+            assert (await apis[0].accept("r", ROUTE, "l3", job_json("a", tokens=400)))[0] == 429
 
-        with_lots(check)
+        run_with_fleet(check)
 
     def test_is_given_up_once_expired(self) -> None:
-        async def check(fleet: SimFleet, apis: list[JobApi], workers: Pretend) -> None:
+        async def check(fleet: SimFleet, apis: list[JobApi], workers: FakeWorkers) -> None:
             workers.full = True
             brief: Route = ROUTE | {"expire": 3.0}  # type: ignore[assignment]
-            assert (await apis[0].accept("r", brief, "l1", lot("a", "b")))[0] == 202
+            assert (await apis[0].accept("r", brief, "l1", job_json("a", "b")))[0] == 202
             began = fleet.loop.clock
             assert [r["state"] for r in await all_results(apis[1], "l1")] == ["abandoned", "abandoned"]
             assert 2.9 <= fleet.loop.clock - began <= 5.0 and workers.runs == []
 
-        with_lots(check)
+        run_with_fleet(check)
 
     def test_is_given_up_at_once_when_its_route_is_gone_and_its_items_are_let_go(self) -> None:
-        async def check(fleet: SimFleet, apis: list[JobApi], workers: Pretend) -> None:
+        async def check(fleet: SimFleet, apis: list[JobApi], workers: FakeWorkers) -> None:
             workers.full = True
-            assert (await apis[0].accept("r", ROUTE, "l1", lot("a", "b")))[0] == 202
+            assert (await apis[0].accept("r", ROUTE, "l1", job_json("a", "b")))[0] == 202
             await asyncio.sleep(1.0)
             assert sum(len(s.items) for s in schedulers(fleet)) == 2
             assert (
@@ -245,14 +245,14 @@
             await asyncio.sleep(1.0)
             assert workers.runs == [] and sum(len(s.items) for s in schedulers(fleet)) == 0
 
-        with_lots(check)
+        run_with_fleet(check)
 
     def test_goes_by_no_configuration_older_than_its_acceptance(self) -> None:
-        async def check(fleet: SimFleet, apis: list[JobApi], workers: Pretend) -> None:
+        async def check(fleet: SimFleet, apis: list[JobApi], workers: FakeWorkers) -> None:
             known = apis[0].edge.configuration_view.revision
             apis[0].edge.configuration_view.revision += 2  # as if only this edge knew of two further revisions
-            removed_route = asyncio.create_task(apis[0].accept("gone", ROUTE, "l1", lot("a")))
-            again = asyncio.create_task(apis[0].accept("r", ROUTE, "l2", lot("b")))
+            removed_route = asyncio.create_task(apis[0].accept("gone", ROUTE, "l1", job_json("a")))
+            again = asyncio.create_task(apis[0].accept("r", ROUTE, "l2", job_json("b")))
             assert [(await t)[0] for t in (removed_route, again)] == [202, 202]
             apis[0].edge.configuration_view.revision = known
             await asyncio.sleep(2.0)
@@ -266,13 +266,13 @@
             assert [r["state"] for r in await all_results(apis[1], "l2")] == ["done"]
             assert [r["state"] for r in await all_results(apis[1], "l1")] == ["abandoned"]
 
-        with_lots(check)
+        run_with_fleet(check)
 
     def test_that_is_ended_does_not_run_when_a_scheduler_that_was_frozen_wakes(self) -> None:
-        async def check(fleet: SimFleet, apis: list[JobApi], workers: Pretend) -> None:
+        async def check(fleet: SimFleet, apis: list[JobApi], workers: FakeWorkers) -> None:
             workers.full = True
             for name, ends in (("l1", ("a", "b")), ("l2", ("c", "d"))):
-                assert (await apis[1].accept("r", ROUTE, name, lot(*ends)))[0] == 202
+                assert (await apis[1].accept("r", ROUTE, name, job_json(*ends)))[0] == 202
             await asyncio.sleep(0.5)
             frozen = next(n for n, s in schedulers_by_name(fleet).items() if s.items)
             fleet.freeze(frozen)
@@ -294,4 +294,4 @@
             takeovers = max(s.election.term for s in schedulers(fleet)) - term
             assert set(runs) == {"i0c", "i1d"} and max(runs.values()) <= 1 + min(1, takeovers)
 
-        with_lots(check, at="e2")
+        run_with_fleet(check, at="e2")
--- a/tests/batch/test_leased_items.py
+++ b/tests/batch/test_leased_items.py
@@ -32,19 +32,19 @@
 def test_an_item_of_a_class_fails_after_its_tries_with_the_reason() -> None:
     job, results = OF_CLASS.copy(), []
     for _ in range(5):
-        results.append(result_to_record(job, KEY.item, ItemResult(ItemStatus.FAILED, "why")))
-        job.count_failure(KEY.item)
+        results.append(result_to_record(job, KEY.position, ItemResult(ItemStatus.FAILED, "why")))
+        job.count_failure(KEY.position)
     assert results == [None] * 4 + [ItemResult(ItemStatus.FAILED, "why")]
-    assert OF_CLASS.failures(KEY.item) == 0 and job.failures(KEY.item + 1) == 0
+    assert OF_CLASS.failures(KEY.position) == 0 and job.failures(KEY.position + 1) == 0
 
 
 def test_an_item_of_a_route_is_abandoned_after_its_own_tries_or_when_a_worker_says_never() -> None:
     job = OF_ROUTE.copy()
     failed, never = ItemResult(ItemStatus.FAILED, "why", 2), ItemResult(ItemStatus.ABANDONED, "", 2)
-    assert result_to_record(job, KEY.item, failed) is None
-    job.count_failure(KEY.item)
-    abandoned = result_to_record(job, KEY.item, failed)
-    assert abandoned == ItemResult(ItemStatus.ABANDONED, "") and result_to_record(job, KEY.item, never) == never
+    assert result_to_record(job, KEY.position, failed) is None
+    job.count_failure(KEY.position)
+    abandoned = result_to_record(job, KEY.position, failed)
+    assert abandoned == ItemResult(ItemStatus.ABANDONED, "") and result_to_record(job, KEY.position, never) == never
 
 
 def test_leases_stay_while_they_are_renewed_or_last_and_their_scheduler_is_the_same() -> None:
--- a/tests/batch/test_placement.py
+++ b/tests/batch/test_placement.py
@@ -29,7 +29,7 @@
 
 def test_items_due_in_the_same_second_take_turns_by_client() -> None:
     items = [item("x", n, 5.2, "greedy") for n in range(3)] + [item("y", 0, 5.4, "other"), item("z", 0, 4.9, "other")]
-    assert [(i.job, i.item) for i in fair_order(items)] == [("z", 0), ("x", 0), ("x", 1), ("y", 0), ("x", 2)]
+    assert [(i.job, i.position) for i in fair_order(items)] == [("z", 0), ("x", 0), ("x", 1), ("y", 0), ("x", 2)]
 
 
 def test_a_pool_is_chosen_by_weight_and_always_the_same_for_a_key() -> None:
--- a/tests/batch/test_quota.py
+++ b/tests/batch/test_quota.py
@@ -11,7 +11,7 @@
     def test_a_grant_counts_until_its_owner_reports_a_later_count(self) -> None:
         budget = Budget()
         assert budget.report(0, 3, 1, 10) and budget.report(1, 5, 1, 20)
-        assert budget.take(0, 60, 100) and not budget.take(1, 11, 100) and budget.take(1, 10, 100)
+        assert budget.grant(0, 60, 100) and not budget.grant(1, 11, 100) and budget.grant(1, 10, 100)
         assert budget.tokens == 100
         assert budget.report(0, 3, 2, 5) and budget.tokens == 35
 
--- a/tests/batch/test_tenant_jobs.py
+++ b/tests/batch/test_tenant_jobs.py
@@ -13,7 +13,7 @@
 from postpass.configuration.tenant_keys import key_digest
 from postpass.runtime.environment import now
 from sim.fleet import SimFleet
-from tests.batch.test_job_service import ROUTE, Pretend, lot, with_lots
+from tests.batch.test_job_service import ROUTE, FakeWorkers, job_json, run_with_fleet
 
 QUOTA = ROUTE["quota"]
 RECOVER_S = 15.0
@@ -29,7 +29,7 @@
 
 async def hand_in(api: JobApi, tenant: str, job_id: str, tokens: int) -> int:
     """Submits a job of one item for a tenant through an edge; returns the status."""
-    items = json.loads(lot("a", tokens=tokens))["items"]
+    items = json.loads(job_json("a", tokens=tokens))["items"]
     job = api.job_body("r", ROUTE, job_id, items, tenant)
     partition = partition_of(job_id, api.edge.configuration["parts"])
     answer = await api.edge.owners.ask(partition, "accept", {"lot": job}, now() + api.owner_timeout())
@@ -50,7 +50,7 @@
 
 
 def test_each_tenant_has_its_own_quota_also_after_its_holder_was_lost() -> None:
-    async def check(fleet: SimFleet, apis: list[JobApi], workers: Pretend) -> None:
+    async def check(fleet: SimFleet, apis: list[JobApi], workers: FakeWorkers) -> None:
         workers.full = True  # so that no item is done, which would lower the count
         await add_tenants(fleet, apis[0])
         parts = fleet.configuration["parts"]
@@ -71,11 +71,11 @@
         assert await hand_in(apis[0], "firm", "more", remaining + 1) == 429
         assert await hand_in(apis[0], "other", "o3", 1) == 429
 
-    with_lots(check)
+    run_with_fleet(check)
 
 
 def test_a_job_that_ends_makes_room_for_its_tenant() -> None:
-    async def check(fleet: SimFleet, apis: list[JobApi], workers: Pretend) -> None:
+    async def check(fleet: SimFleet, apis: list[JobApi], workers: FakeWorkers) -> None:
         workers.full = True
         await add_tenants(fleet, apis[0])
         assert [await hand_in(apis[0], "firm", "a", 600), await hand_in(apis[1], "firm", "b", 600)] == [202, 429]
@@ -88,4 +88,4 @@
         await asyncio.sleep(1.0)
         assert await hand_in(apis[1], "firm", "c", QUOTA) == 202
 
-    with_lots(check)
+    run_with_fleet(check)
--- a/tests/gateway/test_answers_broken.py
+++ b/tests/gateway/test_answers_broken.py
@@ -10,7 +10,7 @@
 from uvicorn.protocols.http.httptools_impl import HttpToolsProtocol
 
 from postpass.batch import item_request
-from postpass.batch.item_request import Events
+from postpass.batch.item_request import EventReader
 from postpass.batch.item_run import ItemRunner
 from postpass.configuration.header_names import Dialect
 from postpass.gateway import answer_delivery, attempts, relay, upstream_connection
@@ -173,11 +173,11 @@
 
 
 def joins_texts_anyhow(mp: pytest.MonkeyPatch) -> None:
-    def event(self: Events) -> None:
-        self.text.pieces.append("\n".join(self.data))
-        self.text.last = self.number
+    def event(self: EventReader) -> None:
+        self.text.pieces.append("\n".join(self.data_lines))
+        self.text.last = self.event_id
 
-    mp.setattr(Events, "event", event)
+    mp.setattr(EventReader, "append_event", event)
     plain = item_request.request_headers
     mp.setattr(
         item_request,
@@ -190,14 +190,14 @@
     plain = ItemRunner.report_result
 
     async def report_result(self: ItemRunner, item: Any, result: Any) -> None:
-        item.item = 0
+        item.position = 0
         await plain(self, item, result)
 
     mp.setattr(ItemRunner, "report_result", report_result)
 
 
 def abandons_what_failed(mp: pytest.MonkeyPatch) -> None:
-    mp.setattr(item_request, "FINAL", {500: "never", 422: "never"})
+    mp.setattr(item_request, "FINAL_STATUSES", {500: "never", 422: "never"})
 
 
 SECOND_HALF = chunk(b"".join(event("lot0-0", n) for n in range(EVENTS // 2, EVENTS))) + b"0\r\n\r\n"
--- a/tests/gateway/test_owner_client.py
+++ b/tests/gateway/test_owner_client.py
@@ -10,7 +10,7 @@
 from postpass.configuration.configuration import partition_of
 from postpass.runtime.environment import now
 from sim.fleet import SimFleet
-from tests.batch.test_job_service import ROUTE, Pretend, lot, with_lots
+from tests.batch.test_job_service import ROUTE, FakeWorkers, job_json, run_with_fleet
 
 PARTITIONS = 4
 TAKEOVER_S = 6.0
@@ -20,10 +20,10 @@
 def test_the_next_owner_is_found_while_the_machine_of_the_last_one_stays_dark(partition: int) -> None:
     """Nothing that is sent to it is refused: it is lost, and each try ends by its time limit alone."""
 
-    async def check(fleet: SimFleet, apis: list[JobApi], workers: Pretend) -> None:
+    async def check(fleet: SimFleet, apis: list[JobApi], workers: FakeWorkers) -> None:
         assert fleet.configuration["parts"] == PARTITIONS
         name = next(name for n in range(1000) if partition_of(name := f"l{n}", PARTITIONS) == partition)
-        assert (await apis[0].accept("r", ROUTE, name, lot("a")))[0] == 202
+        assert (await apis[0].accept("r", ROUTE, name, job_json("a")))[0] == 202
         lost = fleet.owner(partition)
         fleet.kill(lost, silent=True)
         await apis[0].results(name, 0, 0.0)  # nobody promises anything for this one
@@ -34,4 +34,4 @@
             assert (await api.results(name, 0, 0.0)).is_ok()
             assert now() - began < fleet.boxes["e1"].daemon.settings.bounds.detect * 2  # type: ignore[union-attr]
 
-    with_lots(check)
+    run_with_fleet(check)
--- a/tests/platform/test_job_keys.py
+++ b/tests/platform/test_job_keys.py
@@ -17,7 +17,7 @@
 from postpass.gateway.relay import Relay
 from sim.announced import module
 from sim.fleet import SimFleet
-from tests.batch.test_job_service import Pretend, lot, with_lots
+from tests.batch.test_job_service import FakeWorkers, job_json, run_with_fleet
 from tests.gateway.test_relay_keys import tenant
 
 TWO = {"t1": tenant("k1", "k2"), "t2": tenant("k3")}
@@ -86,8 +86,8 @@
                 await asyncio.sleep(0.1)
 
 
-def play(check: Callable[[Edge, Edge, Pretend], Awaitable[None]], tenants: Any = TWO, **route: Any) -> None:
-    async def with_edges(fleet: SimFleet, apis: list[JobApi], workers: Pretend) -> None:
+def play(check: Callable[[Edge, Edge, FakeWorkers], Awaitable[None]], tenants: Any = TWO, **route: Any) -> None:
+    async def with_edges(fleet: SimFleet, apis: list[JobApi], workers: FakeWorkers) -> None:
         one, two = Edge(fleet, apis[0]), Edge(fleet, apis[1])
         if tenants is not None:
             await one.configure(tenants, **route)
@@ -95,16 +95,16 @@
                 await asyncio.sleep(0.05)
         await check(one, two, workers)
 
-    with_lots(with_edges)
+    run_with_fleet(with_edges)
 
 
 class Test_a_job:
     def test_is_its_tenants_at_every_edge_and_by_each_of_its_keys(self) -> None:
-        async def check(one: Edge, two: Edge, workers: Pretend) -> None:
+        async def check(one: Edge, two: Edge, workers: FakeWorkers) -> None:
             workers.full = True
-            assert await one.status("POST", "/lot/x", "k1", lot("a", "b")) == 202
-            assert await two.status("POST", "/lot/x", "k2", lot("a", "b")) == 202  # the same one again
-            assert await two.status("POST", "/lot/x", "k3", lot("a", "b")) == 409
+            assert await one.status("POST", "/lot/x", "k1", job_json("a", "b")) == 202
+            assert await two.status("POST", "/lot/x", "k2", job_json("a", "b")) == 202  # the same one again
+            assert await two.status("POST", "/lot/x", "k3", job_json("a", "b")) == 409
             assert [await two.status("GET", LOT, key) for key in ("k1", "k2", "k3")] == [200, 200, 404]
             assert [await two.status("GET", ITEM, key) for key in ("k1", "k2", "k3")] == [200, 200, 404]
             assert await one.status("DELETE", LOT, "k3") == 404
@@ -115,21 +115,21 @@
         play(check)
 
     def test_needs_a_known_key_for_each_call(self) -> None:
-        async def check(one: Edge, two: Edge, workers: Pretend) -> None:
-            assert await one.status("POST", "/lot/x", "k1", lot("a")) == 202
+        async def check(one: Edge, two: Edge, workers: FakeWorkers) -> None:
+            assert await one.status("POST", "/lot/x", "k1", job_json("a")) == 202
             calls = [("POST", "/lot/x"), ("GET", LOT), ("GET", ITEM), ("DELETE", LOT)]
             for method, target in calls:
                 for key in ("", "k4", "k1 k1", "t1"):
-                    status, body, headers = await two.ask(method, target, key, lot("a"))
+                    status, body, headers = await two.ask(method, target, key, job_json("a"))
                     assert (status, body, headers["www-authenticate"]) == (401, {"error": "no known key"}, "Bearer")
             assert await two.states("k1") == ["done"]
 
         play(check)
 
     def test_goes_on_when_the_key_that_brought_it_is_taken_away(self) -> None:
-        async def check(one: Edge, two: Edge, workers: Pretend) -> None:
+        async def check(one: Edge, two: Edge, workers: FakeWorkers) -> None:
             workers.full = True
-            assert await one.status("POST", "/lot/x", "k1", lot("a", "b")) == 202
+            assert await one.status("POST", "/lot/x", "k1", job_json("a", "b")) == 202
             await one.configure({"t1": tenant("k2"), "t2": tenant("k1")})
             workers.full = False
             assert [await one.status("GET", LOT, key) for key in ("k1", "k2", "k3")] == [404, 200, 401]
@@ -138,9 +138,9 @@
         play(check)
 
     def test_goes_on_without_its_tenant_and_is_read_once_that_is_back(self) -> None:
-        async def check(one: Edge, two: Edge, workers: Pretend) -> None:
+        async def check(one: Edge, two: Edge, workers: FakeWorkers) -> None:
             workers.full = True
-            assert await one.status("POST", "/lot/x", "k1", lot("a")) == 202
+            assert await one.status("POST", "/lot/x", "k1", job_json("a")) == 202
             await one.configure({"t2": TWO["t2"]})
             workers.full = False
             assert [await one.status("GET", LOT, key) for key in ("k1", "k3")] == [401, 404]
@@ -152,8 +152,8 @@
         play(check)
 
     def test_that_was_kept_before_there_were_tenants_is_read_by_any_of_them(self) -> None:
-        async def check(one: Edge, two: Edge, workers: Pretend) -> None:
-            assert await one.status("POST", "/lot/x", "", lot("a")) == 202
+        async def check(one: Edge, two: Edge, workers: FakeWorkers) -> None:
+            assert await one.status("POST", "/lot/x", "", job_json("a")) == 202
             await one.configure(TWO)
             assert await one.status("GET", LOT) == 401
             assert await one.states("k3") == await one.states("k1") == ["done"]
@@ -173,13 +173,13 @@
     def test_that_comes_again_is_the_same_though_its_client_needs_no_key_any_more_or_needs_one_now(
         self, before: tuple[Any, bool], key_before: str, after: tuple[Any, bool], key_after: str
     ) -> None:
-        async def check(one: Edge, two: Edge, workers: Pretend) -> None:
+        async def check(one: Edge, two: Edge, workers: FakeWorkers) -> None:
             workers.full = True
             await one.configure(before[0], public=before[1])
-            assert await one.status("POST", "/lot/x", key_before, lot("a", "b")) == 202
+            assert await one.status("POST", "/lot/x", key_before, job_json("a", "b")) == 202
             await one.configure(after[0], public=after[1])
-            assert await one.status("POST", "/lot/x", key_after, lot("a", "b")) == 202
-            assert await one.status("POST", "/lot/x", key_after, lot("a", "c")) == 409
+            assert await one.status("POST", "/lot/x", key_after, job_json("a", "b")) == 202
+            assert await one.status("POST", "/lot/x", key_after, job_json("a", "c")) == 409
             workers.full = False
             await asyncio.sleep(2.0)
             assert len(workers.runs) == 2
@@ -187,19 +187,19 @@
         play(check, tenants=None)
 
     def test_of_a_public_route_needs_no_key(self) -> None:
-        async def check(one: Edge, two: Edge, workers: Pretend) -> None:
-            assert await one.status("POST", "/lot/x", "", lot("a")) == 202
+        async def check(one: Edge, two: Edge, workers: FakeWorkers) -> None:
+            assert await one.status("POST", "/lot/x", "", job_json("a")) == 202
             assert await two.states("") == await two.states("k4") == ["done"]
             assert await two.status("DELETE", LOT) == 200
 
         play(check, public=True)
 
     def test_is_answered_503_while_its_edge_is_not_ready_whatever_the_key(self) -> None:
-        async def check(one: Edge, two: Edge, workers: Pretend) -> None:
+        async def check(one: Edge, two: Edge, workers: FakeWorkers) -> None:
             one.view.fresh = False
             one.relay.unready = lambda: "no fresh news yet"
             for method, target in (("POST", "/lot/x"), ("GET", LOT), ("GET", ITEM), ("DELETE", LOT)):
-                status, _, headers = await one.ask(method, target, "k4", lot("a"))
+                status, _, headers = await one.ask(method, target, "k4", job_json("a"))
                 assert status == 503 and float(headers["retry-after"]) > 0
 
         play(check)
@@ -209,9 +209,9 @@
     def test_show_and_end_no_job_of_a_tenant(self) -> None:
         """They go by a name that clients give themselves."""
 
-        async def check(one: Edge, two: Edge, workers: Pretend) -> None:
+        async def check(one: Edge, two: Edge, workers: FakeWorkers) -> None:
             workers.full = True
-            assert await one.status("POST", "/lot/x", "k1", lot("a")) == 202
+            assert await one.status("POST", "/lot/x", "k1", job_json("a")) == 202
             for method, target in (("GET", "/results"), ("GET", ""), ("DELETE", "")):
                 status, body, _ = await two.ask(method, "/v1/lots/l1" + target, named="t1")
                 assert status == 404 and "items" not in body and "results" not in body
@@ -223,8 +223,8 @@
         play(check)
 
     def test_serve_as_before_without_tenants(self) -> None:
-        async def check(one: Edge, two: Edge, workers: Pretend) -> None:
-            assert await one.status("POST", "/lot/x", "", lot("a")) == 202
+        async def check(one: Edge, two: Edge, workers: FakeWorkers) -> None:
+            assert await one.status("POST", "/lot/x", "", job_json("a")) == 202
             assert await two.states("") == ["done"]
             assert await two.status("GET", "/v1/lots/l1/results") == 200
 
@@ -233,7 +233,7 @@
 
 class Test_an_item:
     def test_goes_with_the_name_of_its_jobs_tenant_and_without_keys(self) -> None:
-        async def check(one: Edge, two: Edge, workers: Pretend) -> None:
+        async def check(one: Edge, two: Edge, workers: FakeWorkers) -> None:
             request, heads = workers.request, list[Any]()
 
             async def noting(*of: Any, **more: Any) -> Any:
@@ -241,7 +241,7 @@
                 return await request(*of, **more)
 
             workers.request = noting  # type: ignore[method-assign]
-            body = json.loads(lot("cut"))
+            body = json.loads(job_json("cut"))
             body["items"][0]["headers"] = {"X-Tenant": "t2", "Authorization": "Bearer k1", "x-model": "m"}
             assert await one.status("POST", "/lot/x", "k1", json.dumps(body).encode()) == 202
             assert await one.states("k1") == ["done"]
@@ -254,8 +254,8 @@
 
 
 def test_a_job_without_tenants_is_kept_as_before() -> None:
-    async def check(one: Edge, two: Edge, workers: Pretend) -> None:
-        assert await one.status("POST", "/lot/x", "", lot("a")) == 202
+    async def check(one: Edge, two: Edge, workers: FakeWorkers) -> None:
+        assert await one.status("POST", "/lot/x", "", job_json("a")) == 202
         kept = [
             job.body
             for box in one.fleet.boxes.values()
--- a/tests/sim/test_broken_variants.py
+++ b/tests/sim/test_broken_variants.py
@@ -12,7 +12,7 @@
 from result import Err, Ok
 
 from postpass.batch import item_request, item_run
-from postpass.batch.item_request import Text
+from postpass.batch.item_request import ItemText
 from postpass.batch.job import JobView
 from postpass.batch.job_api import JobApi
 from postpass.batch.job_service import JobService
@@ -343,7 +343,7 @@
 
 # --- lots
 def texts_fall_short(mp: pytest.MonkeyPatch) -> None:
-    mp.setattr(Text, "text", property(lambda self: "\n".join(self.pieces[:-1])))
+    mp.setattr(ItemText, "text", property(lambda self: "\n".join(self.pieces[:-1])))
 
 
 def gives_up_at_once(mp: pytest.MonkeyPatch) -> None:
@@ -369,7 +369,7 @@
 
 
 def no_quota(mp: pytest.MonkeyPatch) -> None:
-    mp.setattr(Budget, "take", lambda *_: True)
+    mp.setattr(Budget, "grant", lambda *_: True)
 
 
 def ending_is_forgotten(mp: pytest.MonkeyPatch) -> None:
