--- a/bench/measure/stabilizer.py
+++ b/bench/measure/stabilizer.py
@@ -87,7 +87,7 @@
 def wait_for_each_reply(daemon: Daemon) -> None:
     """Lets a store wait for a mirror's reply before it sends the next record."""
     if isinstance(daemon, DataPlane) and daemon.store is not None:
-        daemon.store.streams.wait_each = True
+        daemon.store.streams.wait_for_acknowledgements = True
 
 
 FAULTS: dict[str, Callable[[SimFleet], None]] = {
--- a/model/partition/rules.py
+++ b/model/partition/rules.py
@@ -45,7 +45,7 @@
 
 
 def _part(me: int, disk: int, log: Log) -> Partition:
-    return Partition(0, name(me), _disk(me, disk), RecordLog(base=JobView(), recs=records_of(log)))
+    return Partition(0, name(me), _disk(me, disk), RecordLog(base=JobView(), records=records_of(log)))
 
 
 def may_lead(part: Partition, view: JobView, voters: Disks) -> bool:
@@ -70,13 +70,13 @@
 
 def settles(part: Partition) -> int:
     """Up to where a mark may settle changes."""
-    return part.provable()
+    return part.settleable_seq()
 
 
 def complete(part: Partition, situation: Situation) -> bool:
     """Do all members answer, with logs that prove who the members are? Both parts are the product's, joined as in
     `Reconfiguration.complete`."""
-    return part.proven() and situation.live == set(situation.current)
+    return part.is_membership_proven() and situation.live == set(situation.current)
 
 
 @dataclass(frozen=True)
@@ -129,7 +129,7 @@
         part.lead(epoch)
         part.epoch_mark, part.covered = mark, covered
         for ack in acks:
-            part.acknowledgements.put(name(ack.member), _disk(ack.member, ack.disk), "persisted", ack.last)
+            part.acknowledgements.update(name(ack.member), _disk(ack.member, ack.disk), "persisted", ack.last)
         self.rules.advance(part)
         change = None
         situation = self._situation(part, acks)
@@ -144,7 +144,7 @@
 
     def _situation(self, part: Partition, acks: tuple[Ack, ...]) -> Situation:
         ready = {name(a.member): _disk(a.member, a.disk) for a in acks if a.last >= part.covered}
-        ready[part.me] = part.disk
+        ready[part.store_name] = part.disk
         wanted = [name(m) for m in range(self.members)]
         return Situation(part.view.members, wanted, ready, list(ready), self.topology)
 
--- a/postpass/batch/job_records.py
+++ b/postpass/batch/job_records.py
@@ -90,8 +90,8 @@
         if uncovered > self.table.settings.buffer_bytes // 2:
             return Fault("submit", name, "too much is not covered yet", REJECTED)
         mirrors = partition.mirrors
-        writable = {mirror for mirror, state in mirrors.items() if not state.full and not state.silent} | {name}
-        if not partition.can_cover(writable) and any(state.full for state in mirrors.values()):
+        writable = {mirror for mirror, state in mirrors.items() if not state.disk_full and not state.silent} | {name}
+        if not partition.can_cover(writable) and any(state.disk_full for state in mirrors.values()):
             return Fault("submit", name, "the disks of the mirrors are full", FULL)
         return None
 
--- a/postpass/batch/partition_client.py
+++ b/postpass/batch/partition_client.py
@@ -54,7 +54,7 @@
                 await asyncio.sleep(pause)
                 lookup = self._new_lookup(partition)
                 continue
-            lookup.asked(name)
+            lookup.mark_asked(name)
             last_response = await store.ask(name, verb, body | {"part": partition})
             if isinstance(last_response, Ok):
                 self.owners[partition] = name
@@ -83,4 +83,4 @@
         local_copy = store.partitions.get(partition)
         self.silent_since = {name: silent_at for name, silent_at in self.silent_since.items() if silent_at > recent}
         candidates = [self.owners.get(partition, ""), local_copy.owner if local_copy is not None else ""]
-        return OwnerLookup.over(candidates, store.configuration_view.order(partition), self.silent_since)
+        return OwnerLookup.for_candidates(candidates, store.configuration_view.order(partition), self.silent_since)
--- a/postpass/configuration/configuration_check.py
+++ b/postpass/configuration/configuration_check.py
@@ -27,7 +27,7 @@
 from postpass.configuration.schema import validation_errors
 from postpass.configuration.settings import address_errors
 from postpass.configuration.tenant_keys import DIGEST_DIGITS, is_digest
-from postpass.replication.stability import DEFAULT, PredicateScope, build, covers, loss_flaw
+from postpass.replication.stability import DEFAULT_PREDICATE, PredicateScope, compile_predicate, covers, loss_flaw
 
 SHARE_TOLERANCE = 1e-9  # shares are sums of fractions
 MAXIMUM_PARTITIONS = 1024
@@ -258,7 +258,7 @@
         return [f"copies: want 1 to {MAXIMUM_COPIES}, got {configuration['copies']}"]
     if len(stores) < configuration["copies"]:
         return [f"copies: {configuration['copies']} copies can't be held by {len(stores)} stores that stay"]
-    main = configuration.get("predicate", DEFAULT)
+    main = configuration.get("predicate", DEFAULT_PREDICATE)
     texts = {"predicate": main} | {
         f"classes.{n}.predicate": c["predicate"] for n, c in configuration["classes"].items() if "predicate" in c
     }
@@ -272,7 +272,7 @@
                 if error:
                     errors.setdefault(path, error)
                     break
-                base = build(main, place)
+                base = compile_predicate(main, place)
                 if path != "predicate" and isinstance(base, Ok) and _is_weaker(text, main, place):
                     errors.setdefault(path, "weaker than the default predicate; a class may only ask for more")
                     break
@@ -281,7 +281,7 @@
 
 def _is_weaker(text: str, default: str, place: PredicateScope) -> bool:
     """Whether some set of copies satisfies a predicate, but not the default one."""
-    own, least = build(text, place).unwrap(), build(default, place).unwrap()
+    own, least = compile_predicate(text, place).unwrap(), compile_predicate(default, place).unwrap()
     return any(
         covers(own, copies) and not covers(least, copies)
         for size in range(len(place.nodes) + 1)
--- a/postpass/daemon/data_plane.py
+++ b/postpass/daemon/data_plane.py
@@ -275,7 +275,7 @@
             await super().run()
         finally:
             if self.store is not None:
-                self.store.fail()
+                self.store.revoke_disk_identity()
             if self.session is not None:
                 await self.session.close()
             if self.relay is not None:
--- a/postpass/daemon/data_plane_status.py
+++ b/postpass/daemon/data_plane_status.py
@@ -51,7 +51,9 @@
     gauge("records_not_covered", "Records of owned partitions beyond the frontier", lambda: unconfirmed_records(store))
     gauge("mirror_lag_records", "How far the furthest mirror is behind", lambda: replica_lag(store))
     gauge(
-        "cover_stalled_seconds", "For how long the frontier that stands still longest does", store.cover_watch.longest
+        "cover_stalled_seconds",
+        "For how long the frontier that stands still longest does",
+        store.cover_watch.longest_stall,
     )
     gauge("lots_open", "Lots that are not finished", lambda: open_jobs(store))
     gauge(
--- a/postpass/gateway/owner_client.py
+++ b/postpass/gateway/owner_client.py
@@ -57,7 +57,7 @@
                 await asyncio.sleep(bounds.beat / 2 * (0.75 + 0.5 * self.environment.chance.random()))
                 lookup = self._lookup(partition)
                 continue
-            lookup.asked(name)
+            lookup.mark_asked(name)
             addr = self.configuration_view.addr(name)
             if not addr:
                 continue
@@ -103,7 +103,7 @@
     def _lookup(self, partition: int, tried: Iterable[str] = ()) -> OwnerLookup:
         """A round over the known owner and all members in the agreed order, but for those in `tried`."""
         known = self.known_owners.get(partition, "")
-        return OwnerLookup.over([known], self.configuration_view.order(partition), self.silent, tried)
+        return OwnerLookup.for_candidates([known], self.configuration_view.order(partition), self.silent, tried)
 
     async def _follow(self, partition: int, lookup: OwnerLookup, name: str, owner: str) -> None:
         """The member `name` says that it isn't the owner, but `owner` is; empty if it knows none."""
--- a/postpass/replication/acknowledgements.py
+++ b/postpass/replication/acknowledgements.py
@@ -17,7 +17,7 @@
     counts: dict[tuple[str, str, str], int] = field(default_factory=dict)  # (node, disk, type) -> sequence number
     frontier: int = 0
 
-    def put(self, node: str, disk: str, kind: str, seq: int) -> bool:
+    def update(self, node: str, disk: str, kind: str, seq: int) -> bool:
         """Records an acknowledgement; returns whether it is higher than the one before."""
         key = (node, disk, kind)
         if seq <= self.counts.get(key, 0):
--- a/postpass/replication/catch_up.py
+++ b/postpass/replication/catch_up.py
@@ -44,7 +44,7 @@
         own_log = partition.record_log
         # The copy has a base of its own, since more records may be folded into this store's base during the requests.
         staged_log = RecordLog(
-            own_log.base_seq, own_log.base_epoch, own_log.base.copy(), list(own_log.recs), own_log.size
+            own_log.base_seq, own_log.base_epoch, own_log.base.copy(), list(own_log.records), own_log.size
         )
         if common_seq >= 0:
             staged_log.cut(common_seq)
@@ -116,7 +116,7 @@
         )
         if common_seq < 0:
             entries = [base_entry(partition.id, staged_log.base_seq, staged_log.base_epoch, staged_log.base.dump())]
-            entries += [r.entry(partition.id) for r in staged_log.recs]
+            entries += [r.entry(partition.id) for r in staged_log.records]
             log_offset = self.table.log.append(entries)
             partition.record_log, partition.persisted = staged_log, 0
             partition.unsynced.clear()
--- a/postpass/replication/cover_watch.py
+++ b/postpass/replication/cover_watch.py
@@ -80,7 +80,7 @@
             awaited=",".join(members_awaited(partition)),
         )
 
-    def longest(self) -> float:
+    def longest_stall(self) -> float:
         """Returns for how many seconds the longest-stalled frontier has not advanced; 0 if none is stalled."""
         current_stalls = (
             s for number, s in self.stalled_frontiers.items() if self.table.partitions[number].epoch == s.epoch
--- a/postpass/replication/owner.py
+++ b/postpass/replication/owner.py
@@ -57,9 +57,11 @@
         self.ownership_began(partition.id)
         records: list[Record] = []
         if step is Step.FOUND:
-            records.append(partition.make("crew", {"crew": voters}))
+            records.append(partition.sequence_record("crew", {"crew": voters}))
         elif step is Step.LEAD_AFTER_LOSS:
-            records.append(partition.make("loss", {"crew": voters, "edition": losses + 1, "lots": lost_jobs}))
+            records.append(
+                partition.sequence_record("loss", {"crew": voters, "edition": losses + 1, "lots": lost_jobs})
+            )
             log_events.emit(
                 Event.PARTITION_DATA_LOSS,
                 self.table.settings.name,
@@ -69,7 +71,7 @@
                 voters=",".join(voters),
                 lots=len(lost_jobs),
             )
-        records.append(partition.make("mark", {}))
+        records.append(partition.sequence_record("mark", {}))
         partition.epoch_mark = partition.record_log.last
         try:
             self.table.write(partition, [r.entry(partition.id) for r in records])
@@ -97,7 +99,7 @@
 
         This is done at once, because an election after a loss of power has only the logs to go by.
         """
-        settled_seq = partition.provable()
+        settled_seq = partition.settleable_seq()
         if settled_seq:
             try:
                 self.append(partition, "mark", {"settled": settled_seq})
@@ -125,7 +127,7 @@
                 raise FaultError(Fault("append", self.table.settings.name, "the disk is full", FULL))
         if self.table.log.failure:
             raise FaultError(Fault("append", self.table.settings.name, self.table.log.failure, BROKE))
-        record = partition.make(kind, body, raw)
+        record = partition.sequence_record(kind, body, raw)
         try:
             self.table.write(partition, [record.entry(partition.id)])
         except FaultError as error:
@@ -155,17 +157,17 @@
             mirror = partition.mirrors.get(ack.name)
             if mirror is None or mirror.disk != ack.disk:
                 continue
-            mirror.last_heard_at, mirror.silent, mirror.full = now(), False, bool(ack.full)
+            mirror.last_heard_at, mirror.silent, mirror.disk_full = now(), False, bool(ack.full)
             if ack.gap:
                 mirror.link = None
                 self.streams.wake_all(partition)
                 continue
             last = partition.record_log.last
-            advanced = partition.acknowledgements.put(ack.name, ack.disk, "received", min(ack.received, last))
+            advanced = partition.acknowledgements.update(ack.name, ack.disk, "received", min(ack.received, last))
             advanced = (
-                partition.acknowledgements.put(ack.name, ack.disk, "persisted", min(ack.persisted, last)) or advanced
+                partition.acknowledgements.update(ack.name, ack.disk, "persisted", min(ack.persisted, last)) or advanced
             )
             if advanced:
                 self.advance(partition)
-                if self.streams.wait_each:
+                if self.streams.wait_for_acknowledgements:
                     self.streams.wake_all(partition)
--- a/postpass/replication/owner_lookup.py
+++ b/postpass/replication/owner_lookup.py
@@ -34,7 +34,7 @@
     named_owners: list[str] = field(default_factory=list)
 
     @classmethod
-    def over(
+    def for_candidates(
         cls,
         guesses: Iterable[str],
         members: Iterable[str],
@@ -51,7 +51,7 @@
         ]
         return min(candidates, key=lambda name: name in self.unresponsive, default="")
 
-    def asked(self, name: str) -> None:
+    def mark_asked(self, name: str) -> None:
         """Notes that a machine is being asked."""
         self.tried.append(name)
 
--- a/postpass/replication/partition.py
+++ b/postpass/replication/partition.py
@@ -12,10 +12,10 @@
 from postpass.replication.acknowledgements import Acknowledgements
 from postpass.replication.record_log import Record, RecordLog
 from postpass.replication.stability import (
-    DEFAULT,
+    DEFAULT_PREDICATE,
     AcknowledgedSeq,
     PredicateScope,
-    build,
+    compile_predicate,
     confirm_suffice,
     covers,
     promises_suffice,
@@ -56,7 +56,7 @@
     """Progress of the owner's stream to one mirror.
 
     Invariant: the records below `next_seq` were sent over `link`, in order, once each, except for the remaining packets of
-    `outgoing`. The send loop to the mirror owns the object; `PartitionOwner.on_ack` sets `last_heard_at`, `silent` and `full`, and
+    `outgoing`. The send loop to the mirror owns the object; `PartitionOwner.on_ack` sets `last_heard_at`, `silent` and `disk_full`, and
     clears `link` if the mirror reports a gap.
 
     Attributes:
@@ -66,7 +66,7 @@
         disk: Identity of the mirror's disk.
         last_heard_at: When the mirror's last acknowledgement arrived, in monotonic seconds.
         silent: Whether that is longer ago than `bounds.silent`; the mirror is not relied on then.
-        full: Whether the mirror's disk is full.
+        disk_full: Whether the mirror's disk is full.
         tracked_since: When the owner began to track the mirror, in monotonic seconds.
         outgoing: The message that is being sent; None between two messages.
     """
@@ -77,7 +77,7 @@
     disk: str = ""
     last_heard_at: float = 0.0
     silent: bool = False
-    full: bool = False
+    disk_full: bool = False
     tracked_since: float = 0.0
     outgoing: OutgoingMessage | None = None
 
@@ -91,7 +91,7 @@
     """Returns the jobs and members as they are after the last record of a log."""
     view = record_log.base.copy()
     assert isinstance(view, JobView)
-    for record in record_log.recs:
+    for record in record_log.records:
         view.fold(record)
     return view
 
@@ -113,7 +113,7 @@
 
     Attributes:
         id: Number of the partition.
-        me: Name of this store.
+        store_name: Name of this store.
         disk: Identity of this store's disk.
         record_log: The records in memory: a base and the records after it.
         promised: Highest epoch that this store has promised to follow.
@@ -144,7 +144,7 @@
     """
 
     id: int
-    me: str
+    store_name: str
     disk: str
     record_log: RecordLog = field(default_factory=empty_log)
     promised: int = 0
@@ -198,12 +198,12 @@
     def scope(self, members: Iterable[str]) -> PredicateScope:
         """Returns the nodes and zones that a predicate over these members may refer to."""
         names = tuple(members)
-        return PredicateScope(names, tuple((n, self.zones.get(n, "")) for n in names), self.me)
+        return PredicateScope(names, tuple((n, self.zones.get(n, "")) for n in names), self.store_name)
 
     def predicate_over(self, text: str, members: Members) -> Callable[[AcknowledgedSeq], int]:
         """Compiles a predicate for these members; returns the default one if it is invalid for them."""
-        return build(text or DEFAULT, self.scope(members)).unwrap_or_else(
-            lambda _: build(DEFAULT, self.scope(members)).unwrap()
+        return compile_predicate(text or DEFAULT_PREDICATE, self.scope(members)).unwrap_or_else(
+            lambda _: compile_predicate(DEFAULT_PREDICATE, self.scope(members)).unwrap()
         )
 
     def active_rules(self, view: JobView, text: str = "") -> list[tuple[Members, str]]:
@@ -320,11 +320,11 @@
 
     def lead(self, epoch: int) -> None:
         """Becomes the owner under an epoch, with the log as it is here."""
-        self.epoch, self.owner, self.aligned_epoch = epoch, self.me, epoch
+        self.epoch, self.owner, self.aligned_epoch = epoch, self.store_name, epoch
         self.view = latest_view(self.record_log)
         self.acknowledgements = Acknowledgements()
-        self.acknowledgements.put(self.me, self.disk, "received", self.record_log.last)
-        self.acknowledgements.put(self.me, self.disk, "persisted", self.persisted)
+        self.acknowledgements.update(self.store_name, self.disk, "received", self.record_log.last)
+        self.acknowledgements.update(self.store_name, self.disk, "persisted", self.persisted)
         self.mirrors, self.packets, self.waiters = {}, [], []
 
     def step_down(self) -> None:
@@ -336,7 +336,7 @@
                 future.set_result(False)
         self.waiters = []
 
-    def make(self, kind: str, body: dict[str, Any], raw: Payload = b"") -> Record:
+    def sequence_record(self, kind: str, body: dict[str, Any], raw: Payload = b"") -> Record:
         """Sequences the next record of this partition, in memory only, and returns it.
 
         Args:
@@ -348,15 +348,15 @@
         record = Record(self.record_log.last + 1, self.epoch, kind, encode_record(body, raw))
         self.record_log.append(record)
         self.view.fold(record)
-        self.acknowledgements.put(self.me, self.disk, "received", record.seq)
+        self.acknowledgements.update(self.store_name, self.disk, "received", record.seq)
         return record
 
-    def provable(self) -> int:
+    def settleable_seq(self) -> int:
         """As owner: returns the sequence number up to which a mark may settle changes of members or predicate, because they
         are covered and the log does not prove that yet; 0 if there is nothing to settle."""
         return self.covered if self.ready and 0 < self.view.unsettled() <= self.covered else 0
 
-    def proven(self) -> bool:
+    def is_membership_proven(self) -> bool:
         """As owner: returns whether the log proves who the members are, and that proof is covered itself.
 
         After a loss of power only the logs are left. A log with a change of members but without the mark that settles it
@@ -379,7 +379,7 @@
             return False
         self.persisted = seq
         if self.owning:
-            self.acknowledgements.put(self.me, self.disk, "persisted", seq)
+            self.acknowledgements.update(self.store_name, self.disk, "persisted", seq)
         return True
 
     def cut(self, seq: int) -> None:
--- a/postpass/replication/partition_table.py
+++ b/postpass/replication/partition_table.py
@@ -157,4 +157,4 @@
             record_log = partition.record_log
             yield promise_entry(partition.id, partition.promised)
             yield base_entry(partition.id, record_log.base_seq, record_log.base_epoch, record_log.base.dump())
-            yield from (r.entry(partition.id) for r in record_log.recs)
+            yield from (r.entry(partition.id) for r in record_log.records)
--- a/postpass/replication/reconfiguration.py
+++ b/postpass/replication/reconfiguration.py
@@ -76,7 +76,7 @@
         the proof of who the members are, are on the disks of all members.
         """
         situation = self.situation(partition)  # the stores in `live` have synced all covered records
-        return partition.proven() and situation.live == set(situation.current)
+        return partition.is_membership_proven() and situation.live == set(situation.current)
 
     def topology(self, partition: Partition) -> Topology:
         """Returns the zones of the machines, and how much of them may be lost at once."""
--- a/postpass/replication/record_log.py
+++ b/postpass/replication/record_log.py
@@ -50,73 +50,73 @@
 class RecordLog:
     """The records of a partition, the older of them folded into a base.
 
-    Invariants: `recs` are numbered base_seq+1, +2, … without a gap; epochs never decrease along them; `base_seq` never
+    Invariants: `records` are numbered base_seq+1, +2, … without a gap; epochs never decrease along them; `base_seq` never
     exceeds the last covered record, so a covered record is never cut.
 
     Attributes:
         base_seq: Sequence number of the last record that is folded into the base; 0 if none is.
         base_epoch: Epoch of that record.
         base: The state after that record.
-        recs: The records after the base.
+        records: The records after the base.
         size: Total bytes of their bodies.
     """
 
     base_seq: int = 0
     base_epoch: int = 0
     base: Base = field(default_factory=Base)
-    recs: list[Record] = field(default_factory=list)
+    records: list[Record] = field(default_factory=list)
     size: int = 0
 
     @property
     def last(self) -> int:
         """Sequence number of the last record."""
-        return self.base_seq + len(self.recs)
+        return self.base_seq + len(self.records)
 
     @property
     def last_epoch(self) -> int:
         """Epoch of the last record."""
-        return self.recs[-1].epoch if self.recs else self.base_epoch
+        return self.records[-1].epoch if self.records else self.base_epoch
 
     def epoch_at(self, seq: int) -> int:
         """Returns the epoch of the record with a sequence number, which is the base's or a later one."""
         if seq == self.base_seq:
             return self.base_epoch
-        return self.recs[seq - self.base_seq - 1].epoch
+        return self.records[seq - self.base_seq - 1].epoch
 
     def get(self, seq: int) -> Record:
         """Returns the record with a sequence number, which is after the base's."""
-        return self.recs[seq - self.base_seq - 1]
+        return self.records[seq - self.base_seq - 1]
 
     def after(self, seq: int) -> list[Record]:
         """Returns the records after a sequence number, which is the base's or a later one."""
-        return self.recs[seq - self.base_seq :]
+        return self.records[seq - self.base_seq :]
 
     def append(self, record: Record) -> None:
         """Appends the next record."""
         assert record.seq == self.last + 1, f"record {record.seq} does not follow record {self.last}"
         assert record.epoch >= self.last_epoch, f"epoch {record.epoch} is lower than the last epoch {self.last_epoch}"
-        self.recs.append(record)
+        self.records.append(record)
         self.size += len(record.body)
 
     def cut(self, seq: int) -> None:
         """Drops the records after `seq`, which must not be below the base's sequence number."""
         assert seq >= self.base_seq, f"cannot cut at record {seq}, below the base {self.base_seq}"
-        del self.recs[seq - self.base_seq :]
-        self.size = sum(len(r.body) for r in self.recs)
+        del self.records[seq - self.base_seq :]
+        self.size = sum(len(r.body) for r in self.records)
 
     def rebase(self, seq: int) -> None:
         """Folds the records up to `seq` into the base; only covered records may be folded."""
         epoch = self.epoch_at(seq)
-        for record in self.recs[: seq - self.base_seq]:
+        for record in self.records[: seq - self.base_seq]:
             self.base.fold(record)
-        self.recs = self.recs[seq - self.base_seq :]
+        self.records = self.records[seq - self.base_seq :]
         self.base_seq, self.base_epoch = seq, epoch
-        self.size = sum(len(r.body) for r in self.recs)
+        self.size = sum(len(r.body) for r in self.records)
 
     def marks(self) -> list[tuple[int, int]]:
         """Returns (epoch, first sequence number) of each run of records of one epoch, beginning with the base."""
         runs = [(self.base_epoch, self.base_seq)]
-        for record in self.recs:
+        for record in self.records:
             if record.epoch != runs[-1][0]:
                 runs.append((record.epoch, record.seq))
         return runs
--- a/postpass/replication/stability.py
+++ b/postpass/replication/stability.py
@@ -25,7 +25,7 @@
 else:
     lark = DeferredModule("lark")
 
-DEFAULT = "KTH_MAX(SIZEOF($ALLWNODES)/2+1, $ALLWNODES.persisted)"
+DEFAULT_PREDICATE = "KTH_MAX(SIZEOF($ALLWNODES)/2+1, $ALLWNODES.persisted)"
 ACKNOWLEDGEMENT_TYPES = ("received", "persisted")
 
 GRAMMAR = r"""
@@ -55,17 +55,17 @@
 
 @dataclass(frozen=True)
 class PredicateScope:
-    """The nodes and zones that a predicate may refer to. Invariant: `me` is in `zones`.
+    """The nodes and zones that a predicate may refer to. Invariant: `own_node` is in `zones`.
 
     Attributes:
         nodes: Names of the nodes, in the order in which $1, $2, … refer to them.
         zones: The zone of each node.
-        me: Name of the node that evaluates the predicate.
+        own_node: Name of the node that evaluates the predicate.
     """
 
     nodes: tuple[str, ...]
     zones: tuple[tuple[str, str], ...]  # (node, zone)
-    me: str
+    own_node: str
 
     def zone(self, node: str) -> str:
         """Returns the zone of a node; empty if it is unknown."""
@@ -99,9 +99,9 @@
     if name == "ALLWNODES":
         names = scope.nodes
     elif name == "MYWNODE":
-        names = (scope.me,)
+        names = (scope.own_node,)
     elif name == "MYAZWNODES":
-        names = tuple(n for n in scope.nodes if scope.zone(n) == scope.zone(scope.me))
+        names = tuple(n for n in scope.nodes if scope.zone(n) == scope.zone(scope.own_node))
     elif name.startswith("WNODE_"):
         names = tuple(n for n in scope.nodes if n == name[6:])
         if not names:
@@ -192,7 +192,7 @@
 
 
 @lru_cache(maxsize=256)
-def build(text: str, scope: PredicateScope) -> Result[Callable[[AcknowledgedSeq], int], str]:
+def compile_predicate(text: str, scope: PredicateScope) -> Result[Callable[[AcknowledgedSeq], int], str]:
     """Compiles a predicate.
 
     Args:
@@ -235,7 +235,7 @@
     `received` are lost with the power, so only synced copies are counted as copies; the worst case is assumed, in which
     every node has received the record.
     """
-    compiled = build(text, scope)
+    compiled = compile_predicate(text, scope)
     if isinstance(compiled, Err):
         return compiled.unwrap_err()
     predicate = compiled.unwrap()
--- a/postpass/replication/store.py
+++ b/postpass/replication/store.py
@@ -241,7 +241,7 @@
                 "crew": p.members, "complete": self.reconfiguration.complete(p), "losses": p.view.losses,
                 "awaited": members_awaited(p) if p.owning else [],
                 "mirrors": {
-                    name: {"persisted": p.acknowledgements.get(name, mirror.disk, "persisted"), "silent": mirror.silent, "full": mirror.full, "disk": mirror.disk}
+                    name: {"persisted": p.acknowledgements.get(name, mirror.disk, "persisted"), "silent": mirror.silent, "full": mirror.disk_full, "disk": mirror.disk}
                     for name, mirror in sorted(p.mirrors.items())
                 },
                 "lots": len(p.view.jobs), "open": sum(job.state == "open" and not job.complete for job in p.view.jobs.values()),
@@ -251,7 +251,7 @@
         return Ok({"disk": self.table.disk_id, "free": free_bytes, "size": total_bytes, "parts": rows, "bad": self.table.log.failure,
                    "held": self.table.log.reserved_bytes})  # fmt: skip
 
-    def fail(self) -> None:
+    def revoke_disk_identity(self) -> None:
         """Revokes the data directory's identity after a failed sync, so that none of its acknowledgements count."""
         if self.table.environment.disk is not None and self.table.log.failure:
             revoke_identity(self.table.environment.disk)
--- a/postpass/replication/streaming.py
+++ b/postpass/replication/streaming.py
@@ -29,7 +29,7 @@
     wake_events: dict[str, asyncio.Event] = field(default_factory=dict)
     send_loops: dict[str, asyncio.Task[None]] = field(default_factory=dict)
     # For measurements only: wait until a mirror has acknowledged a record before the next one is sent to it.
-    wait_each: bool = False
+    wait_for_acknowledgements: bool = False
 
     def wake_all(self, partition: Partition) -> None:
         """Wakes the send loops to all other members of a partition, and starts those that do not run yet."""
@@ -168,7 +168,7 @@
                     return True
                 if mirror.next_seq > partition.record_log.last:
                     break
-                if self.wait_each and mirror.next_seq - 1 > partition.acknowledgements.get(
+                if self.wait_for_acknowledgements and mirror.next_seq - 1 > partition.acknowledgements.get(
                     name, mirror.disk, "persisted"
                 ):
                     return False
--- a/postpass/storage/segmented_log.py
+++ b/postpass/storage/segmented_log.py
@@ -46,13 +46,13 @@
 SEALED = "sealed"  # operation of the entry that ends a snapshot
 
 
-def frame(entry: Any) -> bytes:
+def encode_frame(entry: Any) -> bytes:
     """Encodes an `IDL.Entry` as a frame of a file: head and payload."""
     payload = pack(entry)
     return HEAD.pack(len(payload), zlib.crc32(payload)) + payload
 
 
-def scan(data: bytes) -> tuple[list[Any], int]:
+def read_entries(data: bytes) -> tuple[list[Any], int]:
     """Returns the complete entries from the start of a file, and the offset at which the last of them ends."""
     entries: list[Any] = []
     offset = 0
@@ -171,7 +171,7 @@
 
     def _load_snapshot(self, name: str) -> list[Any]:
         data = self.disk.read(name)
-        entries, end = scan(data)
+        entries, end = read_entries(data)
         if end != len(data) or not entries or entries[-1].op != SEALED:
             raise FaultError(Fault("read snapshot", self.process, f"{name} is damaged at byte {end}", BROKE))
         self.snapshot_bytes = len(data)
@@ -179,7 +179,7 @@
 
     def _load_segment(self, name: str, is_last: bool) -> list[Any]:
         data = self.disk.read(name)
-        entries, end = scan(data)
+        entries, end = read_entries(data)
         if end != len(data):
             damaged = has_entry_after(data, end) or (self.strict and is_complete_but_damaged(data, end))
             if not is_last or damaged:
@@ -198,7 +198,7 @@
         """
         if self.failure:
             raise self._failure_at("append")
-        data = b"".join(map(frame, entries))
+        data = b"".join(map(encode_frame, entries))
         free, _ = self.disk.space()
         if not vital and free - len(data) < self.reserved_bytes:
             raise FaultError(Fault("append", self.process, "the disk is full", FULL))
@@ -266,7 +266,7 @@
         `FaultError` if the disk fails for another reason.
         """
         async with self.lock:
-            data = b"".join(map(frame, entries)) + frame(IDL.Entry(part=-1, op=SEALED))
+            data = b"".join(map(encode_frame, entries)) + encode_frame(IDL.Entry(part=-1, op=SEALED))
             # From here on nothing is appended to the old segment: whatever is appended while the snapshot is written goes
             # to the new segment, which is read after the snapshot.
             old_number, old_size, old_name, offset = self.segment_number, self.segment_size, self.segment_name, self.end
--- a/postpass/tenants/home_client.py
+++ b/postpass/tenants/home_client.py
@@ -49,7 +49,7 @@
                 await asyncio.sleep(min(pause, left))
                 lookup = self._lookup(partition)
                 continue
-            lookup.asked(name)
+            lookup.mark_asked(name)
             address = self.configuration_view.addr(name)
             if not address:
                 continue
@@ -77,4 +77,4 @@
         recent = now() - self.timers.lease
         self.silent_since = {name: moment for name, moment in self.silent_since.items() if moment > recent}
         known = self.known_owners.get(partition, "")
-        return OwnerLookup.over([known], self.configuration_view.order(partition), self.silent_since)
+        return OwnerLookup.for_candidates([known], self.configuration_view.order(partition), self.silent_since)
--- a/tests/control/test_journal.py
+++ b/tests/control/test_journal.py
@@ -32,7 +32,7 @@
     open_data_directory,
     write_identity,
 )
-from postpass.storage.segmented_log import HEAD, SegmentedLog, scan
+from postpass.storage.segmented_log import HEAD, SegmentedLog, read_entries
 from sim.disk import SimDisk
 from sim.loop import SimLoop, run_sim
 
@@ -167,7 +167,7 @@
         asyncio.run(run())
 
     def test_zeros_behind_the_last_entry_are_no_entries(self) -> None:
-        assert scan(b"\0" * 64) == ([], 0)
+        assert read_entries(b"\0" * 64) == ([], 0)
 
 
 class Test_a_restart:
--- a/tests/model/test_partition.py
+++ b/tests/model/test_partition.py
@@ -69,13 +69,15 @@
 def complete_without_the_mark(part: Partition, situation: Situation) -> bool:
     """The rule up to release 0.2.0: all members have synced the change of members, but not the mark that settles it."""
     change, current = part.view.members_seq, part.view.members
-    synced = all(part.acknowledgements.get(n, d, "persisted") >= change for n, d in current.items() if n != part.me)
+    synced = all(
+        part.acknowledgements.get(n, d, "persisted") >= change for n, d in current.items() if n != part.store_name
+    )
     return part.ready and change <= part.covered and synced and situation.live == set(current)
 
 
 MUTANTS = [
     Mutant("a repair counts as complete before all have the mark that settles it", Rules(complete=complete_without_the_mark), Invariant.BEARS_LOSS, SMALL._replace(lots=0, wipes=2)),
-    Mutant("a repair counts as complete once a majority has that mark", Rules(complete=lambda part, situation: part.proven()), Invariant.BEARS_LOSS, SMALL._replace(lots=0, wipes=2)),
+    Mutant("a repair counts as complete once a majority has that mark", Rules(complete=lambda part, situation: part.is_membership_proven()), Invariant.BEARS_LOSS, SMALL._replace(lots=0, wipes=2)),
     Mutant("a change is settled before it is covered", Rules(settles=settles_what_is_not_covered), Invariant.KEPT, SMALL._replace(wipes=1)),
     Mutant("half of the members elect", Rules(may_lead=half_may_lead), Invariant.ONE_OWNER, SMALL._replace(members=4, lots=0)),
     Mutant("a vote counts by name, whatever the disk", Rules(votes_by_disk=False), Invariant.KEPT, SMALL._replace(wipes=1), EVERY - {Invariant.BEARS_LOSS}),
--- a/tests/replication/test_cover_watch.py
+++ b/tests/replication/test_cover_watch.py
@@ -64,7 +64,7 @@
         rows = (await store.on_parts({})).unwrap()["parts"]
         row = next(r for r in rows if r["part"] == partition.id)
         reports = [text for number, text in log_events.RECENT if number == Event.COVER_STALLED]
-        return response, row["awaited"], store.cover_watch.longest(), reports
+        return response, row["awaited"], store.cover_watch.longest_stall(), reports
 
     response, awaited, longest, reports = run_sim(main, 1)
     assert response.is_err()
@@ -81,7 +81,7 @@
         response = await submit_job(fleet, "s1", partition.id)
         await fleet.until(lambda: False, DETECT + 1.0)
         reports = [text for number, text in log_events.RECENT if number == Event.COVER_STALLED]
-        return response, store_of(fleet, "s1").cover_watch.longest(), reports
+        return response, store_of(fleet, "s1").cover_watch.longest_stall(), reports
 
     response, longest, reports = run_sim(main, 1)
     assert response.is_ok() and longest == 0.0 and reports == []
--- a/tests/replication/test_owner_lookup.py
+++ b/tests/replication/test_owner_lookup.py
@@ -49,13 +49,13 @@
 
 def product(world: World) -> OwnerLookup:
     """Returns the search as it is implemented."""
-    return OwnerLookup.over(world.guesses, MEMBERS)
+    return OwnerLookup.for_candidates(world.guesses, MEMBERS)
 
 
 def guesses_alone(world: World) -> OwnerLookup:
     """Returns a search that asks the members only if there are no guesses, as up to release 0.3."""
     guesses = [guess for guess in world.guesses if guess]
-    return OwnerLookup.over(guesses, () if guesses else MEMBERS)
+    return OwnerLookup.for_candidates(guesses, () if guesses else MEMBERS)
 
 
 class IgnoringLookup(OwnerLookup):
@@ -69,7 +69,7 @@
     """Returns the machines that are asked in one round, the owner last; None if the owner is not found."""
     lookup, asked_names = search(world), []
     while name := lookup.next_name():
-        lookup.asked(name)
+        lookup.mark_asked(name)
         asked_names.append(name)
         named_owner = world.answer(name)
         if named_owner == name:
@@ -98,23 +98,23 @@
     """Such an owner is about to hand the partition over; the members follow its stream and name it."""
     world = World("s5", dict.fromkeys(MEMBERS, "s5"), frozenset(), ("", ""))
     assert asked_until_found(world, product) == ["s1", "s5"]
-    assert asked_until_found(world, lambda w: IgnoringLookup.over(w.guesses, MEMBERS)) is None
+    assert asked_until_found(world, lambda w: IgnoringLookup.for_candidates(w.guesses, MEMBERS)) is None
 
 
 def test_machines_that_did_not_answer_lately_are_asked_last() -> None:
-    lookup = OwnerLookup.over(["s1"], MEMBERS, unresponsive=["s1", "s2"])
+    lookup = OwnerLookup.for_candidates(["s1"], MEMBERS, unresponsive=["s1", "s2"])
     asked_names = []
     while name := lookup.next_name():
-        lookup.asked(name)
+        lookup.mark_asked(name)
         asked_names.append(name)
     assert asked_names == ["s3", "s1", "s2"]
 
 
 @pytest.mark.parametrize("becoming", MEMBERS)
 def test_a_machine_that_becomes_the_owner_is_asked_again_at_once(becoming: str) -> None:
-    lookup = OwnerLookup.over(["s1"], MEMBERS)
+    lookup = OwnerLookup.for_candidates(["s1"], MEMBERS)
     while lookup.next_name() != becoming:
-        lookup.asked(lookup.next_name())
-    lookup.asked(becoming)
+        lookup.mark_asked(lookup.next_name())
+    lookup.mark_asked(becoming)
     lookup.ask_again(becoming)
     assert lookup.next_name() == becoming
--- a/tests/replication/test_stability.py
+++ b/tests/replication/test_stability.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from postpass.replication.stability import (
-    DEFAULT,
+    DEFAULT_PREDICATE,
     PredicateScope,
-    build,
+    compile_predicate,
     confirm_suffice,
     loss_flaw,
     minimal_quorums,
@@ -26,7 +26,7 @@
     acknowledged = {"s1": 18, "s2": 28, "s3": 5, "s4": 9}
 
     def evaluate(text: str) -> int:
-        return build(text, FOUR_ZONES).unwrap()(
+        return compile_predicate(text, FOUR_ZONES).unwrap()(
             lambda n, k: acknowledged[n] if k == "persisted" else acknowledged[n] + 100
         )
 
@@ -40,18 +40,20 @@
 
 
 def test_kth_min_is_no_majority_of_four_and_the_default_is() -> None:
-    kth_min = build("KTH_MIN(SIZEOF($ALLWNODES)/2+1, $ALLWNODES)", FOUR_ZONES).unwrap()
-    default = build(DEFAULT, FOUR_ZONES).unwrap()
+    kth_min = compile_predicate("KTH_MIN(SIZEOF($ALLWNODES)/2+1, $ALLWNODES)", FOUR_ZONES).unwrap()
+    default = compile_predicate(DEFAULT_PREDICATE, FOUR_ZONES).unwrap()
     assert {len(q) for q in minimal_quorums(kth_min, FOUR_ZONES.nodes)} == {2}
     assert {len(q) for q in minimal_quorums(default, FOUR_ZONES.nodes)} == {3}
     for n in range(1, 8):
         scope = scope_over(*"abcdefg"[:n])
-        assert {len(q) for q in minimal_quorums(build(DEFAULT, scope).unwrap(), scope.nodes)} == {n // 2 + 1}
+        assert {len(q) for q in minimal_quorums(compile_predicate(DEFAULT_PREDICATE, scope).unwrap(), scope.nodes)} == {
+            n // 2 + 1
+        }
 
 
 def test_errors_name_their_column() -> None:
     def error(text: str) -> str:
-        return str(build(text, FOUR_ZONES).unwrap_err())
+        return str(compile_predicate(text, FOUR_ZONES).unwrap_err())
 
     assert error("MAX($NOPE)") == "column 5: unknown name $NOPE"
     assert error("KTH_MAX(5, $ALLWNODES)") == "column 1: k is 5, outside 1..4"
@@ -66,20 +68,22 @@
 
 
 def test_loss_check_names_the_loss() -> None:
-    assert loss_flaw(DEFAULT, FOUR_ZONES) == ""
+    assert loss_flaw(DEFAULT_PREDICATE, FOUR_ZONES) == ""
     assert loss_flaw("MAX($ALLWNODES)", FOUR_ZONES).startswith("does not survive the loss of the disk of s1")
     assert "no synced disk" in loss_flaw("MIN($ALLWNODES.received)", FOUR_ZONES)
     two_in_one_zone = scope_over("a", "a", "b", "c")
     assert "loss of area a" in loss_flaw("KTH_MAX(2, $ALLWNODES)", two_in_one_zone)
-    assert loss_flaw(DEFAULT, scope_over("a", "a", "a", "b")).startswith("does not survive the loss of area a")
+    assert loss_flaw(DEFAULT_PREDICATE, scope_over("a", "a", "a", "b")).startswith(
+        "does not survive the loss of area a"
+    )
 
 
 def test_promises_intersect_covering_sets_and_each_other() -> None:
-    default = build(DEFAULT, FOUR_ZONES).unwrap()
+    default = compile_predicate(DEFAULT_PREDICATE, FOUR_ZONES).unwrap()
     assert promises_suffice(default, FOUR_ZONES.nodes, ("s1", "s2", "s3"))
     assert not promises_suffice(default, FOUR_ZONES.nodes, ("s1", "s2"))
     assert confirm_suffice(default, FOUR_ZONES.nodes, ("s1", "s2"))
     assert not confirm_suffice(default, FOUR_ZONES.nodes, ("s1",))
-    weak = build("KTH_MAX(2, $ALLWNODES)", FOUR_ZONES).unwrap()
+    weak = compile_predicate("KTH_MAX(2, $ALLWNODES)", FOUR_ZONES).unwrap()
     assert not promises_suffice(weak, FOUR_ZONES.nodes, ("s1", "s2"))
     assert promises_suffice(weak, FOUR_ZONES.nodes, ("s1", "s2", "s3"))
--- a/tests/support/data_directories.py
+++ b/tests/support/data_directories.py
@@ -131,7 +131,7 @@
     return {
         "promised": part.promised,
         "base": [record_log.base_seq, record_log.base_epoch],
-        "records": [[record.seq, record.epoch, record.kind, digest(record.body)] for record in record_log.recs],
+        "records": [[record.seq, record.epoch, record.kind, digest(record.body)] for record in record_log.records],
         "persisted": part.persisted,
         "view": view_state(latest_view(record_log)),
     }
--- a/tests/test_release_compatibility.py
+++ b/tests/test_release_compatibility.py
@@ -27,7 +27,7 @@
 from postpass.rpc.connection import Link
 from postpass.rpc.peer_server import PeerServer
 from postpass.runtime.errors import Fault
-from postpass.storage.segmented_log import frame, scan
+from postpass.storage.segmented_log import encode_frame, read_entries
 from sim.loop import Host, SimLoop, run_sim
 from tests.support import data_directories as directories
 from tests.support.peer_frames import CALL, LENGTH, ONEWAY, REPLY, Frame, message_keys, plain, struct_of
@@ -142,9 +142,9 @@
 )
 def test_entries_of_logs_and_snapshots_are_written_as_they_were_read(path: Path) -> None:
     data = path.read_bytes()
-    entries, end = scan(data)
+    entries, end = read_entries(data)
     assert end == len(data) and entries
-    assert b"".join(map(frame, entries)) == data
+    assert b"".join(map(encode_frame, entries)) == data
 
 
 @pytest.mark.parametrize("name", CONTROL)
