--- a/postpass/replication/handover.py
+++ b/postpass/replication/handover.py
@@ -67,6 +67,7 @@
         task.add_done_callback(self.table.background_tasks.discard)
 
     async def _hand_over_once(self, partition: Partition, name: str) -> None:
+        """Hands a partition over to a member, and keeps it in `in_progress` meanwhile."""
         self.in_progress.add(partition.id)
         try:
             await self.hand_over(partition, name)
--- a/postpass/replication/leadership_check.py
+++ b/postpass/replication/leadership_check.py
@@ -57,6 +57,10 @@
         return await asyncio.shield(task)
 
     async def _ask_members(self, partition: Partition, epoch: int) -> bool:
+        """Asks all members at once; returns whether enough of them know no later epoch, and this store is still the owner.
+
+        It returns as soon as enough members have confirmed, or all have answered. A later epoch ends the ownership.
+        """
         voters = self.table.own_vote
         if partition.is_ownership_confirmed(voters):
             return partition.epoch == epoch
--- a/postpass/replication/stability.py
+++ b/postpass/replication/stability.py
@@ -50,6 +50,7 @@
 
 @lru_cache(maxsize=1)
 def _parser() -> Lark:
+    """Returns the parser of predicates, which is created on first use."""
     return lark.Lark(GRAMMAR, parser="earley", propagate_positions=True)
 
 
@@ -85,12 +86,14 @@
 
 
 def _location(tree: Tree[Token] | Token) -> str:
+    """Returns the column of a syntax node, for error messages."""
     if isinstance(tree, str):
         return f"column {tree.column}"
     return f"column {getattr(tree.meta, 'column', 1)}"
 
 
 def _resolve_nodes(tree: Tree[Token], scope: PredicateScope) -> NodeSet:
+    """Returns the nodes that a name such as $ALLWNODES refers to. Raises `PredicateError` for an unknown name or type."""
     name = str(tree.children[0])
     suffix = tree.children[1] if len(tree.children) > 1 else None
     kind = str(suffix)[1:] if suffix is not None else ""
@@ -160,6 +163,7 @@
 
 
 def _compile(tree: Tree[Token], scope: PredicateScope) -> Callable[[AcknowledgedSeq], int]:
+    """Compiles an operator with its operands. Raises `PredicateError` if it can't be evaluated in this scope."""
     operator_name = str(tree.children[0])
     operand_list = tree.children[1]
     assert not isinstance(operand_list, str)
--- a/postpass/storage/data_directory.py
+++ b/postpass/storage/data_directory.py
@@ -3,7 +3,7 @@
 File format
     The file `identity` is a JSON object: `disk`, the name that the directory got when it was formatted, and `format`,
     the highest number among the formats of its files (1 if left out). It is replaced atomically and synced
-    (`Disk.write`), so a crash leaves the old or the new one. The log beside it is described in `segmented_log`; a control
+    (`Disk.write`), so a crash leaves the old or the new one. The log in the same directory is described in `segmented_log`; a control
     member also stores its promised epochs in `epochs`.
 
 Formats
--- a/postpass/storage/segmented_log.py
+++ b/postpass/storage/segmented_log.py
@@ -1,15 +1,15 @@
-"""An append-only log in numbered segment files, with a snapshot beside it that replaces the older segments.
+"""An append-only log in numbered segment files, together with a snapshot that replaces the older segments.
 
 A store keeps one log for all of its partitions; a control member keeps one for the replicated state.
 
 File format
-    `log-NNNNNNNN` is segment N, `snap-NNNNNNNN` the snapshot that stands for every segment below N. Both are a sequence
+    `log-NNNNNNNN` is segment N, `snap-NNNNNNNN` the snapshot that replaces every segment below N. Both are a sequence
     of frames: payload length and CRC-32 of the payload, each an unsigned 32-bit integer in network order (`HEAD`), and
     then the payload, a thrift `Entry` (`postpass/rpc/idl/peer.thrift`). The last frame of a snapshot is an entry with
     the operation `sealed`; a snapshot without it is damaged.
 
 What is synced when
-    `append` writes to the current segment and returns at once; the bytes last only after the next `sync`, which covers
+    `append` writes to the current segment and returns at once; the bytes are durable only after the next `sync`, which covers
     all that was appended before it began (group commit). Whoever promises durability waits with `wait_synced` for the
     offset that `append` returned. A snapshot is written to a temporary file, synced and renamed (`Disk.write`); the files
     it replaces are removed only after that.
@@ -170,6 +170,7 @@
         return entries
 
     def _load_snapshot(self, name: str) -> list[Any]:
+        """Returns the entries of a snapshot, without the one that ends it. Raises `FaultError` if it is damaged."""
         data = self.disk.read(name)
         entries, end = read_entries(data)
         if end != len(data) or not entries or entries[-1].op != SEALED:
@@ -178,6 +179,7 @@
         return entries[:-1]
 
     def _load_segment(self, name: str, is_last: bool) -> list[Any]:
+        """Returns the entries of a segment; truncates a torn tail of the last one. Raises `FaultError` if it is damaged."""
         data = self.disk.read(name)
         entries, end = read_entries(data)
         if end != len(data):
@@ -299,13 +301,16 @@
                 self.disk.remove(name)
 
     def _notify_sync(self) -> None:
+        """Wakes those who wait for a sync."""
         self.sync_done.set()
         self.sync_done = asyncio.Event()
 
     def _failure_at(self, step: str) -> FaultError:
+        """Returns the error to raise for a step that is not possible, because the disk has failed."""
         return FaultError(Fault(step, self.process, self.failure, BROKE))
 
     def _fail(self, step: str, failure: str, error: OSError) -> NoReturn:
+        """Marks the disk as failed, logs an event and raises `FaultError`."""
         self.failure = failure
         log_events.emit(Event.DISK_FAILED, self.process, why=failure)
         raise self._failure_at(step) from error
