--- a/postpass/batch/free_slots.py
+++ b/postpass/batch/free_slots.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-Slots = dict[str, int]  # by worker
+Slots = dict[str, int]  # number of slots, by worker
 
 
 @dataclass(eq=False)
--- a/postpass/batch/item_request.py
+++ b/postpass/batch/item_request.py
@@ -15,9 +15,9 @@
 from postpass.gateway.response_check import Proof, ResponseHeaderNames, check_response
 from postpass.runtime.errors import BROKE, REJECTED, Fault, FaultError
 
-LEAST_URGENT = b"9"
-MAX_LINE_BYTES = 1 << 20  # of one line of a response
-MAX_FAILURE_BYTES = 1 << 20  # of the body of a failure response
+LEAST_URGENT = b"9"  # value of the urgency header of all items of jobs
+MAX_LINE_BYTES = 1 << 20  # longest line of a response
+MAX_FAILURE_BYTES = 1 << 20  # largest body of a failure response
 REJECTED_HINT = "shed"  # hint of a fault: the worker rejected the request without running it
 # Headers that concern one connection only, or that are set here; a client's are not forwarded.
 OWN_HEADERS = frozenset(
@@ -102,9 +102,9 @@
         if len(self.incomplete_line) > MAX_LINE_BYTES:
             raise FaultError(Fault("read event", "", "a line without an end"))
         for line in lines:
-            self.line(line.removesuffix(b"\r"))
+            self.parse_line(line.removesuffix(b"\r"))
 
-    def line(self, line: bytes) -> None:
+    def parse_line(self, line: bytes) -> None:
         """Parses one line; raises FaultError as `feed` does."""
         field_name, _, value = line.partition(b":")
         value = value.removeprefix(b" ")
--- a/postpass/batch/quota_service.py
+++ b/postpass/batch/quota_service.py
@@ -25,7 +25,7 @@
 from postpass.runtime.environment import now
 from postpass.runtime.errors import CLASH, CROWD, FULL, SLOW, Fault
 
-RECOUNTS_PER_HEARTBEAT = 8  # the most retries of a request whose count was overtaken by a later one
+RECOUNTS_PER_HEARTBEAT = 8  # the most retries per heartbeat of a request whose count was overtaken by a later one
 
 
 @dataclass(eq=False)
--- a/tests/batch/test_fair_grants.py
+++ b/tests/batch/test_fair_grants.py
@@ -1,4 +1,4 @@
-"""The order in which an owner leases out items of its jobs, with and without distinguished clients."""
+"""The order in which an owner leases out items of its jobs, whether or not clients are distinguished."""
 
 from __future__ import annotations
 
--- a/tests/batch/test_item_request.py
+++ b/tests/batch/test_item_request.py
@@ -24,7 +24,7 @@
 
 class Test_Events:
     @pytest.mark.parametrize("size", [1, 3, 7, 1000])
-    def test_a_text_is_the_data_of_all_events_whatever_the_chunks(self, size: int) -> None:
+    def test_a_text_is_the_data_of_all_events_however_they_are_split_into_chunks(self, size: int) -> None:
         text = ItemText()
         events = EventReader(text)
         run = b"x-weight-versions: 3\n" + event(0, "one") + event(1, "") + b"id: 2\r\ndata: tw\xc3\xb6\r\n\r\n"
@@ -42,7 +42,7 @@
         EventReader(text).feed(event(3, "c"))
         assert (text.text, text.last) == ("a\nb\nc", 3)
 
-    def test_a_run_that_begins_late_or_ends_within_an_event_is_not_whole(self) -> None:
+    def test_a_run_that_begins_late_or_ends_within_an_event_is_incomplete(self) -> None:
         with pytest.raises(FaultError):
             EventReader(ItemText()).feed(event(2, "b"))
         events = EventReader(ItemText())
@@ -129,7 +129,7 @@
 
 
 class Test_Answers_of_an_item:
-    def test_whole_ones_end_it(self) -> None:
+    def test_complete_ones_end_it(self) -> None:
         complete = answer("200 OK", SEALED, event(0, "a") + event(1, "b"))
         assert run_against([complete, answer("500 No", SEALED, b"no"), answer("422 No", b"X-Call-Id: i1\r\n", b"no")]) == [
             ("done", "a\nb"), ("failed", ""), ("never", "")]  # fmt: skip
--- a/tests/batch/test_messages.py
+++ b/tests/batch/test_messages.py
@@ -46,7 +46,7 @@
     assert TakeResponse.from_json(response.as_json()) == response
 
 
-def test_a_scheduler_tells_results() -> None:
+def test_a_scheduler_reports_results() -> None:
     whole = ItemResult(ItemStatus.DONE, "text", 3, output_checksum("text"))
     assert json.dumps(whole.as_json(ItemKey("x", 2))) == (
         '{"id": "x", "item": 2, "status": "done", "output": "text", "tries": 3, "sum": "982d9e3eb996f559"}'
@@ -59,28 +59,28 @@
     assert whole.intact and not broken.intact
 
 
-def test_owners_and_holders_of_budgets_tell_counts() -> None:
+def test_owners_and_holders_of_budgets_exchange_counts() -> None:
     request = ReserveRequest(BudgetKey("r"), 1, 5, 9, 30, 10)
     assert json.dumps(request.as_json(4)) == (
         '{"part": 4, "route": "r", "from": 1, "epoch": 5, "number": 9, "count": 30, "want": 10}'
     )
     assert ReserveRequest.from_json(request.as_json(4)) == request
-    told = WaitingResponse(5, 9, 30)
-    assert json.dumps(told.as_json()) == '{"epoch": 5, "number": 9, "count": 30}'
-    assert WaitingResponse.from_json(told.as_json()) == told
+    response = WaitingResponse(5, 9, 30)
+    assert json.dumps(response.as_json()) == '{"epoch": 5, "number": 9, "count": 30}'
+    assert WaitingResponse.from_json(response.as_json()) == response
 
 
-def test_counts_of_tenants_are_told_by_their_names() -> None:
+def test_counts_of_tenants_are_reported_by_their_names() -> None:
     request = ReserveRequest(BudgetKey("r", "firm"), 1, 5, 9, 30, 10)
     assert json.dumps(request.as_json(4)) == (
         '{"part": 4, "route": "r", "from": 1, "epoch": 5, "number": 9, "count": 30, "want": 10, "tenant": "firm"}'
     )
     assert ReserveRequest.from_json(request.as_json(4)) == request
-    told = TenantCounts(1, 5, 9, True, {BudgetKey("r", "firm"): 30, BudgetKey("s", "other"): 0})
-    assert json.dumps(told.as_json()) == (
+    counts = TenantCounts(1, 5, 9, True, {BudgetKey("r", "firm"): 30, BudgetKey("s", "other"): 0})
+    assert json.dumps(counts.as_json()) == (
         '{"from": 1, "epoch": 5, "number": 9, "complete": true, "counts": [["r", "firm", 30], ["s", "other", 0]]}'
     )
-    assert TenantCounts.from_json(told.as_json()) == told
+    assert TenantCounts.from_json(counts.as_json()) == counts
 
 
 def test_clients_read_results() -> None:
--- a/tests/batch/test_placement.py
+++ b/tests/batch/test_placement.py
@@ -93,7 +93,7 @@
 
 @pytest.mark.parametrize("waiting", [1, 30, 500])
 def test_the_load_at_the_workers_is_looked_up_once_however_many_items_wait(waiting: int) -> None:
-    async def scene() -> None:
+    async def main() -> None:
         fleet = CrowdedFleet(workers=5, slots=4)
         fleet.add_waiting(waiting)
         await fleet.place()
@@ -102,11 +102,11 @@
         per_worker = Counter(started_item.worker for started_item in fleet.started)
         assert max(per_worker.values()) <= 4
 
-    asyncio.run(scene())
+    asyncio.run(main())
 
 
 def test_items_that_wait_for_a_slot_are_placed_once_one_is_free() -> None:
-    async def scene() -> None:
+    async def main() -> None:
         fleet = CrowdedFleet(workers=2, slots=5)
         fleet.add_waiting(12)
         await fleet.place()
@@ -119,7 +119,7 @@
         await fleet.place()
         assert len(fleet.started) == 10 and fleet.started[-1].worker == ended.worker
 
-    asyncio.run(scene())
+    asyncio.run(main())
 
 
 class CountingCapacity(RouteCapacity):
--- a/tests/batch/test_quota_owner_changes.py
+++ b/tests/batch/test_quota_owner_changes.py
@@ -45,15 +45,15 @@
     assert isinstance(daemon, DataPlane) and daemon.edge is not None
     api, terms = JobApi(daemon.edge), daemon.edge.configuration["routes"][route]
 
-    async def hand_in(number: int) -> int:
+    async def submit(number: int) -> int:
         name, data = job(number, turn)
         answer = await fleet.ask("e1", lambda _: api.accept(route, terms, name, data))
         if answer.status != 202:
             print("not kept", number, answer)
         return int(answer.status)
 
-    told = await asyncio.gather(*(hand_in(number) for number in range(PARTITIONS)))
-    return dict(enumerate(told))
+    results = await asyncio.gather(*(submit(number) for number in range(PARTITIONS)))
+    return dict(enumerate(results))
 
 
 async def retire(fleet: Fleet, name: str) -> None:
@@ -91,8 +91,8 @@
         fleet.boot(lost)
         assert await fleet.until(lambda: len(fleet.owners()) == PARTITIONS, RECOVER) >= 0
         await asyncio.sleep(2.0)
-        told = [f"{n} is owned by {name}" for n, name in sorted(fleet.owners().items())]
-        return await statuses(fleet, route, 2), [f"{retired} retired, {lost} lost", *told]
+        owner_notes = [f"{n} is owned by {name}" for n, name in sorted(fleet.owners().items())]
+        return await statuses(fleet, route, 2), [f"{retired} retired, {lost} lost", *owner_notes]
 
     answers, notes = run_sim(main, 1)
     assert set(answers.values()) == {202}, (answers, notes)
--- a/tests/batch/test_quota_service.py
+++ b/tests/batch/test_quota_service.py
@@ -276,7 +276,7 @@
         keys = [FIRM, OTHER, PUBLIC]
         waiting: dict[str, tuple[FakeStore, BudgetKey, int]] = {}
 
-        async def hand_in(number: int) -> None:
+        async def submit(number: int) -> None:
             store, key, tokens = network.owner(number % PARTITIONS), keys[number % 7 % 3], 5 + number * 7 % 40
             await asyncio.sleep(number * HEARTBEAT_S / 9)
             if await store.accept(key, f"j{number}", tokens):
@@ -293,7 +293,7 @@
                     network.owner(turn % PARTITIONS).partition.epoch += 1
                 await asyncio.sleep(HEARTBEAT_S / 2)
 
-        await asyncio.gather(*(hand_in(number) for number in range(150)), heartbeats())
+        await asyncio.gather(*(submit(number) for number in range(150)), heartbeats())
         network.heartbeat()
         await asyncio.sleep(HEARTBEAT_S)
         assert [network.tokens(key) for key in keys] == [0, 0, 0]
--- a/tests/batch/test_tenant_jobs.py
+++ b/tests/batch/test_tenant_jobs.py
@@ -27,7 +27,7 @@
     await asyncio.sleep(2.0)
 
 
-async def hand_in(api: JobApi, tenant: str, job_id: str, tokens: int) -> int:
+async def submit(api: JobApi, tenant: str, job_id: str, tokens: int) -> int:
     """Submits a job of one item for a tenant through an edge; returns the status."""
     items = json.loads(job_json("a", tokens=tokens))["items"]
     job = api.job_body("r", ROUTE, job_id, items, tenant)
@@ -56,20 +56,20 @@
         parts = fleet.configuration["parts"]
         holder = holder_of(BudgetKey("r", "firm"), parts)
         for turn, partition in enumerate(range(parts)):
-            status = await hand_in(apis[turn % 2], "firm", job_of(fleet, partition, turn), 300)
+            status = await submit(apis[turn % 2], "firm", job_of(fleet, partition, turn), 300)
             assert status == (202 if 300 * (turn + 1) <= QUOTA else 429)
-        assert await hand_in(apis[1], "other", "o1", QUOTA) == 202
-        assert await hand_in(apis[0], "other", "o2", 1) == 429
+        assert await submit(apis[1], "other", "o1", QUOTA) == 202
+        assert await submit(apis[0], "other", "o2", 1) == 429
         fleet.kill(fleet.owner(holder), silent=True)
         until = now() + RECOVER_S
-        while (status := await hand_in(apis[0], "firm", "late", 100)) not in (202, 429):
+        while (status := await submit(apis[0], "firm", "late", 100)) not in (202, 429):
             assert now() < until, status
             await asyncio.sleep(0.2)
         assert status == (202 if 300 * min(parts, 3) + 100 <= QUOTA else 429)
         await asyncio.sleep(2.0)
         remaining = QUOTA - 300 * min(parts, 3) - 100
-        assert await hand_in(apis[0], "firm", "more", remaining + 1) == 429
-        assert await hand_in(apis[0], "other", "o3", 1) == 429
+        assert await submit(apis[0], "firm", "more", remaining + 1) == 429
+        assert await submit(apis[0], "other", "o3", 1) == 429
 
     run_with_fleet(check)
 
@@ -78,14 +78,14 @@
     async def check(fleet: SimFleet, apis: list[JobApi], workers: FakeWorkers) -> None:
         workers.full = True
         await add_tenants(fleet, apis[0])
-        assert [await hand_in(apis[0], "firm", "a", 600), await hand_in(apis[1], "firm", "b", 600)] == [202, 429]
+        assert [await submit(apis[0], "firm", "a", 600), await submit(apis[1], "firm", "b", 600)] == [202, 429]
         assert await ask(apis[0], "firm", "a", "finish", {}) is not None
         await asyncio.sleep(1.0)
-        assert await hand_in(apis[1], "firm", "b", 600) == 202
+        assert await submit(apis[1], "firm", "b", 600) == 202
         workers.full = False
         while not (rows := await ask(apis[0], "firm", "b", "results", ResultsRequest(0, 1.0).as_json()))["results"]:
             assert rows["total"] == 1
         await asyncio.sleep(1.0)
-        assert await hand_in(apis[1], "firm", "c", QUOTA) == 202
+        assert await submit(apis[1], "firm", "c", QUOTA) == 202
 
     run_with_fleet(check)
