--- a/model/control/transcribed.py
+++ b/model/control/transcribed.py
@@ -47,7 +47,7 @@
 
 
 def whole(replica_set: ReplicaSet, answered: Voters) -> bool:
-    """Does a primary that has heard all members see no reason to raise an epoch (`lead_heartbeat`)?"""
+    """Does a primary that has heard all members see no reason to raise an epoch (`heartbeat_as_primary`)?"""
     return answered == replica_set.voters
 
 
--- a/postpass/cli/doctor.py
+++ b/postpass/cli/doctor.py
@@ -12,7 +12,7 @@
 
 from postpass.cli.status_page import FleetStatus, MachineStatus, PartitionStatus, StoreStatus
 from postpass.configuration.configuration import Machine
-from postpass.control.health import member_health, next_loss_flaw
+from postpass.control.health import member_health, next_loss_problem
 
 MIN_FREE_SHARE = 0.1  # of a disk
 MAX_REPLICA_LAG = 500  # records
@@ -197,7 +197,7 @@
     if isolated:
         yield Finding("D11", "control", f"{', '.join(isolated)} lost touch with the primary and hands out nothing",
                       "look at its links and whether it runs; followers and operators go on to the others")  # fmt: skip
-    if flaw := next_loss_flaw(members):
+    if flaw := next_loss_problem(members):
         yield Finding("D11", "control", f"the next tolerated loss could not be borne: {flaw}",
                       "bring the missing members back, or start new ones, before anything else is stopped")  # fmt: skip
     if primary["losses"]:
--- a/postpass/control/feed.py
+++ b/postpass/control/feed.py
@@ -54,7 +54,7 @@
         )
         return Ok(answer)
 
-    async def in_force(
+    async def wait_until_in_force(
         self,
         revision: int,
         old_configuration: Configuration | None,
--- a/postpass/control/health.py
+++ b/postpass/control/health.py
@@ -49,7 +49,7 @@
     ]
 
 
-def next_loss_flaw(statuses: MemberStatuses) -> str:
+def next_loss_problem(statuses: MemberStatuses) -> str:
     """Returns why the members would not survive the loss of as many disks as are tolerated; empty if they would.
 
     Whichever of the disks are lost, a majority of the voters must remain that is in touch with the primary, and with it at
@@ -77,7 +77,7 @@
     """Returns the control members as the lines of a table, and a last line on whether they would survive the next loss."""
     if not statuses:
         return []
-    reason = next_loss_flaw(statuses)
+    reason = next_loss_problem(statuses)
     header_row = f"{'control':10} {'role':8} {'epoch':>6} {'version':>8} {'lag':>5}  last contact"
     result_line = (
         f"next tolerated loss: COULD NOT BE BORNE, {reason}" if reason else "next tolerated loss: could be borne"
--- a/postpass/control/leadership.py
+++ b/postpass/control/leadership.py
@@ -42,14 +42,14 @@
             self.note_newcomers(configuration)
             try:
                 if self.epoch:
-                    await self.lead_heartbeat(configuration)
+                    await self.heartbeat_as_primary(configuration)
                 elif not self.leaving or self.settings.name in self.vote_record.replica_set:
                     # A member that holds the state may be the only one that can lead, even while it leaves.
                     await self.watch_for_leader(configuration)
             except FaultError as error:
                 log_events.emit(Event.TASK_FAILED, self.settings.name, step=error.fault.step, why=error.fault.why)
 
-    async def lead_heartbeat(self, configuration: Configuration) -> None:
+    async def heartbeat_as_primary(self, configuration: Configuration) -> None:
         """Sends the primary's heartbeat to all members, then steps down if no majority answered.
 
         Otherwise starts `reconcile` where machines announce themselves, and renews the replica set if a backup or voter has
--- a/postpass/control/orders.py
+++ b/postpass/control/orders.py
@@ -52,7 +52,7 @@
         if isinstance(result, Err):
             return Err(result.unwrap_err())
         revision = result.unwrap()
-        unconfirmed = await self.in_force(revision, before, request.configuration, requested_at)
+        unconfirmed = await self.wait_until_in_force(revision, before, request.configuration, requested_at)
         return Ok(OrderAnswer(revision, unconfirmed).as_json())
 
     async def take_configuration(self, request: ApplyRequest) -> Result[int, Fault]:
@@ -135,15 +135,15 @@
             return ["machines: neither primary nor backup stays a control machine"]
         return await self.rejections_by_daemons(state.manifest, configuration)
 
-    async def apply_source(self, document: Any, base: int) -> PeerResponse:
+    async def apply_document(self, document: Any, base: int) -> PeerResponse:
         """Replaces the operator's configuration document by a complete one that was made from version `base`."""
         return await self.send_order(DocumentOrder(document, base, is_patch=False))
 
-    async def patch_source(self, patch: Any, base: int) -> PeerResponse:
+    async def patch_document(self, patch: Any, base: int) -> PeerResponse:
         """Patches the operator's configuration document; the patch was made from version `base`."""
         return await self.send_order(DocumentOrder(patch, base, is_patch=True))
 
-    async def read_source(self) -> PeerResponse:
+    async def read_document(self) -> PeerResponse:
         """Returns the operator's configuration document in force, with its version."""
         return await self.forward("read", ReadRequest(source=True).as_json(), self.settings.bounds.manifest / 4)
 
@@ -155,7 +155,7 @@
         """Orders a store to be emptied for good, so that it can be removed from the fleet."""
         return await self.send_order(RetirementOrder(store))
 
-    async def retired(self, store: str) -> PeerResponse:
+    async def query_retirement(self, store: str) -> PeerResponse:
         """Asks whether a store that was retired is empty, and removed from the fleet."""
         return await self.send_order(RetirementQuery(store))
 
@@ -177,7 +177,7 @@
             return Err(result.unwrap_err())
         revision = result.unwrap()
         log_events.emit(Event.ORDER_ACCEPTED, self.settings.name, what=order.kind, revision=revision)
-        unconfirmed = await self.in_force(
+        unconfirmed = await self.wait_until_in_force(
             revision, None, self.committed.state.configuration, requested_at, self.settings.bounds.manifest / 5
         )
         return Ok(OrderAnswer(revision, unconfirmed).as_json())
@@ -186,7 +186,7 @@
         """Returns the function that applies an order to the replicated state, or refuses it."""
         match order:
             case DocumentOrder(document, base, is_patch):
-                return self.configuration(document, base, is_patch)
+                return self.configuration_change(document, base, is_patch)
             case EvacuationOrder():
                 return self.evacuation_change(order)
             case RetirementOrder():
@@ -219,7 +219,7 @@
 
         return retire
 
-    def configuration(self, sent: Any, base: int, is_patch: bool) -> Fold:
+    def configuration_change(self, sent: Any, base: int, is_patch: bool) -> Fold:
         """Returns the change that applies a document of the operator: a complete one, or a patch made from version `base`."""
         remembered_orders = accepted_orders.limit_of(self.settings.bounds)
         return ConfigurationChange(self.settings.name, self.translator, remembered_orders, sent, base, is_patch)
--- a/postpass/control/registry.py
+++ b/postpass/control/registry.py
@@ -289,7 +289,7 @@
             self.worker_seqnos[heartbeat.worker] = max(heartbeat.seqno, newest)
         return False
 
-    async def leave_worker(self, worker: str) -> PeerResponse:
+    async def report_worker_ended(self, worker: str) -> PeerResponse:
         """Reports to the primary that a worker has ended."""
         final_heartbeat = WorkerHeartbeat(worker, announcement=None, seqno=0)
         return await self.forward("beat", final_heartbeat.as_json(), self.settings.bounds.leave / 3)
@@ -309,7 +309,7 @@
         if isinstance(result, Err):
             return Err(result.unwrap_err())
         if heartbeat.leaves:
-            await self.in_force(
+            await self.wait_until_in_force(
                 result.unwrap(), None, self.committed.state.configuration, requested_at, bounds.leave / 6
             )
         return Ok(RevisionAnswer(result.unwrap()).as_json())
--- a/sim/broken.py
+++ b/sim/broken.py
@@ -124,10 +124,10 @@
 def deaf_to_news(mp: pytest.MonkeyPatch) -> None:
     """An edge that asks for news only once, and a primary that answers without asking it."""
 
-    async def in_force(*_: Any) -> list[str]:
+    async def wait_until_in_force(*_: Any) -> list[str]:
         return []
 
-    mp.setattr(ControlPlane, "in_force", in_force)
+    mp.setattr(ControlPlane, "wait_until_in_force", wait_until_in_force)
     plain = Follower.fetch
 
     async def fetch(self: Follower, addr: str, limit: float = 0.0) -> None:
--- a/tests/batch/test_quota_owner_changes.py
+++ b/tests/batch/test_quota_owner_changes.py
@@ -59,7 +59,7 @@
 async def retire(fleet: Fleet, name: str) -> None:
     """Retires a store: waits until its partitions have moved, then kills it for good."""
     assert (await fleet.ask("c1", lambda c: c.retire(name))).is_ok()
-    while not (await fleet.ask("c1", lambda c: c.retired(name))).unwrap()["done"]:
+    while not (await fleet.ask("c1", lambda c: c.query_retirement(name))).unwrap()["done"]:
         await asyncio.sleep(0.1)
     fleet.kill(name, silent=True)
 
@@ -76,7 +76,7 @@
         assert await fleet.until(lambda: fleet.joined() and len(fleet.owners()) == PARTITIONS, 20.0) >= 0
         fleet.first = False
         route = route_of_budget(budget)
-        assert (await fleet.ask("c1", lambda c: c.apply_source(configuration_with_route(route), 0))).is_ok()
+        assert (await fleet.ask("c1", lambda c: c.apply_document(configuration_with_route(route), 0))).is_ok()
         await asyncio.sleep(2.0)
         assert set((await statuses(fleet, route, 0)).values()) == {202}
         retired = fleet.owners()[budget]
--- a/tests/cli/test_control_command.py
+++ b/tests/cli/test_control_command.py
@@ -11,7 +11,7 @@
 from postpass.cli import fleet_client
 from postpass.cli.fleet_client import Answer, CommandError, ExitCode
 from postpass.cli.main import Commands
-from tests.control.test_health import _views
+from tests.control.test_health import _statuses
 
 STALE = (503, {"error": {"step": "read", "peer": "c1", "why": "out of touch"}})
 
@@ -57,7 +57,7 @@
 def test_status_shows_the_members_that_answer_where_none_leads(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    views = _views(3)
+    views = _statuses(3)
     views["c1"]["leads"] = False
 
     async def ask(where: list[str], _method: str, path: str, *_more: Any, **_options: Any) -> Answer:
--- a/tests/control/test_announced_control.py
+++ b/tests/control/test_announced_control.py
@@ -15,7 +15,7 @@
 from tests.support.announced import Fleet
 
 
-def standing(number: int, **fields: Any) -> WorkerAnnouncement:
+def worker_announcement(number: int, **fields: Any) -> WorkerAnnouncement:
     return {"pool": "llm", "url": f"http://10.9.0.{number}:9000", "area": "a", "slots": 8, **fields}  # type: ignore[typeddict-item]
 
 
@@ -71,7 +71,7 @@
             {"slots": 0},
             {"pool": ""},
         ):
-            bad: Any = standing(1) | flaw
+            bad: Any = worker_announcement(1) | flaw
             result = await fleet.ask("c1", lambda c, bad=bad: c.record_worker_heartbeat("w1", bad, 1))  # type: ignore[misc]
             assert result.unwrap_err().code == 400 and result.unwrap_err().why.startswith(next(iter(flaw))), flaw
         assert (
@@ -80,7 +80,7 @@
         )
         assert primary.replicated_state.state.unassigned == before.unassigned
         # A document of the operator is still accepted.
-        assert (await fleet.ask("c3", lambda c: c.apply_source(document(3), 0))).is_ok()
+        assert (await fleet.ask("c3", lambda c: c.apply_document(document(3), 0))).is_ok()
 
     play(scene)
 
@@ -89,37 +89,43 @@
     async def scene(fleet: Fleet) -> None:
         await fleet.until(fleet.joined, 10)
         # A worker may send heartbeats before there is any document.
-        assert (await fleet.ask("c2", lambda c: c.record_worker_heartbeat("w1", standing(1), 1))).is_ok()
-        result = await fleet.ask("c3", lambda c: c.apply_source(document(3), 0))
+        assert (await fleet.ask("c2", lambda c: c.record_worker_heartbeat("w1", worker_announcement(1), 1))).is_ok()
+        result = await fleet.ask("c3", lambda c: c.apply_document(document(3), 0))
         assert result.is_ok() and result.unwrap()["waits"] == [], result
         primary = fleet.primary()
         assert primary is not None and list(
             primary.replicated_state.state.configuration["pools"]["llm"]["servers"]
         ) == ["w1"]
-        assert (await fleet.ask("c1", lambda c: c.record_worker_heartbeat("w2", standing(2, cold=True), 1))).is_ok()
+        assert (
+            await fleet.ask("c1", lambda c: c.record_worker_heartbeat("w2", worker_announcement(2, cold=True), 1))
+        ).is_ok()
         revision = primary.configuration_view.revision
-        assert (await fleet.ask("c1", lambda c: c.record_worker_heartbeat("w2", standing(2, cold=True), 2))).is_ok()
+        assert (
+            await fleet.ask("c1", lambda c: c.record_worker_heartbeat("w2", worker_announcement(2, cold=True), 2))
+        ).is_ok()
         assert primary.configuration_view.revision == revision
         started_at = fleet.loop.clock
-        assert (await fleet.ask("c2", lambda c: c.record_worker_heartbeat("w2", standing(2, leave=True), 3))).is_ok()
+        assert (
+            await fleet.ask("c2", lambda c: c.record_worker_heartbeat("w2", worker_announcement(2, leave=True), 3))
+        ).is_ok()
         assert fleet.loop.clock - started_at < 0.3
         for node in fleet.nodes.values():
             assert node.daemon is not None and node.daemon.configuration_view.manifest is not None
             if node.settings.duties:
                 assert node.daemon.configuration_view.manifest["pools"]["llm"]["servers"]["w2"].get("leave")
         # A heartbeat that arrives late doesn't bring the worker back.
-        assert (await fleet.ask("c2", lambda c: c.record_worker_heartbeat("w2", standing(2), 2))).is_ok()
+        assert (await fleet.ask("c2", lambda c: c.record_worker_heartbeat("w2", worker_announcement(2), 2))).is_ok()
         primary_name = primary.settings.name
         fleet.kill(primary_name, silent=True)
         other = next(node for node in ("c1", "c2", "c3") if node != primary_name)
         elapsed = await fleet.until(lambda: fleet.primary() is not None, 6)
         assert 0 < elapsed < 4
-        assert (await fleet.ask(other, lambda c: c.apply_source(document(3), 0))).is_ok()
-        outdated = await fleet.ask(other, lambda c: c.apply_source(document(4), 0))
+        assert (await fleet.ask(other, lambda c: c.apply_document(document(3), 0))).is_ok()
+        outdated = await fleet.ask(other, lambda c: c.apply_document(document(4), 0))
         assert outdated.unwrap_err().code == 412
-        assert (await fleet.ask(other, lambda c: c.read_source())).unwrap()["source"] == document(3)
-        assert (await fleet.ask(other, lambda c: c.apply_source(document(9), 3))).is_ok()
-        lower_version = await fleet.ask(other, lambda c: c.apply_source(document(8), 9))
+        assert (await fleet.ask(other, lambda c: c.read_document())).unwrap()["source"] == document(3)
+        assert (await fleet.ask(other, lambda c: c.apply_document(document(9), 3))).is_ok()
+        lower_version = await fleet.ask(other, lambda c: c.apply_document(document(8), 9))
         assert lower_version.unwrap_err().code == 400
 
     play(scene)
@@ -128,13 +134,13 @@
 def test_workers_that_are_not_heard_any_more_are_dropped_and_others_stay() -> None:
     async def scene(fleet: Fleet) -> list[str]:
         await fleet.until(fleet.joined, 10)
-        await fleet.ask("c1", lambda c: c.apply_source(document(3), 0))
+        await fleet.ask("c1", lambda c: c.apply_document(document(3), 0))
         for turn in range(12):
             for number in (1, 2, 3, 4) if turn < 2 else (1, 2, 3):
                 member_name = f"c{(turn + number) % 3 + 1}"
 
                 async def send_heartbeat(c: ControlPlane, number: int = number, turn: int = turn) -> Any:
-                    return await c.record_worker_heartbeat(f"w{number}", standing(number), turn + 1)
+                    return await c.record_worker_heartbeat(f"w{number}", worker_announcement(number), turn + 1)
 
                 assert (await fleet.ask(member_name, send_heartbeat)).is_ok()
             await asyncio.sleep(1.2)
@@ -148,7 +154,7 @@
 def test_a_lost_control_machine_is_replaced_by_an_empty_one_again_and_again() -> None:
     async def scene(fleet: Fleet) -> list[float]:
         await fleet.until(fleet.joined, 10)
-        await fleet.ask("c1", lambda c: c.apply_source(document(3), 0))
+        await fleet.ask("c1", lambda c: c.apply_document(document(3), 0))
         fleet.first = False
         durations = []
         for turn in range(4):
@@ -169,7 +175,7 @@
 
             durations.append(await fleet.until(is_replaced, 20))
             assert durations[-1] > 0, (turn, name)
-        result = await fleet.ask("n3", lambda c: c.read_source())
+        result = await fleet.ask("n3", lambda c: c.read_document())
         assert result.unwrap()["source"] == document(3)
         return durations
 
@@ -183,7 +189,7 @@
 
     async def scene(fleet: Fleet, spread: float, silent: bool, wiped_role: str) -> list[float]:
         await fleet.until(fleet.joined, 10)
-        await fleet.ask("c1", lambda c: c.apply_source(document(3), 0))
+        await fleet.ask("c1", lambda c: c.apply_document(document(3), 0))
         primary = fleet.primary()
         assert primary is not None
         wiped_name = {"primary": primary.settings.name, "backup": primary.replicated_state.replica_set.backup}.get(
@@ -213,7 +219,7 @@
             and primary.replicated_state.replica_set.epoch > epoch_before
             and primary.replicated_state.state.losses == 0
         )
-        result = await fleet.ask("c1", lambda c: c.read_source())
+        result = await fleet.ask("c1", lambda c: c.read_document())
         assert result.unwrap()["source"] == document(3)
         return durations
 
@@ -251,7 +257,7 @@
             lambda: (primary := fleet.primary()) is not None and len(primary.replicated_state.replica_set.voters) == 5,
             10,
         )
-        result = await fleet.ask("c2", lambda c: c.apply_source(document(3), 0))
+        result = await fleet.ask("c2", lambda c: c.apply_document(document(3), 0))
         assert result.is_ok()
         primary = fleet.primary()
         assert primary is not None and len(primary.replicated_state.replica_set.backups) == 2
@@ -271,7 +277,7 @@
         elapsed = await fleet.until(fleet.primary, 6)
         primary = fleet.primary()
         assert primary is not None and primary.replicated_state.state.losses == 0, lost
-        assert (await fleet.ask("c1", lambda c: c.read_source())).unwrap()["source"] == document(3)
+        assert (await fleet.ask("c1", lambda c: c.read_document())).unwrap()["source"] == document(3)
 
         def replicas_complete() -> bool:
             primary = fleet.primary()
@@ -299,8 +305,8 @@
 def test_evacuation_and_retirement_are_taken_by_any_control_machine() -> None:
     async def scene(fleet: Fleet) -> None:
         await fleet.until(fleet.joined, 10)
-        await fleet.ask("c1", lambda c: c.apply_source(document(3), 0))
-        await fleet.ask("c1", lambda c: c.record_worker_heartbeat("w1", standing(1), 1))
+        await fleet.ask("c1", lambda c: c.apply_document(document(3), 0))
+        await fleet.ask("c1", lambda c: c.record_worker_heartbeat("w1", worker_announcement(1), 1))
         primary = fleet.primary()
         assert primary is not None
         assert (await fleet.ask("c2", lambda c: c.evacuate("a", True))).is_ok()
@@ -317,13 +323,13 @@
         assert (await fleet.ask("c2", lambda c: c.retire("s3"))).unwrap_err().code == 409
         for name in ("s1", "s2"):
             for _ in range(100):
-                result = await fleet.ask("c3", lambda c, name=name: c.retired(name))  # type: ignore[misc]
+                result = await fleet.ask("c3", lambda c, name=name: c.query_retirement(name))  # type: ignore[misc]
                 if result.is_ok() and result.unwrap()["done"]:
                     break
                 await asyncio.sleep(0.2)
             assert result.unwrap()["done"]
             assert name not in fleet.primary().replicated_state.state.configuration["machines"]  # type: ignore[union-attr]
-            assert (await fleet.ask("c1", lambda c, name=name: c.retired(name))).unwrap()["done"]  # type: ignore[misc]
+            assert (await fleet.ask("c1", lambda c, name=name: c.query_retirement(name))).unwrap()["done"]  # type: ignore[misc]
         assert fleet.primary().replicated_state.state.configuration["copies"] == 3  # type: ignore[union-attr]
         assert (await fleet.ask("c2", lambda c: c.retire("s3"))).unwrap_err().code == 409
 
--- a/tests/control/test_feed.py
+++ b/tests/control/test_feed.py
@@ -12,7 +12,7 @@
 
 from postpass.control.daemon import ControlPlane
 from postpass.daemon.data_plane import DataPlane
-from tests.control.test_announced_control import play, standing
+from tests.control.test_announced_control import play, worker_announcement
 from tests.platform.test_configuration import document
 from tests.support.announced import Fleet
 
@@ -33,7 +33,9 @@
 async def send_heartbeats(fleet: Fleet, member_name: str, worker: str) -> None:
     """Sends a worker's heartbeats to one member, one a second, until the task is cancelled."""
     for seqno in range(2, 99):
-        await fleet.ask(member_name, lambda c, seqno=seqno: c.record_worker_heartbeat(worker, standing(1), seqno))  # type: ignore[misc]
+        await fleet.ask(
+            member_name, lambda c, seqno=seqno: c.record_worker_heartbeat(worker, worker_announcement(1), seqno)
+        )  # type: ignore[misc]
         await asyncio.sleep(1.0)
 
 
@@ -50,8 +52,8 @@
         )
 
     assert await fleet.until(replicas_complete, 10) >= 0
-    assert (await fleet.ask("c1", lambda c: c.apply_source(document(3), 0))).is_ok()
-    assert (await fleet.ask("c1", lambda c: c.record_worker_heartbeat("w1", standing(1), 1))).is_ok()
+    assert (await fleet.ask("c1", lambda c: c.apply_document(document(3), 0))).is_ok()
+    assert (await fleet.ask("c1", lambda c: c.record_worker_heartbeat("w1", worker_announcement(1), 1))).is_ok()
     await asyncio.sleep(3)
     primary = fleet.primary()
     assert primary is not None
@@ -125,12 +127,12 @@
             await asyncio.sleep(contact_lease(isolated_member) + 0.1)
             outcomes = []
             orders: dict[str, Any] = {
-                "stale base": lambda c: c.apply_source(document(4), 1),
-                "next": lambda c: c.apply_source(document(4), 3),
+                "stale base": lambda c: c.apply_document(document(4), 1),
+                "next": lambda c: c.apply_document(document(4), 3),
                 "unknown area": lambda c: c.evacuate("z", True),
                 "unknown store": lambda c: c.retire("s9"),
-                "emptied": lambda c: c.retired("s9"),
-                "read": lambda c: c.read_source(),
+                "emptied": lambda c: c.query_retirement("s9"),
+                "read": lambda c: c.read_document(),
             }
             for name, order in orders.items():
                 started_at = fleet.loop.clock
@@ -190,7 +192,7 @@
             await asyncio.sleep(contact_lease(isolated_member) + 0.1)
             started_at = fleet.loop.clock
             response = await fleet.ask(
-                isolated_member.settings.name, lambda c: c.record_worker_heartbeat("w2", standing(2), 1)
+                isolated_member.settings.name, lambda c: c.record_worker_heartbeat("w2", worker_announcement(2), 1)
             )
             assert response.is_ok() and fleet.loop.clock - started_at < 1.0, (response, fleet.loop.clock - started_at)
             assert "w2" in primary.replicated_state.state.configuration["pools"]["llm"]["servers"]
@@ -228,7 +230,7 @@
             slowest = 0.0
             for _ in range(40):
                 started_at = fleet.loop.clock
-                response = await fleet.ask(primary.settings.name, lambda c: c.read_source())
+                response = await fleet.ask(primary.settings.name, lambda c: c.read_document())
                 assert response.unwrap_err().code == 503
                 slowest = max(slowest, fleet.loop.clock - started_at)
                 await asyncio.sleep(0.2)
@@ -289,10 +291,10 @@
             disk = fleet.nodes[backup.settings.name].disk
             assert disk is not None
             disk.stall = 1e6
-            first = asyncio.create_task(fleet.ask(name, lambda c: c.retired("s1")))
+            first = asyncio.create_task(fleet.ask(name, lambda c: c.query_retirement("s1")))
             await asyncio.sleep(0.1)
             status = (await fleet.ask(name, lambda c: c.more_status()))["control"]
-            second = asyncio.create_task(fleet.ask(name, lambda c: c.retired("s1")))
+            second = asyncio.create_task(fleet.ask(name, lambda c: c.query_retirement("s1")))
             await asyncio.sleep(0.1)
             answers = [t.result() for t in (first, second) if t.done()]
             revision = primary.configuration_view.revision
@@ -332,7 +334,7 @@
             assert "w1" in edge.configuration_view.manifest["pools"]["llm"]["servers"]
             started_at = fleet.loop.clock
             response = await fleet.ask(
-                primary.settings.name, lambda c: c.record_worker_heartbeat("w1", standing(1, leave=True), 99)
+                primary.settings.name, lambda c: c.record_worker_heartbeat("w1", worker_announcement(1, leave=True), 99)
             )
             elapsed = fleet.loop.clock - started_at
             assert response.is_ok()
@@ -351,7 +353,7 @@
             await asyncio.sleep(3)
             started_at = fleet.loop.clock
             response = await fleet.ask(
-                primary.settings.name, lambda c: c.record_worker_heartbeat("w1", standing(1, leave=True), 2)
+                primary.settings.name, lambda c: c.record_worker_heartbeat("w1", worker_announcement(1, leave=True), 2)
             )
             assert response.is_ok()
             return fleet.loop.clock - started_at
--- a/tests/control/test_full_disk.py
+++ b/tests/control/test_full_disk.py
@@ -38,7 +38,7 @@
             if lead is not None:
                 base, number = self.version, self.sent
                 got = await self.fleet.ask(
-                    lead.settings.name, lambda c, n=number, b=base: c.apply_source(document(n), b)
+                    lead.settings.name, lambda c, n=number, b=base: c.apply_document(document(n), b)
                 )
                 if got.is_ok():
                     self.version = number
--- a/tests/control/test_health.py
+++ b/tests/control/test_health.py
@@ -4,10 +4,10 @@
 
 from typing import Any
 
-from postpass.control.health import health_lines, next_loss_flaw
+from postpass.control.health import health_lines, next_loss_problem
 
 
-def _views(members: int, tolerate: int = 1, backups: tuple[str, ...] = ("c2",)) -> dict[str, dict[str, Any]]:
+def _statuses(members: int, tolerate: int = 1, backups: tuple[str, ...] = ("c2",)) -> dict[str, dict[str, Any]]:
     voters = {f"c{i}": f"d{i}" for i in range(1, members + 1)}
     return {
         name: {"epoch": 4, "primary": "c1", "backup": backups[0], "backups": list(backups), "leads": name == "c1", "disk": disk_id,
@@ -17,24 +17,29 @@
 
 
 def test_the_next_loss_is_survived_while_a_majority_and_a_copy_would_remain() -> None:
-    assert next_loss_flaw(_views(3)) == next_loss_flaw(_views(4)) == next_loss_flaw(_views(5, 2, ("c2", "c3"))) == ""
+    assert (
+        next_loss_problem(_statuses(3))
+        == next_loss_problem(_statuses(4))
+        == next_loss_problem(_statuses(5, 2, ("c2", "c3")))
+        == ""
+    )
     for members, out_of_touch in ((3, "c3"), (4, "c3")):
-        statuses = _views(members)
+        statuses = _statuses(members)
         statuses[out_of_touch]["in_touch"] = False
-        assert next_loss_flaw(statuses) == f"{members - 1} of {members} voters are in touch, and 1 more may be lost"
-    statuses = _views(5)
+        assert next_loss_problem(statuses) == f"{members - 1} of {members} voters are in touch, and 1 more may be lost"
+    statuses = _statuses(5)
     del statuses["c5"]
-    assert next_loss_flaw(statuses) == ""
+    assert next_loss_problem(statuses) == ""
     statuses["c2"]["disk"] = "another"
-    assert next_loss_flaw(statuses).startswith("3 of 5 voters")
-    assert next_loss_flaw(_views(5, 2, ("c2",))).startswith("2 members in touch hold the state")
-    statuses = _views(3)
+    assert next_loss_problem(statuses).startswith("3 of 5 voters")
+    assert next_loss_problem(_statuses(5, 2, ("c2",))).startswith("2 members in touch hold the state")
+    statuses = _statuses(3)
     statuses["c1"]["leads"] = False
-    assert next_loss_flaw(statuses) == "there is no primary"
+    assert next_loss_problem(statuses) == "there is no primary"
 
 
 def test_the_table_shows_role_lag_and_contact() -> None:
-    statuses = _views(3)
+    statuses = _statuses(3)
     statuses["c3"] |= {"committed": 7, "in_touch": False, "contact": 21.34}
     lines = health_lines(statuses)
     assert lines[1].split()[:5] == ["c1", "primary", "4", "9", "0"]
--- a/tests/control/test_isolation.py
+++ b/tests/control/test_isolation.py
@@ -17,7 +17,7 @@
 from postpass.control.daemon import ControlPlane
 from postpass.runtime.errors import BAD, BROKE, CLASH, CROWD, FULL, LACK, MOVED, OLD, REJECTED, SLOW, Fault
 from sim.linearizability import Attempt, Operation, Order, Outcome, Read, check
-from tests.control.test_announced_control import play, standing
+from tests.control.test_announced_control import play, worker_announcement
 from tests.control.test_feed import cut, heal, names, settle
 from tests.platform.test_configuration import document
 from tests.platform.test_settings import adapter
@@ -69,7 +69,7 @@
     async def send(self, order: Order) -> Outcome:
         while True:
             started_at = self.clock
-            _, response = await self.call(lambda c: c.apply_source(document(order.version), order.base))
+            _, response = await self.call(lambda c: c.apply_document(document(order.version), order.base))
             is_definite = response is not None and (response.is_ok() or response.unwrap_err().code in (400, 412))
             outcome = Outcome.UNKNOWN if not is_definite else Outcome.TAKEN if response.is_ok() else Outcome.REFUSED
             self.history.append(Attempt(order, started_at, self.clock, outcome))
@@ -79,7 +79,7 @@
 
     async def read(self) -> int:
         started_at = self.clock
-        _, response = await self.call(lambda c: c.read_source())
+        _, response = await self.call(lambda c: c.read_document())
         if response is None or response.is_err():
             return 0
         version = int(response.unwrap()["version"])
@@ -89,10 +89,10 @@
     async def worker(self, number: int) -> None:
         """Registers a worker and drains it; once that is acknowledged, every edge that is up must know it."""
         worker = f"w{number}"
-        await self.heartbeat(worker, standing(number), 1)
+        await self.heartbeat(worker, worker_announcement(number), 1)
         await asyncio.sleep(1.0)
         started_at = self.clock
-        await self.heartbeat(worker, standing(number, leave=True), 2)
+        await self.heartbeat(worker, worker_announcement(number, leave=True), 2)
         self.drains.append(self.clock - started_at)
         for name, node in self.fleet.nodes.items():
             configuration = node.daemon.configuration_view.manifest if node.daemon is not None else None
@@ -226,8 +226,8 @@
         member.addr = lambda name: address if name == primary.settings.name else ""  # type: ignore[method-assign]
         responses = [
             await fleet.ask(member.settings.name, lambda c: c.evacuate("a", True)),
-            await fleet.ask(member.settings.name, lambda c: c.record_worker_heartbeat("w7", standing(7), 1)),
-            await fleet.ask(member.settings.name, lambda c: c.read_source()),
+            await fleet.ask(member.settings.name, lambda c: c.record_worker_heartbeat("w7", worker_announcement(7), 1)),
+            await fleet.ask(member.settings.name, lambda c: c.read_document()),
         ]
         return [200 if g.is_ok() else g.unwrap_err().code for g in responses]
 
--- a/tests/control/test_isolation_runs.py
+++ b/tests/control/test_isolation_runs.py
@@ -10,7 +10,16 @@
 
 import pytest
 
-from tests.control.test_leadership import CUT_TIME, RECOVERY_TIME, isolate, leader, play, readable, settle, standing
+from tests.control.test_leadership import (
+    CUT_TIME,
+    RECOVERY_TIME,
+    isolate,
+    leader,
+    play,
+    readable,
+    settle,
+    worker_announcement,
+)
 from tests.platform.test_configuration import document
 from tests.support.announced import Fleet
 
@@ -37,7 +46,7 @@
             name = f"c{attempt % self.fleet.control + 1}"
             attempt += 1
             highest_before = self.highest()
-            response = await self.fleet.ask(name, lambda c: c.read_source())
+            response = await self.fleet.ask(name, lambda c: c.read_document())
             if response.is_ok():
                 base = response.unwrap()["version"]
                 assert base >= highest_before, (
@@ -52,7 +61,7 @@
     async def send_order(self, name: str, number: int, base: int) -> None:
         # No two operators use the same version, so that a version shows which operator's document it is.
         version = base + 1 + (base + 1 + number) % OPERATORS
-        response = await self.fleet.ask(name, lambda c: c.apply_source(document(version), base))
+        response = await self.fleet.ask(name, lambda c: c.apply_document(document(version), base))
         if response.is_ok():
             assert all(not base < accepted < version for accepted in self.accepted), (base, version, self.accepted)
             assert self.accepted.setdefault(version, number) == number, version
@@ -73,7 +82,7 @@
                 async def send_heartbeat(c: Any, seqno_and_leaves: tuple[int, bool] = seqno_and_leaves) -> Any:
                     return await c.record_worker_heartbeat(
                         worker,
-                        standing(number, **({"leave": True} if seqno_and_leaves[1] else {})),
+                        worker_announcement(number, **({"leave": True} if seqno_and_leaves[1] else {})),
                         seqno_and_leaves[0],
                     )
 
--- a/tests/control/test_leadership.py
+++ b/tests/control/test_leadership.py
@@ -29,7 +29,7 @@
 CUT_TIME = 20.0  # seconds for which members are cut off
 
 
-def standing(number: int, **fields: Any) -> WorkerAnnouncement:
+def worker_announcement(number: int, **fields: Any) -> WorkerAnnouncement:
     return {"pool": "llm", "url": f"http://10.9.0.{number}:9000", "area": "a", "slots": 8, **fields}  # type: ignore[typeddict-item]
 
 
@@ -57,7 +57,7 @@
         return primary is not None and len(primary.replicated_state.replica_set.voters) == fleet.control
 
     assert await fleet.until(all_vote, 10) >= 0
-    result = await fleet.ask(leader(fleet).settings.name, lambda c: c.apply_source(document(3), 0))
+    result = await fleet.ask(leader(fleet).settings.name, lambda c: c.apply_document(document(3), 0))
     assert result.is_ok(), result
     await asyncio.sleep(3)
     fleet.first = False
@@ -92,7 +92,7 @@
     started_at = fleet.loop.clock
     while fleet.loop.clock - started_at < limit:
         for member in fleet.controls():
-            result = await fleet.ask(member.settings.name, lambda c: c.read_source())
+            result = await fleet.ask(member.settings.name, lambda c: c.read_document())
             if result.is_ok() and result.unwrap()["version"] >= version:
                 return fleet.loop.clock - started_at
         await asyncio.sleep(0.1)
@@ -112,7 +112,7 @@
         await asyncio.sleep(10)
         primary = leader(fleet)
         voters_are_current = primary.replicated_state.replica_set.voters == current_disks(fleet)
-        result = await fleet.ask(primary.settings.name, lambda c: c.apply_source(document(4), 3))
+        result = await fleet.ask(primary.settings.name, lambda c: c.apply_document(document(4), 3))
         assert result.is_ok(), result
         wiped = leader(fleet).settings.name
         for name, node in fleet.nodes.items():
@@ -151,7 +151,7 @@
         await asyncio.sleep(downtime)
         fleet.boot(backup)
         await asyncio.sleep(10)
-        result = await fleet.ask(backup, lambda c: c.apply_source(document(4), 3))
+        result = await fleet.ask(backup, lambda c: c.apply_document(document(4), 3))
         assert result.is_ok(), result
         wipe(fleet, old_primary)
         await asyncio.sleep(downtime)
@@ -205,7 +205,7 @@
             assert not other_primaries, (other_primaries, expected_primary)
             await asyncio.sleep(0.02)
         assert leader(fleet).settings.name == expected_primary
-        result = await fleet.ask(isolated[0], lambda c: c.apply_source(document(4), 3))
+        result = await fleet.ask(isolated[0], lambda c: c.apply_document(document(4), 3))
         assert result.is_ok(), result
 
     play(scene, control=control)
@@ -219,7 +219,7 @@
         isolate(fleet, [name])
         until = fleet.loop.clock + CUT_TIME
         while fleet.loop.clock < until:
-            await fleet.ask(name, lambda c: c.apply_source(document(4), 3))
+            await fleet.ask(name, lambda c: c.apply_document(document(4), 3))
             await asyncio.sleep(0.5)
         successor = leader(fleet)
         promised, successor_epoch = old_primary.vote_record.promised, successor.epoch
@@ -234,15 +234,15 @@
 
 # --- C: a minority acknowledges nothing and confirms nothing
 ORDERS: dict[str, Any] = {
-    "change": lambda c: c.apply_source(document(4), 3),
-    "resend": lambda c: c.apply_source(document(3), 0),
+    "change": lambda c: c.apply_document(document(4), 3),
+    "resend": lambda c: c.apply_document(document(3), 0),
     "evacuate": lambda c: c.evacuate("a", True),
     "no-op": lambda c: c.evacuate("b", False),
     "retire": lambda c: c.retire("s1"),
-    "retired": lambda c: c.retired("s9"),
-    "drain": lambda c: c.record_worker_heartbeat("w1", standing(1, leave=True), 9),
-    "end": lambda c: c.leave_worker("w1"),
-    "read": lambda c: c.read_source(),
+    "retired": lambda c: c.query_retirement("s9"),
+    "drain": lambda c: c.record_worker_heartbeat("w1", worker_announcement(1, leave=True), 9),
+    "end": lambda c: c.report_worker_ended("w1"),
+    "read": lambda c: c.read_document(),
     "confirm": lambda c: c.on_read({"brief": 1}),
 }
 
@@ -252,7 +252,7 @@
 def test_primary_and_backup_without_a_majority_acknowledge_nothing(order_name: str, delay: float) -> None:
     async def scene(fleet: Fleet) -> None:
         primary = await settle(fleet)
-        assert (await fleet.ask("c1", lambda c: c.record_worker_heartbeat("w1", standing(1), 1))).is_ok()
+        assert (await fleet.ask("c1", lambda c: c.record_worker_heartbeat("w1", worker_announcement(1), 1))).is_ok()
         holders = primary.replicated_state.replica_set.holders
         assert len(holders) == 2
         isolate(fleet, [*holders, "e1", "s1"])
@@ -267,7 +267,7 @@
         assert (
             await fleet.ask(
                 holders[0],
-                lambda c: c.apply_source(document(5), leader(fleet).replicated_state.state.configuration["version"]),
+                lambda c: c.apply_document(document(5), leader(fleet).replicated_state.state.configuration["version"]),
             )
         ).is_ok()
 
@@ -355,7 +355,7 @@
             await asyncio.sleep(6)
             assert fleet.primary() is not None
             primary = leader(fleet)
-            assert (await fleet.ask(name, lambda c, turn=turn: c.apply_source(document(4 + turn), 3 + turn))).is_ok()
+            assert (await fleet.ask(name, lambda c, turn=turn: c.apply_document(document(4 + turn), 3 + turn))).is_ok()
         assert max(epoch for epoch, _ in state_and_promise) > 2
         too_early = [s for s in state_and_promise if s[0] > s[1]]
         assert not too_early, too_early
--- a/tests/control/test_orders.py
+++ b/tests/control/test_orders.py
@@ -50,10 +50,10 @@
             if kind == "evac":
                 return await control.evacuate(rest[0], method == "POST")
             if kind == "retire":
-                return await (control.retire(rest[0]) if method == "POST" else control.retired(rest[0]))
+                return await (control.retire(rest[0]) if method == "POST" else control.query_retirement(rest[0]))
             if method == "GET":
-                return await control.read_source()
-            return await (control.apply_source if method == "PUT" else control.patch_source)(body, base)
+                return await control.read_document()
+            return await (control.apply_document if method == "PUT" else control.patch_document)(body, base)
 
         task = asyncio.ensure_future(self.fleet.ask(member, send))
         done, _ = await asyncio.wait({task}, timeout=ANSWER_S)
@@ -399,14 +399,14 @@
 
 def reads_an_old_version(monkeypatch: pytest.MonkeyPatch) -> None:
     """Stale read: one member answers with the result of ten reads ago."""
-    original = ControlPlane.read_source
+    original = ControlPlane.read_document
     reads: list[Any] = []
 
-    async def read_source(self: ControlPlane) -> Any:
+    async def read_document(self: ControlPlane) -> Any:
         reads.append(await original(self))
         return reads[max(0, len(reads) - 10)] if self.settings.name == "c2" else reads[-1]
 
-    monkeypatch.setattr(ControlPlane, "read_source", read_source)
+    monkeypatch.setattr(ControlPlane, "read_document", read_document)
 
 
 def forgets_accepted_orders(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/control/test_state_recovery.py
+++ b/tests/control/test_state_recovery.py
@@ -19,7 +19,7 @@
 from postpass.storage.data_directory import IDENTITY_FILE, STATE_FORMAT, open_data_directory
 from sim.disk import SimDisk
 from sim.loop import SimLoop, run_sim
-from tests.control.test_announced_control import standing
+from tests.control.test_announced_control import worker_announcement
 from tests.platform.test_configuration import document
 from tests.support.announced import Fleet
 
@@ -50,7 +50,10 @@
         names = [c.settings.name for c in self.fleet.controls() if self.reachable(c.settings.name)]
         via = names[count % len(names)]
         call = asyncio.wait_for(
-            self.fleet.ask(via, lambda c: c.record_worker_heartbeat(COUNTED, standing(1, slots=count), count)), 2.0
+            self.fleet.ask(
+                via, lambda c: c.record_worker_heartbeat(COUNTED, worker_announcement(1, slots=count), count)
+            ),
+            2.0,
         )
         try:
             got = await call
@@ -155,7 +158,7 @@
         fleet = Fleet(loop, **{"edges": 2, "stores": 4, **sizes})
         fleet.start()
         assert await fleet.until(fleet.joined, 10) >= 0
-        assert (await fleet.ask("c1", lambda c: c.apply_source(document(3), 0))).is_ok()
+        assert (await fleet.ask("c1", lambda c: c.apply_document(document(3), 0))).is_ok()
         changes = Changes(fleet)
         await changes.make(3)
         # From here on nobody founds a fleet.
--- a/tests/control/test_voters.py
+++ b/tests/control/test_voters.py
@@ -108,7 +108,7 @@
         await asyncio.sleep(2 * DETECTION_TIME)
         disks = {c.settings.name: c.disk_id for c in f.controls()}
         assert leader(f).replicated_state.replica_set.voters == disks
-        assert (await f.ask(leader(f).settings.name, lambda c: c.read_source())).unwrap()["version"] == 3
+        assert (await f.ask(leader(f).settings.name, lambda c: c.read_document())).unwrap()["version"] == 3
 
     play(scene, seed)
 
--- a/tests/sim/test_broken_variants.py
+++ b/tests/sim/test_broken_variants.py
@@ -239,9 +239,9 @@
 
 
 def both_win(mp: pytest.MonkeyPatch) -> None:
-    plain = ControlPlane.configuration
+    plain = ControlPlane.configuration_change
 
-    def configuration(self: ControlPlane, sent: Any, base: int, is_patch: bool) -> Any:
+    def configuration_change(self: ControlPlane, sent: Any, base: int, is_patch: bool) -> Any:
         def fold(s: Any) -> Any:
             current = s.configuration.get("version", 0)
             later = sent | {"version": max(sent["version"], current + 1)} if current > base else sent
@@ -249,7 +249,7 @@
 
         return fold
 
-    mp.setattr(ControlPlane, "configuration", configuration)
+    mp.setattr(ControlPlane, "configuration_change", configuration_change)
 
 
 def takes_invalid(mp: pytest.MonkeyPatch) -> None:
@@ -259,20 +259,20 @@
 
 def reads_old(mp: pytest.MonkeyPatch) -> None:
     first: list[Any] = []
-    plain = ControlPlane.read_source
+    plain = ControlPlane.read_document
 
     async def read(self: ControlPlane) -> Any:
         got = await plain(self)
         first.append(got)
         return first[0]
 
-    mp.setattr(ControlPlane, "read_source", read)
+    mp.setattr(ControlPlane, "read_document", read)
     plain_order = ControlPlane.on_order
 
     async def on_order(self: ControlPlane, body: Any) -> Any:
         got = await plain_order(self, body)
         if not first and isinstance(got, Ok):
-            await self.read_source()
+            await self.read_document()
         return got
 
     mp.setattr(ControlPlane, "on_order", on_order)
--- a/tests/support/membership_drill.py
+++ b/tests/support/membership_drill.py
@@ -144,7 +144,7 @@
     async def configure(self, via: str, number: int, base: int) -> None:
         try:
             got = await asyncio.wait_for(
-                self.fleet.ask(via, lambda c: c.apply_source(document(number), base)), timeout=4.0
+                self.fleet.ask(via, lambda c: c.apply_document(document(number), base)), timeout=4.0
             )
         except (TimeoutError, AttributeError):
             return
--- a/tests/tenants/test_limit_in_fleet.py
+++ b/tests/tenants/test_limit_in_fleet.py
@@ -51,7 +51,7 @@
         wanted = document(1) | {
             "tenants": [{"name": TENANT, "keys": ["a-key"], "rateS": TERMS.rate, "burst": TERMS.burst}]
         }
-        assert (await fleet.ask("c1", lambda c: c.apply_source(wanted, 0))).is_ok()
+        assert (await fleet.ask("c1", lambda c: c.apply_document(wanted, 0))).is_ok()
         await asyncio.sleep(3.0)
 
     def renew(self) -> float:
