--- a/postpass/gateway/__init__.py
+++ b/postpass/gateway/__init__.py
@@ -1,7 +1,8 @@
-"""The path of a live request from the client's connection to a worker's and back.
+"""The edge: the path of a live request from the client's connection to a worker's connection and back.
 
-Clients' side: `http_server` (limits of connections), `gateway` (HTTP routes of an edge) or, in an announced fleet,
-`relay` before it. Live requests: `live_requests`, by `admission_control` and the attempts' rules in `attempts`. Relayed
-requests: `relay`, by `worker_selection`, `load_balancing` and `response_check`. Workers' side: `connection_pool` and
-`upstream_connection`, or aiohttp for what isn't relayed. Jobs only pass through: `job_routes` and `owner_client`.
+Client side: `http_server` enforces the limits of connections; `gateway` has the HTTP routes of an edge; in a fleet whose
+workers announce themselves, `relay` comes before it. Live requests: `live_requests` uses `admission_control` and the retry
+rules in `attempts`. Relayed requests: `relay` uses `worker_selection`, `load_balancing` and `response_check`. Worker side:
+`connection_pool` and `upstream_connection`, or aiohttp for requests that aren't relayed. Jobs are only forwarded to their
+owners, by `job_routes` and `owner_client`.
 """
--- a/postpass/gateway/admission_control.py
+++ b/postpass/gateway/admission_control.py
@@ -1,8 +1,8 @@
 """Admission of requests at one edge: which request gets a worker of its class's pool, and when.
 
-A request is admitted to the queue of its class or rejected (`admit`), waits there (`acquire`), is given a worker by
-`dispatch`, and gives it back (`release`). All edges take part in the same pools without asking each other: each uses
-its share of every class's share of a pool, and its share of every worker.
+A request is admitted to the queue of its class or rejected (`admit`), waits there (`acquire`), is assigned a worker by
+`dispatch`, and releases it at its end (`release`). All edges use the same pools without coordinating with each other:
+each edge uses its share of every class's share of a pool, and its share of every worker.
 """
 
 from __future__ import annotations
@@ -26,106 +26,116 @@
 from postpass.worker_api.openai import Prompt
 from postpass.worker_api.plugins import Candidate, PlacementRequest, affinity_key, affinity_worker, place
 
-STALE_POLLS = 4  # polls of a worker that may fail to come before it gets nothing new
-QUEUE_ROUNDS = 4  # requests that wait, times those that may be under way: the default bound of a queue
-DEFAULT_RESERVE = 0.1  # of a class's quota that it doesn't lend
-DEFAULT_SECONDS = 0.1  # that a request is believed to take before any was measured
+MAX_MISSED_POLLS = 4  # polls of a worker that may be missed before it gets no new requests
+QUEUE_LIMIT_FACTOR = 4  # the default limit of a queue, as a multiple of the requests that may be in flight
+DEFAULT_RESERVED_FRACTION = 0.1  # part of a class's quota that it doesn't lend
+DEFAULT_SERVICE_SECONDS = 0.1  # seconds; the assumed duration of a request before any was measured
 
 
 @dataclass(eq=False)
 class AdmissionControl:
-    """Invariants: a request holds at most one worker, and gives it back exactly once; queues are bounded by
-    `queue_limit`; `in_flight` counts the requests that hold a worker, by class."""
+    """Admits the requests of one edge and assigns workers to them.
+
+    Invariants: a request holds at most one worker, and releases it exactly once; no queue is longer than its `queue_limit`;
+    `in_flight` counts the requests that hold a worker, by class.
+    """
 
     settings: Settings
     configuration_view: ConfigurationView
     worker_load: WorkerLoad
     queues: dict[str, AdmissionQueue] = field(default_factory=dict)  # by class
     in_flight: Counter[str] = field(default_factory=Counter)
-    service_seconds: dict[str, float] = field(default_factory=dict)  # that a request takes, by class, smoothed
+    # By class, the moving average of a request's duration.
+    service_seconds: dict[str, float] = field(default_factory=dict)
     leaving: bool = False  # this edge takes no new requests
 
     @property
     def configuration(self) -> Configuration:
-        """The configuration in force here; there must be one."""
+        """The configuration in force at this edge. There must be one."""
         assert self.configuration_view.manifest is not None
         return self.configuration_view.manifest
 
     @property
     def report_max_age(self) -> float:
-        """Seconds after which a worker whose report wasn't renewed gets nothing new."""
-        return self.settings.bounds.probe * STALE_POLLS
+        """The age in seconds from which a worker's report is too old for it to get new requests."""
+        return self.settings.bounds.probe * MAX_MISSED_POLLS
 
     def barred(self, pool: str, worker: str) -> str:
-        """Why a worker gets nothing new; empty if it may."""
+        """Returns why a worker may get no new requests; empty if it may."""
         return self.worker_load.barred(pool, worker, self.report_max_age)
 
     # --- shares
     def quota(self, class_name: str) -> int:
-        """Requests that this edge may have under way: its part of the class's share of its pool."""
+        """Returns how many requests of a class this edge may have in flight: its part of the class's share of the pool."""
         request_class = self.configuration["classes"][class_name]
         pool = request_class["pool"]
         workers = self.configuration["pools"][pool]["servers"]
-        slots = sum(self.worker_load.usable_slots(pool, w) for w in workers if not self.barred(pool, w))
+        slots = sum(self.worker_load.usable_slots(pool, worker) for worker in workers if not self.barred(pool, worker))
         edges = max(1, len(self.configuration_view.duty("edge")))
         return max(1, math.ceil(request_class["share"] * slots * OVERCOMMIT / edges))
 
     def has_capacity(self, class_name: str) -> bool:
-        """May one more request of the class be under way here, in its own share or in one that it may borrow?"""
+        """Returns whether one more request of the class may be in flight at this edge.
+
+        It may use the quota of its class, or the unused part of another class's quota from which its class may borrow.
+        """
         if self.in_flight[class_name] < self.quota(class_name):
             return True
-        capacity, used = self.quota(class_name), self.in_flight[class_name]
+        capacity, in_use = self.quota(class_name), self.in_flight[class_name]
         for lender in self.configuration["classes"][class_name].get("borrows", []):
             waiting = self.queues[lender].size if lender in self.queues else 0
-            reserve = self.configuration["classes"][lender].get("reserve", DEFAULT_RESERVE)
-            kept_back = math.ceil(reserve * self.quota(lender))
-            if waiting == 0 and self.quota(lender) - self.in_flight[lender] > kept_back:
-                capacity += self.quota(lender) - kept_back
-                used += self.in_flight[lender]
-        return used < capacity
+            reserved_fraction = self.configuration["classes"][lender].get("reserve", DEFAULT_RESERVED_FRACTION)
+            reserved = math.ceil(reserved_fraction * self.quota(lender))
+            if waiting == 0 and self.quota(lender) - self.in_flight[lender] > reserved:
+                capacity += self.quota(lender) - reserved
+                in_use += self.in_flight[lender]
+        return in_use < capacity
 
     def candidates(self, class_name: str, preferred: str) -> tuple[Candidate, ...]:
-        """The workers that may take one more request of this edge. `preferred`: the one that its affinity key points
-        to."""
+        """Returns the workers that may get one more request of this edge.
+
+        `preferred`: the worker that the request's affinity key maps to.
+        """
         pool_name = self.configuration["classes"][class_name]["pool"]
         pool = self.configuration["pools"][pool_name]
         edges = self.configuration_view.duty("edge")
-        rank = edges.index(self.settings.name) if self.settings.name in edges else 0
-        found: list[Candidate] = []
-        spare: list[Candidate] = []
-        quota = used = 0
+        edge_rank = edges.index(self.settings.name) if self.settings.name in edges else 0
+        available: list[Candidate] = []
+        fallback_candidates: list[Candidate] = []
+        quota = in_use = 0
         for name, server in pool["servers"].items():
             if self.barred(pool_name, name):
                 continue
             state = self.worker_load.state_of(pool_name, name)
-            mine = state.in_flight.total()
+            own_in_flight = state.in_flight.total()
             if pool["kind"] == "model":
                 slots = self.worker_load.usable_slots(pool_name, name)
-                free = self.worker_load.quota(pool_name, name, rank, len(edges)) - mine
-                reported = state.report.running + state.report.waiting if state.report else 0
-                load = reported + max(0, mine - state.in_flight_at_poll)
+                free_slots = self.worker_load.quota(pool_name, name, edge_rank, len(edges)) - own_in_flight
+                reported_load = state.report.running + state.report.waiting if state.report else 0
+                load = reported_load + max(0, own_in_flight - state.in_flight_at_poll)
                 if load >= math.ceil(slots * OVERCOMMIT):
                     continue
             else:
-                slots, load = server["slots"], mine
-                free = max(1, math.ceil(server["slots"] * OVERCOMMIT / max(1, len(edges)))) - mine
-            quota += free + mine
-            used += mine
-            if free >= 1:
-                found.append(Candidate(name, server["area"], free, max(slots, 1), load, name == preferred))
+                slots, load = server["slots"], own_in_flight
+                free_slots = max(1, math.ceil(server["slots"] * OVERCOMMIT / max(1, len(edges)))) - own_in_flight
+            quota += free_slots + own_in_flight
+            in_use += own_in_flight
+            if free_slots >= 1:
+                available.append(Candidate(name, server["area"], free_slots, max(slots, 1), load, name == preferred))
             elif pool["kind"] != "model" or self.worker_load.warm_part(pool_name, name) >= 1:
-                spare.append(Candidate(name, server["area"], 1, max(slots, 1), load, name == preferred))
-        if quota <= 0 and used == 0 and spare:
-            # More edges than slots, and this one has a share of no worker that is up: it may use one slot all the
-            # same, at the worker its own name points to, so that edges left out don't all go to one. It adds at the
-            # most one request an edge to the joint overrun, and none at a worker whose reported load is at its bound.
-            chosen = affinity_worker(self.settings.name, sorted(c.name for c in spare))
-            return tuple(c for c in spare if c.name == chosen)
-        return tuple(found)
+                fallback_candidates.append(Candidate(name, server["area"], 1, max(slots, 1), load, name == preferred))
+        if quota <= 0 and in_use == 0 and fallback_candidates:
+            # There are more edges than slots, and this edge's share of every worker that is up is zero. It may still use
+            # one slot, at the worker that its own name maps to, so that the edges without a share don't all choose the
+            # same worker. This exceeds the workers' joint capacity by at most one request for each such edge, and never
+            # at a worker whose reported load has reached its limit.
+            chosen = affinity_worker(self.settings.name, sorted(candidate.name for candidate in fallback_candidates))
+            return tuple(candidate for candidate in fallback_candidates if candidate.name == chosen)
+        return tuple(available)
 
     # --- dispatch
     def dispatch(self) -> None:
-        """Gives free slots to waiting requests, the classes of higher priority first."""
+        """Assigns free slots to waiting requests, the classes of higher priority first."""
         if self.configuration_view.manifest is None:
             return
         classes = self.configuration["classes"]
@@ -147,39 +157,47 @@
                 waiter.worker.set_result(worker)
 
     async def dispatch_loop(self) -> None:
-        """Dispatches whenever the state of the workers has been read anew."""
+        """Dispatches each time new reports of the workers have been read. Runs until cancelled."""
         while True:
             freed = self.worker_load.freed
             await freed.wait()
             self.dispatch()
 
     def release(self, class_name: str, pool: str, worker: str) -> None:
-        """Gives a worker back, and its slot to the next request."""
+        """Releases a worker, and assigns its slot to the next waiting request."""
         self.in_flight[class_name] -= 1
         self.worker_load.state_of(pool, worker).in_flight[class_name] -= 1
         self.dispatch()
 
     def note_duration(self, class_name: str, seconds: float) -> None:
-        """A request was done in so many seconds."""
+        """Records how long a completed request took."""
         self.service_seconds[class_name] = 0.9 * self.service_seconds.get(class_name, seconds) + 0.1 * seconds
 
     # --- the queue
     def queue_limit(self, class_name: str) -> int:
-        """How many may wait: by default four times what this edge may have under way when all workers are up."""
+        """Returns how many requests of a class may wait.
+
+        The default is four times as many as this edge may have in flight while all workers are up.
+        """
         request_class = self.configuration["classes"][class_name]
-        slots = sum(s["slots"] for s in self.configuration["pools"][request_class["pool"]]["servers"].values())
+        slots = sum(
+            server["slots"] for server in self.configuration["pools"][request_class["pool"]]["servers"].values()
+        )
         edges = max(1, len(self.configuration_view.duty("edge")))
-        default = QUEUE_ROUNDS * max(1, math.ceil(request_class["share"] * slots * OVERCOMMIT / edges))
+        default = QUEUE_LIMIT_FACTOR * max(1, math.ceil(request_class["share"] * slots * OVERCOMMIT / edges))
         return request_class.get("backlog", default)
 
     def expected_wait(self, class_name: str) -> float:
-        """Seconds that a new request would wait, by what requests have lately taken."""
+        """Returns how many seconds a new request would wait, estimated from the duration of recent requests."""
         queue = self.queues.get(class_name)
         waiting = queue.size if queue else 0
-        return waiting * self.service_seconds.get(class_name, DEFAULT_SECONDS) / max(1, self.quota(class_name))
+        return waiting * self.service_seconds.get(class_name, DEFAULT_SERVICE_SECONDS) / max(1, self.quota(class_name))
 
     def admit(self, class_name: str, seconds_left: float) -> Result[None, Fault]:
-        """Rejects early: a request that would wait past its deadline is told so now."""
+        """Admits a request to the queue of its class, or returns the fault for which it is rejected.
+
+        A request that is expected to wait past its deadline is rejected now, not at its deadline.
+        """
         queue = self.queues.setdefault(class_name, AdmissionQueue())
         name = self.settings.name
         if self.leaving:
@@ -195,18 +213,20 @@
         return Ok(None)
 
     async def acquire(self, class_name: str, prompt: Prompt, client: str, seconds_left: float) -> str:
-        """Waits for a worker and returns its name; it must be given back by `release`.
+        """Waits for a worker and returns its name. The worker must be released with `release`.
 
-        Raises FaultError with an `unsent` fault if none is free within `seconds_left`.
+        Raises FaultError with an `unsent` fault if no worker is free within `seconds_left`.
         """
         request_class = self.configuration["classes"][class_name]
         pool = request_class["pool"]
         zone, size = self.settings.zone, len(prompt.text)
         request = PlacementRequest(class_name, prompt.shared, size, zone)
         key = affinity_key(self.settings.name, request_class.get("prefix", ""), request)
-        workers = [w for w in sorted(self.configuration["pools"][pool]["servers"]) if not self.barred(pool, w)]
-        future: asyncio.Future[str] = asyncio.get_running_loop().create_future()
-        waiter = Waiter(client, affinity_worker(key, workers), zone, prompt.shared, size, future)
+        workers = [
+            worker for worker in sorted(self.configuration["pools"][pool]["servers"]) if not self.barred(pool, worker)
+        ]
+        worker_future: asyncio.Future[str] = asyncio.get_running_loop().create_future()
+        waiter = Waiter(client, affinity_worker(key, workers), zone, prompt.shared, size, worker_future)
         queue = self.queues.setdefault(class_name, AdmissionQueue())
         queue.put(waiter)
         self.dispatch()
@@ -220,6 +240,6 @@
             if not waiter.worker.done():
                 waiter.worker.cancel()
             elif not waiter.worker.cancelled() and (task := asyncio.current_task()) is not None and task.cancelling():
-                # The client left between the worker's being given and its being taken.
+                # The client disconnected after a worker was assigned and before this task took it.
                 self.release(class_name, pool, waiter.worker.result())
             queue.discard(waiter)
--- a/postpass/gateway/body_reader.py
+++ b/postpass/gateway/body_reader.py
@@ -1,4 +1,4 @@
-"""Reads the whole body of a relayed request before any of it is sent to a worker."""
+"""Reads the complete body of a relayed request before any of it is sent to a worker."""
 
 from __future__ import annotations
 
@@ -9,39 +9,42 @@
 
 
 class BodyRefusal(IntEnum):
-    """Why a body wasn't read: the status of the answer, or that there is nobody to answer."""
+    """Why a body wasn't read. The value is the status of the response; 0 if there is no client any more to respond to."""
 
     CLIENT_GONE = 0
     TOO_LATE = 408
     TOO_LARGE = 413
 
 
-async def read_body(receive: Receive, max_bytes: int, announced: int, until: float) -> bytes | BodyRefusal:
-    """The body, or why there is none. `announced`: its length by the head, 0 if it isn't told; `until`: seconds of the
-    loop's clock."""
-    if announced > max_bytes:
+async def read_body(receive: Receive, max_bytes: int, content_length: int, deadline: float) -> bytes | BodyRefusal:
+    """Returns the body, or why it wasn't read.
+
+    `content_length`: its length according to the head, 0 if the head has none; `deadline`: seconds of the event loop's clock.
+    """
+    if content_length > max_bytes:
         return BodyRefusal.TOO_LARGE
     try:
-        async with asyncio.timeout_at(until):
-            first = await receive()
-            if first["type"] == "http.disconnect":
+        async with asyncio.timeout_at(deadline):
+            first_message = await receive()
+            if first_message["type"] == "http.disconnect":
                 return BodyRefusal.CLIENT_GONE
-            if not first.get("more_body"):
-                body: bytes = first["body"]
+            if not first_message.get("more_body"):
+                body: bytes = first_message["body"]
                 return body if len(body) <= max_bytes else BodyRefusal.TOO_LARGE
-            return await _read_rest(receive, max_bytes, first["body"])
+            return await _read_rest(receive, max_bytes, first_message["body"])
     except TimeoutError:
         return BodyRefusal.TOO_LATE
 
 
-async def _read_rest(receive: Receive, max_bytes: int, first: bytes) -> bytes | BodyRefusal:
-    parts, size = [first], len(first)
+async def _read_rest(receive: Receive, max_bytes: int, first_chunk: bytes) -> bytes | BodyRefusal:
+    """Reads the parts of a body behind the first one; returns the complete body, or why it wasn't read."""
+    chunks, size = [first_chunk], len(first_chunk)
     while size <= max_bytes:
-        part = await receive()
-        if part["type"] == "http.disconnect":
+        message = await receive()
+        if message["type"] == "http.disconnect":
             return BodyRefusal.CLIENT_GONE
-        parts.append(part["body"])
-        size += len(part["body"])
-        if not part.get("more_body"):
-            return b"".join(parts) if size <= max_bytes else BodyRefusal.TOO_LARGE
+        chunks.append(message["body"])
+        size += len(message["body"])
+        if not message.get("more_body"):
+            return b"".join(chunks) if size <= max_bytes else BodyRefusal.TOO_LARGE
     return BodyRefusal.TOO_LARGE
--- a/postpass/gateway/client_identity.py
+++ b/postpass/gateway/client_identity.py
@@ -1,4 +1,4 @@
-"""Who a client is: the tenant whose key it shows, by the configuration in force."""
+"""Authentication of clients: a client is the tenant whose key it presents, by the configuration in force."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 from postpass.gateway.attempts import KeyStanding
 from postpass.gateway.http_headers import AUTHORIZATION, Headers
 
-SCHEME = b"bearer"
-CHALLENGE = (b"www-authenticate", b"Bearer")  # goes with each 401
+BEARER_SCHEME = b"bearer"
+CHALLENGE = (b"www-authenticate", b"Bearer")  # header of each response with status 401
 
 
 class KeyRefusal(StrEnum):
-    """Why a client is not let in; it is told no more than this."""
+    """Why a client is not authenticated. The client learns no more than this."""
 
     UNKNOWN = "no known key"
 
 
 @dataclass(frozen=True, slots=True)
 class ClientIdentity:
-    """A client as it was let in. It holds the digest of a key, never the key itself.
+    """An authenticated client. It contains the digest of the client's key, never the key itself.
 
-    :ivar tenant: the tenant's name; empty where no key is needed.
-    :ivar digest: of the key that it showed.
-    :ivar rank: the tenant's own, in place of a route's.
-    :ivar hides_key: workers don't see its `Authorization`, since keys of tenants stand there.
+    :ivar tenant: the tenant's name; empty if no key is needed.
+    :ivar digest: the digest of the key that the client presented; empty if no key is needed.
+    :ivar rank: the tenant's own rank, which replaces that of the route; None if the tenant has none.
+    :ivar hides_key: the client's `Authorization` header is not forwarded to workers, since it contains tenants' keys.
     """
 
     tenant: str = ""
@@ -40,38 +40,42 @@
     hides_key: bool = True
 
     def rank_on(self, route: Route) -> int:
-        """The rank of its requests on a route; 0 is the highest."""
+        """Returns the rank of the client's requests on a route; 0 is the highest."""
         return route["rank"] if self.rank is None else self.rank
 
 
-WITHOUT_TENANTS = ClientIdentity(hides_key=False)  # anyone, where the configuration has no tenants
-PUBLIC = ClientIdentity()  # anyone, on a public route
+WITHOUT_TENANTS = ClientIdentity(hides_key=False)  # any client, if the configuration has no tenants
+PUBLIC = ClientIdentity()  # any client of a public route
 
 
-def shown_key(headers: Headers) -> bytes | None:
-    """The key that a client shows; None if it shows none, or it is unclear which."""
+def presented_key(headers: Headers) -> bytes | None:
+    """Returns the key that a client presents; None if it presents none, or if it is ambiguous which one."""
     values = [value for name, value in headers if name == AUTHORIZATION]
     if len(values) != 1:
         return None
     scheme, _, key = values[0].partition(b" ")
-    return key.strip(b" ") or None if scheme.lower() == SCHEME else None
+    return key.strip(b" ") or None if scheme.lower() == BEARER_SCHEME else None
 
 
 @dataclass(eq=False)
 class ClientKeys:
-    """Which tenant holds which key. Owner: `Relay`.
+    """The keys of all tenants, and the authentication of clients by them. Owned by `Relay`.
 
-    Invariant: after `refresh`, all of it follows from the tenants of the configuration in force. Only keys that a tenant
-    holds are remembered, so that there are never more of them than the configuration has.
+    Invariant: after `refresh`, everything here follows from the tenants of the configuration in force. Only keys that belong
+    to a tenant are remembered, so that there are never more of them than the configuration has.
     """
 
     configuration_view: ConfigurationView
-    tenants: dict[str, Tenant] | None = None  # None: the configuration has none, so nobody needs a key
-    holders: dict[str, str] = field(default_factory=dict)  # the tenant's name by the digest of a key
-    seen: dict[bytes, ClientIdentity] = field(default_factory=dict)  # by key, so that each is digested once
+    tenants: dict[str, Tenant] | None = None  # None if the configuration has none, so that no client needs a key
+    holders: dict[str, str] = field(default_factory=dict)  # the tenant's name by the digest of its key
+    # By key, so that the digest of each key is computed only once.
+    identities: dict[bytes, ClientIdentity] = field(default_factory=dict)
 
     def refresh(self) -> None:
-        """Learns the tenants in force. Revisions share what they have in common, so only tenants that changed cost."""
+        """Takes over the tenants of the configuration in force.
+
+        Successive revisions share the objects of tenants that did not change, so that only changed tenants cost time.
+        """
         configuration = self.configuration_view.manifest
         tenants = configuration.get("tenants") if configuration is not None else None
         if tenants is self.tenants:
@@ -85,50 +89,53 @@
             if old.get(name) is not tenant:
                 self.holders.update(dict.fromkeys(tenant["keys"], name))
         self.tenants = tenants
-        self.seen.clear()
+        self.identities.clear()
 
     def authenticate(self, route: Route, headers: Headers) -> Result[ClientIdentity, KeyRefusal]:
-        """Whose request on a route this is."""
+        """Returns the identity of the client of a request on a route, or why the client is not authenticated."""
         self.refresh()
         if self.tenants is None:
             return Ok(WITHOUT_TENANTS)
-        return Ok(PUBLIC) if route.get("public") else self._holder(headers)
+        return Ok(PUBLIC) if route.get("public") else self._identify(headers)
 
     def authenticate_for_job(self, routes: Iterable[Route], headers: Headers) -> Result[ClientIdentity, KeyRefusal]:
-        """Whose call about a job this is, of which only the routes are known that it may have come by."""
+        """Returns the identity of the client of a request about a job, or why the client is not authenticated.
+
+        `routes`: the routes by which the job may have been submitted; which of them it was is not known.
+        """
         self.refresh()
         if self.tenants is None:
             return Ok(WITHOUT_TENANTS)
-        found = self._holder(headers)
-        if isinstance(found, Err) and any(route.get("public") and route["kind"] == "lot" for route in routes):
+        identity_result = self._identify(headers)
+        if isinstance(identity_result, Err) and any(route.get("public") and route["kind"] == "lot" for route in routes):
             return Ok(PUBLIC)
-        return found
+        return identity_result
 
-    def _holder(self, headers: Headers) -> Result[ClientIdentity, KeyRefusal]:
-        """The tenant whose key the client shows."""
-        key = shown_key(headers)
+    def _identify(self, headers: Headers) -> Result[ClientIdentity, KeyRefusal]:
+        """Returns the identity of the tenant whose key the client presents."""
+        key = presented_key(headers)
         if key is None:
             return Err(KeyRefusal.UNKNOWN)
-        known = self.seen.get(key)
-        if known is not None:
-            return Ok(known)
+        cached_identity = self.identities.get(key)
+        if cached_identity is not None:
+            return Ok(cached_identity)
         digest = key_digest(key)
         name = self.holders.get(digest)
         if name is None or self.tenants is None:
             return Err(KeyRefusal.UNKNOWN)
         identity = ClientIdentity(name, digest, self.tenants[name].get("rank"))
-        self.seen[key] = identity
+        self.identities[key] = identity
         return Ok(identity)
 
     def standing(self, route: Route, client: ClientIdentity) -> KeyStanding:
-        """Would a client that was let in be let in now, as the same one?"""
+        """Returns whether a client that was authenticated would still be authenticated now, with the same identity."""
         self.refresh()
         if self.tenants is None or route.get("public"):
             expected = WITHOUT_TENANTS if self.tenants is None else PUBLIC
             return KeyStanding.HELD if client == expected else KeyStanding.CHANGED
         if not client.digest:
             return KeyStanding.CHANGED
-        holder = self.holders.get(client.digest)
-        if holder is None:
+        tenant = self.holders.get(client.digest)
+        if tenant is None:
             return KeyStanding.WITHDRAWN
-        return KeyStanding.HELD if holder == client.tenant else KeyStanding.CHANGED
+        return KeyStanding.HELD if tenant == client.tenant else KeyStanding.CHANGED
--- a/postpass/gateway/edge_state.py
+++ b/postpass/gateway/edge_state.py
@@ -1,4 +1,4 @@
-"""What the parts of an edge share: its view of the fleet, admission, the way to owners, and metrics."""
+"""State that the parts of an edge share: its view of the fleet, admission, the client of owners, and metrics."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
     import aiohttp
 
 REMEMBERED_JOBS = 4000
-UNKNOWN = 504  # the status of an answer that promises nothing
+OUTCOME_UNKNOWN_STATUS = 504  # HTTP status of a response that leaves open whether the job was stored
 
 
 class AcceptedJob(NamedTuple):
-    """A job whose client was told that it is kept, and when, in seconds of the loop's clock."""
+    """A job that was acknowledged to its client, and when that was, in seconds of the event loop's clock."""
 
     job_id: str
     accepted_at: float
@@ -41,7 +41,7 @@
 
 @dataclass(eq=False)
 class EdgeState:
-    """State of the edge duty of one process. Owner: `Gateway`, which also wires the HTTP routes."""
+    """State of the edge duty of one process. Owned by `Gateway`, a subclass, which adds the HTTP routes."""
 
     settings: Settings
     environment: Environment
@@ -51,9 +51,10 @@
     session: aiohttp.ClientSession
     registry: CollectorRegistry
     retry_budget: RetryBudget = field(default_factory=RetryBudget)
-    # Should more stores be lost than is tolerated, the names of the newest jobs are not lost with them.
+    # The newest jobs, so that their ids are still known if more stores are lost than the fleet tolerates.
     accepted_jobs: deque[AcceptedJob] = field(default_factory=lambda: deque(maxlen=REMEMBERED_JOBS))
-    # Jobs that got no acknowledgement since the start, though no bound of the client's was reached; by partition.
+    # By partition, the number of jobs since the start that were not acknowledged, although their client had not reached
+    # any of its limits.
     unkept_jobs: Counts[int] = field(default_factory=Counts)
 
     def __post_init__(self) -> None:
@@ -76,21 +77,21 @@
 
     @property
     def configuration(self) -> Configuration:
-        """The configuration in force here; there must be one (see `unready`)."""
+        """The configuration in force at this edge. There must be one: `unready` tells whether there is."""
         assert self.configuration_view.manifest is not None
         return self.configuration_view.manifest
 
     @property
     def leaving(self) -> bool:
-        """Does this edge take nothing new?"""
+        """Whether this edge is shutting down and accepts no new requests."""
         return self.admission.leaving
 
     def leave(self) -> None:
-        """From now on clients are told to use another edge."""
+        """Stops accepting new requests: from now on clients are told to use another edge."""
         self.admission.leaving = True
 
     def unready(self) -> JSONResponse | None:
-        """The answer to a client while this edge doesn't know the configuration in force; None once it does."""
+        """Returns the response to send while this edge has no up-to-date configuration; None if it has one."""
         name = self.settings.name
         if self.configuration_view.manifest is None:
             return fault_response(Fault("let in", name, "no manifest yet", hint="another edge"), 503)
@@ -99,39 +100,44 @@
         return None
 
     def find_class(self, class_name: str, kind: str) -> Result[Class, JSONResponse]:
-        """The request class of a name; the error is the answer to the client. `kind`: which one the class must be."""
+        """Returns the request class `class_name`, which must be of the given kind, or the error response for the client."""
         request_class = self.configuration["classes"].get(class_name)
         if request_class is not None and request_class["kind"] == kind:
             return Ok(request_class)
-        known = ", ".join(n for n, c in self.configuration["classes"].items() if c["kind"] == kind)
-        why = f"class: unknown {kind} class {class_name!r:.40}; known are {known}"
+        known_names = ", ".join(
+            name for name, candidate in self.configuration["classes"].items() if candidate["kind"] == kind
+        )
+        why = f"class: unknown {kind} class {class_name!r:.40}; known are {known_names}"
         return Err(fault_response(Fault("read body", self.settings.name, why), 400))
 
     def remember_job(self, job_id: str) -> None:
-        """The client was just told that its job is kept."""
+        """Records a job that was just acknowledged to its client."""
         self.accepted_jobs.append(AcceptedJob(job_id, now()))
 
     def note_unkept(self, job_id: str, fault: Fault, status: int) -> None:
-        """A client was just told that its job is not kept, or that this is not known, for a fault of the fleet's."""
-        number = self.to_partition(job_id)
-        cause = "unknown" if status == UNKNOWN else "refused"
-        self.unkept_total.labels(str(number), cause).inc()
-        self.unkept_jobs[number] += 1
+        """Counts and logs a job that was not acknowledged because of a fault of the fleet.
+
+        `status` is that of the response that the client just got: that the job is not stored, or that this is unknown.
+        """
+        partition = self.to_partition(job_id)
+        cause = "unknown" if status == OUTCOME_UNKNOWN_STATUS else "refused"
+        self.unkept_total.labels(str(partition), cause).inc()
+        self.unkept_jobs[partition] += 1
         log_events.emit(
-            Event.JOB_NOT_KEPT, self.settings.name, id=job_id, part=number, status=status, step=fault.step, asked=fault.peer,
+            Event.JOB_NOT_KEPT, self.settings.name, id=job_id, part=partition, status=status, step=fault.step, asked=fault.peer,
             why=fault.why,
         )  # fmt: skip
 
     def remembered_jobs(self, partition: int) -> list[str]:
-        """Jobs of a partition that were accepted so lately that none of them can have left by the retention."""
-        oldest = now() - self.configuration.get("retention", 3600.0)
-        parts = self.configuration["parts"]
+        """Returns the ids of a partition's accepted jobs that are too new for the retention to have removed any of them."""
+        min_accepted_at = now() - self.configuration.get("retention", 3600.0)
+        partition_count = self.configuration["parts"]
         return [
-            j.job_id
-            for j in self.accepted_jobs
-            if j.accepted_at > oldest and partition_of(j.job_id, parts) == partition
+            job.job_id
+            for job in self.accepted_jobs
+            if job.accepted_at > min_accepted_at and partition_of(job.job_id, partition_count) == partition
         ]
 
     def to_partition(self, name: str) -> int:
-        """The partition that a job's id or a request's key falls to."""
+        """Returns the partition that a job's id or a request's key belongs to."""
         return partition_of(name, self.configuration["parts"])
--- a/postpass/gateway/gateway.py
+++ b/postpass/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""The edge duty: HTTP to clients. Live requests, proxied routes, and jobs on their way to their owners."""
+"""The edge duty: serves HTTP to clients, that is live requests, proxied routes, and jobs, which go to their owners."""
 
 from __future__ import annotations
 
@@ -17,28 +17,30 @@
 
 @dataclass(eq=False)
 class Gateway(EdgeState):
-    """The state of an edge with its HTTP routes. Owner: the data plane's process."""
+    """The state of an edge, and the HTTP routes that it serves. Owned by the process of the data plane."""
 
-    fallback: ASGIApp | None = None  # serves what none of the routes fits; without it the proxied routes do
-    extra_routes: list[BaseRoute] = field(default_factory=list)  # these stand before the fallback
+    fallback: ASGIApp | None = None  # serves requests that no route matches; without it, the proxied routes do
+    extra_routes: list[BaseRoute] = field(
+        default_factory=list
+    )  # matched after the built-in routes and before the fallback
 
     def routes(self) -> list[BaseRoute]:
-        """All HTTP routes of this edge; the first that fits serves a request."""
-        jobs = JobRoutes(self)
-        rest: BaseRoute
+        """Returns all HTTP routes of this edge, in matching order: the first that matches serves a request."""
+        job_routes = JobRoutes(self)
+        fallback_route: BaseRoute
         if self.fallback is not None:
-            rest = Mount("", self.fallback)
+            fallback_route = Mount("", self.fallback)
         else:
-            rest = Route("/{rest:path}", ProxiedRoutes(self), methods=PROXIED_METHODS)
+            fallback_route = Route("/{rest:path}", ProxiedRoutes(self), methods=PROXIED_METHODS)
         return [
             Route("/v1/calls", LiveRequests(self), methods=["POST"]),
-            Route("/v1/lots", jobs.submit, methods=["POST"]),
-            Route("/v1/lots/{lot}", jobs.show_or_end, methods=["GET", "DELETE"]),
-            Route("/v1/lots/{lot}/results", jobs.results, methods=["GET"]),
+            Route("/v1/lots", job_routes.submit, methods=["POST"]),
+            Route("/v1/lots/{lot}", job_routes.show_or_end, methods=["GET", "DELETE"]),
+            Route("/v1/lots/{lot}/results", job_routes.results, methods=["GET"]),
             *self.extra_routes,
-            rest,
+            fallback_route,
         ]
 
     def tasks(self) -> list[Coroutine[Any, Any, None]]:
-        """What runs as long as the process does."""
+        """Returns the background tasks, which run for the lifetime of the process."""
         return [self.admission.dispatch_loop()]
--- a/postpass/gateway/owner_client.py
+++ b/postpass/gateway/owner_client.py
@@ -1,4 +1,4 @@
-"""Questions of an edge to the owners of partitions, wherever they are at the moment."""
+"""Requests of an edge to the owners of partitions, with the search for the machine that owns a partition now."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 from postpass.runtime.errors import BROKE, MOVED, SLOW, Fault
 from postpass.runtime.log_events import Event
 
-LEAST_WAIT = 0.05  # seconds that an answer is waited for at the least
-CONNECT_PART = 1 / 4  # of the wait for an answer within which a machine takes a connection
-OWNER_PART = 0.9  # of the wait for an answer that the owner itself may use
+MIN_RESPONSE_TIMEOUT = 0.05  # seconds; the shortest time that a response is waited for
+CONNECT_FRACTION = 1 / 4  # part of the time limit within which the machine must accept a connection
+OWNER_FRACTION = 0.9  # part of the time limit that the owner itself may use
 
 
 @dataclass(eq=False)
 class OwnerClient:
-    """Finds a partition's owner by its members, and remembers it.
+    """Sends requests to a partition's owner, which it finds by asking the partition's members, and remembers.
 
     Attributes:
-        known_owners: Who answered last as the owner of a partition, by its number; may be out of date.
-        silent: Machines that gave no answer when they were asked last. They are asked after all others, and not waited for
-            as long, so that one which went dark does not use up the time of every request.
+        known_owners: By partition, the machine that last answered as its owner; may be out of date.
+        unresponsive: Machines that did not answer the last request to them. They are asked after all others, and with a
+            shorter time limit, so that a machine that can't be reached does not use up the time of every request.
     """
 
     settings: Settings
@@ -39,19 +39,21 @@
     configuration_view: ConfigurationView
     peer_links: PeerLinks
     known_owners: dict[int, str] = field(default_factory=dict)
-    silent: set[str] = field(default_factory=set)
+    unresponsive: set[str] = field(default_factory=set)
 
-    async def ask(self, partition: int, verb: str, body: Body, until: float) -> Result[Body, Fault]:
-        """Asks a partition's owner until `until` (seconds of the loop's clock); what is asked may be asked again.
+    async def ask(self, partition: int, verb: str, body: Body, deadline: float) -> Result[Body, Fault]:
+        """Sends a request to a partition's owner and returns its response; tries until the deadline.
 
-        The fault says by `unsure` whether an earlier try was left without an answer, and is `unsent` only if none was.
+        The request must be safe to repeat, since a machine may get it more than once. `deadline` is in seconds of the event
+        loop's clock. A fault is `unsure` if an earlier attempt may have arrived but got no response, and `unsent`
+        only if there was no such attempt.
         """
         body = body | {"part": partition}
         unsure = False
         lookup = self._lookup(partition)
-        last = Fault(verb, self.settings.name, "no owner known", SLOW)
+        last_fault = Fault(verb, self.settings.name, "no owner known", SLOW)
         bounds = self.settings.bounds
-        while now() < until:
+        while now() < deadline:
             name = lookup.next_name()
             if not name:
                 await asyncio.sleep(bounds.beat / 2 * (0.75 + 0.5 * self.environment.chance.random()))
@@ -61,69 +63,75 @@
             addr = self.configuration_view.addr(name)
             if not addr:
                 continue
-            wait = self._wait_for(name, until)
-            again = {"again": True} if unsure else {}
-            answer = await self._request(name, addr, verb, body | {"wait": wait * OWNER_PART} | again, wait)
-            if isinstance(answer, Ok):
+            timeout_s = self._response_timeout(name, deadline)
+            repeat_mark = {"again": True} if unsure else {}
+            response = await self._request(
+                name, addr, verb, body | {"wait": timeout_s * OWNER_FRACTION} | repeat_mark, timeout_s
+            )
+            if isinstance(response, Ok):
                 self.known_owners[partition] = name
-                return answer
-            last = answer.unwrap_err()
-            if last.code not in (MOVED, BROKE, SLOW):
-                return Err(replace(last, unsure=unsure))
+                return response
+            last_fault = response.unwrap_err()
+            if last_fault.code not in (MOVED, BROKE, SLOW):
+                return Err(replace(last_fault, unsure=unsure))
             if self.known_owners.get(partition) == name:
                 del self.known_owners[partition]
-            if last.code == MOVED:
-                await self._follow(partition, lookup, name, last.hint)
+            if last_fault.code == MOVED:
+                await self._follow_redirect(partition, lookup, name, last_fault.hint)
                 continue
-            unsure = unsure or not last.unsent
-            if not last.unsent:
-                lookup = self._lookup(partition, [name] if last.code == BROKE else [])
+            unsure = unsure or not last_fault.unsent
+            if not last_fault.unsent:
+                lookup = self._lookup(partition, [name] if last_fault.code == BROKE else [])
                 await asyncio.sleep(bounds.beat / 8)
-        return Err(Fault(verb, last.peer, last.why, SLOW, unsent=not unsure, unsure=unsure))
-
-    async def _request(self, name: str, addr: str, verb: str, body: Body, wait: float) -> PeerResponse:
-        """Asks one machine, and notes whether it answered."""
-        opened = await self.peer_links.link(addr, wait * CONNECT_PART)
-        if isinstance(opened, Err):
-            self.silent.add(name)
-            return opened
-        answer = await self.peer_links.request(addr, verb, body, wait)
-        # The link tells faults of its own under the address, a machine under its name.
-        if isinstance(answer, Err) and answer.unwrap_err().peer == addr:
-            self.silent.add(name)
+        return Err(Fault(verb, last_fault.peer, last_fault.why, SLOW, unsent=not unsure, unsure=unsure))
+
+    async def _request(self, name: str, addr: str, verb: str, body: Body, timeout_s: float) -> PeerResponse:
+        """Sends a request to one machine, and records whether the machine answered."""
+        link_result = await self.peer_links.link(addr, timeout_s * CONNECT_FRACTION)
+        if isinstance(link_result, Err):
+            self.unresponsive.add(name)
+            return link_result
+        response = await self.peer_links.request(addr, verb, body, timeout_s)
+        # A fault of the link names the address as its peer, a fault that the machine reports names the machine.
+        if isinstance(response, Err) and response.unwrap_err().peer == addr:
+            self.unresponsive.add(name)
         else:
-            self.silent.discard(name)
-        return answer
+            self.unresponsive.discard(name)
+        return response
 
-    def _wait_for(self, name: str, until: float) -> float:
-        """How many seconds a machine's answer is waited for."""
-        detections = 1 if name in self.silent else 2
-        return min(max(LEAST_WAIT, until - now()), self.settings.bounds.detect * detections)
+    def _response_timeout(self, name: str, deadline: float) -> float:
+        """Returns how many seconds to wait for a machine's response."""
+        detection_periods = 1 if name in self.unresponsive else 2
+        return min(max(MIN_RESPONSE_TIMEOUT, deadline - now()), self.settings.bounds.detect * detection_periods)
 
     def _lookup(self, partition: int, tried: Iterable[str] = ()) -> OwnerLookup:
-        """A round over the known owner and all members in the agreed order, but for those in `tried`."""
-        known = self.known_owners.get(partition, "")
-        return OwnerLookup.for_candidates([known], self.configuration_view.order(partition), self.silent, tried)
-
-    async def _follow(self, partition: int, lookup: OwnerLookup, name: str, owner: str) -> None:
-        """The member `name` says that it isn't the owner, but `owner` is; empty if it knows none."""
+        """Returns a new round of the search: the known owner, then all members in the agreed order, without those in `tried`."""
+        known_owner = self.known_owners.get(partition, "")
+        return OwnerLookup.for_candidates(
+            [known_owner], self.configuration_view.order(partition), self.unresponsive, tried
+        )
+
+    async def _follow_redirect(self, partition: int, lookup: OwnerLookup, name: str, owner: str) -> None:
+        """Handles the response of machine `name` that not it but `owner` is the owner; empty if it knows none."""
         if owner == name:
-            # It is about to become the owner.
+            # It names itself: it is about to become the owner.
             await asyncio.sleep(self.settings.bounds.beat / 8)
             lookup.ask_again(name)
         elif owner and owner not in lookup.tried:
             self.known_owners[partition] = owner
             lookup.follow(owner)
 
-    async def claim(self, key: str, until: float) -> Result[bool, Fault]:
-        """Takes a live request's key for this edge; False if it was taken before."""
+    async def claim(self, key: str, deadline: float) -> Result[bool, Fault]:
+        """Claims a live request's key for this edge; returns False if it was claimed before."""
         nonce = f"{self.settings.name}-{self.environment.chance.getrandbits(64):016x}"
         configuration = self.configuration_view.manifest
         assert configuration is not None
         partition = partition_of(key, configuration["parts"])
-        answer = await self.ask(partition, "claim", {"key": key, "nonce": nonce, "edge": self.settings.name}, until)
-        if isinstance(answer, Err):
-            return answer
-        won = answer.unwrap()["won"]
+        response = await self.ask(
+            partition, "claim", {"key": key, "nonce": nonce, "edge": self.settings.name}, deadline
+        )
+        if isinstance(response, Err):
+            return response
+        won = response.unwrap()["won"]
         log_events.emit(Event.REQUEST_CLAIMED, self.settings.name, key=key, won=won)
         return Ok(bool(won))
--- a/postpass/gateway/proxied_routes.py
+++ b/postpass/gateway/proxied_routes.py
@@ -1,4 +1,7 @@
-"""Proxied routes: an ordinary HTTP request passed to an ordinary back end, with the length of its answer kept honest."""
+"""Proxied routes: ordinary HTTP requests, forwarded to a back end.
+
+A response that is cut off never looks complete to the client.
+"""
 
 from __future__ import annotations
 
@@ -30,35 +33,35 @@
 PROXIED_METHODS = ["GET", "HEAD", "POST", "PUT", "DELETE"]
 REPEATABLE_METHODS = ("GET", "HEAD")
 MAX_ATTEMPTS = 3
-DEFAULT_DEADLINE = 10.0  # seconds, where the class names none
-LEAST_TIME = 0.01  # seconds that an attempt gets at the least
+DEFAULT_DEADLINE = 10.0  # seconds; used if the request class has no deadline
+MIN_ATTEMPT_TIMEOUT = 0.01  # seconds; the shortest time limit of an attempt
 CHUNK_BYTES = 16 << 10
-REQUEST_HEADERS = (b"accept", b"content-type", b"if-none-match", b"range", b"x-caller")  # that are passed on
-RESPONSE_HEADERS = (
+FORWARDED_REQUEST_HEADERS = (b"accept", b"content-type", b"if-none-match", b"range", b"x-caller")
+FORWARDED_RESPONSE_HEADERS = (
     "content-type", "content-length", "etag", "cache-control", "last-modified", "content-range", "content-encoding",
     "location",
 )  # fmt: skip
-BODILESS = (204, 304)
+BODILESS_STATUSES = (204, 304)
 STATUS_BY_CODE = {REJECTED: 503, SLOW: 504}
 
 
 class Outcome(Enum):
     """How one attempt ended."""
 
-    DONE = auto()  # the client has the whole answer
+    DONE = auto()  # the client has the complete response
     RETRY = auto()  # the request may be sent to another worker
     FAILED = auto()  # it may have run and must not be sent again
 
 
 @dataclass(eq=False, slots=True)
 class ProxiedRequest:
-    """One admitted request. Owner: the task of `ProxiedRoutes.run`."""
+    """One admitted request. Owned by the task of `ProxiedRoutes.run`."""
 
     class_name: str
     request_class: Class
     connection: ClientConnection
     body: bytes
-    until: float  # its deadline, in seconds of the loop's clock
+    deadline: float  # in seconds of the event loop's clock
     last_fault: Fault
 
     @property
@@ -68,43 +71,43 @@
 
     @property
     def repeatable(self) -> bool:
-        """May it run more than once?"""
+        """Whether the request may run more than once."""
         return self.method in REPEATABLE_METHODS
 
     @property
     def target(self) -> str:
-        """Path and query."""
+        """The path and the query string."""
         scope = self.connection.scope
         query = scope["query_string"].decode("latin-1")
         return str(scope["path"]) + (f"?{query}" if query else "")
 
     @property
     def headers(self) -> dict[str, str]:
-        """The client's headers that the back end sees."""
+        """The client's headers that are forwarded to the back end."""
         return {
-            k.decode("latin-1"): v.decode("latin-1")
-            for k, v in self.connection.scope["headers"]
-            if k in REQUEST_HEADERS
+            name.decode("latin-1"): value.decode("latin-1")
+            for name, value in self.connection.scope["headers"]
+            if name in FORWARDED_REQUEST_HEADERS
         }
 
 
 @dataclass(eq=False)
 class ProxiedRoutes:
-    """The handler of all paths that the configuration's `ways` name, as an ASGI app."""
+    """An ASGI app that serves all paths under the prefixes in the configuration's `ways`."""
 
     edge: EdgeState
 
     def class_for(self, path: str) -> str:
-        """The request class of the longest route that a path falls to; empty if there is none."""
+        """Returns the request class of the longest prefix that matches a path; empty if none does."""
         routes = self.edge.configuration["ways"] if self.edge.configuration_view.manifest else {}
-        fitting = [r for r in routes if path == r or path.startswith(r.rstrip("/") + "/")]
-        return routes[max(fitting, key=len)] if fitting else ""
+        matching_prefixes = [prefix for prefix in routes if path == prefix or path.startswith(prefix.rstrip("/") + "/")]
+        return routes[max(matching_prefixes, key=len)] if matching_prefixes else ""
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Reads a request, admits it and serves it to its last answer."""
+        """Reads a request, admits it, and serves it until its response is complete."""
         edge, connection = self.edge, ClientConnection(scope, receive, send)
-        if (lack := edge.unready()) is not None:
-            await connection.respond(lack)
+        if (not_ready := edge.unready()) is not None:
+            await connection.respond(not_ready)
             return
         class_name = self.class_for(scope["path"])
         if not class_name:
@@ -119,27 +122,32 @@
                 fault = Fault("read body", edge.settings.name, "(top): the body is too large")
                 await connection.respond(fault_response(fault, 413))
                 return
-        deadline = request_class.get("deadline", DEFAULT_DEADLINE)
-        admitted = edge.admission.admit(class_name, deadline)
-        if isinstance(admitted, Err):
+        timeout_s = request_class.get("deadline", DEFAULT_DEADLINE)
+        admission_result = edge.admission.admit(class_name, timeout_s)
+        if isinstance(admission_result, Err):
             edge.requests_total.labels(class_name, "shed").inc()
-            fault = admitted.unwrap_err()
+            fault = admission_result.unwrap_err()
             retry_after_s = max(1.0, edge.admission.expected_wait(class_name))
             await connection.respond(fault_response(fault, fault.code, retry_after_s=retry_after_s))
             return
         fault = Fault("pass", edge.settings.name, "not sent", REJECTED, unsent=True)
-        await self.run(ProxiedRequest(class_name, request_class, connection, body, now() + deadline, fault))
+        await self.run(ProxiedRequest(class_name, request_class, connection, body, now() + timeout_s, fault))
 
     async def run(self, request: ProxiedRequest) -> None:
-        """Serves one admitted request to its last answer. Raises ConnectionError if the answer breaks off, so that
-        the HTTP server closes the connection and it can't look whole."""
+        """Serves one admitted request until its response is complete.
+
+        Raises ConnectionError if the response is cut off, so that the HTTP server closes the connection and the response
+        can't look complete.
+        """
         edge, class_name = self.edge, request.class_name
         for _ in range(MAX_ATTEMPTS):
             try:
                 prompt = Prompt((), request.connection.scope["path"])
-                worker = await edge.admission.acquire(class_name, prompt, "", max(LEAST_TIME, request.until - now()))
-            except FaultError as stop:
-                request.last_fault = stop.fault
+                worker = await edge.admission.acquire(
+                    class_name, prompt, "", max(MIN_ATTEMPT_TIMEOUT, request.deadline - now())
+                )
+            except FaultError as error:
+                request.last_fault = error.fault
                 break
             outcome = await self._attempt(request, worker)
             if outcome is Outcome.DONE:
@@ -151,40 +159,46 @@
         await request.connection.respond(fault_response(request.last_fault, status))
 
     async def _attempt(self, request: ProxiedRequest, worker: str) -> Outcome:
-        """Sends the request to a worker that was acquired for it, and gives the worker back."""
+        """Sends the request to a worker that was acquired for it, and releases the worker.
+
+        Raises ConnectionError if the response is cut off after a part of it was sent to the client.
+        """
         edge, class_name, pool = self.edge, request.class_name, request.request_class["pool"]
-        began = now()
-        answer = Answer(request)
+        started_at = now()
+        forwarder = ResponseForwarder(request)
         try:
-            # After a freeze of this process the worker may have been acquired long ago: what bars it now is asked
-            # right before the request goes.
-            barred = edge.admission.barred(pool, worker)
-            if barred:
-                request.last_fault = Fault("pass", worker, barred, REJECTED, unsent=True)
+            # If this process was frozen, the worker may have been acquired long ago: check right before the request is
+            # sent whether it may still get new requests.
+            exclusion_reason = edge.admission.barred(pool, worker)
+            if exclusion_reason:
+                request.last_fault = Fault("pass", worker, exclusion_reason, REJECTED, unsent=True)
                 return Outcome.RETRY
             url = edge.configuration["pools"][pool]["servers"][worker]["url"]
             async with (
-                asyncio.timeout(max(LEAST_TIME, request.until - now())),
+                asyncio.timeout(max(MIN_ATTEMPT_TIMEOUT, request.deadline - now())),
                 edge.session.request(
                     request.method, url + request.target, data=request.body or None, headers=request.headers,
                     allow_redirects=False,
                 ) as response,
             ):  # fmt: skip
-                answer.check_length(response)
+                forwarder.check_length(response)
                 if response.status == 503 and request.repeatable:
                     request.last_fault = Fault("pass", url, "status 503", REJECTED)
                     return Outcome.RETRY
-                await answer.pass_on(response)
-            edge.admission.note_duration(class_name, now() - began)
+                await forwarder.forward(response)
+            edge.admission.note_duration(class_name, now() - started_at)
             edge.requests_total.labels(class_name, "done").inc()
             return Outcome.DONE
         except (aiohttp.ClientError, OSError, TimeoutError, KeyError) as error:
-            return self._failed(request, worker, error, answer.started)
+            return self._outcome_of_failure(request, worker, error, forwarder.started)
         finally:
             edge.admission.release(class_name, pool, worker)
 
-    def _failed(self, request: ProxiedRequest, worker: str, error: Exception, started: bool) -> Outcome:
-        """What follows from a fault of an attempt. Raises ConnectionError if a part of the answer went out."""
+    def _outcome_of_failure(self, request: ProxiedRequest, worker: str, error: Exception, started: bool) -> Outcome:
+        """Returns the outcome of an attempt that raised `error`.
+
+        Raises ConnectionError if a part of the response was sent to the client.
+        """
         edge = self.edge
         code = SLOW if isinstance(error, TimeoutError) else BROKE
         fault = request.last_fault = Fault("pass", worker, repr(error)[:120], code)
@@ -206,25 +220,27 @@
 
 
 @dataclass(eq=False, slots=True)
-class Answer:
-    """The answer of one attempt on its way to the client."""
+class ResponseForwarder:
+    """Forwards the response of one attempt to the client."""
 
     request: ProxiedRequest
-    started: bool = False  # its head went to the client, or began to
+    started: bool = False  # sending the head to the client has begun
 
     def check_length(self, response: aiohttp.ClientResponse) -> None:
-        """Raises ClientPayloadError for an answer whose end would be the connection's, which looks the same when it is
-        cut."""
-        sized = {"content-length", "transfer-encoding"} & {name.lower() for name in response.headers}
-        if not sized and self.request.method != "HEAD" and response.status not in BODILESS:
+        """Raises ClientPayloadError for a response without a length, which would end when its connection closes.
+
+        Such a response looks the same when it is cut off.
+        """
+        length_headers = {"content-length", "transfer-encoding"} & {name.lower() for name in response.headers}
+        if not length_headers and self.request.method != "HEAD" and response.status not in BODILESS_STATUSES:
             raise aiohttp.ClientPayloadError("an answer without a length")
 
-    async def pass_on(self, response: aiohttp.ClientResponse) -> None:
-        """Sends the head and, chunk by chunk, the body."""
+    async def forward(self, response: aiohttp.ClientResponse) -> None:
+        """Sends the head to the client and then the body, chunk by chunk."""
         headers = [
             (name.lower().encode(), value.encode("latin-1"))
             for name, value in response.headers.items()
-            if name.lower() in RESPONSE_HEADERS
+            if name.lower() in FORWARDED_RESPONSE_HEADERS
         ]
         self.started = True
         connection = self.request.connection
--- a/postpass/gateway/route_table.py
+++ b/postpass/gateway/route_table.py
@@ -1,4 +1,4 @@
-"""The routes of the configuration in force, as relayed requests are matched against them."""
+"""The table of the configured routes, against which relayed requests are matched."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RouteEntry(NamedTuple):
-    """One route with the prefix of paths that it serves."""
+    """One route, its name, and the prefix of the paths that it serves."""
 
     prefix: bytes
     name: str
@@ -18,19 +18,20 @@
 
 @dataclass(frozen=True)
 class RouteTable:
-    """Routes by host in lower case and without a port, the longest prefix first."""
+    """The routes of each host, the longest prefix first. Hosts are in lower case and without a port."""
 
     hosts: dict[bytes, tuple[RouteEntry, ...]]
 
     def routes_of(self, host: bytes) -> tuple[Route, ...]:
-        """All routes of a host."""
+        """Returns all routes of a host."""
         return tuple(entry.route for entry in self._entries(host))
 
     def _entries(self, host: bytes) -> tuple[RouteEntry, ...]:
+        """Returns the entries of a host, which may be written in any case and with a port."""
         return self.hosts.get(host.partition(b":")[0].lower(), ())
 
     def match(self, host: bytes, path: bytes) -> tuple[str, Route] | None:
-        """Name and route of the longest prefix of a raw path; None if no route fits."""
+        """Returns the name and the route of the longest prefix that matches a raw path; None if no route matches."""
         for prefix, name, route in self._entries(host):
             if path.startswith(prefix):
                 return name, route
@@ -38,7 +39,7 @@
 
 
 def route_table_of(configuration: Configuration) -> RouteTable:
-    """The table of a configuration's routes."""
+    """Returns the table of a configuration's routes."""
     hosts: dict[bytes, list[RouteEntry]] = {}
     for name, route in configuration.get("routes", {}).items():
         host = route["host"].partition(":")[0].lower().encode()
--- a/tests/gateway/test_admission_queue.py
+++ b/tests/gateway/test_admission_queue.py
@@ -7,18 +7,18 @@
 from postpass.gateway.admission_queue import AdmissionQueue, Waiter
 
 
-def test_one_callers_crowd_does_not_hold_back_another() -> None:
+def test_many_waiters_of_one_client_do_not_delay_another_client() -> None:
     async def run() -> list[str]:
-        loop, log = asyncio.get_running_loop(), AdmissionQueue()
+        loop, queue = asyncio.get_running_loop(), AdmissionQueue()
         for name in ["x"] * 5 + ["y", "z", "y"]:
-            log.put(Waiter(name, "", "", (), 1, loop.create_future()))
-        gone = log.lines["x"][1]
-        log.discard(gone)
-        log.lines["z"][0].worker.cancel()
-        out = []
-        while log.peek():
-            out.append(log.pop().client)
-        assert log.size == 0 and not log.lines and not log.turn
-        return out
+            queue.put(Waiter(name, "", "", (), 1, loop.create_future()))
+        discarded = queue.waiters_by_client["x"][1]
+        queue.discard(discarded)
+        queue.waiters_by_client["z"][0].worker.cancel()
+        clients = []
+        while queue.peek():
+            clients.append(queue.pop().client)
+        assert queue.size == 0 and not queue.waiters_by_client and not queue.rotation
+        return clients
 
     assert asyncio.run(run()) == ["x", "y", "x", "y", "x", "x"]
--- a/tests/gateway/test_answers.py
+++ b/tests/gateway/test_answers.py
@@ -1,6 +1,6 @@
-"""Properties of answers and callers, over all the ways in which workers and callers can go wrong.
+"""Property tests of responses to clients, with workers and clients that fail in many combinations.
 
-CI plays the same examples each time. A hunt plays fresh ones: `POSTPASS_HUNT=EXAMPLES pytest tests/gateway/test_answers.py`.
+CI runs the same examples each time. This runs new random ones: `POSTPASS_HUNT=EXAMPLES pytest tests/gateway/test_answers.py`.
 """
 
 from __future__ import annotations
@@ -30,23 +30,23 @@
     run_scene,
 )
 
-HUNT = int(os.environ.get("POSTPASS_HUNT", "0"))
+HUNT_EXAMPLES = int(os.environ.get("POSTPASS_HUNT", "0"))
 PATHS = ("/i/x", "/o/x", "/s/x", "/r/x")
 DELAYS = (0.0, 0.002, 0.1, 0.5, 1.4, 2.0)
 
 
 @pytest.fixture(autouse=True, scope="module")
 def quick_collections() -> Iterator[None]:
-    """Each simulated world ends with a collection: what was there before needs no look."""
+    """Keeps earlier objects out of the garbage collection at the end of each simulation, so that it is quick."""
     gc.freeze()
     yield
     gc.unfreeze()
 
 
 def examples(count: int) -> Callable[[Any], Any]:
-    """Fixed examples in CI, as many fresh ones as asked for in a hunt."""
+    """Returns the settings for fixed examples, or for as many new random ones as POSTPASS_HUNT asks for."""
     return settings(
-        max_examples=HUNT or count, derandomize=not HUNT, deadline=None, database=None, print_blob=bool(HUNT),
+        max_examples=HUNT_EXAMPLES or count, derandomize=not HUNT_EXAMPLES, deadline=None, database=None, print_blob=bool(HUNT_EXAMPLES),
         phases=(Phase.generate, Phase.shrink),
         suppress_health_check=list(HealthCheck),
     )  # fmt: skip
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True)
 class Theme:
-    """What scenes are drawn from, so that rare faults meet often."""
+    """The values from which scenes are drawn, limited so that rare faults often occur together."""
 
     kinds: tuple[str, ...] = tuple(KINDS)
     faults: tuple[str, ...] = tuple(FAULTS)
@@ -87,7 +87,7 @@
 
 @st.composite
 def plays(draw: Any, theme: Theme) -> Play:
-    """An answer with a few faults at most, so that one doesn't hide the other."""
+    """A worker's response with at most three faults, so that one doesn't hide the other."""
     faults = draw(st.lists(st.sampled_from(theme.faults), max_size=3, unique=True))
     return Play(
         draw(st.just("success") | st.sampled_from(theme.kinds)),
@@ -129,13 +129,13 @@
 
 
 @pytest.mark.parametrize("theme", THEMES)
-def test_each_caller_gets_its_own_workers_answer_or_none(theme: str) -> None:
+def test_each_client_gets_its_own_workers_response_or_none(theme: str) -> None:
     @examples(80)
     @given(scenes(THEMES[theme]))
-    def holds(scene: Scene) -> None:
+    def check_scene(scene: Scene) -> None:
         assert judge(run_scene(scene)) == []
 
-    holds()
+    check_scene()
 
 
 @pytest.mark.parametrize("path", PATHS)
@@ -143,12 +143,12 @@
     connections = tuple(Connection((Ask(f"c{i}", path),), edge=i % 2) for i in range(24))
     outcome = run_scene(Scene(((), ()), connections, gap=0.02, reused_at=0.2))
     assert judge(outcome) == []
-    strangers = [run for run in outcome.record.runs if run.worker == "other"]
-    assert strangers and not any(run.ran for run in strangers)
-    assert sum(got.startswith(b"HTTP/1.1 200") for _, got in outcome.got) >= 22
+    runs_at_other_service = [run for run in outcome.record.runs if run.worker == "other"]
+    assert runs_at_other_service and not any(run.ran for run in runs_at_other_service)
+    assert sum(response.startswith(b"HTTP/1.1 200") for _, response in outcome.got) >= 22
 
 
-# --- each byte, enumerated
+# --- faults at every byte
 ANSWERS = {
     "once": ("/o/x", Play()),
     "chunked": ("/o/x", Play(framing="chunked")),
@@ -158,41 +158,42 @@
 }
 
 
-def one_by_one(path: str, plays: list[Play]) -> list[str]:
-    """Breaches of scenes with one play each: both workers' first answers, with sound ones after."""
-    out = []
+def violations_of_each(path: str, plays: list[Play]) -> list[str]:
+    """Returns the violations in one scene for each play: both workers give it as their first response, then correct ones."""
+    violations = []
     for play in plays:
         asks = [Connection((Ask(f"c{i}", path),)) for i in range(2)]
-        out += judge(run_scene(Scene(((play,), (play,)), tuple(asks), gap=0.02)))
-    return out
+        violations += judge(run_scene(Scene(((play,), (play,)), tuple(asks), gap=0.02)))
+    return violations
 
 
-def size_of(path: str, play: Play) -> int:
+def response_size(path: str, play: Play) -> int:
     outcome = run_scene(Scene(((play,),), (Connection((Ask("c0", path),)),)))
     return len(outcome.record.runs[0].raw)
 
 
 def end_at(number: int) -> str:
-    """Mostly a reset or an orderly close, which come at once; now and then silence, or bytes that are lost as well."""
+    """Returns how the connection ends: mostly a reset or an orderly close, which are noticed at once; sometimes silence,
+    or a reset that also loses bytes."""
     return CUT_ENDS[number // 4 % 4] if number % 4 == 0 else ("reset", "close")[number % 2]
 
 
 @pytest.mark.parametrize("name", ANSWERS)
 def test_an_answer_that_ends_at_any_byte(name: str) -> None:
     path, play = ANSWERS[name]
-    cuts = [replace(play, cut=i, cut_end=end_at(i)) for i in range(size_of(path, play))]
-    assert one_by_one(path, cuts) == []
+    cuts = [replace(play, cut=i, cut_end=end_at(i)) for i in range(response_size(path, play))]
+    assert violations_of_each(path, cuts) == []
 
 
 @pytest.mark.parametrize("name", ["once", "chunked", "stream"])
 def test_an_answer_that_is_split_at_any_byte(name: str) -> None:
     path, play = ANSWERS[name]
-    assert one_by_one(path, [replace(play, splits=(i,)) for i in range(1, size_of(path, play))]) == []
+    assert violations_of_each(path, [replace(play, splits=(i,)) for i in range(1, response_size(path, play))]) == []
 
 
 def test_a_request_that_is_split_or_ends_at_any_byte() -> None:
     asks = (Ask("c0", "/o/x", chunked=True), Ask("c1", "/s/x"))
     for i in range(1, sum(len(a.data) for a in asks)):
-        broken_off = Connection(asks, cut=i, leaves=(None, 0.0)[i % 2])
-        for connection in (Connection(asks, splits=(i,)), broken_off):
+        truncated = Connection(asks, cut=i, leaves=(None, 0.0)[i % 2])
+        for connection in (Connection(asks, splits=(i,)), truncated):
             assert judge(run_scene(Scene(((),), (connection,)))) == []
--- a/tests/gateway/test_owner_client.py
+++ b/tests/gateway/test_owner_client.py
@@ -1,4 +1,4 @@
-"""The search of an edge for the owners of partitions."""
+"""Tests of postpass.gateway.owner_client: the search of an edge for the owners of partitions."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 
 
 @pytest.mark.parametrize("partition", range(PARTITIONS))
-def test_the_next_owner_is_found_while_the_machine_of_the_last_one_stays_dark(partition: int) -> None:
-    """Nothing that is sent to it is refused: it is lost, and each try ends by its time limit alone."""
+def test_the_next_owner_is_found_while_the_machine_of_the_previous_one_is_unreachable(partition: int) -> None:
+    """Nothing that is sent to that machine is refused: it is lost, so that each attempt ends only by its time limit."""
 
     async def check(fleet: SimFleet, apis: list[JobApi], workers: FakeWorkers) -> None:
         assert fleet.configuration["parts"] == PARTITIONS
         name = next(name for n in range(1000) if partition_of(name := f"l{n}", PARTITIONS) == partition)
         assert (await apis[0].accept("r", ROUTE, name, job_json("a")))[0] == 202
-        lost = fleet.owner(partition)
-        fleet.kill(lost, silent=True)
-        await apis[0].results(name, 0, 0.0)  # nobody promises anything for this one
+        previous_owner = fleet.owner(partition)
+        fleet.kill(previous_owner, silent=True)
+        await apis[0].results(name, 0, 0.0)  # this request may fail; its result is not checked
         await asyncio.sleep(TAKEOVER_S)
-        assert fleet.owner(partition) not in ("", lost)
+        assert fleet.owner(partition) not in ("", previous_owner)
         for api in apis:
-            began = now()
+            started_at = now()
             assert (await api.results(name, 0, 0.0)).is_ok()
-            assert now() - began < fleet.boxes["e1"].daemon.settings.bounds.detect * 2  # type: ignore[union-attr]
+            assert now() - started_at < fleet.boxes["e1"].daemon.settings.bounds.detect * 2  # type: ignore[union-attr]
 
     run_with_fleet(check)
--- a/tests/gateway/test_request_bodies.py
+++ b/tests/gateway/test_request_bodies.py
@@ -9,7 +9,9 @@
 def test_bodies_are_checked_by_field() -> None:
     assert validation_errors(LiveRequestBody, {"class": "ask", "own": "x"}) == []
     assert validation_errors(LiveRequestBody, {"own": "x"}) == ["class: missing, want a string"]
-    assert [f.split(":")[0] for f in validation_errors(JobRequestBody, {"class": "lot", "items": [1], "odd": 2})] == [
+    assert [
+        error.split(":")[0] for error in validation_errors(JobRequestBody, {"class": "lot", "items": [1], "odd": 2})
+    ] == [
         "odd",
         "items[0]",
     ]
--- a/tests/gateway/test_route_table.py
+++ b/tests/gateway/test_route_table.py
@@ -9,6 +9,7 @@
 def test_the_longest_prefix_wins() -> None:
     table = route_table_of(manifest(["w1"]))
     names = [
-        t[0] if (t := table.match(b"SHOP.example:81", p)) else "" for p in (b"/o/x", b"/o/deep/x", b"/o/deep", b"/")
+        entry[0] if (entry := table.match(b"SHOP.example:81", path)) else ""
+        for path in (b"/o/x", b"/o/deep/x", b"/o/deep", b"/")
     ]
     assert names == ["once", "deep", "once", ""]
