--- a/postpass/gateway/admission_control.py
+++ b/postpass/gateway/admission_control.py
@@ -60,7 +60,7 @@
         """The age in seconds from which a worker's report is too old for it to get new requests."""
         return self.settings.bounds.probe * MAX_MISSED_POLLS
 
-    def barred(self, pool: str, worker: str) -> str:
+    def exclusion_reason(self, pool: str, worker: str) -> str:
         """Returns why a worker may get no new requests; empty if it may."""
         return self.worker_load.barred(pool, worker, self.report_max_age)
 
@@ -70,7 +70,9 @@
         request_class = self.configuration["classes"][class_name]
         pool = request_class["pool"]
         workers = self.configuration["pools"][pool]["servers"]
-        slots = sum(self.worker_load.usable_slots(pool, worker) for worker in workers if not self.barred(pool, worker))
+        slots = sum(
+            self.worker_load.usable_slots(pool, worker) for worker in workers if not self.exclusion_reason(pool, worker)
+        )
         edges = max(1, len(self.configuration_view.duty("edge")))
         return max(1, math.ceil(request_class["share"] * slots * OVERCOMMIT / edges))
 
@@ -104,7 +106,7 @@
         fallback_candidates: list[Candidate] = []
         quota = in_use = 0
         for name, server in pool["servers"].items():
-            if self.barred(pool_name, name):
+            if self.exclusion_reason(pool_name, name):
                 continue
             state = self.worker_load.state_of(pool_name, name)
             own_in_flight = state.in_flight.total()
@@ -223,7 +225,9 @@
         request = PlacementRequest(class_name, prompt.shared, size, zone)
         key = affinity_key(self.settings.name, request_class.get("prefix", ""), request)
         workers = [
-            worker for worker in sorted(self.configuration["pools"][pool]["servers"]) if not self.barred(pool, worker)
+            worker
+            for worker in sorted(self.configuration["pools"][pool]["servers"])
+            if not self.exclusion_reason(pool, worker)
         ]
         worker_future: asyncio.Future[str] = asyncio.get_running_loop().create_future()
         waiter = Waiter(client, affinity_worker(key, workers), zone, prompt.shared, size, worker_future)
--- a/postpass/gateway/edge_state.py
+++ b/postpass/gateway/edge_state.py
@@ -66,7 +66,7 @@
             "postpass_first_piece_seconds", "Time to the first piece", ["kind"], registry=registry
         )
         self.jobs_total = Counter("postpass_lots", "Lots handed in, by answer", ["end"], registry=registry)
-        self.unkept_total = Counter(
+        self.unacknowledged_total = Counter(
             "postpass_lots_not_kept", "Lots without an acknowledgement, by partition and cause", ["partition", "cause"],
             registry=registry,
         )  # fmt: skip
@@ -119,9 +119,9 @@
 
         `status` is that of the response that the client just got: that the job is not stored, or that this is unknown.
         """
-        partition = self.to_partition(job_id)
+        partition = self.partition_for(job_id)
         cause = "unknown" if status == OUTCOME_UNKNOWN_STATUS else "refused"
-        self.unkept_total.labels(str(partition), cause).inc()
+        self.unacknowledged_total.labels(str(partition), cause).inc()
         self.unkept_jobs[partition] += 1
         log_events.emit(
             Event.JOB_NOT_KEPT, self.settings.name, id=job_id, part=partition, status=status, step=fault.step, asked=fault.peer,
@@ -138,6 +138,6 @@
             if job.accepted_at > min_accepted_at and partition_of(job.job_id, partition_count) == partition
         ]
 
-    def to_partition(self, name: str) -> int:
+    def partition_for(self, name: str) -> int:
         """Returns the partition that a job's id or a request's key belongs to."""
         return partition_of(name, self.configuration["parts"])
--- a/postpass/gateway/gateway.py
+++ b/postpass/gateway/gateway.py
@@ -20,9 +20,8 @@
     """The state of an edge, and the HTTP routes that it serves. Owned by the process of the data plane."""
 
     fallback: ASGIApp | None = None  # serves requests that no route matches; without it, the proxied routes do
-    extra_routes: list[BaseRoute] = field(
-        default_factory=list
-    )  # matched after the built-in routes and before the fallback
+    # Matched after the built-in routes and before the fallback.
+    extra_routes: list[BaseRoute] = field(default_factory=list)
 
     def routes(self) -> list[BaseRoute]:
         """Returns all HTTP routes of this edge, in matching order: the first that matches serves a request."""
--- a/postpass/gateway/job_routes.py
+++ b/postpass/gateway/job_routes.py
@@ -71,7 +71,7 @@
         client_chose_id = "id" in body
         job = self._build_job(body, client_name_of(request))
         deadline = now() + edge.settings.bounds.recover
-        partition = edge.to_partition(job["id"])
+        partition = edge.partition_for(job["id"])
         result = await edge.owners.ask(partition, "submit", {"lot": job, "again": client_chose_id}, deadline)
         if isinstance(result, Ok):
             edge.jobs_total.labels("kept").inc()
@@ -163,7 +163,7 @@
             return fault_response(Fault("read path", edge.settings.name, f"id: {IDENTIFIER_RULE}"), 400)
         body = body | {"id": job_id, "caller": client_name_of(request)}
         deadline = now() + edge.settings.bounds.recover
-        result = await edge.owners.ask(edge.to_partition(job_id), verb, body, deadline)
+        result = await edge.owners.ask(edge.partition_for(job_id), verb, body, deadline)
         if isinstance(result, Ok):
             return JSONResponse(result.unwrap())
         fault = result.unwrap_err()
--- a/postpass/gateway/live_requests.py
+++ b/postpass/gateway/live_requests.py
@@ -240,7 +240,7 @@
         model = worker_state.report.weights if worker_state.report else ""
         async with asyncio.timeout(request.deadline - now()):
             async for text in complete(
-                edge.session, server["url"], model, request.prompt, lambda: edge.admission.barred(pool, worker),
+                edge.session, server["url"], model, request.prompt, lambda: edge.admission.exclusion_reason(pool, worker),
                 request.mark_sent, max(MIN_PIECE_TIMEOUT, request.deadline - now()), edge.configuration_view.limit("pieces"),
                 edge.configuration["pools"][pool].get("offsets", True),
             ):  # fmt: skip
--- a/postpass/gateway/proxied_routes.py
+++ b/postpass/gateway/proxied_routes.py
@@ -169,7 +169,7 @@
         try:
             # If this process was frozen, the worker may have been acquired long ago: check right before the request is
             # sent whether it may still get new requests.
-            exclusion_reason = edge.admission.barred(pool, worker)
+            exclusion_reason = edge.admission.exclusion_reason(pool, worker)
             if exclusion_reason:
                 request.last_fault = Fault("pass", worker, exclusion_reason, REJECTED, unsent=True)
                 return Outcome.RETRY
