--- a/postpass/routing/__init__.py
+++ b/postpass/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which worker gets which request or item: pure functions over frozen values, used by edges and schedulers alike."""
+"""Choosing workers for live requests and items of jobs: pure functions of frozen values, used by edges and schedulers."""
--- a/postpass/routing/fair_share.py
+++ b/postpass/routing/fair_share.py
@@ -1,10 +1,10 @@
-"""In which order items of jobs are served where several clients hand in more than can be done in time.
+"""The order in which items of jobs are served when several clients submit more than can be done in time.
 
-By due time alone, one client's crowd of items makes those of all clients late. While everything that waits can be done in
-time, the order is that of `serving_order`. Where it can't, items are put behind until the rest can: each time one of the
-client that has the most tokens among the rest. Clients that lose nothing this way are served first, nearest due first, the
-others by turns. So a client that asks for no more than its equal share loses nothing to one that asks for more, and what it
-leaves goes to the others.
+By due time alone, one client's burst of items would make those of all clients late. While everything that waits can be
+done in time, the order is that of `serving_order`. Otherwise items are postponed until the rest can be done in time: each
+time, the item is one of the client that has the most tokens among the rest. Clients that have nothing postponed are served
+first, by due time; the others take turns. So a client that asks for no more than its equal share loses nothing to one that
+asks for more, and the capacity that it doesn't use goes to the others.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 
 
 class Demand(NamedTuple):
-    """What an entry of a queue asks for; it is an item, or all waiting items of a job.
+    """What an entry of a queue asks for. An entry is an item, or all waiting items of a job.
 
-    `due` is in seconds of the clock that all entries go by.
+    `due` is the time by which the entry should be done, in seconds of a clock that all entries share.
     """
 
     due: float
@@ -36,72 +36,79 @@
 
 @dataclass(eq=False)
 class SharedQueue:
-    """What is to be done in time, by number in the order of adding, and how much of it each client asks for.
+    """The entries that are to be done in time, by their numbers in the order of adding, with the totals of each client.
 
-    Invariant: `heap` holds for each client that has entries its tokens and its last entry as they are now; what else is
-    there is older, and passed over.
+    Invariant: for each client that has entries, `heap` contains an element with its present number of tokens and its last
+    entry. All other elements are out of date and are skipped when they are popped.
     """
 
     demands: dict[int, Demand] = field(default_factory=dict)  # by number
-    of_client: defaultdict[str, list[int]] = field(default_factory=lambda: defaultdict(list))
+    numbers_by_client: defaultdict[str, list[int]] = field(default_factory=lambda: defaultdict(list))
     tokens: defaultdict[str, int] = field(default_factory=lambda: defaultdict(int))  # by client
     items: int = 0
     heap: list[tuple[int, int, str]] = field(default_factory=list)  # (-tokens, -number of the last entry, client)
 
     def add(self, number: int, demand: Demand) -> None:
-        """Takes an entry; its number is higher than those before."""
+        """Adds an entry; its number must be higher than those of all entries added before."""
         self.demands[number] = demand
-        self.of_client[demand.client].append(number)
-        self._count(demand.client, demand.items, demand.tokens)
+        self.numbers_by_client[demand.client].append(number)
+        self._update_totals(demand.client, demand.items, demand.tokens)
 
     def drop_from_largest(self) -> int:
-        """Gives up the last entry of the client that has the most tokens; of several, the one added last. Its number."""
+        """Removes the last entry of the client that has the most tokens, and returns the entry's number.
+
+        If several clients have equally many tokens, the one whose last entry was added last is taken.
+        """
         while True:
-            tokens, last, client = heapq.heappop(self.heap)
-            own = self.of_client[client]
-            if own and (-tokens, -last) == (self.tokens[client], own[-1]):
+            tokens, last_number, client = heapq.heappop(self.heap)
+            client_numbers = self.numbers_by_client[client]
+            if client_numbers and (-tokens, -last_number) == (self.tokens[client], client_numbers[-1]):
                 break
-        number = own.pop()
+        number = client_numbers.pop()
         demand = self.demands.pop(number)
-        self._count(client, -demand.items, -demand.tokens)
+        self._update_totals(client, -demand.items, -demand.tokens)
         return number
 
-    def _count(self, client: str, items: int, tokens: int) -> None:
+    def _update_totals(self, client: str, items: int, tokens: int) -> None:
         self.items += items
         self.tokens[client] += tokens
-        if self.of_client[client]:
-            heapq.heappush(self.heap, (-self.tokens[client], -self.of_client[client][-1], client))
+        if self.numbers_by_client[client]:
+            heapq.heappush(self.heap, (-self.tokens[client], -self.numbers_by_client[client][-1], client))
 
 
 def within_shares(demands: Sequence[Demand], earliest: float, rate: float) -> tuple[list[int], list[int]]:
-    """Which of some entries, sorted by their due times, can be done in time one after the other, and which are put behind.
+    """Splits entries, sorted by their due times, into those that can be done in time in this order and those to postpone.
 
-    `earliest`: the first due time that can be met by an item which starts now; `rate`: how many items start in a second,
-    0 if that is not known. Nothing is put behind for a single client.
+    Returns the positions of both. `earliest` is the earliest due time that an item which starts now can still meet; `rate`
+    is the number of items that start in a second, 0 if it is not known. Nothing is postponed if the rate is unknown or if
+    there is only a single client.
     """
     if rate <= 0 or has_single_client(demands):
         return list(range(len(demands))), []
-    queue, behind = SharedQueue(), set[int]()
+    queue, postponed = SharedQueue(), set[int]()
     for number, demand in enumerate(demands):
         queue.add(number, demand)
         while queue.demands and earliest + (queue.items - 1) / rate > demand.due:
-            behind.add(queue.drop_from_largest())
-    return list(queue.demands), sorted(behind)
+            postponed.add(queue.drop_from_largest())
+    return list(queue.demands), sorted(postponed)
 
 
 def has_single_client(demands: Sequence[Demand]) -> bool:
-    """Is there no client, or one alone?"""
+    """Returns whether all entries are of one client; this is also true if there are no entries."""
     return all(demand.client == demands[0].client for demand in demands)
 
 
 def in_turns(numbers: Sequence[int], demands: Sequence[Demand]) -> list[int]:
-    """Some of the entries in an order in which clients take turns by tokens; each client's own keep their order."""
-    begun: defaultdict[str, int] = defaultdict(int)  # by client: tokens of the entries before
+    """Orders the entries at the positions `numbers` so that clients take turns, measured in tokens.
+
+    Entries of the same client keep their order.
+    """
+    tokens_before: defaultdict[str, int] = defaultdict(int)  # by client: tokens of its entries that come earlier
     ranks = []
     for number in numbers:
         client = demands[number].client
-        ranks.append((begun[client], number))
-        begun[client] += demands[number].tokens
+        ranks.append((tokens_before[client], number))
+        tokens_before[client] += demands[number].tokens
     return [number for _, number in sorted(ranks)]
 
 
@@ -112,9 +119,9 @@
     rate: float,
     options: RoutingOptions = DEFAULT_OPTIONS,
 ) -> list[Entry]:
-    """Entries that are sorted by their due times, in the order in which they are to be served.
+    """Returns entries, given sorted by their due times, in the order in which they are to be served.
 
-    `earliest` and `rate` as for `within_shares`. Entries of a single client are served in `serving_order`.
+    `earliest` and `rate` are those of `within_shares`. Entries of a single client are served in `serving_order`.
     """
     demands = [demand(entry) for entry in entries]
     numbers = range(len(entries))
@@ -126,14 +133,18 @@
 
 
 def order_by_shares(demands: Sequence[Demand], earliest: float, rate: float) -> list[int]:
-    """The entries of several clients in the order in which they are to be served."""
-    first_in_time = bisect_left(demands, earliest, key=lambda demand: demand.due)
-    kept, behind = within_shares(demands[first_in_time:], earliest, rate)
-    kept, behind = ([number + first_in_time for number in some] for some in (kept, behind))
-    above = {demands[number].client for number in behind}
-    # Who asks for no more than its share is served at once: waiting for the due time would leave the last moments before
-    # it to be shared with those who had all the time until then.
-    first = [number for number in kept if demands[number].client not in above]
-    then = [number for number in kept if demands[number].client in above]
-    in_time = first + in_turns(then, demands) + in_turns(behind, demands)
-    return interleaved(in_time, in_turns(range(first_in_time), demands))
+    """Returns the positions of the entries of several clients in the order in which they are to be served.
+
+    The entries are sorted by their due times; `earliest` and `rate` are those of `within_shares`. Entries that can't be done
+    in time any more are interleaved with the others (`interleaved`).
+    """
+    first_timely = bisect_left(demands, earliest, key=lambda demand: demand.due)
+    timely, postponed = within_shares(demands[first_timely:], earliest, rate)
+    timely, postponed = ([number + first_timely for number in group] for group in (timely, postponed))
+    clients_over_share = {demands[number].client for number in postponed}
+    # Clients that ask for no more than their share are served at once: if their entries waited until just before the due
+    # time, they would have to share those last moments with clients that had all the time until then.
+    within_share = [number for number in timely if demands[number].client not in clients_over_share]
+    over_share = [number for number in timely if demands[number].client in clients_over_share]
+    in_time = within_share + in_turns(over_share, demands) + in_turns(postponed, demands)
+    return interleaved(in_time, in_turns(range(first_timely), demands))
--- a/postpass/routing/item_order.py
+++ b/postpass/routing/item_order.py
@@ -1,7 +1,8 @@
-"""In which order items of jobs are served: nearest due first, and behind them those that can't be done in time any more.
+"""The order in which items of jobs are served: earliest due time first, then those that can't be done in time any more.
 
-By due time alone, a queue that is longer than the time to the due time makes everything late: each item is started when its
-time is just over, and the next one waits behind it. What is late anyway loses nothing more by waiting a little longer.
+By due time alone, everything becomes late as soon as the queue is longer than the time until the items are due: each item
+is started when its due time has just passed, while the next one waits and becomes late too. An item that is late anyway
+loses nothing more by waiting a little longer.
 """
 
 from __future__ import annotations
@@ -12,23 +13,23 @@
 
 from postpass.routing.options import DEFAULT_OPTIONS, RoutingOptions
 
-OVERDUE_EVERY = 10  # one in so many is overdue while others wait, so that none waits for ever
-RUN_WEIGHT = 1 / 16  # of the newest run in the time that one usually takes
+OVERDUE_EVERY = 10  # one in so many served items is an overdue one while others wait, so that none waits forever
+RUN_WEIGHT = 1 / 16  # weight of the newest run in the moving average of run times
 
 Entry = TypeVar("Entry")
 
 
 def usual_seconds(so_far: float, newest: float) -> float:
-    """How long items usually take, with one more seen; `so_far` is 0 before the first."""
+    """Returns the moving average of the seconds that items take, updated by the newest; `so_far` is 0 before the first."""
     return newest if so_far <= 0 else so_far + (newest - so_far) * RUN_WEIGHT
 
 
 def serving_order(
     items: Iterable[Entry], due: Callable[[Entry], float], earliest: float, options: RoutingOptions = DEFAULT_OPTIONS
 ) -> list[Entry]:
-    """Items that are sorted by their due times, in the order in which they are to be served.
+    """Returns items, given sorted by their due times, in the order in which they are to be served.
 
-    `earliest`: the first due time, by the clock of `due`, that can be met by an item which starts now.
+    `earliest` is the earliest due time, by the clock of `due`, that an item which starts now can still meet.
     """
     ordered = list(items)
     if not options.overdue_last:
@@ -38,11 +39,14 @@
 
 
 def interleaved(in_time: Sequence[Entry], overdue: Sequence[Entry]) -> list[Entry]:
-    """Those that can be done in time, with one in `OVERDUE_EVERY` that can't while there are some, and the rest of these."""
+    """Returns the entries that can be done in time, with overdue ones in between, and then the remaining overdue ones.
+
+    While there are both, one in `OVERDUE_EVERY` entries is an overdue one.
+    """
     served: list[Entry] = []
-    late = deque(overdue)
+    remaining_overdue = deque(overdue)
     for item in in_time:
         served.append(item)
-        if late and len(served) % OVERDUE_EVERY == OVERDUE_EVERY - 1:
-            served.append(late.popleft())
-    return served + list(late)
+        if remaining_overdue and len(served) % OVERDUE_EVERY == OVERDUE_EVERY - 1:
+            served.append(remaining_overdue.popleft())
+    return served + list(remaining_overdue)
--- a/postpass/routing/load_picture.py
+++ b/postpass/routing/load_picture.py
@@ -1,7 +1,7 @@
-"""The shared picture of load: what all edges and the scheduler have at each worker, and who gathers it.
+"""The shared picture of load: what all edges and the scheduler have at each worker, and the edges that collect it.
 
-An edge's own counts say little where there are more edges than slots of a worker. So every edge tells its own to a hub,
-an edge of its zone, and is told the sum in turn; the hubs tell each other what their members have.
+An edge's own counts say little where there are more edges than slots of a worker. So every edge reports its own counts to
+a hub, which is an edge of its zone, and gets the sum in the response; the hubs exchange the sums of their members.
 """
 
 from __future__ import annotations
@@ -14,14 +14,18 @@
 from postpass.routing.prefixes import rendezvous
 
 MEMBERS_PER_HUB = 16  # edges that one hub serves
-HUB_MESSAGES = 150  # a second that a hub takes; above that, all exchange less often
-FEW_EDGES_INTERVALS = 2  # times the usual interval, where one hub serves all
-ALL_ZONES = ""  # the group of edges of all zones
+# Messages a second that a hub should get at most; where there would be more, all exchange less often.
+HUB_MESSAGES = 150
+FEW_EDGES_INTERVALS = 2  # times the usual interval between exchanges where a single hub serves all edges
+ALL_ZONES = ""  # name of the group that consists of the edges of all zones
 
 
 class WorkerUse(NamedTuple):
-    """What there is at one worker: live requests, items of jobs, and prompt tokens that were not answered yet; and how many
-    edges it failed or answered when they last tried it, of those that did lately."""
+    """The load of one worker, and how it responded to the edges that used it lately.
+
+    `live` and `items` count live requests and items of jobs; `unread` counts prompt tokens for which no response has begun
+    yet. `failed` and `answered` count the edges that used the worker lately, by whether their last attempt failed.
+    """
 
     live: int = 0
     items: int = 0
@@ -30,36 +34,39 @@
     answered: int = 0
 
     def plus(self, other: WorkerUse) -> WorkerUse:
-        """Both together."""
-        # Written out: a hub adds up hundreds of these with each report.
+        """Returns the sum of both."""
+        # Spelled out field by field for speed: a hub adds up hundreds of these with each report.
         return WorkerUse(
             self.live + other.live, self.items + other.items, self.unread + other.unread, self.failed + other.failed,
             self.answered + other.answered,
         )  # fmt: skip
 
     def minus(self, other: WorkerUse) -> WorkerUse:
-        """Without what the other one has; never below none."""
-        return WorkerUse(*(max(0, mine - theirs) for mine, theirs in zip(self, other, strict=True)))
+        """Returns the difference, with no field below 0."""
+        return WorkerUse(*(max(0, own_count - other_count) for own_count, other_count in zip(self, other, strict=True)))
 
     @property
     def requests(self) -> int:
-        """Live requests and items."""
+        """The number of live requests and items."""
         return self.live + self.items
 
     @property
     def fails_most(self) -> bool:
-        """Did it fail more edges than it answered? One that single edges can't reach serves the others still."""
+        """Whether the worker failed for more edges than it answered.
+
+        A worker that only a few edges can't reach still serves the others.
+        """
         return self.failed > self.answered
 
 
 IDLE = WorkerUse()
-MOST_REPORTED = 0.5  # of all workers that may be left alone because of what others tell
-LoadReport = Mapping[str, WorkerUse]  # by worker; one that is not named has nothing
+MOST_REPORTED = 0.5  # largest fraction of all workers that may be avoided because of reports of others
+LoadReport = Mapping[str, WorkerUse]  # by worker; a worker without an entry is idle
 
 
 @dataclass(frozen=True, slots=True)
 class TimedReport:
-    """A report with the moment at which it came, in seconds of the loop's clock."""
+    """A report with the time `at` which it arrived, in seconds of the event loop's clock."""
 
     at: float
     use: LoadReport
@@ -67,45 +74,48 @@
 
 @dataclass(eq=False)
 class ReportTable:
-    """The newest report of each sender. Invariant: `total` is their sum, without workers that have nothing.
+    """The newest report of each sender. Invariant: `total` is their sum, without idle workers.
 
-    It is kept as reports come, since a hub gets more than a hundred a second and tells the sum with each.
+    The sum is updated with each report, since a hub gets more than a hundred of them a second and returns the sum each time.
     """
 
     reports: dict[str, TimedReport] = field(default_factory=dict)
     total: dict[str, WorkerUse] = field(default_factory=dict)
 
     def replace(self, sender: str, report: TimedReport) -> None:
-        """Takes a sender's report in place of its last one."""
-        self._take_off(sender)
+        """Replaces a sender's previous report by a new one."""
+        self._remove_report(sender)
         report = TimedReport(report.at, {worker: use for worker, use in report.use.items() if use != IDLE})
         self.reports[sender] = report
         for worker, use in report.use.items():
             self.total[worker] = self.total.get(worker, IDLE).plus(use)
 
     def forget_before(self, oldest: float) -> None:
-        """Forgets the reports that came before this loop time."""
+        """Removes the reports that arrived before the time `oldest`, in seconds of the event loop's clock."""
         for sender in [name for name, report in self.reports.items() if report.at < oldest]:
-            self._take_off(sender)
+            self._remove_report(sender)
 
-    def _take_off(self, sender: str) -> None:
-        known = self.reports.pop(sender, None)
-        for worker, use in known.use.items() if known else ():
-            left = self.total[worker].minus(use)
-            if left == IDLE:
+    def _remove_report(self, sender: str) -> None:
+        previous = self.reports.pop(sender, None)
+        for worker, use in previous.use.items() if previous else ():
+            remaining = self.total[worker].minus(use)
+            if remaining == IDLE:
                 del self.total[worker]
             else:
-                self.total[worker] = left
+                self.total[worker] = remaining
 
 
-def believed(reported: int, workers: int) -> bool:
-    """Are so many workers that fail the others to be left alone? More than a part of all hardly fail at once: whoever is cut
-    off from them reports each one."""
+def are_failures_credible(reported: int, workers: int) -> bool:
+    """Returns whether reports that so many of all workers fail are to be believed, so that these workers are avoided.
+
+    It is unlikely that more than `MOST_REPORTED` of all workers fail at once; it is likelier that those who report it are
+    cut off from the network themselves, since an edge that is cut off reports every worker.
+    """
     return 0 < reported <= workers * MOST_REPORTED
 
 
 def summed(reports: Iterable[LoadReport]) -> dict[str, WorkerUse]:
-    """All reports together."""
+    """Returns the sum of all reports."""
     total: dict[str, WorkerUse] = {}
     for report in reports:
         for worker, use in report.items():
@@ -114,49 +124,62 @@
 
 
 def without(report: LoadReport, own: LoadReport) -> dict[str, WorkerUse]:
-    """A sum without what one of its parts has."""
+    """Returns a sum of reports minus `own`, which is one of them."""
     return {worker: use.minus(own.get(worker, IDLE)) for worker, use in report.items()}
 
 
 def report_as_json(report: LoadReport) -> dict[str, list[int]]:
-    """A report as daemons send it to each other; idle workers are left out."""
+    """Returns a report as the JSON that daemons send to each other; idle workers are left out."""
     return {worker: list(use) for worker, use in report.items() if use != IDLE}
 
 
 def report_from_json(raw: Mapping[str, Any]) -> dict[str, WorkerUse]:
-    """Reads what `report_as_json` wrote. Raises TypeError or ValueError for anything else."""
+    """Parses a report from the JSON of `report_as_json`. Raises TypeError or ValueError for anything else."""
     return {worker: WorkerUse(*(int(number) for number in row)) for worker, row in raw.items()}
 
 
 def hubs(edges_by_zone: Mapping[str, Sequence[str]]) -> list[str]:
-    """The edges that gather the load, the same for all who know these edges: one for so many edges of a zone, or a single
-    one where there are no more in all zones together."""
+    """Returns the edges that collect the load reports; every process that knows the same edges gets the same result.
+
+    There is one hub for each `MEMBERS_PER_HUB` edges of a zone, or a single hub if all zones together have no more edges
+    than that.
+    """
     return [
-        hub for group, edges in _groups(edges_by_zone).items() for hub in _order(group, edges)[: _hubs_wanted(edges)]
+        hub
+        for group, edges in _groups(edges_by_zone).items()
+        for hub in _hub_preference(group, edges)[: _hub_count(edges)]
     ]
 
 
 def hub_order(name: str, zone: str, edges_by_zone: Mapping[str, Sequence[str]]) -> list[str]:
-    """Whom a daemon tells its counts, the first choice first: the hubs of its zone, then other edges there that would
-    take their place, then the hubs elsewhere."""
+    """Returns the edges to which a daemon may report its counts, the preferred one first.
+
+    First come the hubs of the daemon's zone, then the other edges of the zone, which replace hubs that are lost, then the
+    hubs of other zones.
+    """
     groups = _groups(edges_by_zone)
     own_group = ALL_ZONES if ALL_ZONES in groups else zone
-    ranked = _order(own_group, list(groups.get(own_group, ())))
-    wanted = _hubs_wanted(ranked)
-    first = rendezvous(name.encode(), ranked[:wanted], wanted)
+    ranked = _hub_preference(own_group, list(groups.get(own_group, ())))
+    own_hub_count = _hub_count(ranked)
+    own_hubs = rendezvous(name.encode(), ranked[:own_hub_count], own_hub_count)
     elsewhere = {other: edges for other, edges in groups.items() if other != own_group}
-    others = hubs(elsewhere) if len(groups) > 1 else []
-    # Should all hubs be lost, a daemon in a zone without edges still finds those that took their place.
-    next_ones = [edge for other, edges in elsewhere.items() for edge in _order(other, edges)[_hubs_wanted(edges) :][:1]]
+    other_hubs = hubs(elsewhere) if len(groups) > 1 else []
+    # If all hubs are lost, a daemon in a zone without edges still finds the edges that have replaced them.
+    replacements = [
+        edge for other, edges in elsewhere.items() for edge in _hub_preference(other, edges)[_hub_count(edges) :][:1]
+    ]
     return [
-        *first, *ranked[wanted:], *rendezvous(name.encode(), others, len(others)),
-        *rendezvous(name.encode(), next_ones, len(next_ones)),
+        *own_hubs, *ranked[own_hub_count:], *rendezvous(name.encode(), other_hubs, len(other_hubs)),
+        *rendezvous(name.encode(), replacements, len(replacements)),
     ]  # fmt: skip
 
 
 def exchange_interval(base: float, edges_by_zone: Mapping[str, Sequence[str]]) -> float:
-    """Seconds between two exchanges: `base`, or more where a hub would have too much to do, or where edges are so few that
-    each sees a good part of the load itself."""
+    """Returns the seconds between two exchanges of load reports.
+
+    They are `base`, or more if a hub would get too many messages, or if there are so few edges that each one sees a good part
+    of the load itself.
+    """
     groups = _groups(edges_by_zone)
     if ALL_ZONES in groups:
         return base * FEW_EDGES_INTERVALS
@@ -166,14 +189,14 @@
 
 
 def _groups(edges_by_zone: Mapping[str, Sequence[str]]) -> Mapping[str, Sequence[str]]:
-    """The edges that are gathered together: those of a zone, or all if they are few."""
-    every = [edge for edges in edges_by_zone.values() for edge in edges]
-    return {ALL_ZONES: sorted(every)} if 0 < len(every) <= MEMBERS_PER_HUB else edges_by_zone
+    """Returns the groups of edges that share hubs: one group for each zone, or a single one if there are few edges."""
+    all_edges = [edge for edges in edges_by_zone.values() for edge in edges]
+    return {ALL_ZONES: sorted(all_edges)} if 0 < len(all_edges) <= MEMBERS_PER_HUB else edges_by_zone
 
 
-def _order(group: str, edges: Sequence[str]) -> list[str]:
+def _hub_preference(group: str, edges: Sequence[str]) -> list[str]:
     return rendezvous(b"load hub/" + group.encode(), edges, len(edges))
 
 
-def _hubs_wanted(edges: Sequence[str]) -> int:
+def _hub_count(edges: Sequence[str]) -> int:
     return math.ceil(len(edges) / MEMBERS_PER_HUB)
--- a/postpass/routing/options.py
+++ b/postpass/routing/options.py
@@ -1,4 +1,4 @@
-"""Every mechanism that decides where work goes, with a switch each, so that what it is worth can be measured."""
+"""A switch for each mechanism that decides where requests and items go, so that its benefit can be measured."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingOptions:
-    """The defaults are what the product does; one that differs is for the emulator's comparisons and the tests.
-
-    :ivar prefix_homes: how many workers requests with the same long prefix go to; 0: they have none.
-    :ivar home_patience: a home may have more prompt tokens to read than the least busy worker, up to so many times those of
-        the prefix.
-    :ivar home_overflow: a home may be used beyond its slots by this part of them.
-    :ivar shared_load: what the other edges and the scheduler have at a worker counts as load.
-    :ivar unread_tokens: among workers with free slots, the one with the fewest prompt tokens to read is taken.
-    :ivar crowded: the part of its slots up to which a worker's free slots are no reason to prefer another one.
-    :ivar sampled: how many workers at random are compared.
-    :ivar health: workers that failed or were full lately are left alone.
-    :ivar shared_health: workers that failed most of the others that tried them lately are left alone.
-    :ivar lag: among equals, the worker that answered faster lately is taken.
-    :ivar spread_items: items go to the workers with the most room, instead of filling one after the other.
-    :ivar overdue_last: items that can't be done in time any more wait behind those that can.
-    :ivar fair_items: where not all items can be done in time, those of the client that asks for the most wait.
-    :ivar live_reserve: the part of all slots that items leave free.
+    """Options of routing. Production uses the defaults; other values are for the emulator's comparisons and for tests.
+
+    :ivar prefix_homes: number of workers (homes) that requests with the same long prefix prefer; 0 if prefixes have none.
+    :ivar home_patience: how many more prompt tokens a home may have to process than the least busy worker, as a multiple of
+        the tokens of the prefix.
+    :ivar home_overflow: how far a home may be used beyond its slots, as a fraction of them.
+    :ivar shared_load: whether the requests of other edges and of the scheduler at a worker count as its load.
+    :ivar unread_tokens: whether, among workers with free slots, the one with the fewest prompt tokens to process is chosen.
+    :ivar crowded: fraction of a worker's slots up to which the number of used slots makes no difference to the choice.
+    :ivar sampled: number of workers that are sampled at random and compared.
+    :ivar health: whether workers that failed or were full lately are avoided.
+    :ivar shared_health: whether workers are avoided that lately failed for most of the other edges that used them.
+    :ivar lag: whether, among equally loaded workers, the one that responded faster lately is chosen.
+    :ivar spread_items: whether items go to the workers with the most free slots, instead of filling one worker after another.
+    :ivar overdue_last: whether items that can't be done in time any more wait until those that can have been served.
+    :ivar fair_items: whether, if not all items can be done in time, those of the client that asks for the most wait.
+    :ivar live_reserve: fraction of all slots that items leave free for live requests.
     """
 
     prefix_homes: int = 2
--- a/postpass/routing/prefixes.py
+++ b/postpass/routing/prefixes.py
@@ -1,4 +1,4 @@
-"""Shared parts at the start of prompts, and the workers that requests with the same ones tend to."""
+"""Shared prefixes of prompts, and the workers that requests with the same prefix prefer."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prefix:
-    """The shared parts at the start of a prompt. `tokens`: how many they have together; 0 if there are none."""
+    """The shared parts at the start of a prompt. `tokens` is the number of their tokens; 0 if there are no shared parts."""
 
     key: bytes
     tokens: int
@@ -19,7 +19,10 @@
 
 
 def prefix_of(parts: bytes) -> Prefix:
-    """The prefix of a header "ID:TOKENS,ID:TOKENS": all parts but the last, which is the request's own."""
+    """Parses the prefix from a header "ID:TOKENS,ID:TOKENS".
+
+    All parts but the last are shared; the last one is the request's own. A part without a valid count has 0 tokens.
+    """
     shared = parts.split(b",")[:-1]
     if not shared:
         return NO_PREFIX
@@ -31,7 +34,10 @@
 
 
 def rendezvous(key: bytes, names: Sequence[str], most: int) -> list[str]:
-    """The first names of an order that depends on the key alone: a name more or less moves few keys."""
+    """Returns the first `most` names in their order for this key, by rendezvous hashing.
+
+    The order depends only on the key and the names, so that adding or removing a name moves few keys to other names.
+    """
 
     def weight(name: str) -> bytes:
         return hashlib.blake2b(key + b"\0" + name.encode(), digest_size=8).digest()
--- a/postpass/tenants/edge_shares.py
+++ b/postpass/tenants/edge_shares.py
@@ -1,4 +1,4 @@
-"""The limits of tenants at one edge: shares that the homes lease to it, from which it lets requests run by itself."""
+"""The limits of tenants at one edge: it admits requests from shares of the limits that the tenants' homes lease to it."""
 
 from __future__ import annotations
 
@@ -19,15 +19,16 @@
 from postpass.runtime.ordered_set import OrderedSet
 from postpass.tenants.edge_share import EdgeShare
 from postpass.tenants.home_client import HomeClient
-from postpass.tenants.limits import NOTHING, RateBurst, ShareTimers, quota_slack, tenant_limit
+from postpass.tenants.limits import ZERO_LIMIT, RateBurst, ShareTimers, quota_slack, tenant_limit
 from postpass.tenants.messages import SHARE, HoldingsRequest, ShareRequest, SharesRequest, SharesResponse
 
-ENOUGH = 0.99  # of the wanted tokens; messages round
-UNUSED_LEASES = 12  # after so many lease times without a request a share is forgotten
+# A grant of this fraction of the wanted tokens is complete, since numbers in messages are rounded.
+COMPLETE_GRANT = 0.99
+UNUSED_LEASES = 12  # a share is removed after so many lease times without a request
 
 
 def home_partition(tenant: str, partitions: int) -> int:
-    """The partition whose owner is the home of a tenant."""
+    """Returns the number of the partition whose owner is the home of a tenant."""
     return partition_of(f"tenant:{tenant}", partitions)
 
 
@@ -35,15 +36,17 @@
 class EdgeShares:
     """Implements `RateLimit` for one process.
 
-    Invariants: of the questions about a tenant one is under way at the most; no grant is taken that was made under an
-    earlier epoch than one that this process has heard of.
+    Invariants: there is at most one pending share request for a tenant; no grant is accepted that was made under an earlier
+    epoch than the latest one that this process knows.
 
     Attributes:
-        incarnation: tells the processes of a machine apart.
-        shares: by tenant.
-        asking: the question that is under way, by tenant.
-        waiting: requests that wait for a token, by tenant.
-        epochs: the latest epoch heard of, by partition.
+        incarnation: distinguishes the processes that run one after the other on a machine.
+        shares: the shares of this edge, by tenant.
+        pending_requests: the task of the pending share request, by tenant.
+        waiting: number of requests that wait for a token, by tenant.
+        epochs: the latest known epoch, by partition.
+        tasks: all tasks of pending share requests.
+        last_number: the number of the last share request of this process.
     """
 
     settings: Settings
@@ -52,11 +55,11 @@
     registry: CollectorRegistry
     incarnation: str
     shares: dict[str, EdgeShare] = field(default_factory=dict)
-    asking: dict[str, asyncio.Task[None]] = field(default_factory=dict)
+    pending_requests: dict[str, asyncio.Task[None]] = field(default_factory=dict)
     waiting: defaultdict[str, int] = field(default_factory=lambda: defaultdict(int))
     epochs: dict[int, int] = field(default_factory=dict)
     tasks: OrderedSet[asyncio.Task[None]] = field(default_factory=OrderedSet)
-    last_number: int = 0  # of questions of this process
+    last_number: int = 0
 
     def __post_init__(self) -> None:
         self.timers = ShareTimers.of(self.settings.bounds)
@@ -66,7 +69,7 @@
             "postpass_tenant_requests", "Requests of tenants by what became of them at the limit", ["decision"],
             registry=self.registry,
         )  # fmt: skip
-        self.questions = Counter(
+        self.request_outcomes = Counter(
             "postpass_share_questions", "Questions to homes of tenants, by their end", ["end"], registry=self.registry
         )
         Gauge("postpass_shares", "Tenants of which this edge has a share", registry=self.registry).set_function(
@@ -74,173 +77,186 @@
         )
 
     def limit(self, tenant: str) -> RateBurst | None:
-        """What may be handed out for a tenant over all edges together; None if it has no limit."""
+        """Returns what may be handed out for a tenant over all edges together; None if it has no limit."""
         configuration = self.configuration_view.manifest
         if configuration is None:
-            return NOTHING
+            return ZERO_LIMIT
         return tenant_limit(configuration.get("tenants", {}).get(tenant), self.slack)
 
     # --- requests
     async def admit(self, tenant: str) -> float:
-        """0.0 if a request of the tenant may run now; else the seconds after which to come again."""
-        limit = self.limit(tenant) if tenant else None  # nobody in particular has none
+        """Returns 0.0 if a request of the tenant may run now; else the seconds after which the client should retry."""
+        limit = self.limit(tenant) if tenant else None  # requests without a tenant have no limit
         if limit is None:
             return 0.0
-        if limit == NOTHING:
+        if limit == ZERO_LIMIT:
             return self.timers.renew
         share = self.shares.get(tenant)
         if share is None:
             share = self.shares[tenant] = EdgeShare(self.timers.smoothing)
         share.note_arrival(now())
-        if share.take(limit, now()):
+        if share.take_token(limit, now()):
             self.decisions.labels("at_once").inc()
             return 0.0
         self.waiting[tenant] += 1
         try:
-            taken = await self._wait_for_token(tenant, share)
+            admitted = await self._wait_for_token(tenant, share)
         finally:
             self.waiting[tenant] -= 1
-        self.decisions.labels("after_waiting" if taken else "refused").inc()
-        return 0.0 if taken else self._come_again(share, limit)
+        self.decisions.labels("after_waiting" if admitted else "refused").inc()
+        return 0.0 if admitted else self._retry_after(share, limit)
 
     async def _wait_for_token(self, tenant: str, share: EdgeShare) -> bool:
-        """Asks the home, or waits for the share's next token; False if there is none within the time for it."""
-        until = now() + self.timers.patience
+        """Waits until a token can be taken for a request, either a granted one or the share's next one.
+
+        Returns False if there is none within the time that a request may wait.
+        """
+        deadline = now() + self.timers.patience
         while (limit := self.limit(tenant)) is not None:
-            left = until - now()
-            if left <= 0:
+            remaining = deadline - now()
+            if remaining <= 0:
                 return False
-            if tenant in self.asking or now() >= share.short_until:
-                await asyncio.wait([self._question(tenant)], timeout=left)
+            if tenant in self.pending_requests or now() >= share.no_request_until:
+                await asyncio.wait([self._pending_request(tenant)], timeout=remaining)
             else:
-                # The home had too few tokens a moment ago. This one comes after all that wait already.
-                delay = share.wait_for(self.waiting[tenant], limit, now())
-                if delay > left:
+                # The home had too few tokens a moment ago. This request is served after all that wait already.
+                wait_seconds = share.wait_for(self.waiting[tenant], limit, now())
+                if wait_seconds > remaining:
                     return False
-                await asyncio.sleep(delay)
-            if share.take(self.limit(tenant) or limit, now()):
+                await asyncio.sleep(wait_seconds)
+            if share.take_token(self.limit(tenant) or limit, now()):
                 return True
         return True
 
-    def _come_again(self, share: EdgeShare, limit: RateBurst) -> float:
-        """Seconds after which a refused request may find a token."""
-        delay = share.wait_for(1.0, limit, now())
-        return max(self.timers.pause, min(delay if math.isfinite(delay) else self.timers.renew, self.timers.renew))
+    def _retry_after(self, share: EdgeShare, limit: RateBurst) -> float:
+        """Returns the seconds after which a rejected request is likely to get a token."""
+        wait_seconds = share.wait_for(1.0, limit, now())
+        return max(
+            self.timers.pause,
+            min(wait_seconds if math.isfinite(wait_seconds) else self.timers.renew, self.timers.renew),
+        )
 
-    # --- questions
-    def _question(self, tenant: str) -> asyncio.Task[None]:
-        """The question about a tenant that is under way, or a new one."""
-        task = self.asking.get(tenant)
+    # --- share requests
+    def _pending_request(self, tenant: str) -> asyncio.Task[None]:
+        """Returns the task of the pending share request for a tenant; starts one if there is none."""
+        task = self.pending_requests.get(tenant)
         if task is None:
-            task = self._start([tenant])
+            task = self._start_request([tenant])
         return task
 
-    def _start(self, tenants: list[str]) -> asyncio.Task[None]:
-        """Asks one home for the shares of tenants."""
-        task = asyncio.create_task(self._ask(tenants))
+    def _start_request(self, tenants: list[str]) -> asyncio.Task[None]:
+        """Starts the task of a request for the shares of tenants that have the same home."""
+        task = asyncio.create_task(self._run_request(tenants))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         for tenant in tenants:
-            self.asking[tenant] = task
+            self.pending_requests[tenant] = task
         return task
 
-    async def _ask(self, tenants: list[str]) -> None:
-        """One question and its answer, for tenants of one partition."""
+    async def _run_request(self, tenants: list[str]) -> None:
+        """Makes one request for the shares of tenants of one partition, and abandons it if it wasn't answered."""
         try:
-            await self._ask_home(tenants)
+            await self._request_from_home(tenants)
         finally:
             for tenant in tenants:
-                self.shares[tenant].give_up()
-                self.asking.pop(tenant, None)
+                self.shares[tenant].abandon_request()
+                self.pending_requests.pop(tenant, None)
 
-    async def _ask_home(self, tenants: list[str]) -> None:
+    async def _request_from_home(self, tenants: list[str]) -> None:
+        """Sends a request for the shares of tenants of one partition to their home, and applies the grants."""
         configuration = self.configuration_view.manifest
         assert configuration is not None
-        asked = now()
-        requests = self._requests(tenants, asked)
+        requested_at = now()
+        requests = self._requests(tenants, requested_at)
         partition = home_partition(tenants[0], configuration["parts"])
         epoch = self.epochs.get(partition, 0)
         body = SharesRequest(self.settings.name, self.incarnation, epoch, tuple(requests.values())).as_json()
-        answer = await self.homes.ask(partition, SHARE, body, asked + self.timers.renew)
-        if isinstance(answer, Err):
-            self.questions.labels("unanswered").inc()
+        response = await self.homes.request(partition, SHARE, body, requested_at + self.timers.renew)
+        if isinstance(response, Err):
+            self.request_outcomes.labels("unanswered").inc()
             for tenant in requests:
-                self.shares[tenant].short_until = now() + self.timers.pause
+                self.shares[tenant].no_request_until = now() + self.timers.pause
             return
-        self._apply(partition, requests, SharesResponse.from_json(answer.unwrap()))
+        self._apply(partition, requests, SharesResponse.from_json(response.unwrap()))
 
-    def _requests(self, tenants: list[str], asked: float) -> dict[str, ShareRequest]:
-        """The questions about tenants, by tenant."""
+    def _requests(self, tenants: list[str], requested_at: float) -> dict[str, ShareRequest]:
+        """Returns the share requests of tenants, by tenant; a tenant without a limit has none."""
         requests: dict[str, ShareRequest] = {}
         for tenant in tenants:
             limit = self.limit(tenant)
             if limit is not None:
                 self.last_number += 1
-                requests[tenant] = self.shares[tenant].ask(
-                    tenant, self.last_number, self.waiting[tenant], self.timers.renew, limit, asked
+                requests[tenant] = self.shares[tenant].next_request(
+                    tenant, self.last_number, self.waiting[tenant], self.timers.renew, limit, requested_at
                 )
         return requests
 
     def _apply(self, partition: int, requests: dict[str, ShareRequest], response: SharesResponse) -> None:
-        """Puts the grants in place, unless a later home has asked meanwhile what is held here."""
+        """Applies the grants of a response.
+
+        They are ignored if a later home has requested meanwhile what this edge holds, since it relies on that answer.
+        """
         if response.epoch < self.epochs.get(partition, 0):
-            self.questions.labels("outdated").inc()
+            self.request_outcomes.labels("outdated").inc()
             return
         self.epochs[partition] = response.epoch
-        self.questions.labels("answered").inc()
+        self.request_outcomes.labels("answered").inc()
         for grant in response.grants:
             limit, share = self.limit(grant.tenant), self.shares.get(grant.tenant)
             if limit is None or share is None or grant.tenant not in requests:
                 continue
-            if share.apply(grant, limit, now()) and grant.tokens < requests[grant.tenant].wanted * ENOUGH:
-                share.short_until = now() + self.timers.pause
+            if share.apply(grant, limit, now()) and grant.tokens < requests[grant.tenant].wanted * COMPLETE_GRANT:
+                share.no_request_until = now() + self.timers.pause
 
     async def run(self) -> None:
-        """Renews the shares that are in use, and gives back what isn't wanted, until it is cancelled."""
+        """Renews the shares that are in use and gives back what isn't needed any more, until it is cancelled."""
         while True:
             await asyncio.sleep(self.timers.check)
             configuration = self.configuration_view.manifest
             if configuration is None:
                 continue
             by_partition: dict[int, list[str]] = {}
-            for tenant in self._due():
+            for tenant in self._tenants_due():
                 by_partition.setdefault(home_partition(tenant, configuration["parts"]), []).append(tenant)
             for tenants in by_partition.values():
-                self._start(tenants)
+                self._start_request(tenants)
 
-    def _due(self) -> list[str]:
-        """The tenants about whom to ask now; those without a request for long are forgotten."""
+    def _tenants_due(self) -> list[str]:
+        """Returns the tenants for which to make share requests now, and removes those without requests for a long time."""
         due: list[str] = []
         for tenant, share in list(self.shares.items()):
-            if tenant in self.asking:
+            if tenant in self.pending_requests:
                 continue
             limit = self.limit(tenant)
-            if limit is None or share.arrived_at + self.timers.lease * UNUSED_LEASES < now():
+            if limit is None or share.last_arrival_at + self.timers.lease * UNUSED_LEASES < now():
                 self._forget(tenant)
-            elif share.is_due(limit, self.timers.renew, now()):
+            elif share.should_request(limit, self.timers.renew, now()):
                 due.append(tenant)
         return due
 
     def _forget(self, tenant: str) -> None:
-        """Forgets a share that has run out."""
-        if self.shares[tenant].until <= now() and not self.waiting[tenant]:
+        """Removes a share if it has expired and no request waits for a token of it."""
+        if self.shares[tenant].expires_at <= now() and not self.waiting[tenant]:
             del self.shares[tenant], self.waiting[tenant]
 
     # --- a new home
     async def on_holdings(self, body: Body) -> PeerResponse:
-        """Verb `holdings`: what is held here of the tenants of a partition, for its new owner."""
+        """Handles the verb `holdings`: returns the shares that this edge holds of a partition's tenants, for its new owner.
+
+        From then on, grants of an earlier epoch of the partition are ignored.
+        """
         request = HoldingsRequest.from_json(body)
         self.epochs[request.partition] = max(request.epoch, self.epochs.get(request.partition, 0))
         rows = []
         for tenant, share in self.shares.items():
             limit = self.limit(tenant)
             if limit is not None and home_partition(tenant, request.partitions) == request.partition:
-                holding = share.holding(tenant, limit, now())
+                holding = share.as_holding(tenant, limit, now())
                 if holding.remaining > 0:
                     rows.append(holding.as_json())
         return Ok({"inc": self.incarnation, "shares": rows})
 
     def close(self) -> None:
-        """Ends what is under way; the process is about to end."""
+        """Cancels all pending share requests when the process shuts down."""
         for task in list(self.tasks):
             task.cancel()
--- a/postpass/tenants/home_client.py
+++ b/postpass/tenants/home_client.py
@@ -1,4 +1,4 @@
-"""Questions of an edge to the homes of tenants: the owners of their partitions, wherever they are at the moment."""
+"""Requests of an edge to the homes of tenants, which are the present owners of the tenants' partitions."""
 
 from __future__ import annotations
 
@@ -16,56 +16,66 @@
 from postpass.runtime.errors import MOVED, SLOW, Fault
 from postpass.tenants.limits import ShareTimers
 
-PAUSE_PART = 1 / 4  # of a try: between two rounds, and before one that becomes the owner is asked again
+# The pause between two rounds, and before a machine that is becoming the owner is tried again, as a fraction of the time
+# limit of one attempt.
+PAUSE_FRACTION = 1 / 4
 
 
 @dataclass(eq=False)
 class HomeClient:
-    """Finds a partition's owner by its members, and remembers it; gives no machine more than a short try.
+    """Finds a partition's owner among its members and remembers it; each attempt at a machine has a short time limit.
 
     Attributes:
-        known_owners: by partition; may be out of date.
-        silent_since: when a machine last gave no answer, in seconds of the loop's clock. It is asked last for a while.
+        known_owners: the last known owner, by partition; may be out of date.
+        unanswered_at: when a machine last failed to respond, in seconds of the event loop's clock, by name. For a while after
+            that it is tried last.
     """
 
     settings: Settings
     configuration_view: ConfigurationView
     peer_links: PeerLinks
     known_owners: dict[int, str] = field(default_factory=dict)
-    silent_since: dict[str, float] = field(default_factory=dict)
+    unanswered_at: dict[str, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.timers = ShareTimers.of(self.settings.bounds)
 
-    async def ask(self, partition: int, verb: str, body: Body, until: float) -> PeerResponse:
-        """Asks until there is an answer or it is `until` (seconds of the loop's clock); then fails with the last fault."""
+    async def request(self, partition: int, verb: str, body: Body, deadline: float) -> PeerResponse:
+        """Sends a request to a partition's owner, and retries until there is a response or the deadline has passed.
+
+        `deadline` is in seconds of the event loop's clock. Without a response by then, the last fault is returned.
+        """
         body = body | {"part": partition}
-        pause = self.timers.retry * PAUSE_PART
+        pause = self.timers.retry * PAUSE_FRACTION
         lookup = self._lookup(partition)
-        last: PeerResponse = Err(Fault(verb, self.settings.name, "no owner known", SLOW))
-        while (left := until - now()) > 0:
+        last_response: PeerResponse = Err(Fault(verb, self.settings.name, "no owner known", SLOW))
+        while (remaining := deadline - now()) > 0:
             name = lookup.next_name()
             if not name:
-                await asyncio.sleep(min(pause, left))
+                await asyncio.sleep(min(pause, remaining))
                 lookup = self._lookup(partition)
                 continue
             lookup.asked(name)
             address = self.configuration_view.addr(name)
             if not address:
                 continue
-            last = await self.peer_links.request(address, verb, body, min(left, self.timers.retry))
-            if isinstance(last, Ok):
+            last_response = await self.peer_links.request(address, verb, body, min(remaining, self.timers.retry))
+            if isinstance(last_response, Ok):
                 self.known_owners[partition] = name
-                self.silent_since.pop(name, None)
-                return last
-            await self._learn(partition, lookup, name, last.unwrap_err(), pause)
-        return last
+                self.unanswered_at.pop(name, None)
+                return last_response
+            await self._note_failure(partition, lookup, name, last_response.unwrap_err(), pause)
+        return last_response
+
+    async def _note_failure(self, partition: int, lookup: OwnerLookup, name: str, fault: Fault, pause: float) -> None:
+        """Updates the search for the owner after a machine didn't respond as the owner.
 
-    async def _learn(self, partition: int, lookup: OwnerLookup, name: str, fault: Fault, pause: float) -> None:
-        """What a machine that did not answer as the owner says of the search."""
+        A machine that failed otherwise than by MOVED is tried last from now on. One that names itself in the hint is becoming
+        the owner and is tried again after a pause; if it names another machine, that one is tried next.
+        """
         self.known_owners.pop(partition, None)
         if fault.code != MOVED:
-            self.silent_since[name] = now()
+            self.unanswered_at[name] = now()
         elif fault.hint == name:
             await asyncio.sleep(pause)
             lookup.ask_again(name)
@@ -73,8 +83,11 @@
             lookup.follow(fault.hint)
 
     def _lookup(self, partition: int) -> OwnerLookup:
-        """A round over the known owner and all members in the agreed order; who gave no answer lately comes last."""
-        recent = now() - self.timers.lease
-        self.silent_since = {name: moment for name, moment in self.silent_since.items() if moment > recent}
-        known = self.known_owners.get(partition, "")
-        return OwnerLookup.over([known], self.configuration_view.order(partition), self.silent_since)
+        """Starts a round over the known owner and all members, in the partition's order of members.
+
+        Machines that didn't respond lately come last.
+        """
+        oldest = now() - self.timers.lease
+        self.unanswered_at = {name: failed_at for name, failed_at in self.unanswered_at.items() if failed_at > oldest}
+        owner = self.known_owners.get(partition, "")
+        return OwnerLookup.over([owner], self.configuration_view.order(partition), self.unanswered_at)
--- a/postpass/tenants/messages.py
+++ b/postpass/tenants/messages.py
@@ -1,4 +1,7 @@
-"""Messages between edges and the homes of tenants, with their JSON bodies. Times are durations in seconds, never clocks."""
+"""Messages between edges and the homes of tenants, with their JSON bodies.
+
+Times are durations in seconds, never readings of a clock, since the clocks of machines differ.
+"""
 
 from __future__ import annotations
 
@@ -6,22 +9,22 @@
 
 from postpass.rpc.codec import Body
 
-SHARE = "share"  # verb: an edge asks a home for shares
-HOLDINGS = "holdings"  # verb: a new home asks an edge what it holds
+SHARE = "share"  # verb: an edge requests shares from a home
+HOLDINGS = "holdings"  # verb: a new home requests the shares that an edge holds
 
 
 @dataclass(frozen=True)
 class ShareRequest:
-    """An edge asks for a share of a tenant's limit, and tells what it holds.
+    """A request of an edge for a share of a tenant's limit, with the share that it has now.
 
-    :ivar number: grows with each question of this process about this tenant; an answer counts only for the last one.
-    :ivar demand: requests a second that arrive, refused ones included.
+    :ivar number: grows with each request of this process for this tenant; only the answer to the last one counts.
+    :ivar demand: requests a second that arrive at the edge, including rejected ones.
     :ivar rate: tokens a second of the share in use.
-    :ivar burst: tokens that the share in use may have at once.
-    :ivar remaining: seconds for which it is good; 0 if there is none.
-    :ivar tokens: that are there.
-    :ivar wanted: further tokens that are wanted at once.
-    :ivar returned: tokens that were there and are the home's again.
+    :ivar burst: largest number of tokens that may accumulate in the share in use.
+    :ivar remaining: seconds until the share in use expires; 0 if there is none.
+    :ivar tokens: tokens that the edge has.
+    :ivar wanted: further tokens that the edge needs at once.
+    :ivar returned: tokens that the edge had and gives back to the home.
     """
 
     tenant: str
@@ -36,22 +39,25 @@
 
     def as_json(self) -> list[str | float]:
         """A row of a message."""
-        figures = (self.demand, self.rate, self.burst, self.remaining, self.tokens, self.wanted, self.returned)
-        return [self.tenant, self.number, *(round(figure, 6) for figure in figures)]
+        amounts = (self.demand, self.rate, self.burst, self.remaining, self.tokens, self.wanted, self.returned)
+        return [self.tenant, self.number, *(round(amount, 6) for amount in amounts)]
 
     @classmethod
     def from_json(cls, row: list[str | float]) -> ShareRequest:
         """Reads a row of a message."""
-        tenant, number, *figures = row
-        return cls(str(tenant), int(number), *(float(figure) for figure in figures))
+        tenant, number, *amounts = row
+        return cls(str(tenant), int(number), *(float(amount) for amount in amounts))
 
 
 @dataclass(frozen=True)
 class ShareGrant:
-    """A home's answer to one question: the share that takes the place of the one before, and tokens to begin with.
+    """A home's answer to one share request: the share that replaces the previous one, and further tokens.
 
-    :ivar number: that of the question.
-    :ivar seconds: for which the share is good, from when the edge asked.
+    :ivar number: the number of the share request.
+    :ivar rate: tokens a second of the share.
+    :ivar burst: largest number of tokens that may accumulate in the share.
+    :ivar tokens: tokens that are added to those that the edge has.
+    :ivar seconds: how long the share is valid, counted from when the edge made the request.
     """
 
     tenant: str
@@ -74,29 +80,29 @@
 
 @dataclass(frozen=True)
 class SharesRequest:
-    """The questions of one edge to the home of several tenants (verb `share`).
+    """The share requests of one edge to the home of several tenants (verb `share`).
 
-    :ivar incarnation: tells the processes of the edge apart.
-    :ivar epoch: the latest of the partition that it knows of.
+    :ivar incarnation: distinguishes the processes that run one after the other on the edge.
+    :ivar epoch: the latest epoch of the partition that the edge knows.
     """
 
     edge: str
     incarnation: str
     epoch: int
-    questions: tuple[ShareRequest, ...]
+    share_requests: tuple[ShareRequest, ...]
 
     @property
     def holder(self) -> str:
-        """The process that asks."""
+        """The identity of the requesting process."""
         return f"{self.edge}/{self.incarnation}"
 
     def as_json(self) -> Body:
-        """The body of the request, without the partition."""
+        """Returns the body of the request, without the partition."""
         return {
             "edge": self.edge,
             "inc": self.incarnation,
             "epoch": self.epoch,
-            "shares": [question.as_json() for question in self.questions],
+            "shares": [share_request.as_json() for share_request in self.share_requests],
         }
 
     @classmethod
@@ -109,7 +115,7 @@
 
 @dataclass(frozen=True)
 class SharesResponse:
-    """What a home grants, under the epoch of its partition; questions that came too late have no grant."""
+    """What a home grants, under the epoch of its partition; outdated share requests have no grant."""
 
     epoch: int
     grants: tuple[ShareGrant, ...]
@@ -126,8 +132,10 @@
 
 @dataclass(frozen=True)
 class HoldingsRequest:
-    """The new owner of a partition asks what an edge holds of its tenants (verb `holdings`). The edge takes no grant of an
-    earlier epoch from then on."""
+    """The request of a partition's new owner for the shares that an edge holds of its tenants (verb `holdings`).
+
+    From then on, the edge ignores grants of an earlier epoch.
+    """
 
     partition: int
     partitions: int
--- a/postpass/tenants/rate_limit.py
+++ b/postpass/tenants/rate_limit.py
@@ -1,4 +1,4 @@
-"""What the relay asks before it runs a request of a tenant."""
+"""The interface by which the relay checks whether it may run a request of a tenant."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class RateLimit(Protocol):
-    """The limit on the requests a second of tenants; `EdgeShares` is the one in use."""
+    """The limit on the requests a second of tenants; implemented by `EdgeShares`."""
 
     async def admit(self, tenant: str) -> float:
-        """0.0 if a request of the tenant may run now; else the seconds after which to come again."""
+        """Returns 0.0 if a request of the tenant may run now; else the seconds after which the client should retry."""
--- a/tests/routing/test_item_choice.py
+++ b/tests/routing/test_item_choice.py
@@ -1,4 +1,4 @@
-"""How many items a worker gets, and which worker gets the next one."""
+"""The number of items that a worker gets, and the choice of the worker for the next one."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 def test_items_leave_a_reserve_of_all_slots_and_fill_the_emptiest_workers_first() -> None:
     workers = [ItemWorker("a", 12, 0, 6), ItemWorker("b", 12, 0, 0), ItemWorker("c", 12, 4, 8)]
-    rooms = item_rooms(workers, RoutingOptions(live_reserve=1 / 6))
-    # 18 slots are free, 6 of them stay so.
-    assert sum(rooms.values()) == 12 and rooms["c"] == 0 and rooms["b"] > rooms["a"]
-    left = {w.name: w.slots - (w.live or 0) - w.items - rooms[w.name] for w in workers}
-    assert left["a"] - left["b"] in (-1, 0, 1)
+    free_slots = item_rooms(workers, RoutingOptions(live_reserve=1 / 6))
+    # 18 slots are free; 6 of them are the reserve and stay free.
+    assert sum(free_slots.values()) == 12 and free_slots["c"] == 0 and free_slots["b"] > free_slots["a"]
+    remaining = {w.name: w.slots - (w.live or 0) - w.items - free_slots[w.name] for w in workers}
+    assert remaining["a"] - remaining["b"] in (-1, 0, 1)
 
 
 def test_a_worker_gets_no_more_than_it_took_before_and_than_it_has_slots() -> None:
@@ -27,7 +27,7 @@
     assert item_rooms(known, RoutingOptions(shared_load=False)) == {"a": int(12 * ITEM_SHARE) - 2}
 
 
-def test_items_go_where_most_room_is_and_among_equals_where_their_prefix_tends_to() -> None:
+def test_items_go_to_the_most_free_slots_and_among_equals_by_their_prefix() -> None:
     assert choose_item_worker({"a": 1, "b": 3, "c": 0}, b"x") == "b"
     even = dict.fromkeys("abcdef", 2)
     homes = {choose_item_worker(even, b"%d" % key) for key in range(60)}
@@ -44,9 +44,9 @@
 
 def test_a_worker_that_fails_the_edges_gets_no_items_though_it_is_the_emptiest() -> None:
     workers = [ItemWorker("a", 12, 0, 0, failing=True), ItemWorker("b", 12, 0, 6), ItemWorker("c", 12, 0, 6)]
-    rooms = item_rooms(workers, RoutingOptions(live_reserve=0.0))
-    assert rooms == {"a": 0, "b": 6, "c": 6}
+    free_slots = item_rooms(workers, RoutingOptions(live_reserve=0.0))
+    assert free_slots == {"a": 0, "b": 6, "c": 6}
     assert item_rooms(workers, RoutingOptions(live_reserve=0.0, shared_health=False))["a"] == 12
-    # Where all are said to fail, whoever says so is cut off itself.
+    # If all workers are reported as failing, the reporters are likely to be cut off themselves, and are not believed.
     cut_off = [ItemWorker(name, 12, 0, 6, failing=True) for name in "abc"]
     assert sum(item_rooms(cut_off, RoutingOptions(live_reserve=0.0)).values()) == 18
--- a/tests/routing/test_item_order.py
+++ b/tests/routing/test_item_order.py
@@ -1,4 +1,4 @@
-"""Items that can't be done in time any more wait behind the others, but not for ever."""
+"""Items that can't be done in time any more are served after the others, but don't wait forever."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def order(dues: list[float], earliest: float, **options: bool) -> list[float]:
-    """The due times in the order in which their items are served."""
+    """Returns the due times in the order in which their items are served."""
     return serving_order(sorted(dues), lambda due: due, earliest, RoutingOptions(**options))
 
 
@@ -21,12 +21,12 @@
     dues = [float(n) for n in range(5)] + [100.0 + n for n in range(50)]
     served = order(dues, earliest=50.0)
     assert sorted(served) == sorted(dues)
-    places = [n for n, due in enumerate(served) if due < 50.0]
-    assert places == [OVERDUE_EVERY * (n + 1) - 1 for n in range(5)]
-    # Each of both groups keeps its order.
+    positions = [n for n, due in enumerate(served) if due < 50.0]
+    assert positions == [OVERDUE_EVERY * (n + 1) - 1 for n in range(5)]
+    # Both the overdue items and the others keep their order among themselves.
     assert [due for due in served if due < 50.0] == dues[:5] and [due for due in served if due > 50.0] == dues[5:]
 
 
-def test_the_usual_time_follows_what_was_seen() -> None:
+def test_the_usual_time_is_a_moving_average() -> None:
     assert usual_seconds(0.0, 2.0) == 2.0
     assert usual_seconds(2.0, 4.0) == 2.0 + 2.0 * RUN_WEIGHT
--- a/tests/routing/test_live_choice.py
+++ b/tests/routing/test_live_choice.py
@@ -1,4 +1,4 @@
-"""Choosing a worker: affinity, spread, spill, weights, cold shares."""
+"""Choosing a worker for a live request: prefix affinity, spreading, overflow, pool weights and limits of cold workers."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from postpass.routing.prefixes import NO_PREFIX, Prefix, prefix_of
 
 OWN_COUNTS = RoutingOptions(shared_load=False)
-FEW_EDGES = EdgeView(8, 2700.0)  # that know their own counts alone
+FEW_EDGES = EdgeView(8, 2700.0)
 MANY_EDGES = EdgeView(50, 2700.0)
 SHORT = Prompt(Prefix(b"hot", 172), 715)
 CANDIDATES = [WorkerCandidate(f"w{i}", 32, 0) for i in range(6)]
@@ -38,37 +38,40 @@
     candidates: list[WorkerCandidate], prompt: Prompt, view: EdgeView, chance: random.Random,
     options: RoutingOptions = DEFAULT_OPTIONS,
 ) -> str | None:  # fmt: skip
-    """The name of the worker that is chosen."""
+    """Returns the name of the chosen worker."""
     choice = live_choice.choose_worker(candidates, prompt, view, chance, options)
     return choice.worker if choice else None
 
 
-def long(key: object, tokens: int = 17_000) -> Prompt:
-    """A prompt with a long shared prefix."""
+def long_prompt(key: object, tokens: int = 17_000) -> Prompt:
+    """Returns a prompt with a long shared prefix."""
     return Prompt(Prefix(f"{key}".encode(), 13_300), tokens)
 
 
-def test_long_prefixes_stay_home_and_spill_when_home_is_loaded() -> None:
+def test_long_prefixes_go_to_their_home_and_elsewhere_when_it_is_loaded() -> None:
     chance = random.Random(1)
-    homes = {k: choose_worker(CANDIDATES, long(k), MANY_EDGES, chance) for k in range(60)}
-    assert all(choose_worker(CANDIDATES, long(k), MANY_EDGES, chance) == home for k, home in homes.items())
+    homes = {k: choose_worker(CANDIDATES, long_prompt(k), MANY_EDGES, chance) for k in range(60)}
+    assert all(choose_worker(CANDIDATES, long_prompt(k), MANY_EDGES, chance) == home for k, home in homes.items())
     assert len(set(homes.values())) == 6
     for options, view in ((RoutingOptions(), MANY_EDGES), (OWN_COUNTS, FEW_EDGES)):
         loaded = [WorkerCandidate(s.name, 32, 40 if s.name == homes[0] else 0) for s in CANDIDATES]
-        spill = {choose_worker(loaded, long(0), view, chance, options=options) for _ in range(50)}
-        assert len(spill) == 1 and homes[0] not in spill
-    # A worker more moves few keys.
+        others = {choose_worker(loaded, long_prompt(0), view, chance, options=options) for _ in range(50)}
+        assert len(others) == 1 and homes[0] not in others
+    # Adding a worker moves few prefixes to another home.
     more = [*CANDIDATES, WorkerCandidate("w6", 32, 0)]
-    moved = sum(choose_worker(more, long(k), MANY_EDGES, chance) != home for k, home in homes.items())
+    moved = sum(choose_worker(more, long_prompt(k), MANY_EDGES, chance) != home for k, home in homes.items())
     assert moved <= 20
 
 
-def test_which_prefix_is_long_is_told_by_the_usual_prompt() -> None:
+def test_whether_a_prefix_is_long_depends_on_the_usual_prompt() -> None:
     chance = random.Random(8)
     seen = {choose_worker(CANDIDATES, SHORT, EdgeView(8, 300.0), chance, options=OWN_COUNTS) for _ in range(50)}
     assert len(seen) == 1
     assert (
-        len({choose_worker(CANDIDATES, long(1), EdgeView(8, 1e6), chance, options=OWN_COUNTS) for _ in range(50)}) == 6
+        len(
+            {choose_worker(CANDIDATES, long_prompt(1), EdgeView(8, 1e6), chance, options=OWN_COUNTS) for _ in range(50)}
+        )
+        == 6
     )
 
 
@@ -82,14 +85,18 @@
 
 def test_avoided_and_full_workers_are_taken_only_if_there_is_nothing_else() -> None:
     chance = random.Random(3)
-    odd = [WorkerCandidate("a", 4, 0, avoided=True), WorkerCandidate("b", 4, 3, full=True), WorkerCandidate("c", 4, 9)]
-    assert choose_worker(odd, SHORT, FEW_EDGES, chance) == "c"
-    assert choose_worker(odd[:2], SHORT, FEW_EDGES, chance) == "b"
-    assert choose_worker(odd[:1], SHORT, FEW_EDGES, chance) == "a"
+    unhealthy = [
+        WorkerCandidate("a", 4, 0, avoided=True),
+        WorkerCandidate("b", 4, 3, full=True),
+        WorkerCandidate("c", 4, 9),
+    ]
+    assert choose_worker(unhealthy, SHORT, FEW_EDGES, chance) == "c"
+    assert choose_worker(unhealthy[:2], SHORT, FEW_EDGES, chance) == "b"
+    assert choose_worker(unhealthy[:1], SHORT, FEW_EDGES, chance) == "a"
     assert choose_worker([], SHORT, FEW_EDGES, chance) is None
-    # With the switch off, nobody is left alone.
-    careless = RoutingOptions(health=False)
-    assert choose_worker(odd[:2], SHORT, FEW_EDGES, chance, options=careless) == "a"
+    # With the switch off, no worker is avoided.
+    health_off = RoutingOptions(health=False)
+    assert choose_worker(unhealthy[:2], SHORT, FEW_EDGES, chance, options=health_off) == "a"
 
 
 def test_weights_split_requests_by_id_and_other_pools_follow() -> None:
@@ -108,7 +115,7 @@
         for rate in (1.0, 3.0, 10.0, 40.0):
             users = cold_edges("w", edges, rate)
             assert set(users) <= set(edges) and users == cold_edges("w", edges[::-1], rate)
-            # In any second: what the buckets hold and what flows into them.
+            # The most in any second: the tokens in the buckets and those added meanwhile.
             burst = len(users) * (1 + cold_share(rate, len(users)))
             assert burst <= rate * 1.5 + 5
             assert abs(cold_share(rate, len(users)) * len(users) - COLD_SHARE * rate) < 1e-9
@@ -125,7 +132,7 @@
     uneven = [WorkerCandidate("a", 12, 0, others=WorkerUse(8, 3)), WorkerCandidate("b", 12, 1, others=WorkerUse(2))]
     assert {choose_worker(uneven, SHORT, MANY_EDGES, chance) for _ in range(20)} == {"b"}
     assert choose_worker(uneven, SHORT, MANY_EDGES, chance, options=OWN_COUNTS) == "a"
-    # A full worker gets nothing while another has a free slot, whatever else speaks for it.
+    # A full worker gets nothing while another one has a free slot, even if that one has many prompt tokens to process.
     reading = WorkerUse(0, 0, 90_000)
     full = [WorkerCandidate("a", 12, 0, others=WorkerUse(12)), WorkerCandidate("b", 12, 11, others=reading)]
     assert {choose_worker(full, SHORT, MANY_EDGES, chance) for _ in range(20)} == {"b"}
@@ -138,9 +145,9 @@
     assert {choose_worker(reading, SHORT, MANY_EDGES, chance) for _ in range(20)} == {"b"}
 
 
-def test_a_home_is_left_once_reading_anew_elsewhere_is_sooner() -> None:
+def test_a_home_is_passed_over_once_processing_the_prefix_elsewhere_is_sooner() -> None:
     chance = random.Random(7)
-    home = choose_worker(CANDIDATES, long("k"), MANY_EDGES, chance)
+    home = choose_worker(CANDIDATES, long_prompt("k"), MANY_EDGES, chance)
 
     def reading(tokens: int, everywhere: bool = False) -> list[WorkerCandidate]:
         return [
@@ -148,34 +155,36 @@
             for c in CANDIDATES
         ]
 
-    assert choose_worker(reading(20_000), long("k"), MANY_EDGES, chance) == home
-    second = {choose_worker(reading(30_000), long("k"), MANY_EDGES, chance) for _ in range(20)}
-    assert len(second) == 1 and home not in second
-    # Where all have as much to read, home it is.
-    assert choose_worker(reading(30_000, everywhere=True), long("k"), MANY_EDGES, chance) == home
+    assert choose_worker(reading(20_000), long_prompt("k"), MANY_EDGES, chance) == home
+    second_home = {choose_worker(reading(30_000), long_prompt("k"), MANY_EDGES, chance) for _ in range(20)}
+    assert len(second_home) == 1 and home not in second_home
+    # If all workers have equally many tokens to process, the home is chosen.
+    assert choose_worker(reading(30_000, everywhere=True), long_prompt("k"), MANY_EDGES, chance) == home
 
 
-def test_a_choice_tells_its_reason_and_what_was_known_of_the_worker() -> None:
+def test_a_choice_contains_its_reason_and_the_known_load_of_the_worker() -> None:
     chance = random.Random(9)
     busy = [WorkerCandidate("a", 12, 2, unread=300, others=WorkerUse(5, 4, 200))]
     choice = live_choice.choose_worker(busy, SHORT, MANY_EDGES, chance)
     assert choice == live_choice.Choice("a", Reason.LEAST_LOADED, 11, 500)
     full = [WorkerCandidate("a", 12, 2, others=WorkerUse(10, 4))]
     assert (choice := live_choice.choose_worker(full, SHORT, MANY_EDGES, chance)) and choice.reason is Reason.NONE_FREE
-    assert (choice := live_choice.choose_worker(busy, long(1), MANY_EDGES, chance)) and choice.reason is Reason.HOME
+    assert (
+        choice := live_choice.choose_worker(busy, long_prompt(1), MANY_EDGES, chance)
+    ) and choice.reason is Reason.HOME
 
 
-def test_a_worker_that_fails_most_of_the_others_is_left_alone_unless_it_would_be_most_of_all() -> None:
+def test_a_worker_that_fails_for_most_edges_is_avoided_unless_most_workers_do() -> None:
     chance = random.Random(9)
     idle_but_failing = WorkerUse(failed=3, answered=1)
     busy = WorkerUse(6, 2, 4000, answered=5)
     some = [WorkerCandidate(f"w{i}", 12, 0, others=idle_but_failing if i < 2 else busy) for i in range(4)]
     assert {choose_worker(some, SHORT, MANY_EDGES, chance) for _ in range(60)} == {"w2", "w3"}
-    # Without the reports, workers with nothing to do are taken first.
-    unheard = RoutingOptions(shared_health=False)
-    assert {choose_worker(some, SHORT, MANY_EDGES, chance, unheard) for _ in range(60)} >= {"w0", "w1"}
+    # Without the reports, idle workers are chosen first.
+    reports_off = RoutingOptions(shared_health=False)
+    assert {choose_worker(some, SHORT, MANY_EDGES, chance, reports_off) for _ in range(60)} >= {"w0", "w1"}
     most = [WorkerCandidate(f"w{i}", 12, 0, others=idle_but_failing if i < 3 else busy) for i in range(4)]
     assert {choose_worker(most, SHORT, MANY_EDGES, chance) for _ in range(60)} >= {"w0", "w1", "w2"}
-    # What an edge found itself counts too: where it avoids all the rest, a reported one is still better than none.
+    # What an edge found itself counts too: if it avoids all others, a worker that is reported as failing is still chosen.
     rest = [replace(c, avoided=not c.others.fails_most) for c in some]
     assert {choose_worker(rest, SHORT, MANY_EDGES, chance) for _ in range(60)} == {"w0", "w1"}
--- a/tests/routing/test_load_picture.py
+++ b/tests/routing/test_load_picture.py
@@ -1,4 +1,4 @@
-"""Who gathers the load of workers, and the sums that come of it."""
+"""The choice of the hubs that collect the load of workers, and the sums of the reports."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     ReportTable,
     TimedReport,
     WorkerUse,
-    believed,
+    are_failures_credible,
     exchange_interval,
     hub_order,
     hubs,
@@ -27,27 +27,27 @@
 
 
 def zones(count: int, edges: int) -> dict[str, list[str]]:
-    """So many edges spread over zones."""
+    """Returns `edges` edges spread over `count` zones, by zone."""
     return {f"z{z}": [f"e{n}" for n in range(edges) if n % count == z] for z in range(count)}
 
 
 @pytest.mark.parametrize(("count", "edges"), [(1, 3), (4, 53), (7, 163), (5, 240)])
-def test_each_hub_serves_so_many_edges_and_all_agree_on_who_is_one(count: int, edges: int) -> None:
+def test_each_hub_serves_a_limited_number_of_edges_and_all_agree_on_the_hubs(count: int, edges: int) -> None:
     by_zone = zones(count, edges)
-    gathering = hubs(by_zone)
-    assert len(set(gathering)) == len(gathering)
+    hub_names = hubs(by_zone)
+    assert len(set(hub_names)) == len(hub_names)
     served = Counter(hub_order(name, zone, by_zone)[0] for zone, names in by_zone.items() for name in names)
-    assert set(served) <= set(gathering)
+    assert set(served) <= set(hub_names)
     assert max(served.values()) <= MEMBERS_PER_HUB * 2
-    # Who can't reach its hub goes to another of its zone, and then elsewhere; nobody is named twice.
+    # An edge that can't reach its hub tries the others of its zone and then other zones; no edge is listed twice.
     for zone, names in by_zone.items():
         order = hub_order(names[0], zone, by_zone)
-        together = names if edges > MEMBERS_PER_HUB else [n for every in by_zone.values() for n in every]
-        assert len(set(order)) == len(order) and set(order[: len(together)]) == set(together)
-        assert set(gathering) <= set(order)
+        group = names if edges > MEMBERS_PER_HUB else [n for zone_edges in by_zone.values() for n in zone_edges]
+        assert len(set(order)) == len(order) and set(order[: len(group)]) == set(group)
+        assert set(hub_names) <= set(order)
 
 
-def test_a_daemon_in_a_zone_without_edges_tells_a_hub_elsewhere() -> None:
+def test_a_daemon_in_a_zone_without_edges_reports_to_a_hub_elsewhere() -> None:
     assert hub_order("s1", "z9", zones(2, 8))[0] in hubs(zones(2, 8))
     assert hub_order("s1", "z9", {}) == []
 
@@ -60,12 +60,12 @@
         assert messages / exchange_interval(0.1, by_zone) <= HUB_MESSAGES + 1e-9
 
 
-def test_reports_add_up_and_come_apart_again() -> None:
+def test_reports_can_be_added_and_subtracted() -> None:
     first, second = {"a": WorkerUse(1, 2, 300), "b": WorkerUse(1)}, {"a": WorkerUse(2, 0, 50)}
     total = summed([first, second])
     assert total == {"a": WorkerUse(3, 2, 350), "b": WorkerUse(1)} and total["a"].requests == 5
     assert without(total, second) == first
-    # A report that was taken off twice never leaves less than nothing.
+    # Subtracting more than the sum leaves 0, never a negative count.
     assert without(second, total) == {"a": IDLE}
 
 
@@ -78,11 +78,11 @@
             report_from_json(foreign)
 
 
-def test_reports_of_failures_are_believed_against_those_of_answers_and_against_most_workers_never() -> None:
+def test_reported_failures_count_unless_more_edges_were_answered_or_most_workers_would_fail() -> None:
     assert WorkerUse(failed=2, answered=1).fails_most and not WorkerUse(failed=2, answered=2).fails_most
     assert summed([{"a": WorkerUse(failed=1)}, {"a": WorkerUse(answered=1)}])["a"] == WorkerUse(0, 0, 0, 1, 1)
-    assert believed(1, 2) and believed(18, 36)
-    assert not believed(0, 36) and not believed(19, 36) and not believed(1, 1)
+    assert are_failures_credible(1, 2) and are_failures_credible(18, 36)
+    assert not are_failures_credible(0, 36) and not are_failures_credible(19, 36) and not are_failures_credible(1, 1)
 
 
 def test_the_sum_of_a_table_is_that_of_its_newest_reports() -> None:
--- a/tests/routing/test_sweep.py
+++ b/tests/routing/test_sweep.py
@@ -1,4 +1,4 @@
-"""Properties of the decisions over mixes, sizes and loads that no deployment has shown."""
+"""Properties of routing decisions over request mixes, fleet sizes and loads that no deployment has had so far."""
 
 from __future__ import annotations
 
@@ -26,20 +26,20 @@
 def choose_worker(
     candidates: list[WorkerCandidate], prompt: Prompt, view: EdgeView, chance: random.Random
 ) -> str | None:
-    """The name of the worker that is chosen."""
+    """Returns the name of the chosen worker."""
     choice = live_choice.choose_worker(candidates, prompt, view, chance)
     return choice.worker if choice else None
 
 
 def fleet(workers: int, slots: int, busy: float, chance: random.Random) -> list[WorkerCandidate]:
-    """Workers of which about a part `busy` of the slots is in use, unevenly."""
-    found = []
+    """Returns workers with about a fraction `busy` of their slots in use, unevenly."""
+    candidates = []
     for n in range(workers):
-        there = int(slots * busy * chance.uniform(0.5, 1.5))
-        own = chance.randint(0, min(2, there))
-        use = WorkerUse(there - own, chance.randint(0, 3), chance.choice((0, 500, 17_000)))
-        found.append(WorkerCandidate(f"w{n}", slots, own, lag=chance.random() / 10, unread=own * 300, others=use))
-    return found
+        in_use = int(slots * busy * chance.uniform(0.5, 1.5))
+        own = chance.randint(0, min(2, in_use))
+        use = WorkerUse(in_use - own, chance.randint(0, 3), chance.choice((0, 500, 17_000)))
+        candidates.append(WorkerCandidate(f"w{n}", slots, own, lag=chance.random() / 10, unread=own * 300, others=use))
+    return candidates
 
 
 @settings(max_examples=EXAMPLES, deadline=None)
@@ -52,7 +52,7 @@
     name = choose_worker(candidates, Prompt(NO_PREFIX, tokens), EdgeView(edges, 700.0), chance)
     chosen = next(c for c in candidates if c.name == name)
     assert used(chosen) < slots or all(used(c) >= slots for c in candidates)
-    # A home may be overrun by its bound, and no further.
+    # A home may be used beyond its slots up to the overflow limit, and no further.
     prompt = Prompt(Prefix(b"k", tokens), tokens)
     name = choose_worker(candidates, prompt, EdgeView(edges, 700.0), chance)
     chosen = next(c for c in candidates if c.name == name)
@@ -62,7 +62,7 @@
 
 @settings(max_examples=EXAMPLES, deadline=None)
 @given(st.integers(2, 120), SLOTS, st.floats(0.1, 0.8), st.floats(0.0, 1.0), SEEDS)
-def test_load_lies_evenly_when_each_request_sees_those_before(
+def test_load_is_even_when_each_request_sees_those_before(
     workers: int, slots: int, busy: float, long_share: float, seed: int
 ) -> None:
     chance = random.Random(seed)
@@ -76,13 +76,13 @@
         chosen = choose_worker(candidates, Prompt(prefix, 17_000 if is_long else 715), view, chance)
         assert chosen is not None
         counts[chosen] += 1
-    # Nobody waits beyond the overflow of homes.
+    # No worker gets more than its slots and the overflow limit of homes.
     assert max(counts.values(), default=0) <= slots * (1 + DEFAULT_OPTIONS.home_overflow) + 1
 
 
 @settings(max_examples=EXAMPLES, deadline=None)
 @given(WORKERS, SLOTS, st.floats(0.0, 1.3), SEEDS)
-def test_items_use_what_is_free_but_the_reserve_and_lie_evenly(
+def test_items_use_all_free_slots_but_the_reserve_and_are_spread_evenly(
     workers: int, slots: int, busy: float, seed: int
 ) -> None:
     chance = random.Random(seed)
@@ -90,19 +90,19 @@
         ItemWorker(f"w{n}", slots, chance.randint(0, 2), int(slots * busy * chance.uniform(0.5, 1.5)))
         for n in range(workers)
     ]
-    rooms = item_rooms(load)
+    free_slots = item_rooms(load)
     free = {w.name: max(0, w.slots - (w.live or 0) - w.items) for w in load}
     reserve = slots * workers * DEFAULT_OPTIONS.live_reserve
-    assert all(0 <= rooms[name] <= free[name] for name in free)
-    # Work-conserving: all that is free beyond the reserve is given, and nothing of the reserve.
-    least = 0 if any(w.items for w in load) else min(1, sum(free.values()))
-    assert sum(rooms.values()) == max(least, math.ceil(sum(free.values()) - reserve))
-    given_to = [name for name, room in rooms.items() if room]
-    left = {name: free[name] - rooms[name] for name in free}
-    assert max((left[n] for n in given_to), default=0) - min((left[n] for n in given_to), default=0) <= 1
+    assert all(0 <= free_slots[name] <= free[name] for name in free)
+    # Work-conserving: all free slots beyond the reserve are assigned, and none of the reserve.
+    minimum = 0 if any(w.items for w in load) else min(1, sum(free.values()))
+    assert sum(free_slots.values()) == max(minimum, math.ceil(sum(free.values()) - reserve))
+    given_to = [name for name, count in free_slots.items() if count]
+    remaining = {name: free[name] - free_slots[name] for name in free}
+    assert max((remaining[n] for n in given_to), default=0) - min((remaining[n] for n in given_to), default=0) <= 1
     assert (
-        max((left[n] for n in left if n not in given_to), default=0)
-        <= min((left[n] for n in given_to), default=slots) + 1
+        max((remaining[n] for n in remaining if n not in given_to), default=0)
+        <= min((remaining[n] for n in given_to), default=slots) + 1
     )
 
 
@@ -110,11 +110,11 @@
 @given(
     st.dictionaries(st.text("abcdef", min_size=1, max_size=4), st.integers(0, 9), max_size=30), st.binary(max_size=4)
 )
-def test_an_item_goes_where_most_room_is(rooms: dict[str, int], key: bytes) -> None:
-    name = choose_item_worker(rooms, key)
-    most = max(rooms.values(), default=0)
+def test_an_item_goes_to_a_worker_with_the_most_free_slots(free_slots: dict[str, int], key: bytes) -> None:
+    name = choose_item_worker(free_slots, key)
+    most = max(free_slots.values(), default=0)
     assert (name is None) == (most == 0)
-    assert name is None or rooms[name] == most
+    assert name is None or free_slots[name] == most
 
 
 @settings(max_examples=EXAMPLES, deadline=None)
--- a/tests/tenants/share_world.py
+++ b/tests/tenants/share_world.py
@@ -1,7 +1,8 @@
-"""The limits of tenants in a small world with virtual time: the product's edges and homes over links that delay and lose.
+"""A small simulated fleet with virtual time, for tests of the limits of tenants.
 
-Edges and homes run on hosts that may be killed and frozen, links may be cut, and the ownership of the one partition goes
-from home to home; a home that was deposed doesn't know it until it asks. What each edge lets run is written down.
+It runs the real code of edges and homes over links that delay and lose messages. Hosts can be killed and frozen, links can be
+cut, and the ownership of the single partition moves from home to home; a home that was deposed doesn't know it until it asks
+for a confirmation. The requests that each edge admits are recorded.
 """
 
 from __future__ import annotations
@@ -45,23 +46,23 @@
 
     @property
     def most(self) -> float:
-        """Requests that may run in any window."""
+        """The largest number of requests that may run in any window."""
         return (self.rate * SLACK.window + self.burst) * (1 + SLACK.excess) + SLACK.extra
 
 
 def most_in_window(times: list[float], window: float = SLACK.window) -> int:
-    """The most of these moments that lie within one window."""
-    first, most, times = 0, 0, sorted(times)
-    for last, at in enumerate(times):
-        while at - times[first] > window:
-            first += 1
-        most = max(most, last - first + 1)
+    """Returns the largest number of these times that lie within one window."""
+    window_start, most, times = 0, 0, sorted(times)
+    for index, at in enumerate(times):
+        while at - times[window_start] > window:
+            window_start += 1
+        most = max(most, index - window_start + 1)
     return most
 
 
 @dataclass(eq=False)
 class Copy:
-    """The partition on one store, as far as the limits of tenants see it."""
+    """A store's copy of the partition, with the attributes that the limits of tenants use."""
 
     id: int = PARTITION
     epoch: int = 0
@@ -71,7 +72,7 @@
 
 @dataclass(eq=False)
 class StoreStandIn:
-    """Implements `HomeAccess`: ownership goes by the world's epoch, which only a round trip tells."""
+    """Implements `HomeAccess`; only a round trip (`confirm`) shows whether the copy's epoch is still the current one."""
 
     world: World
     name: str
@@ -98,7 +99,7 @@
 
 @dataclass(eq=False)
 class Node:
-    """A machine; `handlers` answer what it is asked."""
+    """A machine; `handlers` answer the requests to it, by verb."""
 
     name: str
     host: Host
@@ -110,14 +111,14 @@
 
 @dataclass(eq=False)
 class Links:
-    """The links of one machine."""
+    """The links of one machine to the others."""
 
     world: World
     name: str
 
     async def request(self, address: str, verb: str, body: Body, limit: float) -> PeerResponse:
         self.world.messages[verb] += 1
-        # A message goes on by itself, though whoever sent it is frozen or dead.
+        # A message travels in a task of its own, so that it arrives even if its sender is frozen or dead.
         exchange = asyncio.get_running_loop().create_task(
             self.exchange(address, verb, json.loads(json.dumps(body))), context=contextvars.Context()
         )
@@ -127,7 +128,7 @@
         return exchange.result()
 
     async def exchange(self, address: str, verb: str, body: Body) -> PeerResponse:
-        """A message and its answer; whoever is asked goes on with it though nobody waits any more."""
+        """Delivers a message and returns the response; the receiver handles it even if the sender waits no longer."""
         await self.travel(self.name, address)
         target = self.world.nodes[address]
         if target.host.dead:
@@ -145,7 +146,7 @@
 
 @dataclass(eq=False)
 class World:
-    """Owner of all that is in it; `epoch` is that of the one true owner."""
+    """The simulated fleet and its faults; `epoch` is that of the present owner of the partition."""
 
     loop: SimLoop
     seed: int
@@ -158,7 +159,7 @@
     incarnations: int = 0
     nodes: dict[str, Node] = field(default_factory=dict)
     cut_off: set[str] = field(default_factory=set)
-    blocked: set[tuple[str, str]] = field(default_factory=set)  # senders and receivers between whom all is lost
+    blocked: set[tuple[str, str]] = field(default_factory=set)  # (sender, receiver) whose messages are all lost
     messages: Counter[str] = field(default_factory=Counter)
     ran: defaultdict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
     refused: defaultdict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
@@ -193,7 +194,7 @@
         return view
 
     def configure(self, terms: dict[str, Terms]) -> None:
-        """Puts limits in force everywhere at once."""
+        """Changes the limits on all machines at once."""
         self.terms = terms
         for node in self.nodes.values():
             part = node.store or node.shares
@@ -216,7 +217,7 @@
             service.watch()
 
     def boot(self, name: str) -> None:
-        """Starts an edge's process, a new one if there was one before."""
+        """Starts an edge's process; if there is one already, it is killed first."""
         if name in self.nodes:
             self.loop.kill(self.nodes[name].host)
         host = Host(name, (name,), "a")
@@ -238,12 +239,12 @@
             self.loop.call_later(seconds, self.loop.thaw, host)
 
     def cut(self, name: str, seconds: float) -> None:
-        """No message comes from or to a machine."""
+        """Drops all messages from and to a machine for some seconds."""
         self.cut_off.add(name)
         self.loop.call_later(seconds, self.cut_off.discard, name)
 
     def take_over(self, name: str, deposed_knows: bool = False) -> None:
-        """Another store is elected owner. The one before finds out only as it asks, unless it is told."""
+        """Makes another store the owner. The former one notices only when it asks, unless `deposed_knows`."""
         self.epoch += 1
         for other in self.nodes.values():
             if other.store is not None and other.name != name and deposed_knows:
@@ -258,28 +259,28 @@
 
     # --- requests
     def send(self, edge: str, tenant: str) -> None:
-        """One request of a client comes to an edge; nobody answers it if that is dead."""
+        """Sends a client's request to an edge; it is lost if the edge is dead."""
         node = self.nodes[edge]
         if not node.host.dead:
             self.loop.create_task(self.serve(node, tenant), context=node.host.context())
 
     async def serve(self, node: Node, tenant: str) -> None:
         assert node.shares is not None
-        began = self.loop.clock
-        wait = await node.shares.admit(tenant)
-        if wait == 0.0:
+        began_at = self.loop.clock
+        retry_after = await node.shares.admit(tenant)
+        if retry_after == 0.0:
             self.ran[tenant].append(self.loop.clock)
-            self.delays.append(self.loop.clock - began)
+            self.delays.append(self.loop.clock - began_at)
         else:
-            self.refused[tenant].append(began)
+            self.refused[tenant].append(began_at)
 
     async def load(self, tenant: str, rates: dict[str, float], seconds: float) -> None:
-        """Independent requests at edges, each at a rate of its own, for some time."""
-        until, total = self.loop.clock + seconds, sum(rates.values())
+        """Sends requests at random times for some seconds, to each edge at its own rate."""
+        deadline, total = self.loop.clock + seconds, sum(rates.values())
         while total > 0:
             await asyncio.sleep(self.chance.expovariate(total))
-            if self.loop.clock >= until:
+            if self.loop.clock >= deadline:
                 return
             edge = self.chance.choices(list(rates), list(rates.values()))[0]
             self.send(edge, tenant)
-        await asyncio.sleep(until - self.loop.clock)
+        await asyncio.sleep(deadline - self.loop.clock)
--- a/tests/tenants/test_edge_shares.py
+++ b/tests/tenants/test_edge_shares.py
@@ -1,4 +1,4 @@
-"""An edge and its questions to homes, in the small world."""
+"""The share requests of an edge to homes, in a small simulated fleet."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
         edge = world.nodes["e0"].shares
         assert edge is not None
         world.send("e0", "t")
-        while not edge.asking:
+        while not edge.pending_requests:
             await asyncio.sleep(0.001)
-        answer = await edge.on_holdings(HoldingsRequest(PARTITION, 1, world.epoch + 1).as_json())
-        assert answer.unwrap()["shares"] == []
+        response = await edge.on_holdings(HoldingsRequest(PARTITION, 1, world.epoch + 1).as_json())
+        assert response.unwrap()["shares"] == []
         await asyncio.wait(list(edge.tasks))
         assert edge.shares["t"].rate == 0.0
         assert world.ran["t"] == []
@@ -27,15 +27,15 @@
     run_sim(main, 1)
 
 
-def test_what_is_held_is_told_to_a_new_home() -> None:
+def test_an_edge_reports_its_shares_to_a_new_home() -> None:
     async def main(loop: SimLoop) -> None:
         world = World(loop, 1, {"t": Terms(60, 30)})
         await world.load("t", {"e0": 20.0}, 5.0)
         edge = world.nodes["e0"].shares
         assert edge is not None
-        answer = (await edge.on_holdings(HoldingsRequest(PARTITION, 1, 2).as_json())).unwrap()
-        told = ShareRequest.from_json(answer["shares"][0])
-        assert told.rate > 20.0 and 0 < told.remaining <= edge.timers.lease
+        response = (await edge.on_holdings(HoldingsRequest(PARTITION, 1, 2).as_json())).unwrap()
+        holding = ShareRequest.from_json(response["shares"][0])
+        assert holding.rate > 20.0 and 0 < holding.remaining <= edge.timers.lease
 
     run_sim(main, 1)
 
@@ -52,7 +52,7 @@
     run_sim(main, 1)
 
 
-def test_a_flood_costs_few_questions() -> None:
+def test_a_flood_of_requests_costs_few_share_requests() -> None:
     async def main(loop: SimLoop) -> None:
         world = World(loop, 1, {"t": Terms(10, 10)})
         await world.load("t", {"e0": 400.0, "e1": 400.0}, 10.0)
--- a/tests/tenants/test_limit_holds.py
+++ b/tests/tenants/test_limit_holds.py
@@ -1,4 +1,7 @@
-"""The limit of a tenant holds in every window, whatever happens to edges, homes and messages; and broken variants don't."""
+"""The limit of a tenant holds in every window, whatever happens to edges, homes and messages.
+
+Broken variants of the code exceed the limit, which shows that these tests would detect such faults.
+"""
 
 from __future__ import annotations
 
@@ -26,8 +29,8 @@
 
 
 @dataclass(frozen=True)
-class Trouble:
-    """Something that happens in the world at a time: to an edge or a home, for some seconds."""
+class Fault:
+    """A fault that happens at the time `at` to an edge or a home, for some seconds."""
 
     at: float
     kind: str
@@ -36,8 +39,8 @@
 
 
 KINDS = ("freeze edge", "restart edge", "cut edge", "freeze home", "cut home", "take over", "move")
-troubles = st.builds(
-    Trouble,
+faults = st.builds(
+    Fault,
     at=st.floats(1, SECONDS - 2),
     kind=st.sampled_from(KINDS),
     index=st.integers(0, EDGES - 1),
@@ -45,37 +48,37 @@
 )
 
 
-def apply(world: World, trouble: Trouble) -> None:
-    edge, home = f"e{trouble.index}", f"s{trouble.index % HOMES}"
-    match trouble.kind:
+def apply(world: World, fault: Fault) -> None:
+    edge, home = f"e{fault.index}", f"s{fault.index % HOMES}"
+    match fault.kind:
         case "freeze edge":
-            world.freeze(edge, trouble.seconds)
+            world.freeze(edge, fault.seconds)
         case "restart edge":
             world.boot(edge)
         case "cut edge":
-            world.cut(edge, trouble.seconds)
+            world.cut(edge, fault.seconds)
         case "freeze home":
-            world.freeze(home, trouble.seconds)
+            world.freeze(home, fault.seconds)
         case "cut home":
-            world.cut(home, trouble.seconds)
+            world.cut(home, fault.seconds)
         case "take over":
             world.take_over(home)
 
 
 async def flood(world: World, shares: list[float]) -> None:
-    """Several times the limit, divided among the edges; the division turns by one edge each second."""
+    """Sends several times the limit, divided among the edges by shares that move on by one edge each second."""
     for second in range(int(SECONDS)):
         rates = {f"e{n}": TERMS.rate * FLOOD * shares[(n + second) % EDGES] / sum(shares) for n in range(EDGES)}
         await world.load("t", rates, 1.0)
 
 
-def play(seed: int, plan: list[Trouble], loss: float, shares: list[float]) -> int:
-    """The most requests that ran in any window of a day with these troubles."""
+def play(seed: int, plan: list[Fault], loss: float, shares: list[float]) -> int:
+    """Returns the most requests that ran in any window of a run with these faults."""
 
     async def main(loop: SimLoop) -> int:
         world = World(loop, seed, {"t": TERMS}, EDGES, HOMES, latency=0.004, loss=loss)
-        for trouble in plan:
-            loop.call_later(trouble.at, apply, world, trouble)
+        for fault in plan:
+            loop.call_later(fault.at, apply, world, fault)
         await flood(world, shares)
         return most_in_window(world.ran["t"])
 
@@ -85,27 +88,28 @@
 @settings(max_examples=25, deadline=None, derandomize=True)
 @given(
     seed=st.integers(0, 2**20),
-    plan=st.lists(troubles, max_size=8),
+    plan=st.lists(faults, max_size=8),
     loss=st.sampled_from([0.0, 0.02, 0.2]),
     shares=st.lists(st.floats(0.01, 1), min_size=EDGES, max_size=EDGES),
 )
 def test_no_window_sees_more_than_the_limit_allows(
-    seed: int, plan: list[Trouble], loss: float, shares: list[float]
+    seed: int, plan: list[Fault], loss: float, shares: list[float]
 ) -> None:
     worst = play(seed, plan, loss, shares)
     assert worst <= TERMS.most
-    # Exactly what may be handed out, and what each new home starts with; the rest of the promise is for clocks.
+    # Exactly what may be handed out, and what each new home starts with; the rest of the guarantee is for clocks that run at
+    # different speeds.
     limit = tenant_limit({"keys": [], "rate": TERMS.rate, "burst": TERMS.burst}, SLACK)
     assert limit is not None
-    homes = 1 + sum(trouble.kind == "take over" for trouble in plan)
+    homes = 1 + sum(fault.kind == "take over" for fault in plan)
     assert worst <= limit.rate * SLACK.window + limit.burst + homes * SLACK.extra * STARTING_EXTRA
 
 
-# --- days on which a broken variant lets too much run
+# --- scenarios in which a broken variant lets too many requests run
 
 
 async def silent_edges(world: World) -> None:
-    """Three edges are cut off, and all that they had comes to the fourth."""
+    """Three edges are cut off, and all their requests go to the fourth."""
     await world.load("t", even(), 4.0)
     for number in range(EDGES - 1):
         world.cut(f"e{number}", 12.0)
@@ -113,7 +117,7 @@
 
 
 async def silent_edges_and_a_new_home(world: World) -> None:
-    """Three edges are cut off as the home changes: the new one can't know what they hold."""
+    """Three edges are cut off while the home changes, so that the new home can't know what they hold."""
     await world.load("t", even(), 4.0)
     for number in range(EDGES - 1):
         world.cut(f"e{number}", 12.0)
@@ -122,7 +126,7 @@
 
 
 async def two_homes(world: World) -> None:
-    """Half of the edges reach the old home alone, which doesn't know that there is a new one, half the new one."""
+    """Half of the edges reach only the old home, which doesn't know that there is a new one; the others only the new one."""
     await world.load("t", even(), 4.0)
     for edge in ("e0", "e1"):
         world.blocked |= {("s1", edge), (edge, "s1"), ("s2", edge), (edge, "s2")}
@@ -133,20 +137,22 @@
 
 
 async def lost_answers(world: World) -> None:
-    """One edge has all; then others want it too, but it hears no answers any more."""
+    """One edge has the full share; then others want it too, but responses to the first one are lost."""
     await world.load("t", {"e0": TERMS.rate * FLOOD}, 4.0)
     world.blocked |= {(f"s{number}", "e0") for number in range(HOMES)}
     await world.load("t", even(2.0), 6.0)
 
 
 async def frozen_edges(world: World) -> None:
-    """Three edges are frozen in the middle of their questions, until the fourth has all that they had. The answers have
-    come by then, but nothing else reaches them."""
+    """Three edges are frozen during their share requests, until the fourth one has got all that they had.
+
+    The responses have arrived by then, but after that the three edges are cut off.
+    """
     await world.load("t", even(), 4.0)
     for number in range(EDGES - 1):
         shares = world.nodes[f"e{number}"].shares
         assert shares is not None
-        while not shares.asking:
+        while not shares.pending_requests:
             world.send(f"e{number}", "t")
             await asyncio.sleep(0.001)
         world.freeze(f"e{number}", 8.0)
@@ -157,50 +163,50 @@
 
 
 def even(factor: float = 1.0) -> dict[str, float]:
-    """The same flood at each edge."""
+    """Returns the same rate for each edge, several times the limit in total."""
     return {f"e{number}": TERMS.rate * FLOOD * factor / EDGES for number in range(EDGES)}
 
 
-Day = Callable[[World], Coroutine[Any, Any, None]]
-DAYS: list[Day] = [silent_edges, silent_edges_and_a_new_home, two_homes, lost_answers, frozen_edges]
+Scenario = Callable[[World], Coroutine[Any, Any, None]]
+SCENARIOS: list[Scenario] = [silent_edges, silent_edges_and_a_new_home, two_homes, lost_answers, frozen_edges]
 
 
-def worst_window(day: Day, latency: float = 0.004) -> int:
-    """The most requests that ran in any window of a day."""
+def worst_window(scenario: Scenario, latency: float = 0.004) -> int:
+    """Returns the most requests that ran in any window of a scenario."""
 
     async def main(loop: SimLoop) -> int:
         world = World(loop, 7, {"t": TERMS}, EDGES, HOMES, latency=latency)
-        await day(world)
+        await scenario(world)
         return most_in_window(world.ran["t"])
 
     return int(run_sim(main, 7))
 
 
-@pytest.mark.parametrize("day", DAYS)
-def test_no_window_of_such_a_day_sees_more_than_the_limit_allows(day: Day) -> None:
-    assert worst_window(day) <= TERMS.most
+@pytest.mark.parametrize("scenario", SCENARIOS)
+def test_no_window_of_a_scenario_sees_more_than_the_limit_allows(scenario: Scenario) -> None:
+    assert worst_window(scenario) <= TERMS.most
 
 
 def forget_end(share: EdgeShare, limit: Any, now: float) -> None:
-    """A share that is spent after it has run out."""
-    share.until = max(share.until, now + 1.0) if share.rate else share.until
-    COUNT(share, limit, now)
+    """Broken: tokens are taken from a share after it has expired."""
+    share.expires_at = max(share.expires_at, now + 1.0) if share.rate else share.expires_at
+    ACCRUE(share, limit, now)
 
 
 def lease_from_answer(share: EdgeShare, grant: Any, limit: Any, now: float) -> bool:
-    """A share that is good from when the answer came."""
-    share.asked_at = now
+    """Broken: the lease of a share starts when the response arrives, not when the request was made."""
+    share.requested_at = now
     return APPLY(share, grant, limit, now)
 
 
 def settle_at_once(_service: ShareService, home: Any) -> bool:
-    """A home that doesn't mind what the one before granted."""
-    home.settled_at = home.since if home.settled_at is None else home.settled_at
+    """Broken: a new home ignores what the former home granted."""
+    home.settled_at = home.began_at if home.settled_at is None else home.settled_at
     return True
 
 
 def count_last_grant_only(ledger: ShareLedger, *args: Any) -> Any:
-    """A home that takes a share back before the edge knows of it."""
+    """Broken: a home counts the reduced share before the edge knows of the reduction."""
     grant = GRANT(ledger, *args)
     holder = ledger.holders[args[0]]
     holder.shares = holder.shares[-1:]
@@ -208,24 +214,24 @@
 
 
 def debit_nothing(ledger: ShareLedger, given: float) -> None:
-    """Tokens that stay where they were given from."""
+    """Broken: granted tokens are not deducted at the home."""
 
 
-def fresh_bucket(share: EdgeShare, grant: Any, limit: Any, now: float) -> bool:
-    """Tokens of the former share are kept beside a full new one."""
+def keep_old_tokens(share: EdgeShare, grant: Any, limit: Any, now: float) -> bool:
+    """Broken: the tokens of the former share are kept, and those of a full new one are added."""
     return APPLY(share, replace(grant, tokens=grant.burst), limit, now)
 
 
-async def confirm_never(_store: Any, _partition: Any) -> bool:
-    """A home that grants without a look at whether it still is the home."""
+async def confirm_without_check(_store: Any, _partition: Any) -> bool:
+    """Broken: a home grants shares without confirming that it is still the home."""
     return True
 
 
-COUNT, APPLY, GRANT = EdgeShare.count, EdgeShare.apply, ShareLedger.grant
+ACCRUE, APPLY, GRANT = EdgeShare.accrue, EdgeShare.apply, ShareLedger.grant
 
 
-MUTANTS: dict[str, tuple[Day, str, Callable[..., Any]]] = {
-    "spends after the end": (silent_edges, "postpass.tenants.edge_share.EdgeShare.count", forget_end),
+MUTANTS: dict[str, tuple[Scenario, str, Callable[..., Any]]] = {
+    "spends after the end": (silent_edges, "postpass.tenants.edge_share.EdgeShare.accrue", forget_end),
     "lease from the answer": (frozen_edges, "postpass.tenants.edge_share.EdgeShare.apply", lease_from_answer),
     "settles at once": (
         silent_edges_and_a_new_home, "postpass.tenants.share_service.ShareService._is_settled", settle_at_once,
@@ -233,14 +239,14 @@
     "counts the last grant only": (
         lost_answers, "postpass.tenants.share_ledger.ShareLedger.grant", count_last_grant_only,
     ),
-    "debits nothing": (silent_edges, "postpass.tenants.share_ledger.ShareLedger._take", debit_nothing),
-    "fresh bucket": (silent_edges, "postpass.tenants.edge_share.EdgeShare.apply", fresh_bucket),
-    "confirms never": (two_homes, "tests.tenants.share_world.StoreStandIn.confirm", confirm_never),
+    "debits nothing": (silent_edges, "postpass.tenants.share_ledger.ShareLedger._withdraw", debit_nothing),
+    "fresh bucket": (silent_edges, "postpass.tenants.edge_share.EdgeShare.apply", keep_old_tokens),
+    "confirms never": (two_homes, "tests.tenants.share_world.StoreStandIn.confirm", confirm_without_check),
 }  # fmt: skip
 
 
 @pytest.mark.parametrize("name", MUTANTS)
-def test_a_broken_variant_is_found(name: str) -> None:
-    day, target, broken = MUTANTS[name]
+def test_a_broken_variant_exceeds_the_limit(name: str) -> None:
+    scenario, target, broken = MUTANTS[name]
     with mock.patch(target, broken):
-        assert worst_window(day) > TERMS.most
+        assert worst_window(scenario) > TERMS.most
--- a/tests/tenants/test_limit_in_fleet.py
+++ b/tests/tenants/test_limit_in_fleet.py
@@ -1,4 +1,4 @@
-"""The limits of tenants among the daemons of a small announced fleet, as machines are lost and traffic moves."""
+"""The limits of tenants with the daemons of a small announced fleet, while machines are lost and traffic moves."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclass(eq=False)
 class Count:
-    """When requests ran, and when refused ones came."""
+    """The times at which requests were admitted, and at which rejected ones arrived."""
 
     ran: list[float] = field(default_factory=list)
     refused: list[float] = field(default_factory=list)
@@ -61,18 +61,18 @@
         return self.fleet.owners()[home_partition(TENANT, PARTITIONS)]
 
     async def load(self, rate: float, edges: list[str], seconds: float) -> Count:
-        """Independent requests, at these edges alike."""
-        count, until = Count(), self.fleet.loop.clock + seconds
+        """Sends requests at random times for some seconds, spread evenly over these edges."""
+        count, deadline = Count(), self.fleet.loop.clock + seconds
         while True:
             await asyncio.sleep(self.chance.expovariate(rate))
-            if self.fleet.loop.clock >= until:
+            if self.fleet.loop.clock >= deadline:
                 break
             self.send(self.chance.choice(edges), count)
         self.counts.append(count)
         return count
 
     def ran(self) -> list[float]:
-        """When all requests of the day ran."""
+        """Returns the times at which all requests of the scenario were admitted."""
         return [at for count in self.counts for at in count.ran]
 
     def send(self, edge: str, count: Count) -> None:
@@ -84,16 +84,16 @@
 
     async def serve(self, daemon: DataPlane, count: Count) -> None:
         assert daemon.relay is not None and daemon.relay.rate_limit is not None
-        began = self.fleet.loop.clock
-        wait = await daemon.relay.rate_limit.admit(TENANT)
-        (count.refused if wait else count.ran).append(began if wait else self.fleet.loop.clock)
+        began_at = self.fleet.loop.clock
+        retry_after = await daemon.relay.rate_limit.admit(TENANT)
+        (count.refused if retry_after else count.ran).append(began_at if retry_after else self.fleet.loop.clock)
 
 
 EDGES = ["e1", "e2", "e3", "e4"]
 
 
 async def hot(drill: Drill) -> None:
-    """Many times the usual, at three edges of four: about the limit runs."""
+    """Three edges of four get many times the usual load: about as much as the limit runs."""
     assert (await drill.load(USUAL, EDGES, 6.0)).refused_share == 0
     flood = await drill.load(USUAL * HOT, EDGES[:3], 6.0)
     assert len(flood.ran) >= TERMS.rate * 6.0
@@ -105,28 +105,28 @@
 
 
 async def moving(drill: Drill) -> None:
-    """All comes to one edge, then to another."""
+    """All requests go to one edge, then to another."""
     assert (await drill.load(USUAL, EDGES, 6.0)).refused_share == 0
     for edge in EDGES[:3]:
         assert (await drill.load(USUAL, [edge], 4.0)).refused_share < 0.02
 
 
 async def lost_home(drill: Drill) -> None:
-    """The home loses power; what flows goes on."""
+    """The home loses power; the requests are still admitted."""
     await drill.load(USUAL, EDGES, 6.0)
     drill.fleet.kill(drill.home(), silent=True)
     assert (await drill.load(USUAL, EDGES, 10.0)).refused_share < 0.02
 
 
 async def lost_edge(drill: Drill) -> None:
-    """An edge loses power, and its requests come to another."""
+    """An edge loses power, and its requests go to another one."""
     await drill.load(USUAL, EDGES, 6.0)
     drill.fleet.kill("e1", silent=True)
     assert (await drill.load(USUAL, ["e2", "e2", "e3", "e4"], 6.0)).refused_share < 0.02
 
 
 async def flood_as_the_home_is_lost(drill: Drill) -> None:
-    """Many times the usual while the home and an edge lose power, and a new edge process comes."""
+    """The edges get many times the usual load while the home and an edge lose power and the edge is started again."""
     await drill.load(USUAL * HOT, EDGES, 4.0)
     drill.fleet.kill(drill.home(), silent=True)
     drill.fleet.kill("e1", silent=True)
@@ -135,15 +135,15 @@
     await drill.load(USUAL * HOT, EDGES, 8.0)
 
 
-Day = Callable[[Drill], Coroutine[Any, Any, None]]
+Scenario = Callable[[Drill], Coroutine[Any, Any, None]]
 
 
-@pytest.mark.parametrize("day", [hot, moving, lost_home, lost_edge, flood_as_the_home_is_lost])
-def test_the_limit_holds_and_little_below_it_is_refused(day: Day) -> None:
+@pytest.mark.parametrize("scenario", [hot, moving, lost_home, lost_edge, flood_as_the_home_is_lost])
+def test_the_limit_holds_and_little_below_it_is_refused(scenario: Scenario) -> None:
     async def main(loop: SimLoop) -> list[float]:
         drill = Drill(Fleet(loop, stores=4, edges=4), random.Random(3))
         await drill.start()
-        await day(drill)
+        await scenario(drill)
         await asyncio.sleep(0.5)
         return drill.ran()
 
--- a/tests/tenants/test_share_allocation.py
+++ b/tests/tenants/test_share_allocation.py
@@ -1,4 +1,4 @@
-"""Dividing a limit between edges."""
+"""The division of a limit between edges."""
 
 from __future__ import annotations
 
@@ -12,31 +12,33 @@
 
 
 @given(demands, capacities)
-def test_nobody_gets_more_than_its_demand_and_all_together_no_more_than_there_is(
-    asked: dict[str, float], capacity: float
+def test_no_share_exceeds_its_demand_and_all_together_fit_the_capacity(
+    demand_by_edge: dict[str, float], capacity: float
 ) -> None:
-    shares = max_min_fair(asked, capacity)
-    assert all(shares[name] <= asked[name] for name in asked)
+    shares = max_min_fair(demand_by_edge, capacity)
+    assert all(shares[name] <= demand_by_edge[name] for name in demand_by_edge)
     assert sum(shares.values()) <= capacity * (1 + 1e-9)
 
 
 @given(demands, capacities)
-def test_who_gets_less_than_its_demand_gets_no_less_than_anyone_else(asked: dict[str, float], capacity: float) -> None:
-    shares = max_min_fair(asked, capacity)
-    least = min([shares[name] for name in asked if shares[name] < asked[name]], default=None)
+def test_an_unmet_demand_gets_no_less_than_any_other(demand_by_edge: dict[str, float], capacity: float) -> None:
+    shares = max_min_fair(demand_by_edge, capacity)
+    least = min([shares[name] for name in demand_by_edge if shares[name] < demand_by_edge[name]], default=None)
     assert least is None or max(shares.values()) <= least * (1 + 1e-9)
 
 
 @given(demands, capacities)
-def test_rates_add_up_to_no_more_than_there_is(asked: dict[str, float], capacity: float) -> None:
-    rates = {name: fair_rate(name, asked, capacity) for name in asked}
+def test_rates_add_up_to_no_more_than_the_capacity(demand_by_edge: dict[str, float], capacity: float) -> None:
+    rates = {name: fair_rate(name, demand_by_edge, capacity) for name in demand_by_edge}
     assert sum(rates.values()) <= capacity * (1 + 1e-9)
-    assert all(rates[name] <= wanted_rate(asked[name], capacity) * (1 + 1e-9) + 1e-9 for name in asked)
+    assert all(
+        rates[name] <= wanted_rate(demand_by_edge[name], capacity) * (1 + 1e-9) + 1e-9 for name in demand_by_edge
+    )
 
 
 def test_demands_that_fit_are_met_with_room_to_grow() -> None:
-    asked = {"a": 30.0, "b": 1.0}
-    assert fair_rate("a", asked, 80.0) == wanted_rate(30.0, 80.0)
-    assert fair_rate("b", asked, 80.0) == wanted_rate(1.0, 80.0)
-    assert 30.0 < fair_rate("a", asked, 32.0) < 31.0
-    assert fair_rate("a", asked, 20.0) == 19.0
+    demand_by_edge = {"a": 30.0, "b": 1.0}
+    assert fair_rate("a", demand_by_edge, 80.0) == wanted_rate(30.0, 80.0)
+    assert fair_rate("b", demand_by_edge, 80.0) == wanted_rate(1.0, 80.0)
+    assert 30.0 < fair_rate("a", demand_by_edge, 32.0) < 31.0
+    assert fair_rate("a", demand_by_edge, 20.0) == 19.0
