--- a/postpass/membership/operator_changes.py
+++ b/postpass/membership/operator_changes.py
@@ -1,6 +1,6 @@
-"""What operators ask of an announced fleet: its configuration, evacuations of zones, and the retirement of stores.
+"""Changes that operators order in an announced fleet: its configuration, evacuations of zones, and retirements of stores.
 
-Pure functions over `State`, called by the primary of control (`postpass.control.orders`).
+Pure functions of `State`, used by the primary of control (`postpass.control.orders`).
 """
 
 from __future__ import annotations
@@ -12,83 +12,90 @@
 from postpass.configuration.json_delta import reusing
 from postpass.membership.machine_registry import without_machines
 from postpass.membership.registry import OperatorConfiguration, State, with_parts
-from postpass.membership.safe_change import Tolerance, copies_bear_loss, safe_copies
+from postpass.membership.safe_change import Tolerance, copies_keep_majority, safe_copies
 from postpass.runtime.errors import CLASH, LACK
 
 
-class RetirementFlaw(NamedTuple):
-    """Why a store can't be emptied: the code of the fault, and the reason for the operator."""
+class RetirementRefusal(NamedTuple):
+    """Why a store can't be retired: the code of the fault, and the reason as shown to the operator."""
 
     code: int
     reason: str
 
 
 def with_configuration(state: State, configured: OperatorConfiguration, source: Any, orders: list[str]) -> State:
-    """The state with the operator's part of the configuration, and the workers that are there.
+    """Returns the state with a new operator's part of the configuration, and the workers that there are.
 
-    Workers of a pool that is gone become unassigned, and those that waited for a pool that is now there join it.
-    `source` is the document that `configured` was read from, `orders` the memory of accepted orders. What stays as it
-    was is shared with the present state, so that the rest of the change costs no more than its own size.
+    Workers of a pool that was removed become unassigned, and unassigned workers of a pool that was added join it. `source`
+    is the document from which `configured` was read, `orders` the memory of accepted orders. Unchanged parts are shared with
+    the present state, so that the cost of the rest of the change depends only on what has changed.
     """
     groups = {**{n: p["servers"] for n, p in state.configuration["pools"].items()}, **state.unassigned}
     pools = {n: cast(Pool, {**p, "servers": groups.get(n, {})}) for n, p in configured["pools"].items()}
     unassigned = {n: group for n, group in groups.items() if n not in pools and group}
     parts = {**configured, "pools": pools}
-    kept = {key: part for key, part in state.configuration.items() if key != "tenants"}
-    changed = cast(Configuration, reusing(state.configuration, {**kept, **parts}))
-    return replace(state, manifest=changed, source=source, unassigned=unassigned, orders=orders)
+    kept_parts = {key: part for key, part in state.configuration.items() if key != "tenants"}
+    new_configuration = cast(Configuration, reusing(state.configuration, {**kept_parts, **parts}))
+    return replace(state, manifest=new_configuration, source=source, unassigned=unassigned, orders=orders)
 
 
 def with_zone_evacuated(state: State, zone: str) -> State:
-    """The state in which nothing new goes to a zone."""
+    """Returns the state in which a zone is evacuated: no new work goes there."""
     zones = state.configuration.get("evacuated", [])
     return state if zone in zones else with_parts(state, evacuated=[*zones, zone])
 
 
 def with_zone_returned(state: State, zone: str) -> State:
-    """The state after an evacuation is taken back: the zone's workers count as cold until they say otherwise."""
+    """Returns the state after an evacuation has ended: the zone's workers count as cold until they announce otherwise."""
     zones = state.configuration.get("evacuated", [])
     if zone not in zones:
         return state
 
-    def cooled(group: dict[str, Server]) -> dict[str, Server]:
+    def with_zone_cold(group: dict[str, Server]) -> dict[str, Server]:
+        """Returns the workers with those of the zone marked as cold."""
         return {w: cast(Server, {**s, "cold": True}) if s["area"] == zone else s for w, s in group.items()}
 
-    pools = {n: cast(Pool, {**p, "servers": cooled(p["servers"])}) for n, p in state.configuration["pools"].items()}
+    pools = {
+        n: cast(Pool, {**p, "servers": with_zone_cold(p["servers"])}) for n, p in state.configuration["pools"].items()
+    }
     new = with_parts(state, evacuated=[other for other in zones if other != zone], pools=pools)
-    return replace(new, unassigned={n: cooled(group) for n, group in state.unassigned.items()})
+    return replace(new, unassigned={n: with_zone_cold(group) for n, group in state.unassigned.items()})
 
 
 def remaining_store_zones(configuration: Configuration, name: str) -> list[str]:
-    """The zones of the stores that are there once `name` is emptied, one for each store."""
+    """Returns the zones of the stores that remain once the store `name` is retired, one for each store."""
     machines = configuration["machines"]
     return [
         machines[n]["area"] for n in with_duty(configuration, "store") if n != name and not machines[n].get("retire")
     ]
 
 
-def retirement_flaw(state: State, name: str, tolerance: Tolerance) -> RetirementFlaw | None:
-    """Why a store can't be emptied; None if it can, or if that was asked for already.
+def retirement_flaw(state: State, name: str, tolerance: Tolerance) -> RetirementRefusal | None:
+    """Returns the reason for refusing to retire a store; None if it can be retired, or if that was ordered already.
 
-    Where no store is spare, fewer copies do as long as what may be lost at once can still be lost.
+    If the remaining stores are too few for the number of copies, fewer copies are acceptable as long as these still survive
+    the tolerated loss.
     """
     if name in state.retired:
         return None
     configuration = state.configuration
     if name not in with_duty(configuration, "store"):
-        return RetirementFlaw(LACK, f"no store {name!r:.60}")
+        return RetirementRefusal(LACK, f"no store {name!r:.60}")
     if configuration["machines"][name].get("retire"):
         return None
     zones = remaining_store_zones(configuration, name)
     copies = safe_copies(zones, configuration["copies"], tolerance)
-    if copies < configuration["copies"] and not copies_bear_loss(zones, copies, tolerance):
+    if copies < configuration["copies"] and not copies_keep_majority(zones, copies, tolerance):
         reason = f"the {len(zones)} stores that would stay can't bear the loss of what may be lost at once"
-        return RetirementFlaw(CLASH, reason)
+        return RetirementRefusal(CLASH, reason)
     return None
 
 
 def with_retiring_store(state: State, name: str, tolerance: Tolerance) -> State:
-    """The state in which a store is to be emptied; there are fewer copies if the rest bears more with fewer."""
+    """Returns the state in which a store is being retired.
+
+    The number of copies is lowered if the remaining stores tolerate the loss only with fewer copies.
+    """
     present = state.configuration["machines"].get(name)
     if present is None or present.get("retire"):
         return state
@@ -99,7 +106,7 @@
 
 
 def without_emptied_store(state: State, name: str) -> State:
-    """The state without a store that holds nothing any more; it doesn't come back with the same disk."""
+    """Returns the state without a store that was emptied; the store can't join again with the same disk."""
     if name in state.retired:
         return state
     disk = state.configuration["machines"].get(name, cast(Machine, {})).get("disk", "")
--- a/postpass/membership/registry.py
+++ b/postpass/membership/registry.py
@@ -1,8 +1,8 @@
-"""The records of an announced fleet: what machines, workers and operators say, and the state that control makes of it.
+"""The records of an announced fleet: the announcements of machines, workers and operators, and control's state of them.
 
-The rules that lead from one state to the next stand in `machine_registry`, `worker_registry` and `operator_changes`.
-They are pure functions; one that changes nothing returns the very state it was given, so that callers can tell by
-identity whether there is anything to commit.
+The functions that lead from one state to the next are in `machine_registry`, `worker_registry` and `operator_changes`. They
+are pure; a function that changes nothing returns the same object that it was given, so that a comparison by identity shows
+whether there is anything to commit.
 """
 
 from __future__ import annotations
@@ -18,8 +18,10 @@
 
 
 class MachineAnnouncement(TypedDict):
-    """What a machine says of itself when it joins; the fields are keys of JSON. `born` grows with every start of its
-    process."""
+    """A machine's description of itself, which it sends when it joins; the fields are keys of JSON.
+
+    `born` grows with every start of its process.
+    """
 
     name: str
     area: str
@@ -31,9 +33,9 @@
 
 
 class WorkerAnnouncement(TypedDict):
-    """What a worker says of itself; the fields are keys of JSON.
+    """A worker's description of itself; the fields are keys of JSON.
 
-    Invariant: one id is one life of a worker; `leave`, once said, is never taken back.
+    Invariant: a worker has a new id with each start; `leave`, once announced, is never revoked.
     """
 
     pool: str
@@ -47,7 +49,7 @@
 class OperatorConfiguration(TypedDict):
     """The operator's part of a configuration; its pools have no servers. The fields are keys of JSON.
 
-    `tenants` is there if the operator's document has any, be it an empty list.
+    `tenants` is present if the operator's document has that key, even with an empty list.
     """
 
     version: int
@@ -59,8 +61,11 @@
 
 @dataclass(frozen=True)
 class Translator:
-    """How the operator's own document is read: `terms` gives the operator's part of a configuration, `patched` the
-    document with a change laid on it; in error both give every flaw as one line."""
+    """The functions that read the operator's own document.
+
+    `terms` converts a document to the operator's part of a configuration; `patched` returns the document with a patch applied.
+    In case of an error, both return one line for each thing that is wrong.
+    """
 
     terms: Callable[[Any], Result[OperatorConfiguration, list[str]]]
     patched: Callable[[Any, Any], Result[Any, list[str]]]
@@ -70,13 +75,13 @@
 class State:
     """The replicated state of control, written by the primary.
 
-    Invariants: `revision` grows by one with every write and never falls; `losses` counts how often acknowledged state
-    may have been lost.
+    Invariants: `revision` grows by one with every write and never decreases; `losses` counts how often acknowledged state
+    may have been lost. `manifest` is the configuration; None before the fleet is founded.
 
-    Of announced fleets only: `source` is the operator's document as sent, or as changed since; `orders` is the memory
-    of accepted orders (`accepted_orders`); `unassigned` holds workers by the pools that they name and that the operator
-    has not configured; `ended` are ids of workers that said they end; `retired` are emptied stores, by name, with the
-    identity of the disk that was emptied.
+    In announced fleets only: `source` is the operator's document as sent, with all patches since; `orders` is the memory of
+    accepted orders (`accepted_orders`); `unassigned` contains workers by the names of their pools, as long as the operator
+    has not configured these; `ended` are ids of workers that have announced their end; `retired` are emptied stores, by name,
+    with the identity of the disk that was emptied.
 
     The keys on disk differ for some fields: see `STATE_KEYS` in `postpass.control.state`.
     """
@@ -92,17 +97,20 @@
 
     @property
     def configuration(self) -> Configuration:
-        """The configuration of a fleet that has been founded."""
+        """The configuration; the fleet must have been founded."""
         assert self.manifest is not None
         return self.manifest
 
 
 def with_parts(state: State, **parts: Any) -> State:
-    """The state with some parts of its configuration, given by their keys, put in place of the present ones."""
+    """Returns the state with some parts of its configuration, given by their keys, replaced."""
     return replace(state, manifest=cast(Configuration, {**state.configuration, **parts}))
 
 
 def recovered(revision: int, configuration: Configuration, losses: int) -> State:
-    """The state after a loss, from a configuration that daemons held: no order up to its version is known any more."""
+    """Returns the state to go on with after a loss, from a configuration that daemons had.
+
+    The orders up to the configuration's version are unknown after the loss, and are marked as forgotten.
+    """
     orders = accepted_orders.forgotten_up_to(configuration.get("version", 0))
     return State(revision, configuration, losses, orders=orders)
--- a/postpass/membership/worker_registry.py
+++ b/postpass/membership/worker_registry.py
@@ -1,7 +1,7 @@
-"""Workers of an announced fleet: how an announcement, an end and a silence change the state.
+"""Workers of an announced fleet: how the state changes when a worker announces itself, ends, or falls silent.
 
-Pure functions over `State`, called by the primary of control (`postpass.control.registry`). A worker stands either in
-the pool that it names or, while the operator has not configured that pool, among `State.unassigned`.
+Pure functions of `State`, used by the primary of control (`postpass.control.registry`). A worker is either in the pool that it
+names or, as long as the operator has not configured that pool, in `State.unassigned`.
 """
 
 from __future__ import annotations
@@ -13,19 +13,19 @@
 from postpass.configuration.settings import address_errors
 from postpass.membership.registry import State, WorkerAnnouncement, with_parts
 
-MAX_ENDED_WORKERS = 512  # lives of workers that are known to have ended, so that a late message doesn't bring them back
+MAX_ENDED_WORKERS = 512  # number of ended workers that are remembered, so that a late message doesn't add them again
 
 
 @dataclass(frozen=True)
 class AssignedWorker:
-    """A worker as the state holds it, with the name of the pool that it asked for."""
+    """A worker's record in the state, with the name of the pool that the worker asked for."""
 
     pool: str
     server: Server
 
 
 def find_worker(state: State, worker: str) -> AssignedWorker | None:
-    """The worker of this id, whether or not its pool is configured."""
+    """Returns the worker with this id, whether or not its pool is configured; None if there is none."""
     for name, pool in state.configuration["pools"].items():
         if worker in pool["servers"]:
             return AssignedWorker(name, pool["servers"][worker])
@@ -34,48 +34,53 @@
 
 
 def all_workers(state: State) -> dict[str, Server]:
-    """Every worker by its id, those of configured pools first."""
-    out: dict[str, Server] = {}
+    """Returns all workers by their ids, those of configured pools first."""
+    workers: dict[str, Server] = {}
     for group in (*(p["servers"] for p in state.configuration["pools"].values()), *state.unassigned.values()):
-        out.update(group)
-    return out
+        workers.update(group)
+    return workers
 
 
 def server_of(announcement: WorkerAnnouncement) -> Server:
-    """The configuration's record of a worker that announced itself so."""
-    made: Server = {"url": announcement["url"], "area": announcement["area"], "slots": announcement["slots"]}
+    """Returns the configuration's record of a worker with this announcement."""
+    server: Server = {"url": announcement["url"], "area": announcement["area"], "slots": announcement["slots"]}
     if announcement.get("leave"):
-        made["leave"] = True
+        server["leave"] = True
     if announcement.get("cold"):
-        made["cold"] = True
-    return made
+        server["cold"] = True
+    return server
 
 
 def is_current(configuration: Configuration | None, worker: str, announcement: WorkerAnnouncement) -> bool:
-    """Does the configuration say of this worker what it says of itself? Then its announcement is a mere heartbeat."""
+    """Returns whether the configuration contains the worker exactly as announced.
+
+    In that case the announcement is only a heartbeat and changes nothing.
+    """
     pool = configuration["pools"].get(announcement["pool"]) if configuration else None
     present = pool["servers"].get(worker) if pool else None
     return present is not None and present == server_of(announcement)
 
 
 def announcement_flaws(announcement: WorkerAnnouncement, zones: Sequence[str]) -> list[str]:
-    """What the configuration could not take of a worker's announcement, each flaw with its path; with no `zones` the
-    worker's zone is not checked, since none is known."""
+    """Returns what is wrong with a worker's announcement, one line for each error with its path.
+
+    If `zones` is empty, no zone is known yet and the worker's zone is not checked.
+    """
     url, zone = announcement["url"], announcement["area"]
-    out = [] if url.startswith("http://") else [f"url: want http://IP:PORT, got {url!r:.60}"]
-    out += address_errors("url", url.removeprefix("http://"))
+    errors = [] if url.startswith("http://") else [f"url: want http://IP:PORT, got {url!r:.60}"]
+    errors += address_errors("url", url.removeprefix("http://"))
     if zones and zone not in zones:
-        out.append(f"area: unknown area {zone!r:.60}")
+        errors.append(f"area: unknown area {zone!r:.60}")
     if announcement["slots"] < 1:
-        out.append(f"slots: want at least 1, got {announcement['slots']}")
-    return out if announcement["pool"] else [*out, "pool: want a name, got an empty string"]
+        errors.append(f"slots: want at least 1, got {announcement['slots']}")
+    return errors if announcement["pool"] else [*errors, "pool: want a name, got an empty string"]
 
 
 def with_worker(state: State, worker: str, announcement: WorkerAnnouncement) -> State:
-    """The state with a worker as it announced itself.
+    """Returns the state with a worker as it announced itself.
 
-    Cases: a life that has ended stays ended; one that said it leaves goes on leaving; whichever worker had the same
-    address before has ended; a worker that names another pool leaves the one it was in.
+    An id that has ended stays ended; a worker that announced that it leaves goes on leaving; a worker that had the same
+    address before has ended; a worker that names another pool is removed from its former one.
     """
     if worker in state.ended:
         return state
@@ -90,41 +95,41 @@
         state = _remember_ended(_without(state, earlier), earlier)
     if present is not None and present.pool != announcement["pool"]:
         state = _without(state, [worker])
-    return _assigned(state, worker, announcement["pool"], new)
+    return _with_assigned(state, worker, announcement["pool"], new)
 
 
 def without_ended(state: State, workers: Iterable[str]) -> State:
-    """The state without workers that said they end: whatever comes of them later is late."""
+    """Returns the state without workers that announced their end; messages of them that arrive later are ignored."""
     workers = list(workers)
     return _remember_ended(_without(state, workers), workers)
 
 
 def without_silent(state: State, workers: Iterable[str]) -> State:
-    """The state without workers that are not heard any more; one that was leaving doesn't come back, any other may."""
+    """Returns the state without silent workers; one that was leaving can't be added again, any other can."""
     workers = list(workers)
-    every = all_workers(state)
-    leaving = [w for w in workers if w in every and every[w].get("leave")]
+    workers_by_id = all_workers(state)
+    leaving = [w for w in workers if w in workers_by_id and workers_by_id[w].get("leave")]
     return _remember_ended(_without(state, workers), leaving)
 
 
-def _assigned(state: State, worker: str, pool_name: str, server: Server) -> State:
-    """The state with a worker put in its pool, or among the unassigned ones if the pool is not configured."""
+def _with_assigned(state: State, worker: str, pool_name: str, server: Server) -> State:
+    """Returns the state with a worker added to its pool, or to the unassigned ones if the pool is not configured."""
     pools = state.configuration["pools"]
     if pool_name in pools:
         pool = pools[pool_name]
-        made: Pool = {**pool, "servers": {**pool["servers"], worker: server}}
-        return with_parts(state, pools={**pools, pool_name: made})
+        updated_pool: Pool = {**pool, "servers": {**pool["servers"], worker: server}}
+        return with_parts(state, pools={**pools, pool_name: updated_pool})
     group = {**state.unassigned.get(pool_name, {}), worker: server}
     return replace(state, unassigned={**state.unassigned, pool_name: group})
 
 
 def _without(state: State, workers: Iterable[str]) -> State:
-    """The state with these workers taken out of all pools; the very state if it holds none of them."""
+    """Returns the state without these workers in any pool; the same object if it contains none of them."""
     removed = set(workers)
     for name, pool in state.configuration["pools"].items():
         if removed & set(pool["servers"]):
-            rest: Pool = {**pool, "servers": {w: s for w, s in pool["servers"].items() if w not in removed}}
-            state = with_parts(state, pools={**state.configuration["pools"], name: rest})
+            remaining_pool: Pool = {**pool, "servers": {w: s for w, s in pool["servers"].items() if w not in removed}}
+            state = with_parts(state, pools={**state.configuration["pools"], name: remaining_pool})
     if any(removed & set(group) for group in state.unassigned.values()):
         groups = {name: {w: s for w, s in g.items() if w not in removed} for name, g in state.unassigned.items()}
         state = replace(state, unassigned={name: group for name, group in groups.items() if group})
@@ -132,6 +137,6 @@
 
 
 def _remember_ended(state: State, workers: Iterable[str]) -> State:
-    """The state that knows these lives as ended; the oldest are forgotten beyond `MAX_ENDED_WORKERS`."""
+    """Returns the state in which these workers are recorded as ended; at most `MAX_ENDED_WORKERS`, the newest, are kept."""
     new = [w for w in workers if w not in state.ended]
     return replace(state, ended=[*state.ended, *new][-MAX_ENDED_WORKERS:]) if new else state
--- a/tests/membership/test_partial_view.py
+++ b/tests/membership/test_partial_view.py
@@ -13,34 +13,34 @@
     )
 
 
-def test_shuffles_join_everyone_and_views_stay_bounded() -> None:
+def test_shuffles_connect_all_daemons_and_views_stay_bounded() -> None:
     chance = random.Random(4)
-    circles = {f"n{i}": PartialView(_record(f"n{i}"), random.Random(i)) for i in range(60)}
-    for name, c in circles.items():
-        c.merge([_record(f"n{i}") for i in range(3) if f"n{i}" != name])
+    views = {f"n{i}": PartialView(_record(f"n{i}"), random.Random(i)) for i in range(60)}
+    for name, view in views.items():
+        view.merge([_record(f"n{i}") for i in range(3) if f"n{i}" != name])
     for _ in range(60):
-        for name in chance.sample(sorted(circles), 60):
-            c = circles[name]
-            c.next_own_record()
-            neighbour, offer = c.begin_shuffle()
+        for name in chance.sample(sorted(views), 60):
+            view = views[name]
+            view.next_own_record()
+            neighbour, offer = view.begin_shuffle()
             if neighbour is not None:
                 given = offer[1:]
-                c.merge(circles[neighbour.record["name"]].answer_shuffle(offer), given)
-    assert all(len(c.neighbours) <= 8 and n not in c.neighbours for n, c in circles.items())
-    seen, edge = {"n5"}, ["n5"]
-    while edge:
-        edge = [m for n in edge for m in circles[n].neighbours if m not in seen and not seen.add(m)]  # type: ignore[func-returns-value]
-    assert len(seen) == 60
-
-
-def test_the_dead_stay_out_until_they_show_a_newer_word() -> None:
-    c = PartialView(_record("me"), random.Random(1))
-    c.merge([_record("x", 5)])
-    c.remove_dead("x")
-    c.merge([_record("x", 5), _record("x", 4)])
-    assert "x" not in c.neighbours
-    c.merge([_record("x", 6)])
-    assert "x" in c.neighbours
-    c.remove_dead("x")
-    c.merge([_record("x", 0, inc=2)])
-    assert c.neighbours["x"].record["inc"] == 2
+                view.merge(views[neighbour.record["name"]].answer_shuffle(offer), given)
+    assert all(len(view.neighbours) <= 8 and n not in view.neighbours for n, view in views.items())
+    reached, frontier = {"n5"}, ["n5"]
+    while frontier:
+        frontier = [m for n in frontier for m in views[n].neighbours if m not in reached and not reached.add(m)]  # type: ignore[func-returns-value]
+    assert len(reached) == 60
+
+
+def test_a_dead_daemon_is_added_again_only_by_a_newer_record() -> None:
+    view = PartialView(_record("me"), random.Random(1))
+    view.merge([_record("x", 5)])
+    view.remove_dead("x")
+    view.merge([_record("x", 5), _record("x", 4)])
+    assert "x" not in view.neighbours
+    view.merge([_record("x", 6)])
+    assert "x" in view.neighbours
+    view.remove_dead("x")
+    view.merge([_record("x", 0, inc=2)])
+    assert view.neighbours["x"].record["inc"] == 2
--- a/tests/membership/test_registry.py
+++ b/tests/membership/test_registry.py
@@ -17,7 +17,7 @@
 from postpass.membership.safe_change import Tolerance
 
 
-def test_copies_follow_the_stores_that_are_heard() -> None:
+def test_the_number_of_copies_follows_the_stores_that_send_heartbeats() -> None:
     def fleet(*names: str, copies: int) -> State:
         entries: list[MachineAnnouncement] = [
             {"name": n, "area": "a", "peer": f"{n}:1", "http": f"{n}:2", "duties": ["store"], "born": 1, "disk": n}
@@ -28,13 +28,15 @@
     four = fleet("s1", "s2", "s3", "s4", copies=3)
     assert (
         with_adjusted_copies(four, Tolerance(1, 1), False, ["s1", "s2", "s3", "s4"]) is four
-    )  # not while they still come
+    )  # stores are still joining
     assert (
         with_adjusted_copies(four, Tolerance(1, 1), True, ["s2", "s3", "s4"]) is four
-    )  # one is gone, and may be dropped for that
+    )  # one store is silent and may be dropped
     assert with_adjusted_copies(four, Tolerance(1, 1), True, ["s1", "s2", "s3", "s4"]).configuration["copies"] == 4
-    more = fleet("s1", "s2", "s3", "s4", copies=4)
-    assert with_adjusted_copies(more, Tolerance(1, 1), True, ["s2", "s3"]) is more  # a silence lowers nothing
+    all_copies = fleet("s1", "s2", "s3", "s4", copies=4)
+    assert (
+        with_adjusted_copies(all_copies, Tolerance(1, 1), True, ["s2", "s3"]) is all_copies
+    )  # silent stores don't lower the number
     assert (
         with_adjusted_copies(fleet("s1", "s2", "s3", copies=4), Tolerance(1, 1), True, []).configuration["copies"] == 3
     )
@@ -48,11 +50,11 @@
 
 
 @pytest.mark.parametrize("value", [None, False, 2.5, "text", [1], {"deep": []}], ids=repr)
-def test_an_announcement_of_a_later_release_is_taken_without_what_it_adds(value: Any) -> None:
+def test_additional_keys_in_an_announcement_of_a_later_release_are_ignored(value: Any) -> None:
     entry: Any = {
         "name": "s1", "area": "a", "peer": "10.0.0.1:1", "http": "10.0.0.1:2", "duties": ["store"], "born": 1, "disk": "d",
     }  # fmt: skip
     assert announcement_flaws(entry | {"later": value}, ["a"]) == []
     assert machine_of(entry | {"later": value}) == machine_of(entry)
-    lacking = {key: part for key, part in entry.items() if key != "born"}
-    assert announcement_flaws(lacking | {"later": value}, ["a"])[0].startswith("entry: want name, ")
+    incomplete = {key: part for key, part in entry.items() if key != "born"}
+    assert announcement_flaws(incomplete | {"later": value}, ["a"])[0].startswith("entry: want name, ")
--- a/tests/membership/test_retirement.py
+++ b/tests/membership/test_retirement.py
@@ -1,4 +1,4 @@
-"""When a store may be emptied, and how many copies are left then."""
+"""When a store may be retired, and how many copies the remaining stores keep."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def refusal_code(state: State, name: str, tolerance: Tolerance) -> int:
-    """The code of the fault with which a retirement is refused; 0 if it is not."""
+    """Returns the code of the fault with which a retirement is refused; 0 if it is accepted."""
     flaw = retirement_flaw(state, name, tolerance)
     return flaw.code if flaw is not None else 0
 
@@ -40,7 +40,7 @@
     assert retirement_flaw(four, "s4", Tolerance(1, 1)) is None
     three = with_retiring_store(four, "s4", Tolerance(1, 1))
     assert three.configuration["copies"] == 3 and set(members(three.configuration, 0)) == {"s1", "s2", "s3"}
-    # One more would leave two: no majority after a loss. Asked again for the one under way, it is still well.
+    # Retiring one more would leave two stores, and no majority after a loss. Ordering the same retirement again is accepted.
     assert refusal_code(three, "s3", Tolerance(1, 1)) == 409 and retirement_flaw(three, "s4", Tolerance(1, 1)) is None
 
 
@@ -52,20 +52,20 @@
     )
 
 
-def test_two_of_three_copies_in_one_area_would_be_too_few() -> None:
+def test_two_of_three_copies_in_one_zone_would_be_too_few() -> None:
     four = fleet(4, s1="a", s2="a", s3="c", s4="d")
     assert refusal_code(four, "s4", Tolerance(1, 1)) == 409
     assert retirement_flaw(four, "s2", Tolerance(1, 1)) is None
     assert retirement_flaw(four, "s4", Tolerance(1, 0)) is None
 
 
-def test_what_may_be_lost_sets_how_many_must_stay() -> None:
+def test_the_tolerated_loss_determines_how_many_stores_must_remain() -> None:
     five = fleet(5, s1="a", s2="b", s3="c", s4="d", s5="e")
     assert refusal_code(five, "s5", Tolerance(2, 1)) == 409 and retirement_flaw(five, "s5", Tolerance(1, 1)) is None
     assert refusal_code(five, "nobody", Tolerance(1, 1)) == 404
 
 
-def test_an_emptied_store_stays_out_and_one_of_its_name_with_another_disk_is_a_new_one() -> None:
+def test_an_emptied_store_cannot_rejoin_but_one_of_its_name_with_another_disk_can() -> None:
     four = without_emptied_store(
         with_retiring_store(fleet(4, s1="a", s2="b", s3="c", s4="d", s5="a"), "s5", Tolerance(1, 1)), "s5"
     )
@@ -73,14 +73,14 @@
     assert with_machine(four, entry("s5", "s5", 2)) is four
     five = with_machine(four, entry("s5", "new", 2))
     assert "s5" in five.configuration["machines"] and "s5" not in five.retired
-    # It holds copies again: to retire it is an order of its own, and not done at once.
+    # It has copies again: its retirement is a new order, and isn't completed at once.
     again = with_retiring_store(five, "s5", Tolerance(1, 1))
     assert again.configuration["machines"]["s5"].get("retire") and "s5" not in again.retired
 
 
-def test_fewer_copies_where_a_retirement_would_leave_two_in_one_area() -> None:
-    """Four copies with two in one area don't bear the loss of that area, three copies do."""
+def test_fewer_copies_if_a_retirement_would_leave_two_in_one_zone() -> None:
+    """Four copies with two of them in one zone don't survive the loss of that zone; three copies do."""
     five = fleet(4, s1="a", s2="b", s3="c", s4="d", s5="a")
-    without = with_retiring_store(five, "s4", Tolerance(1, 1))
-    assert retirement_flaw(five, "s4", Tolerance(1, 1)) is None and without.configuration["copies"] == 3
-    assert all({"s2", "s3"} < set(members(without.configuration, part)) for part in range(8))
+    retiring = with_retiring_store(five, "s4", Tolerance(1, 1))
+    assert retirement_flaw(five, "s4", Tolerance(1, 1)) is None and retiring.configuration["copies"] == 3
+    assert all({"s2", "s3"} < set(members(retiring.configuration, part)) for part in range(8))
--- a/tests/membership/test_safe_change.py
+++ b/tests/membership/test_safe_change.py
@@ -1,4 +1,4 @@
-"""Which change of members is safe: the rule by itself, enumerated over small fleets."""
+"""Safe changes of members: the rules by themselves, checked for all combinations in small fleets."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def topology(zones: str, tolerance: Tolerance = ONE) -> Topology:
-    """Machines m1, m2, … in areas named by one letter each."""
+    """Returns a topology of machines m1, m2, … whose zones are named by one letter each."""
     return Topology({f"m{i}": zone for i, zone in enumerate(zones, 1)}, tolerance)
 
 
@@ -40,7 +40,7 @@
 
 
 def situation(current: str, wanted: str, ready: str, zones: str, tolerance: Tolerance = ONE) -> Situation:
-    """Members by their numbers: `situation("123", "124", "1234", "abca")`."""
+    """Returns a situation, with members given by their numbers: `situation("123", "124", "1234", "abca")`."""
 
     def named(numbers: str) -> list[str]:
         return [f"m{n}" for n in numbers]
@@ -77,37 +77,43 @@
     assert change is not None and change.members == disks("m1", "m2") | {"m3": "new"}
 
 
-def test_a_live_member_stays_while_another_is_away_and_goes_once_it_is_back() -> None:
+def test_a_live_member_stays_while_another_is_away_and_leaves_once_it_is_back() -> None:
     assert next_change(situation("1234", "123", "124", "abcd")) is None
     assert next_change(situation("1234", "123", "1234", "abcd")) == Change(disks("m1", "m2", "m3"), leaves=("m4",))
 
 
-def test_a_dead_member_goes_also_while_the_wanted_ones_are_not_complete() -> None:
+def test_a_dead_member_leaves_even_while_the_wanted_ones_are_incomplete() -> None:
     assert next_change(situation("1234", "1235", "123", "abcdd")) == Change(disks("m1", "m2", "m3"), leaves=("m4",))
 
 
-def test_one_that_is_being_filled_is_no_dead_member() -> None:
-    here = situation("1234", "1235", "123", "abcdd")
-    filling = Situation(here.current, here.wanted, here.ready, ["m1", "m2", "m3", "m4"], here.topology)
+def test_a_member_that_is_being_filled_is_not_dead() -> None:
+    before_change = situation("1234", "1235", "123", "abcdd")
+    filling = Situation(
+        before_change.current,
+        before_change.wanted,
+        before_change.ready,
+        ["m1", "m2", "m3", "m4"],
+        before_change.topology,
+    )
     assert next_change(filling) is None
 
 
 def test_the_owner_itself_does_not_leave() -> None:
-    here = situation("1234", "123", "1234", "abcd")
-    assert next_change(here, stays="m4") is None
+    before_change = situation("1234", "123", "1234", "abcd")
+    assert next_change(before_change, stays="m4") is None
 
 
 @pytest.mark.parametrize("tolerance", [ONE, TWO])
 @pytest.mark.parametrize("zones", ["abcdab", "aabbcc", "abcabc", "aaaaaa"])
-def test_every_wanted_set_is_reached_and_no_step_worsens_what_is_borne(zones: str, tolerance: Tolerance) -> None:
-    """From each members of 3 to 5 to each wanted ones, all ready: the changes end, and each kept to the rule."""
+def test_every_wanted_set_is_reached_and_each_step_is_safe(zones: str, tolerance: Tolerance) -> None:
+    """From any 3 to 5 members to any wanted ones, all ready: the changes come to an end, and each of them is safe."""
     for current, wanted in itertools.product(_subsets(3, 5), _subsets(3, 5)):
         members, steps = current, 0
         while set(members) != set(wanted):
-            here = situation(members, wanted, "123456", zones, tolerance)
-            change = next_change(here)
+            before_change = situation(members, wanted, "123456", zones, tolerance)
+            change = next_change(before_change)
             assert change is not None, (members, wanted)
-            assert len(change.joins) + len(change.leaves) <= 2 and is_safe(here, change)
+            assert len(change.joins) + len(change.leaves) <= 2 and is_safe(before_change, change)
             members = "".join(sorted(name[1:] for name in change.members))
             steps += 1
             assert steps <= 6, (current, wanted)
@@ -120,27 +126,27 @@
 
 @pytest.mark.parametrize("zones", ["abcdab", "abcabc"])
 def test_with_one_away_no_change_lets_the_next_loss_take_the_majority_that_there_was(zones: str) -> None:
-    """Whatever is away, whatever is wanted: where a loss was borne before a change, one is borne after it."""
-    where = topology(zones)
+    """Whichever machine is away and whichever are wanted: if a loss was survivable before a change, one is after it."""
+    zones_of_machines = topology(zones)
     for current, wanted, away in itertools.product(_subsets(3, 5), _subsets(3, 4), "123456"):
         ready = "123456".replace(away, "")
-        here = situation(current, wanted, ready, zones)
-        change = next_change(here)
-        if change is None or not bears_loss(here.current, here.live, where):
+        before_change = situation(current, wanted, ready, zones)
+        change = next_change(before_change)
+        if change is None or not bears_loss(before_change.current, before_change.live, zones_of_machines):
             continue
-        if not bears_loss(here.wanted, here.wanted, where):
-            continue  # what is wanted can't bear a loss: retirement refuses that, and copies are chosen by it
-        live = {name for name in change.members if name in here.ready}
-        assert bears_loss(change.members, live, where), (current, wanted, away, change)
+        if not bears_loss(before_change.wanted, before_change.wanted, zones_of_machines):
+            continue  # the wanted members can't survive a loss: a retirement to this is refused, and the number of copies avoids it
+        live = {name for name in change.members if name in before_change.ready}
+        assert bears_loss(change.members, live, zones_of_machines), (current, wanted, away, change)
         assert len(live) >= majority_of(len(change.members))
 
 
-def test_four_copies_in_three_areas_bear_less_than_three() -> None:
+def test_four_copies_in_three_zones_survive_less_than_three() -> None:
     assert safe_copies(list("abcd"), 4, ONE) == 4
     assert safe_copies(list("abca"), 4, ONE) == 3
     assert safe_copies(list("abcda"), 4, ONE) == 4
     assert safe_copies(list("abcdabcd"), 5, TWO) == 5
-    assert safe_copies(list("aaaa"), 4, ONE) == 4  # no number bears the loss of the only area
+    assert safe_copies(list("aaaa"), 4, ONE) == 4  # no number of copies survives the loss of the only zone
     assert safe_copies([], 4, ONE) == 0
 
 
@@ -154,25 +160,31 @@
     return machine_to_drop(machines, lambda _: 3, 2.5)
 
 
-def test_a_silent_machine_is_dropped_once_another_has_come_for_it() -> None:
+def test_a_silent_machine_is_dropped_once_another_has_replaced_it() -> None:
     rest = {"m2": present("b"), "m3": present("c")}
     assert dropped(rest | {"m1": present(silent=4), "m4": present(known=3)}) == "m1"
-    assert dropped(rest | {"m1": present(silent=2), "m4": present(known=1)}) is None  # not silent for long enough
-    assert dropped(rest | {"m1": present(silent=4), "m4": present("d", known=3)}) is None  # of another area
-    assert dropped({"m2": present("b"), "m1": present(silent=4), "m4": present(known=3)}) is None  # too few stay
+    assert (
+        dropped(rest | {"m1": present(silent=2), "m4": present(known=1)}) is None
+    )  # not silent for long enough to be dropped
+    assert (
+        dropped(rest | {"m1": present(silent=4), "m4": present("d", known=3)}) is None
+    )  # the other one is in another zone
+    assert (
+        dropped({"m2": present("b"), "m1": present(silent=4), "m4": present(known=3)}) is None
+    )  # too few would remain
 
 
 def test_a_planned_replacement_starts_the_new_machine_before_the_old_one_goes() -> None:
     rest = {"m2": present("b"), "m3": present("c")}
     assert dropped(rest | {"m1": present(silent=6), "m4": present(known=12)}) == "m1"
-    assert dropped(rest | {"m1": present(silent=6), "m4": present(known=20)}) is None  # came too long before
+    assert dropped(rest | {"m1": present(silent=6), "m4": present(known=20)}) is None  # joined too long before
     assert dropped(rest | {"m1": present(silent=3), "m4": present(known=8)}) is None  # frozen or cut off for a moment
     assert dropped(rest | {"m1": present(silent=4), "m4": present(known=60, born=2)}) is None
     assert dropped(rest | {"m1": present(silent=6), "m4": present(known=60, born=2)}) == "m1"
     assert dropped(rest | {"m1": present(silent=6, born=2), "m4": present(known=60)}) is None
 
 
-def test_a_voter_that_leaves_gives_up_its_vote_where_the_others_then_bear_the_next_loss() -> None:
+def test_a_leaving_voter_gives_up_its_vote_if_the_others_then_survive_the_next_loss() -> None:
     names = [f"m{i}" for i in range(1, 6)]
 
     def after(count: int) -> set[str]:
@@ -180,8 +192,10 @@
         return set(next_voters(voters, names[:count], voters, topology("abcda"), ["m1"]))
 
     assert after(4) == {"m2", "m3", "m4"}
-    assert after(3) == {"m1", "m2", "m3"} and after(5) == set(names)  # its vote may still be needed; it isn't missed
-    # Back again, it is a voter again.
+    assert after(3) == {"m1", "m2", "m3"} and after(5) == set(
+        names
+    )  # of three, its vote may be needed; of five, it does no harm
+    # Once it is back, it becomes a voter again.
     back = next_voters(disks("m2", "m3", "m4"), names[:4], disks(*names[:4]), topology("abcd"))
     assert set(back) == set(names[:4])
 
