--- a/postpass/tenants/home_client.py
+++ b/postpass/tenants/home_client.py
@@ -55,7 +55,7 @@
                 await asyncio.sleep(min(pause, remaining))
                 lookup = self._lookup(partition)
                 continue
-            lookup.asked(name)
+            lookup.mark_asked(name)
             address = self.configuration_view.addr(name)
             if not address:
                 continue
@@ -90,4 +90,4 @@
         oldest = now() - self.timers.lease
         self.unanswered_at = {name: failed_at for name, failed_at in self.unanswered_at.items() if failed_at > oldest}
         owner = self.known_owners.get(partition, "")
-        return OwnerLookup.over([owner], self.configuration_view.order(partition), self.unanswered_at)
+        return OwnerLookup.for_candidates([owner], self.configuration_view.order(partition), self.unanswered_at)
