--- a/postpass/batch/capacity.py
+++ b/postpass/batch/capacity.py
@@ -16,7 +16,7 @@
 from postpass.configuration.configuration import Class, Configuration
 from postpass.configuration.settings import Settings
 from postpass.gateway.worker_load import WorkerLoad, share_of
-from postpass.routing.item_choice import ItemWorker, item_rooms
+from postpass.routing.item_choice import ItemWorker, free_item_slots
 from postpass.routing.item_order import usual_seconds
 from postpass.routing.load_picture import IDLE, LoadReport
 from postpass.routing.options import DEFAULT_OPTIONS, RoutingOptions
@@ -174,7 +174,7 @@
             other_load = None if load is None else load.get(name, IDLE)
             live, failing = (None, False) if other_load is None else (other_load.requests, other_load.fails_most)
             workers.append(ItemWorker(name, slots, limit.running, live, limit.allowed, failing))
-        return item_rooms(workers, self.options)
+        return free_item_slots(workers, self.options)
 
     def barred(self, configuration: Configuration, pool: str, worker: str) -> str:
         """Returns why a worker may get no items; empty if it may get some."""
--- a/postpass/batch/placement.py
+++ b/postpass/batch/placement.py
@@ -16,7 +16,7 @@
 from postpass.configuration.header_names import Dialect
 from postpass.configuration.settings import Settings
 from postpass.feed.configuration_view import ConfigurationView
-from postpass.routing.fair_share import Demand, fair_serving_order, has_single_client, within_shares
+from postpass.routing.fair_share import Demand, fair_serving_order, has_single_client, split_by_fair_share
 from postpass.routing.item_choice import choose_item_worker
 from postpass.runtime.environment import Environment, now
 from postpass.worker_api.plugins import Candidate, PlacementRequest, affinity_key, affinity_worker, place
@@ -140,7 +140,7 @@
         if not self.capacity.options.fair_items or has_single_client(demands):
             return len(demands)
         rate = self.starting_rate(self.free_slots(configuration), pools_of_jobs(configuration))
-        return len(within_shares(demands, earliest, rate)[0])
+        return len(split_by_fair_share(demands, earliest, rate)[0])
 
     def start_request(self, configuration: Configuration, route: Route, item: LeasedItem, free: FreeSlots) -> None:
         """Starts an item of a route at a worker with a free slot, and takes the slot; without one the item waits."""
--- a/postpass/control/election.py
+++ b/postpass/control/election.py
@@ -35,7 +35,7 @@
 )
 from postpass.control.replica import Replica
 from postpass.control.state import ReplicatedState
-from postpass.membership.registry import State, recovered
+from postpass.membership.registry import State, state_after_loss
 from postpass.membership.safe_change import Topology, next_voters
 from postpass.rpc.codec import Body
 from postpass.runtime import log_events
@@ -184,7 +184,7 @@
         if unheard := self.unheard(newest.configuration, campaign.promises):
             raise ElectionLostError(f"{', '.join(unheard)} may hold the newest state")
         revision = max(newest.revision, basis.revision_floor) + 1
-        return recovered(revision, newest.configuration, basis.losses)
+        return state_after_loss(revision, newest.configuration, basis.losses)
 
     def replica_set_after(
         self,
--- a/postpass/control/leadership.py
+++ b/postpass/control/leadership.py
@@ -12,7 +12,7 @@
 from postpass.control.member import INFINITY
 from postpass.control.messages import ADOPT, AdoptAnswer, AdoptRequest
 from postpass.control.registry import Registry
-from postpass.membership.safe_change import gives_up_vote
+from postpass.membership.safe_change import should_give_up_vote
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
@@ -212,7 +212,9 @@
             return True
         if configuration is None or self.settings.name not in replica_set.voters:
             return False
-        return gives_up_vote(replica_set.voters, self.settings.name, replica_set.voters, self.topology(configuration))
+        return should_give_up_vote(
+            replica_set.voters, self.settings.name, replica_set.voters, self.topology(configuration)
+        )
 
     async def hand_over(self) -> bool:
         """Stops leading and asks the backups, one after the other, to run for election; returns whether one now leads.
--- a/postpass/control/orders.py
+++ b/postpass/control/orders.py
@@ -212,7 +212,7 @@
         """
 
         def retire(state: State) -> Result[State, Fault]:
-            flaw = operator_changes.retirement_flaw(state, order.store, self.settings.tolerance)
+            flaw = operator_changes.retirement_refusal(state, order.store, self.settings.tolerance)
             if flaw:
                 return Err(Fault(order.kind, self.settings.name, flaw.reason, flaw.code))
             return Ok(operator_changes.with_retiring_store(state, order.store, self.settings.tolerance))
--- a/postpass/control/registry.py
+++ b/postpass/control/registry.py
@@ -119,7 +119,7 @@
         step, entry = "join", body["entry"]
         if not await self.is_leading():
             return Err(self.not_leader(step))
-        flaws = machine_registry.announcement_flaws(entry, self.settings.zones)
+        flaws = machine_registry.announcement_errors(entry, self.settings.zones)
         if flaws:
             return Err(Fault(step, self.settings.name, "\n".join(flaws), BAD))
         self.machine_heartbeats[entry["name"]] = now()
@@ -251,7 +251,7 @@
         count them.
         """
         # A bad announcement, once accepted, would make every later configuration invalid.
-        flaws = worker_registry.announcement_flaws(announcement, self.settings.zones)
+        flaws = worker_registry.announcement_errors(announcement, self.settings.zones)
         if flaws:
             return Err(Fault("beat", self.settings.name, "\n".join(flaws), BAD))
         heartbeat = WorkerHeartbeat(worker, announcement, seqno)
--- a/postpass/daemon/data_plane.py
+++ b/postpass/daemon/data_plane.py
@@ -23,7 +23,7 @@
 from postpass.gateway.relay import Relay
 from postpass.gateway.worker_load import WorkerLoad
 from postpass.replication.store import Store
-from postpass.routing.load_picture import LoadReport, summed
+from postpass.routing.load_picture import LoadReport, sum_reports
 from postpass.rpc.codec import RELEASE, Body, PeerResponse
 from postpass.rpc.peer_links import PeerLinks
 from postpass.runtime.environment import Environment
@@ -141,7 +141,7 @@
         """What this process has at each worker."""
         edge = self.relay.workers.own_use() if self.relay is not None else {}
         scheduler = self.scheduler.own_use() if self.scheduler is not None else {}
-        return summed([edge, scheduler]) if edge and scheduler else edge or scheduler
+        return sum_reports([edge, scheduler]) if edge and scheduler else edge or scheduler
 
     def others_of_edge(self) -> LoadReport | None:
         """What there is at the workers besides what the edge of this process has; None if that is not known."""
@@ -149,7 +149,7 @@
         if exchange is None or not exchange.is_fresh:
             return None
         scheduler = self.scheduler.own_use() if self.scheduler is not None else {}
-        return summed([exchange.others, scheduler]) if scheduler else exchange.others
+        return sum_reports([exchange.others, scheduler]) if scheduler else exchange.others
 
     def others_of_scheduler(self) -> LoadReport | None:
         """What there is at the workers besides what the scheduler of this process has; None if that is not known."""
@@ -157,7 +157,7 @@
         if exchange is None or not exchange.is_fresh:
             return None
         edge = self.relay.workers.own_use() if self.relay is not None else {}
-        return summed([exchange.others, edge]) if edge else exchange.others
+        return sum_reports([exchange.others, edge]) if edge else exchange.others
 
     def handlers(self) -> dict[str, Any]:
         """The verbs of peers that the duties answer."""
--- a/postpass/gateway/load_exchange.py
+++ b/postpass/gateway/load_exchange.py
@@ -23,13 +23,13 @@
     ReportTable,
     TimedReport,
     WorkerUse,
+    choose_hubs,
     exchange_interval,
-    hub_order,
-    hubs,
+    preferred_hubs,
     report_as_json,
     report_from_json,
-    summed,
-    without,
+    subtract_report,
+    sum_reports,
 )
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.rpc.peer_links import PeerLinks
@@ -107,8 +107,8 @@
             if "edge" in machine["duties"] and not machine.get("gone"):
                 by_zone.setdefault(machine["area"], []).append(name)
         self.interval = exchange_interval(self.settings.bounds.exchange, by_zone)
-        self.order = hub_order(self.settings.name, self.settings.zone, by_zone)
-        self.all_hubs = hubs(by_zone)
+        self.order = preferred_hubs(self.settings.name, self.settings.zone, by_zone)
+        self.all_hubs = choose_hubs(by_zone)
 
     def _forget_stale(self) -> None:
         oldest = now() - self.interval * STALE_INTERVALS
@@ -130,10 +130,10 @@
     def _exchange_as_hub(self) -> None:
         """Sees its members' reports itself, and asks the other hubs that have not asked lately."""
         at = now()
-        self._show(summed([self.members.total, self.hub_sums.total]))
+        self._show(sum_reports([self.members.total, self.hub_sums.total]))
         for name in self.all_hubs:
             heard = self.hub_sums.reports.get(name)
-            lately = heard is not None and at - heard.at < self.interval
+            lately = heard is not None and at - heard.received_at < self.interval
             if name == self.settings.name or name in self.asking or self.passed_over.get(name, 0.0) > at:
                 continue
             if name > self.settings.name or not lately:
@@ -161,7 +161,7 @@
         own = dict(self.own_use())
         answer = await self._ask(name, {"by": self.settings.name, "use": report_as_json(own)})
         if answer is not None:
-            self._show(without(report_from_json(answer["use"]), own))
+            self._show(subtract_report(report_from_json(answer["use"]), own))
 
     async def _exchange_with(self, name: str) -> None:
         own = report_as_json(self._members_sum())
@@ -171,7 +171,7 @@
 
     def _members_sum(self) -> dict[str, WorkerUse]:
         """What this process and its members have."""
-        return summed([self.own_use(), self.members.total])
+        return sum_reports([self.own_use(), self.members.total])
 
     def _show(self, others: dict[str, WorkerUse]) -> None:
         self.others, self.heard_at = others, now()
@@ -185,7 +185,7 @@
         table.replace(body["by"], TimedReport(now(), report_from_json(body["use"])))
         if body.get("hub"):
             return Ok({"use": report_as_json(self._members_sum())})
-        return Ok({"use": report_as_json(summed([self._members_sum(), self.hub_sums.total]))})
+        return Ok({"use": report_as_json(sum_reports([self._members_sum(), self.hub_sums.total]))})
 
     def close(self) -> None:
         """Ends what is under way; the process is about to end."""
--- a/postpass/gateway/relayed_request.py
+++ b/postpass/gateway/relayed_request.py
@@ -12,7 +12,7 @@
 from postpass.gateway.event_stream import EventStream
 from postpass.gateway.http_headers import HeaderNames, Headers, end_to_end, header, parse_number
 from postpass.routing.live_choice import Choice
-from postpass.routing.prefixes import NO_PREFIX, Prefix, prefix_of
+from postpass.routing.prefixes import NO_PREFIX, Prefix, parse_prefix
 
 NOT_YET = -1.0
 PATIENCE = 1 / 3  # of the aim, or of the longest pause: silence from which a worker is probed
@@ -107,7 +107,7 @@
         out.append((names.urgency, b"%d" % min(max(client.rank_on(route), 0), MAX_URGENCY)))
     if client.tenant:
         out.append((names.tenant, client.tenant.encode()))
-    prefix = prefix_of(header(headers, names.prompt) or b"") if route["tokens"] else NO_PREFIX
+    prefix = parse_prefix(header(headers, names.prompt) or b"") if route["tokens"] else NO_PREFIX
     request = RelayedRequest(
         route_name, route, scope["method"], target, out, body, header(headers, names.request_id), prefix, began, until,
         send, client, header(headers, names.tokens) or b"",
--- a/postpass/gateway/worker_health.py
+++ b/postpass/gateway/worker_health.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from postpass.routing.cold_workers import Bucket
+from postpass.routing.cold_workers import TokenBucket
 
 FULL_FOR = 0.05  # seconds that a worker which turned a request away is tried last
 AVOID_FIRST, AVOID_MOST = 0.1, 1.0  # seconds that a worker is avoided after a broken connection, doubling
@@ -24,7 +24,7 @@
     avoid_until: float = -1.0
     full_until: float = -1.0
     lag: float = 0.0  # seconds until the head of an answer, smoothed
-    bucket: Bucket = Bucket(0.0, 0.0)  # of requests that may go there while it is cold
+    bucket: TokenBucket = TokenBucket(0.0, 0.0)  # of requests that may go there while it is cold
 
     def answered(self, now: float, lag: float) -> None:
         """A proper answer's head came after so many seconds."""
--- a/postpass/gateway/worker_selection.py
+++ b/postpass/gateway/worker_selection.py
@@ -11,7 +11,7 @@
 from postpass.gateway.relayed_request import RelayedRequest
 from postpass.gateway.route_table import RouteTable, route_table_of
 from postpass.gateway.worker_health import WorkerHealth
-from postpass.routing.cold_workers import Bucket, cold_edges, cold_share
+from postpass.routing.cold_workers import TokenBucket, cold_edges, cold_rate_per_edge
 from postpass.routing.live_choice import (
     EdgeView,
     Prompt,
@@ -64,7 +64,7 @@
         """What is known of a worker; one that is new here may get one request at once even if it is cold."""
         found = self.health_by_worker.get(name)
         if found is None:
-            found = self.health_by_worker[name] = WorkerHealth(bucket=Bucket(1.0, now()))
+            found = self.health_by_worker[name] = WorkerHealth(bucket=TokenBucket(1.0, now()))
         return found
 
     def barred(self, configuration: Configuration, server: Server) -> bool:
@@ -77,7 +77,7 @@
         if rate <= 0:
             return UNLIMITED_RATE
         users = cold_edges(name, self.edges, rate)
-        return cold_share(rate, len(users)) if self.settings.name in users else None
+        return cold_rate_per_edge(rate, len(users)) if self.settings.name in users else None
 
     def own_use(self) -> LoadReport:
         """What this edge has at each worker, and how it found those that it tried lately."""
--- a/postpass/membership/machine_registry.py
+++ b/postpass/membership/machine_registry.py
@@ -21,7 +21,7 @@
 DUTIES = frozenset({"edge", "sched", "store", "control"})
 
 
-def announcement_flaws(announcement: Any, zones: Iterable[str]) -> list[str]:
+def announcement_errors(announcement: Any, zones: Iterable[str]) -> list[str]:
     """Returns what is wrong with a machine's announcement as it came from the peer, one line for each error.
 
     Additional keys, which a later release may have, are no error.
--- a/postpass/membership/operator_changes.py
+++ b/postpass/membership/operator_changes.py
@@ -70,7 +70,7 @@
     ]
 
 
-def retirement_flaw(state: State, name: str, tolerance: Tolerance) -> RetirementRefusal | None:
+def retirement_refusal(state: State, name: str, tolerance: Tolerance) -> RetirementRefusal | None:
     """Returns the reason for refusing to retire a store; None if it can be retired, or if that was ordered already.
 
     If the remaining stores are too few for the number of copies, fewer copies are acceptable as long as these still survive
--- a/postpass/membership/registry.py
+++ b/postpass/membership/registry.py
@@ -107,7 +107,7 @@
     return replace(state, manifest=cast(Configuration, {**state.configuration, **parts}))
 
 
-def recovered(revision: int, configuration: Configuration, losses: int) -> State:
+def state_after_loss(revision: int, configuration: Configuration, losses: int) -> State:
     """Returns the state to go on with after a loss, from a configuration that daemons had.
 
     The orders up to the configuration's version are unknown after the loss, and are marked as forgotten.
--- a/postpass/membership/safe_change.py
+++ b/postpass/membership/safe_change.py
@@ -83,7 +83,7 @@
     return Margin(excess - topology.worst_machines(live_members), excess - topology.worst_zones(live_members))
 
 
-def bears_loss(members: Collection[str], live: Collection[str], topology: Topology) -> bool:
+def keeps_majority_after_loss(members: Collection[str], live: Collection[str], topology: Topology) -> bool:
     """Returns whether a majority of `members` would be left after the next tolerated loss, when only `live` answer now."""
     return margin(members, live, topology).at_least(ZERO_MARGIN)
 
@@ -153,17 +153,17 @@
     return Change(kept_members | {name: situation.ready[name] for name in joins}, tuple(joins), tuple(leaves))
 
 
-def _candidate_changes(situation: Situation, stays: str) -> Iterable[Change]:
+def _candidate_changes(situation: Situation, must_stay: str) -> Iterable[Change]:
     """Yields all changes towards the wanted members, the preferred ones first.
 
     They are: a member that returned with a new disk is counted by that disk; a new member replaces one that is not wanted; a
     new one is added; one that is not wanted leaves, though as long as it answers only after all wanted members have joined
-    and are ready; finally, two are added or two leave at a time. The member `stays` never leaves.
+    and are ready; finally, two are added or two leave at a time. The member `must_stay` never leaves.
     """
     ready = [name for name in situation.wanted if name in situation.ready]
     returned = [n for n in ready if n in situation.current and n not in situation.live]
     new = [n for n in ready if n not in situation.current]
-    spare = [n for n in situation.spare if n != stays]
+    spare = [n for n in situation.spare if n != must_stay]
     complete = all(name in situation.live for name in situation.wanted)
     leaving = [n for n in spare if complete or n not in situation.answering]
     yield from (_make_change(situation, [name]) for name in returned)
@@ -174,18 +174,18 @@
     yield from (_make_change(situation, leaves=two_names) for two_names in itertools.combinations(leaving, 2))
 
 
-def next_change(situation: Situation, stays: str = "") -> Change | None:
+def next_change(situation: Situation, must_stay: str = "") -> Change | None:
     """Returns the next safe change towards the wanted members.
 
-    None is returned if there is no safe change now, or if the wanted members aren't known. The member `stays` doesn't leave.
+    None is returned if there is no safe change now, or if the wanted members aren't known. The member `must_stay` doesn't leave.
     """
     if not situation.wanted:
         return None
-    candidates = (change for change in _candidate_changes(situation, stays) if change.members)
+    candidates = (change for change in _candidate_changes(situation, must_stay) if change.members)
     return next((change for change in candidates if is_safe(situation, change)), None)
 
 
-def gives_up_vote(voters: Members, leaving: str, answered: Collection[str], topology: Topology) -> bool:
+def should_give_up_vote(voters: Members, leaving: str, answered: Collection[str], topology: Topology) -> bool:
     """Returns whether a voter that is ordered to stop should cease to be a voter while it is away.
 
     That is the case if the others alone survive the next loss, but would not if the vote of `leaving` still counted. For
@@ -194,7 +194,7 @@
     """
     others = [name for name in voters if name != leaving]
     live = [name for name in others if name in answered]
-    return bears_loss(others, live, topology) and not bears_loss(voters, live, topology)
+    return keeps_majority_after_loss(others, live, topology) and not keeps_majority_after_loss(voters, live, topology)
 
 
 def next_voters(
@@ -209,7 +209,7 @@
     """
     staying = {name: disk for name, disk in answered.items() if name not in leaving}
     for name in leaving:
-        if name in voters and gives_up_vote(voters, name, staying, topology):
+        if name in voters and should_give_up_vote(voters, name, staying, topology):
             return {other: disk for other, disk in voters.items() if other != name}
     change = next_change(Situation(voters, wanted, staying, list(staying), topology))
     return change.members if change is not None else dict(voters)
@@ -232,7 +232,7 @@
     placed = dict(enumerate(_spread_over_zones(store_zones, copies)))
     names = [str(index) for index in placed]
     topology = Topology({str(index): zone for index, zone in placed.items()}, tolerance)
-    return bears_loss(names, names, topology)
+    return keeps_majority_after_loss(names, names, topology)
 
 
 def _spread_over_zones(zones: Sequence[str], copies: int) -> list[str]:
--- a/postpass/membership/worker_registry.py
+++ b/postpass/membership/worker_registry.py
@@ -61,7 +61,7 @@
     return present is not None and present == server_of(announcement)
 
 
-def announcement_flaws(announcement: WorkerAnnouncement, zones: Sequence[str]) -> list[str]:
+def announcement_errors(announcement: WorkerAnnouncement, zones: Sequence[str]) -> list[str]:
     """Returns what is wrong with a worker's announcement, one line for each error with its path.
 
     If `zones` is empty, no zone is known yet and the worker's zone is not checked.
--- a/postpass/replication/reconfiguration.py
+++ b/postpass/replication/reconfiguration.py
@@ -33,7 +33,7 @@
         if configuration.get("predicate", "") != view.predicate:
             self.owner.append(partition, "predicate", {"text": configuration.get("predicate", "")})
             return
-        change = next_change(self.situation(partition), stays=self.table.settings.name)
+        change = next_change(self.situation(partition), must_stay=self.table.settings.name)
         if change is not None:
             self.owner.append(partition, "crew", {"crew": change.members})
             log_events.emit(
--- a/postpass/routing/cold_workers.py
+++ b/postpass/routing/cold_workers.py
@@ -20,16 +20,16 @@
     return rendezvous(worker.encode(), edges, max(1, min(MAX_COLD_EDGES, int(rate))))
 
 
-def cold_share(rate: float, users: int) -> float:
+def cold_rate_per_edge(rate: float, edge_count: int) -> float:
     """Returns the requests a second that one of the edges may send to a cold worker.
 
-    `rate` is the worker's own limit, `users` the number of edges that may send to it.
+    `rate` is the worker's own limit, `edge_count` the number of edges that may send to it.
     """
-    return COLD_SHARE * rate / max(1, users)
+    return COLD_SHARE * rate / max(1, edge_count)
 
 
 @dataclass(frozen=True, slots=True)
-class Bucket:
+class TokenBucket:
     """A token bucket with `level` tokens at the time `at`.
 
     Invariant: `level` is at most the capacity (`most`) that the bucket was last filled with.
@@ -38,10 +38,10 @@
     level: float
     at: float
 
-    def filled(self, now: float, rate: float, most: float = 1.0) -> Bucket:
+    def filled(self, now: float, rate: float, most: float = 1.0) -> TokenBucket:
         """Returns the bucket as of `now`, after it was filled at `rate` tokens a second up to a capacity of `most`."""
-        return Bucket(min(most, self.level + max(0.0, now - self.at) * rate), max(now, self.at))
+        return TokenBucket(min(most, self.level + max(0.0, now - self.at) * rate), max(now, self.at))
 
-    def taken(self) -> Bucket:
+    def taken(self) -> TokenBucket:
         """Returns the bucket with one token fewer."""
-        return Bucket(self.level - 1, self.at)
+        return TokenBucket(self.level - 1, self.at)
--- a/postpass/routing/fair_share.py
+++ b/postpass/routing/fair_share.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple, TypeVar
 
-from postpass.routing.item_order import interleaved, serving_order
+from postpass.routing.item_order import interleave_overdue, serving_order
 from postpass.routing.options import DEFAULT_OPTIONS, RoutingOptions
 
 Entry = TypeVar("Entry")
@@ -76,7 +76,7 @@
             heapq.heappush(self.heap, (-self.tokens[client], -self.numbers_by_client[client][-1], client))
 
 
-def within_shares(demands: Sequence[Demand], earliest: float, rate: float) -> tuple[list[int], list[int]]:
+def split_by_fair_share(demands: Sequence[Demand], earliest: float, rate: float) -> tuple[list[int], list[int]]:
     """Splits entries, sorted by their due times, into those that can be done in time in this order and those to postpone.
 
     Returns the positions of both. `earliest` is the earliest due time that an item which starts now can still meet; `rate`
@@ -98,7 +98,7 @@
     return all(demand.client == demands[0].client for demand in demands)
 
 
-def in_turns(numbers: Sequence[int], demands: Sequence[Demand]) -> list[int]:
+def order_by_turns(numbers: Sequence[int], demands: Sequence[Demand]) -> list[int]:
     """Orders the entries at the positions `numbers` so that clients take turns, measured in tokens.
 
     Entries of the same client keep their order.
@@ -121,7 +121,7 @@
 ) -> list[Entry]:
     """Returns entries, given sorted by their due times, in the order in which they are to be served.
 
-    `earliest` and `rate` are those of `within_shares`. Entries of a single client are served in `serving_order`.
+    `earliest` and `rate` are those of `split_by_fair_share`. Entries of a single client are served in `serving_order`.
     """
     demands = [demand(entry) for entry in entries]
     numbers = range(len(entries))
@@ -135,16 +135,16 @@
 def order_by_shares(demands: Sequence[Demand], earliest: float, rate: float) -> list[int]:
     """Returns the positions of the entries of several clients in the order in which they are to be served.
 
-    The entries are sorted by their due times; `earliest` and `rate` are those of `within_shares`. Entries that can't be done
-    in time any more are interleaved with the others (`interleaved`).
+    The entries are sorted by their due times; `earliest` and `rate` are those of `split_by_fair_share`. Entries that can't be done
+    in time any more are interleaved with the others (`interleave_overdue`).
     """
     first_timely = bisect_left(demands, earliest, key=lambda demand: demand.due)
-    timely, postponed = within_shares(demands[first_timely:], earliest, rate)
+    timely, postponed = split_by_fair_share(demands[first_timely:], earliest, rate)
     timely, postponed = ([number + first_timely for number in group] for group in (timely, postponed))
     clients_over_share = {demands[number].client for number in postponed}
     # Clients that ask for no more than their share are served at once: if their entries waited until just before the due
     # time, they would have to share those last moments with clients that had all the time until then.
     within_share = [number for number in timely if demands[number].client not in clients_over_share]
     over_share = [number for number in timely if demands[number].client in clients_over_share]
-    in_time = within_share + in_turns(over_share, demands) + in_turns(postponed, demands)
-    return interleaved(in_time, in_turns(range(first_timely), demands))
+    in_time = within_share + order_by_turns(over_share, demands) + order_by_turns(postponed, demands)
+    return interleave_overdue(in_time, order_by_turns(range(first_timely), demands))
--- a/postpass/routing/item_choice.py
+++ b/postpass/routing/item_choice.py
@@ -33,7 +33,7 @@
     failing: bool = False
 
 
-def item_rooms(workers: Sequence[ItemWorker], options: RoutingOptions = DEFAULT_OPTIONS) -> dict[str, int]:
+def free_item_slots(workers: Sequence[ItemWorker], options: RoutingOptions = DEFAULT_OPTIONS) -> dict[str, int]:
     """Returns how many more items each worker may be sent now, by the worker's name.
 
     Slots that live requests don't use are assigned to items one by one, the emptiest worker first, until only the reserve is
--- a/postpass/routing/item_order.py
+++ b/postpass/routing/item_order.py
@@ -35,10 +35,10 @@
     if not options.overdue_last:
         return ordered
     in_time = [item for item in ordered if due(item) >= earliest]
-    return interleaved(in_time, [item for item in ordered if due(item) < earliest])
+    return interleave_overdue(in_time, [item for item in ordered if due(item) < earliest])
 
 
-def interleaved(in_time: Sequence[Entry], overdue: Sequence[Entry]) -> list[Entry]:
+def interleave_overdue(in_time: Sequence[Entry], overdue: Sequence[Entry]) -> list[Entry]:
     """Returns the entries that can be done in time, with overdue ones in between, and then the remaining overdue ones.
 
     While there are both, one in `OVERDUE_EVERY` entries is an overdue one.
--- a/postpass/routing/live_choice.py
+++ b/postpass/routing/live_choice.py
@@ -101,7 +101,7 @@
     return []
 
 
-def own_share(slots: int, edges: int) -> int:
+def fair_slots_per_edge(slots: int, edges: int) -> int:
     """Returns how many requests one edge may have at a worker before it prefers others, if it knows only its own requests.
 
     The number is at least two, since an edge's own count says little where there are more edges than slots.
@@ -162,7 +162,7 @@
     """Returns whether a slot is free there, as far as this edge knows."""
     if options.shared_load:
         return used(candidate, options) < candidate.slots
-    return candidate.in_flight < own_share(candidate.slots, view.edges)
+    return candidate.in_flight < fair_slots_per_edge(candidate.slots, view.edges)
 
 
 def _home_for_prefix(
--- a/postpass/routing/load_picture.py
+++ b/postpass/routing/load_picture.py
@@ -60,15 +60,15 @@
 
 
 IDLE = WorkerUse()
-MOST_REPORTED = 0.5  # largest fraction of all workers that may be avoided because of reports of others
+MAX_REPORTED_FRACTION = 0.5  # largest fraction of all workers that may be avoided because of reports of others
 LoadReport = Mapping[str, WorkerUse]  # by worker; a worker without an entry is idle
 
 
 @dataclass(frozen=True, slots=True)
 class TimedReport:
-    """A report with the time `at` which it arrived, in seconds of the event loop's clock."""
+    """A report with the time at which it arrived, in seconds of the event loop's clock."""
 
-    at: float
+    received_at: float
     use: LoadReport
 
 
@@ -85,14 +85,14 @@
     def replace(self, sender: str, report: TimedReport) -> None:
         """Replaces a sender's previous report by a new one."""
         self._remove_report(sender)
-        report = TimedReport(report.at, {worker: use for worker, use in report.use.items() if use != IDLE})
+        report = TimedReport(report.received_at, {worker: use for worker, use in report.use.items() if use != IDLE})
         self.reports[sender] = report
         for worker, use in report.use.items():
             self.total[worker] = self.total.get(worker, IDLE).plus(use)
 
     def forget_before(self, oldest: float) -> None:
         """Removes the reports that arrived before the time `oldest`, in seconds of the event loop's clock."""
-        for sender in [name for name, report in self.reports.items() if report.at < oldest]:
+        for sender in [name for name, report in self.reports.items() if report.received_at < oldest]:
             self._remove_report(sender)
 
     def _remove_report(self, sender: str) -> None:
@@ -108,13 +108,13 @@
 def are_failures_credible(reported: int, workers: int) -> bool:
     """Returns whether reports that so many of all workers fail are to be believed, so that these workers are avoided.
 
-    It is unlikely that more than `MOST_REPORTED` of all workers fail at once; it is likelier that those who report it are
+    It is unlikely that more than `MAX_REPORTED_FRACTION` of all workers fail at once; it is likelier that those who report it are
     cut off from the network themselves, since an edge that is cut off reports every worker.
     """
-    return 0 < reported <= workers * MOST_REPORTED
+    return 0 < reported <= workers * MAX_REPORTED_FRACTION
 
 
-def summed(reports: Iterable[LoadReport]) -> dict[str, WorkerUse]:
+def sum_reports(reports: Iterable[LoadReport]) -> dict[str, WorkerUse]:
     """Returns the sum of all reports."""
     total: dict[str, WorkerUse] = {}
     for report in reports:
@@ -123,7 +123,7 @@
     return total
 
 
-def without(report: LoadReport, own: LoadReport) -> dict[str, WorkerUse]:
+def subtract_report(report: LoadReport, own: LoadReport) -> dict[str, WorkerUse]:
     """Returns a sum of reports minus `own`, which is one of them."""
     return {worker: use.minus(own.get(worker, IDLE)) for worker, use in report.items()}
 
@@ -138,7 +138,7 @@
     return {worker: WorkerUse(*(int(number) for number in row)) for worker, row in raw.items()}
 
 
-def hubs(edges_by_zone: Mapping[str, Sequence[str]]) -> list[str]:
+def choose_hubs(edges_by_zone: Mapping[str, Sequence[str]]) -> list[str]:
     """Returns the edges that collect the load reports; every process that knows the same edges gets the same result.
 
     There is one hub for each `MEMBERS_PER_HUB` edges of a zone, or a single hub if all zones together have no more edges
@@ -151,7 +151,7 @@
     ]
 
 
-def hub_order(name: str, zone: str, edges_by_zone: Mapping[str, Sequence[str]]) -> list[str]:
+def preferred_hubs(name: str, zone: str, edges_by_zone: Mapping[str, Sequence[str]]) -> list[str]:
     """Returns the edges to which a daemon may report its counts, the preferred one first.
 
     First come the hubs of the daemon's zone, then the other edges of the zone, which replace hubs that are lost, then the
@@ -163,7 +163,7 @@
     own_hub_count = _hub_count(ranked)
     own_hubs = rendezvous(name.encode(), ranked[:own_hub_count], own_hub_count)
     elsewhere = {other: edges for other, edges in groups.items() if other != own_group}
-    other_hubs = hubs(elsewhere) if len(groups) > 1 else []
+    other_hubs = choose_hubs(elsewhere) if len(groups) > 1 else []
     # If all hubs are lost, a daemon in a zone without edges still finds the edges that have replaced them.
     replacements = [
         edge for other, edges in elsewhere.items() for edge in _hub_preference(other, edges)[_hub_count(edges) :][:1]
@@ -184,7 +184,7 @@
     if ALL_ZONES in groups:
         return base * FEW_EDGES_INTERVALS
     largest = max((len(edges) for edges in groups.values()), default=0)
-    messages = min(largest, MEMBERS_PER_HUB) + len(hubs(edges_by_zone))
+    messages = min(largest, MEMBERS_PER_HUB) + len(choose_hubs(edges_by_zone))
     return max(base, messages / HUB_MESSAGES)
 
 
--- a/postpass/routing/prefixes.py
+++ b/postpass/routing/prefixes.py
@@ -18,7 +18,7 @@
 NO_PREFIX = Prefix(b"", 0)
 
 
-def prefix_of(parts: bytes) -> Prefix:
+def parse_prefix(parts: bytes) -> Prefix:
     """Parses the prefix from a header "ID:TOKENS,ID:TOKENS".
 
     All parts but the last are shared; the last one is the request's own. A part without a valid count has 0 tokens.
--- a/sim/serving/fleet.py
+++ b/sim/serving/fleet.py
@@ -14,7 +14,7 @@
 
 from postpass.gateway.relayed_request import PATIENCE
 from postpass.gateway.worker_selection import OUTCOME_INTERVALS, PROMPT_WEIGHT
-from postpass.routing.item_choice import ItemWorker, choose_item_worker, item_rooms
+from postpass.routing.item_choice import ItemWorker, choose_item_worker, free_item_slots
 from postpass.routing.item_order import serving_order, usual_seconds
 from postpass.routing.live_choice import (
     EdgeView,
@@ -337,7 +337,7 @@
             return
         picture = self.picture()
         slots = self.workload.engine.slots
-        rooms = item_rooms(
+        rooms = free_item_slots(
             [
                 ItemWorker(
                     name,
--- a/tests/control/test_configuration.py
+++ b/tests/control/test_configuration.py
@@ -10,7 +10,7 @@
 from postpass.control.configuration import ConfigurationChange
 from postpass.control.state import ReplicatedState
 from postpass.membership.machine_registry import initial_configuration
-from postpass.membership.registry import State, recovered
+from postpass.membership.registry import State, state_after_loss
 from tests.platform.test_configuration import document
 from tests.platform.test_settings import adapter
 
@@ -87,7 +87,7 @@
 
 
 def test_after_a_loss_an_older_order_is_neither_acknowledged_nor_refused() -> None:
-    state = recovered(9, after(7).configuration, 1)
+    state = state_after_loss(9, after(7).configuration, 1)
     assert code(state, document(7), 6) == 504 and code(state, document(8), 7) == 201
     assert code(state, document(8), 6) == 412
 
--- a/tests/membership/test_registry.py
+++ b/tests/membership/test_registry.py
@@ -8,7 +8,7 @@
 
 from postpass.control.state import state_body, state_of
 from postpass.membership.machine_registry import (
-    announcement_flaws,
+    announcement_errors,
     initial_configuration,
     machine_of,
     with_adjusted_copies,
@@ -54,7 +54,7 @@
     entry: Any = {
         "name": "s1", "area": "a", "peer": "10.0.0.1:1", "http": "10.0.0.1:2", "duties": ["store"], "born": 1, "disk": "d",
     }  # fmt: skip
-    assert announcement_flaws(entry | {"later": value}, ["a"]) == []
+    assert announcement_errors(entry | {"later": value}, ["a"]) == []
     assert machine_of(entry | {"later": value}) == machine_of(entry)
     incomplete = {key: part for key, part in entry.items() if key != "born"}
-    assert announcement_flaws(incomplete | {"later": value}, ["a"])[0].startswith("entry: want name, ")
+    assert announcement_errors(incomplete | {"later": value}, ["a"])[0].startswith("entry: want name, ")
--- a/tests/membership/test_safe_change.py
+++ b/tests/membership/test_safe_change.py
@@ -14,9 +14,9 @@
     Situation,
     Tolerance,
     Topology,
-    bears_loss,
     copies_survive,
     is_safe,
+    keeps_majority_after_loss,
     machine_to_drop,
     majority_of,
     margin,
@@ -54,8 +54,8 @@
     assert margin(names, names, topology("abcd")) == Margin(0, 0)
     assert margin(names, names, topology("abca")) == Margin(0, -1)
     assert margin(names, names[1:], topology("abcd")) == Margin(-1, -1)
-    assert not bears_loss(names, names, topology("abcd", TWO))
-    assert bears_loss([*names, "m5"], [*names, "m5"], topology("abcda", TWO))
+    assert not keeps_majority_after_loss(names, names, topology("abcd", TWO))
+    assert keeps_majority_after_loss([*names, "m5"], [*names, "m5"], topology("abcda", TWO))
 
 
 def test_copies_survive_only_if_the_worst_loss_leaves_one() -> None:
@@ -100,7 +100,7 @@
 
 def test_the_owner_itself_does_not_leave() -> None:
     before_change = situation("1234", "123", "1234", "abcd")
-    assert next_change(before_change, stays="m4") is None
+    assert next_change(before_change, must_stay="m4") is None
 
 
 @pytest.mark.parametrize("tolerance", [ONE, TWO])
@@ -132,12 +132,14 @@
         ready = "123456".replace(away, "")
         before_change = situation(current, wanted, ready, zones)
         change = next_change(before_change)
-        if change is None or not bears_loss(before_change.current, before_change.live, zones_of_machines):
+        if change is None or not keeps_majority_after_loss(
+            before_change.current, before_change.live, zones_of_machines
+        ):
             continue
-        if not bears_loss(before_change.wanted, before_change.wanted, zones_of_machines):
+        if not keeps_majority_after_loss(before_change.wanted, before_change.wanted, zones_of_machines):
             continue  # the wanted members can't survive a loss: a retirement to this is refused, and the number of copies avoids it
         live = {name for name in change.members if name in before_change.ready}
-        assert bears_loss(change.members, live, zones_of_machines), (current, wanted, away, change)
+        assert keeps_majority_after_loss(change.members, live, zones_of_machines), (current, wanted, away, change)
         assert len(live) >= majority_of(len(change.members))
 
 
--- a/tests/routing/test_fair_share.py
+++ b/tests/routing/test_fair_share.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from postpass.routing.fair_share import Demand, fair_serving_order, in_turns, within_shares
+from postpass.routing.fair_share import Demand, fair_serving_order, order_by_turns, split_by_fair_share
 from postpass.routing.item_order import serving_order
 from postpass.routing.options import RoutingOptions
 
@@ -114,7 +114,7 @@
     served = fair_serving_order(items, lambda item: item, 5.0, rate)
     assert Counter(map(id, served)) == Counter(map(id, items))
     timely = [item for item in items if item.due >= 5.0]
-    timely_positions, postponed = within_shares(timely, 5.0, rate)
+    timely_positions, postponed = split_by_fair_share(timely, 5.0, rate)
     served_items = 0
     for number in timely_positions if postponed else []:
         served_items += timely[number].items
@@ -127,7 +127,7 @@
 ) -> None:
     items = [Demand(due, client, size, size * 10) for due, client, size in sorted(demands)]
     clients = {item.client for item in items}
-    _, postponed = within_shares(items, 0.0, rate)
+    _, postponed = split_by_fair_share(items, 0.0, rate)
     for client in clients:
         own = [item for item in items if item.client == client]
         # The number of items that each client can start by each due time if all have equal shares.
@@ -138,7 +138,7 @@
 
 def test_clients_take_turns_by_tokens() -> None:
     items = [Demand(0.0, BURST_CLIENT, 1, 10)] * 3 + [Demand(0.0, "c", 1, 25)] * 2
-    assert [items[number].client for number in in_turns(range(5), items)] == [
+    assert [items[number].client for number in order_by_turns(range(5), items)] == [
         BURST_CLIENT,
         "c",
         BURST_CLIENT,
--- a/tests/routing/test_live_choice.py
+++ b/tests/routing/test_live_choice.py
@@ -8,18 +8,18 @@
 
 from postpass.configuration.configuration import Split
 from postpass.routing import live_choice
-from postpass.routing.cold_workers import COLD_SHARE, Bucket, cold_edges, cold_share
+from postpass.routing.cold_workers import COLD_SHARE, TokenBucket, cold_edges, cold_rate_per_edge
 from postpass.routing.live_choice import (
     EdgeView,
     Prompt,
     Reason,
     WorkerCandidate,
-    own_share,
+    fair_slots_per_edge,
     pool_order,
 )
 from postpass.routing.load_picture import WorkerUse
 from postpass.routing.options import DEFAULT_OPTIONS, RoutingOptions
-from postpass.routing.prefixes import NO_PREFIX, Prefix, prefix_of
+from postpass.routing.prefixes import NO_PREFIX, Prefix, parse_prefix
 
 OWN_COUNTS = RoutingOptions(shared_load=False)
 FEW_EDGES = EdgeView(8, 2700.0)
@@ -29,9 +29,9 @@
 
 
 def test_the_shared_parts_are_all_but_the_last() -> None:
-    assert prefix_of(b"5c1e:800,91bd:410,e440:250") == Prefix(b"5c1e,91bd", 1210)
-    assert prefix_of(b"5c1e:800") == NO_PREFIX == prefix_of(b"")
-    assert prefix_of(b"a:x,b:1,c:2").tokens == 1
+    assert parse_prefix(b"5c1e:800,91bd:410,e440:250") == Prefix(b"5c1e,91bd", 1210)
+    assert parse_prefix(b"5c1e:800") == NO_PREFIX == parse_prefix(b"")
+    assert parse_prefix(b"a:x,b:1,c:2").tokens == 1
 
 
 def choose_worker(
@@ -116,15 +116,15 @@
             users = cold_edges("w", edges, rate)
             assert set(users) <= set(edges) and users == cold_edges("w", edges[::-1], rate)
             # The most in any second: the tokens in the buckets and those added meanwhile.
-            burst = len(users) * (1 + cold_share(rate, len(users)))
+            burst = len(users) * (1 + cold_rate_per_edge(rate, len(users)))
             assert burst <= rate * 1.5 + 5
-            assert abs(cold_share(rate, len(users)) * len(users) - COLD_SHARE * rate) < 1e-9
+            assert abs(cold_rate_per_edge(rate, len(users)) * len(users) - COLD_SHARE * rate) < 1e-9
 
 
 def test_a_bucket_fills_to_its_top() -> None:
-    bucket = Bucket(1.0, 0.0).taken()
+    bucket = TokenBucket(1.0, 0.0).taken()
     assert bucket.filled(0.5, 1.0).level == 0.5 and bucket.filled(9.0, 1.0).level == 1.0
-    assert own_share(32, 8) == 6 and own_share(32, 76) == 2
+    assert fair_slots_per_edge(32, 8) == 6 and fair_slots_per_edge(32, 76) == 2
 
 
 def test_what_others_have_at_a_worker_counts_as_load() -> None:
--- a/tests/routing/test_sweep.py
+++ b/tests/routing/test_sweep.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from postpass.routing import live_choice
-from postpass.routing.item_choice import ItemWorker, choose_item_worker, item_rooms
+from postpass.routing.item_choice import ItemWorker, choose_item_worker, free_item_slots
 from postpass.routing.live_choice import EdgeView, Prompt, WorkerCandidate, used
 from postpass.routing.load_picture import WorkerUse
 from postpass.routing.options import DEFAULT_OPTIONS
@@ -90,7 +90,7 @@
         ItemWorker(f"w{n}", slots, chance.randint(0, 2), int(slots * busy * chance.uniform(0.5, 1.5)))
         for n in range(workers)
     ]
-    free_slots = item_rooms(load)
+    free_slots = free_item_slots(load)
     free = {w.name: max(0, w.slots - (w.live or 0) - w.items) for w in load}
     reserve = slots * workers * DEFAULT_OPTIONS.live_reserve
     assert all(0 <= free_slots[name] <= free[name] for name in free)
--- a/tests/support/membership_drill.py
+++ b/tests/support/membership_drill.py
@@ -18,7 +18,7 @@
 import fire
 
 from postpass.daemon.data_plane import DataPlane
-from postpass.membership.safe_change import Tolerance, Topology, bears_loss
+from postpass.membership.safe_change import Tolerance, Topology, keeps_majority_after_loss
 from postpass.replication.partition import Partition
 from postpass.replication.store import Store
 from sim.disk import SimDisk
@@ -357,7 +357,7 @@
         for number, (_, part) in owners(self.fleet).items():
             crew = part.view.members
             lives = [{n for n, disk in crew.items() if n != name and there.get(n) == disk} for there in moments]
-            if not any(bears_loss(crew, live, topology) for live in lives):
+            if not any(keeps_majority_after_loss(crew, live, topology) for live in lives):
                 self.flaw(f"{name} was done though only {sorted(lives[-1])} of {sorted(crew)} hold {number}")
 
     # --- the course of a run
--- a/tests/test_release_compatibility.py
+++ b/tests/test_release_compatibility.py
@@ -21,7 +21,7 @@
 from postpass.control.journal import Change
 from postpass.control.state import ReplicatedState
 from postpass.feed.messages import Poll, Stale
-from postpass.membership.machine_registry import announcement_flaws
+from postpass.membership.machine_registry import announcement_errors
 from postpass.rpc import codec
 from postpass.rpc.codec import IDL
 from postpass.rpc.connection import Link
@@ -345,7 +345,7 @@
 
 def test_what_a_machine_says_of_itself_is_taken() -> None:
     zones = STATE["control-primary"]["settings"]["zones"]
-    assert [announcement_flaws(raw, zones) for raw in bodies("join", CALL, "entry")] == [[]] * len(
+    assert [announcement_errors(raw, zones) for raw in bodies("join", CALL, "entry")] == [[]] * len(
         bodies("join", CALL, "entry")
     )
 
