--- a/postpass/membership/partial_view.py
+++ b/postpass/membership/partial_view.py
@@ -133,8 +133,8 @@
         """Drops a neighbour to make space for the one that joins: preferably one of `given_names`."""
         dropped = next((n for n in given_names if n in self.neighbours and n != joining), None)
         if dropped is None:
-            least_recently_shuffled = self.least_recently_shuffled()
-            dropped = least_recently_shuffled.record["name"] if least_recently_shuffled else None
+            oldest = self.least_recently_shuffled()
+            dropped = oldest.record["name"] if oldest else None
         if dropped is not None:
             del self.neighbours[dropped]
 
--- a/postpass/membership/safe_change.py
+++ b/postpass/membership/safe_change.py
@@ -177,7 +177,8 @@
 def next_change(situation: Situation, must_stay: str = "") -> Change | None:
     """Returns the next safe change towards the wanted members.
 
-    None is returned if there is no safe change now, or if the wanted members aren't known. The member `must_stay` doesn't leave.
+    None is returned if there is no safe change now, or if the wanted members aren't known. The member `must_stay` doesn't
+    leave.
     """
     if not situation.wanted:
         return None
@@ -218,9 +219,9 @@
 def safe_copies(store_zones: Sequence[str], max_copies: int, tolerance: Tolerance) -> int:
     """Returns how many copies the stores in these zones should have: the largest number that survives the next loss.
 
-    The number is at most `max_copies`. Copies are spread over as many zones as there are. Four copies in three zones do not survive
-    the loss of the zone that has two of them, but three copies do. If no number survives, as many copies as possible are
-    returned.
+    The number is at most `max_copies`. Copies are spread over as many zones as there are. Four copies in three zones do not
+    survive the loss of the zone that has two of them, but three copies do. If no number survives, the result is as many
+    copies as there can be.
     """
     count = min(max_copies, len(store_zones))
     safe_counts = (n for n in range(count, 0, -1) if copies_keep_majority(store_zones, n, tolerance))
@@ -288,8 +289,8 @@
 ) -> str | None:
     """Returns a machine with a disk that is gone for good; None if there is none, or if too few would remain.
 
-    `min_remaining` gives the number of machines with the same duties that must remain. Only one machine is dropped at a time: the next
-    one follows once the remaining ones have taken over the data of the previous one.
+    `min_remaining` gives the number of machines with the same duties that must remain. Only one machine is dropped at a
+    time: the next one follows once the remaining ones have taken over the data of the previous one.
     """
     for name, old in machines.items():
         if old.silent_for <= patience:
--- a/postpass/routing/fair_share.py
+++ b/postpass/routing/fair_share.py
@@ -70,6 +70,7 @@
         return number
 
     def _update_totals(self, client: str, items: int, tokens: int) -> None:
+        """Adds to the totals, by negative numbers when an entry was removed, and pushes the client's present element."""
         self.items += items
         self.tokens[client] += tokens
         if self.numbers_by_client[client]:
@@ -135,8 +136,8 @@
 def order_by_shares(demands: Sequence[Demand], earliest: float, rate: float) -> list[int]:
     """Returns the positions of the entries of several clients in the order in which they are to be served.
 
-    The entries are sorted by their due times; `earliest` and `rate` are those of `split_by_fair_share`. Entries that can't be done
-    in time any more are interleaved with the others (`interleave_overdue`).
+    The entries are sorted by their due times; `earliest` and `rate` are those of `split_by_fair_share`. Entries that can't
+    be done in time any more are interleaved with the others (`interleave_overdue`).
     """
     first_timely = bisect_left(demands, earliest, key=lambda demand: demand.due)
     timely, postponed = split_by_fair_share(demands[first_timely:], earliest, rate)
--- a/postpass/routing/item_choice.py
+++ b/postpass/routing/item_choice.py
@@ -78,8 +78,8 @@
 ) -> str | None:
     """Returns the worker for an item whose prompt begins with the prefix `key`; None if no worker has a free slot.
 
-    `free_slots` is the number of slots that items may use, by worker. A worker with the most free slots is chosen; among equals the prefix
-    decides, so that items with the same prefix go to the same worker.
+    `free_slots` is the number of slots that items may use, by worker. A worker with the most free slots is chosen; among
+    equals the prefix decides, so that items with the same prefix go to the same worker.
     """
     names = [name for name, count in free_slots.items() if count > 0]
     if not names:
@@ -90,4 +90,5 @@
 
 
 def _affinity(key: bytes, name: str) -> bytes:
+    """Returns a hash by which the workers are ranked for a prefix (rendezvous hashing)."""
     return hashlib.blake2b(key + b"/" + name.encode(), digest_size=8).digest()
--- a/postpass/routing/load_picture.py
+++ b/postpass/routing/load_picture.py
@@ -108,8 +108,9 @@
 def are_failures_credible(reported: int, workers: int) -> bool:
     """Returns whether reports that so many of all workers fail are to be believed, so that these workers are avoided.
 
-    It is unlikely that more than `MAX_REPORTED_FRACTION` of all workers fail at once; it is likelier that those who report it are
-    cut off from the network themselves, since an edge that is cut off reports every worker.
+    It is unlikely that more than `MAX_REPORTED_FRACTION` of all workers fail at once; it is likelier that those who report
+    it are cut off from the network themselves, since an edge that is cut off reports every worker. Without any reported
+    worker the result is False.
     """
     return 0 < reported <= workers * MAX_REPORTED_FRACTION
 
@@ -195,8 +196,10 @@
 
 
 def _hub_preference(group: str, edges: Sequence[str]) -> list[str]:
+    """Returns the edges of a group in the order in which they become hubs, the same for everyone."""
     return rendezvous(b"load hub/" + group.encode(), edges, len(edges))
 
 
 def _hub_count(edges: Sequence[str]) -> int:
+    """Returns how many hubs a group of edges has."""
     return math.ceil(len(edges) / MEMBERS_PER_HUB)
--- a/postpass/tenants/edge_share.py
+++ b/postpass/tenants/edge_share.py
@@ -31,8 +31,8 @@
 class EdgeShare:
     """The share of one tenant at one edge.
 
-    Invariants: `tokens` <= `burst`; no token is taken at or after `expires_at`; a grant counts only if it answers the last share
-    request.
+    Invariants: `tokens` <= `burst`; no token is taken at or after `expires_at`; a grant counts only if it answers the last
+    share request.
 
     Attributes:
         smoothing: seconds over which `arrival_rate` is smoothed.
@@ -44,8 +44,8 @@
         number: number of the last share request.
         requested_at: when the last share request was made.
         answered: whether the last share request was answered or abandoned.
-        last_answered: whether the last request that was answered or abandoned was answered. If it wasn't, nothing is given back,
-            since the home may not receive it.
+        last_answered: whether the last request that was answered or abandoned was answered. If it wasn't, nothing is given
+            back, since the home may not receive it.
         no_request_until: until then no share request is made for a waiting request, since the last grant had too few tokens.
         arrival_rate: smoothed number of requests a second, as of `last_arrival_at`.
         usual_arrival_rate: the same, smoothed over a longer time.
@@ -77,9 +77,9 @@
     def demand(self, now: float) -> float:
         """Returns the requests a second that arrive, including rejected ones.
 
-        This is the recent rate, or the usual rate if that is higher (but at most `MAX_USUAL_OVER_RECENT` times the recent one), so that a
-        share doesn't shrink because of chance fluctuations. It is 0 if the time since the last request is much longer than
-        the usual interval between two.
+        This is the recent rate, or the usual rate if that is higher (but at most `MAX_USUAL_OVER_RECENT` times the recent
+        one), so that a share doesn't shrink because of chance fluctuations. It is 0 if the time since the last request is
+        much longer than the usual interval between two.
         """
         elapsed = max(0.0, now - self.last_arrival_at)
         if not self.arrival_rate or elapsed * max(self.arrival_rate, self.usual_arrival_rate) > SILENT_INTERVALS:
@@ -195,5 +195,6 @@
         self.answered = True
 
     def _target_rate(self, limit: RateBurst, renew: float, now: float) -> float:
+        """Returns the rate that this edge would like to have; 0 without a steady demand."""
         demand = self.steady_demand(renew, now)
         return wanted_rate(demand, limit.rate) if demand else 0.0
--- a/postpass/tenants/share_service.py
+++ b/postpass/tenants/share_service.py
@@ -168,7 +168,7 @@
 
     # --- what the former home granted
     def watch(self) -> None:
-        """Records which edges there are, and starts new homes' requests to them for what they hold.
+        """Records which edges there are, and collects what they hold for each home that isn't settled yet.
 
         Run by the store with each heartbeat.
         """
--- a/tests/membership/test_replacement_faults.py
+++ b/tests/membership/test_replacement_faults.py
@@ -9,7 +9,7 @@
 
 @pytest.mark.parametrize("owner", ["s1", "s2", "s3"])
 def test_an_owner_that_loses_its_disk_in_a_retirement_blocks_no_other_owner(owner: str) -> None:
-    """The owner returns with an empty disk, is first in the order, and doesn't know that the retiring store is still a member."""
+    """The owner returns with an empty disk, is first in the order, and doesn't know that the retiring store is a member still."""
     drill = Drill("retire s4", Loss("wipe", owner, after=0.0, down=0.15), last_wipe="s2" if owner != "s2" else "s3")
     result = play(drill)
     assert result.flaws == [], result.notes
@@ -90,7 +90,7 @@
 )
 @pytest.mark.parametrize("stores", [3, 4])
 def test_an_owner_may_be_lost_the_moment_a_repair_is_complete(stores: int, step: str, seed: int) -> None:
-    """Then the power of all fails: each remaining log must prove by itself that the change of members is durably replicated."""
+    """Then the power of all fails: each remaining log must prove by itself that the change of members is covered."""
     drill = Drill(step, power_at_complete=True, last_wipe="last owner", stores=stores, quiet=True, seed=seed)
     result = play(drill)
     assert result.repaired and result.flaws == [], result.notes
--- a/tests/membership/test_safe_change.py
+++ b/tests/membership/test_safe_change.py
@@ -119,8 +119,8 @@
             assert steps <= 6, (current, wanted)
 
 
-def _subsets(least: int, most: int) -> Iterator[str]:
-    for size in range(least, most + 1):
+def _subsets(min_size: int, max_size: int) -> Iterator[str]:
+    for size in range(min_size, max_size + 1):
         yield from map("".join, itertools.combinations("123456", size))
 
 
@@ -137,7 +137,9 @@
         ):
             continue
         if not keeps_majority_after_loss(before_change.wanted, before_change.wanted, zones_of_machines):
-            continue  # the wanted members can't survive a loss: a retirement to this is refused, and the number of copies avoids it
+            # The wanted members can't survive a loss: a retirement that leaves these is refused, and the number of copies
+            # is chosen so that this doesn't occur.
+            continue
         live = {name for name in change.members if name in before_change.ready}
         assert keeps_majority_after_loss(change.members, live, zones_of_machines), (current, wanted, away, change)
         assert len(live) >= majority_of(len(change.members))
@@ -152,7 +154,7 @@
     assert safe_copies([], 4, ONE) == 0
 
 
-def present(zone: str = "a", **more: float) -> Presence:
+def presence(zone: str = "a", **more: float) -> Presence:
     duties = frozenset(["control"])
     known, silent, born = more.get("known", INFINITY), more.get("silent", 0.0), int(more.get("born", 1))
     return Presence(duties, zone, silent, known, born)
@@ -163,27 +165,22 @@
 
 
 def test_a_silent_machine_is_dropped_once_another_has_replaced_it() -> None:
-    rest = {"m2": present("b"), "m3": present("c")}
-    assert dropped(rest | {"m1": present(silent=4), "m4": present(known=3)}) == "m1"
-    assert (
-        dropped(rest | {"m1": present(silent=2), "m4": present(known=1)}) is None
-    )  # not silent for long enough to be dropped
-    assert (
-        dropped(rest | {"m1": present(silent=4), "m4": present("d", known=3)}) is None
-    )  # the other one is in another zone
-    assert (
-        dropped({"m2": present("b"), "m1": present(silent=4), "m4": present(known=3)}) is None
-    )  # too few would remain
+    rest = {"m2": presence("b"), "m3": presence("c")}
+    assert dropped(rest | {"m1": presence(silent=4), "m4": presence(known=3)}) == "m1"
+    # It is not silent for long enough; the other one is in another zone; too few would remain.
+    assert dropped(rest | {"m1": presence(silent=2), "m4": presence(known=1)}) is None
+    assert dropped(rest | {"m1": presence(silent=4), "m4": presence("d", known=3)}) is None
+    assert dropped({"m2": presence("b"), "m1": presence(silent=4), "m4": presence(known=3)}) is None
 
 
 def test_a_planned_replacement_starts_the_new_machine_before_the_old_one_goes() -> None:
-    rest = {"m2": present("b"), "m3": present("c")}
-    assert dropped(rest | {"m1": present(silent=6), "m4": present(known=12)}) == "m1"
-    assert dropped(rest | {"m1": present(silent=6), "m4": present(known=20)}) is None  # joined too long before
-    assert dropped(rest | {"m1": present(silent=3), "m4": present(known=8)}) is None  # frozen or cut off for a moment
-    assert dropped(rest | {"m1": present(silent=4), "m4": present(known=60, born=2)}) is None
-    assert dropped(rest | {"m1": present(silent=6), "m4": present(known=60, born=2)}) == "m1"
-    assert dropped(rest | {"m1": present(silent=6, born=2), "m4": present(known=60)}) is None
+    rest = {"m2": presence("b"), "m3": presence("c")}
+    assert dropped(rest | {"m1": presence(silent=6), "m4": presence(known=12)}) == "m1"
+    assert dropped(rest | {"m1": presence(silent=6), "m4": presence(known=20)}) is None  # joined too long before
+    assert dropped(rest | {"m1": presence(silent=3), "m4": presence(known=8)}) is None  # frozen or cut off for a moment
+    assert dropped(rest | {"m1": presence(silent=4), "m4": presence(known=60, born=2)}) is None
+    assert dropped(rest | {"m1": presence(silent=6), "m4": presence(known=60, born=2)}) == "m1"
+    assert dropped(rest | {"m1": presence(silent=6, born=2), "m4": presence(known=60)}) is None
 
 
 def test_a_leaving_voter_gives_up_its_vote_if_the_others_then_survive_the_next_loss() -> None:
@@ -194,18 +191,17 @@
         return set(next_voters(voters, names[:count], voters, topology("abcda"), ["m1"]))
 
     assert after(4) == {"m2", "m3", "m4"}
-    assert after(3) == {"m1", "m2", "m3"} and after(5) == set(
-        names
-    )  # of three, its vote may be needed; of five, it does no harm
+    # Of three voters, its vote may still be needed; of five, its absence is tolerated anyway.
+    assert after(3) == {"m1", "m2", "m3"} and after(5) == set(names)
     # Once it is back, it becomes a voter again.
     back = next_voters(disks("m2", "m3", "m4"), names[:4], disks(*names[:4]), topology("abcd"))
     assert set(back) == set(names[:4])
 
 
 def test_one_machine_is_dropped_at_a_time() -> None:
-    rest = {"m2": present("b"), "m3": present("c"), "m6": present("d")}
-    gone = {"m1": present(silent=4), "m5": present(silent=4)}
-    assert dropped(rest | gone | {"m4": present(known=3)}) == "m1"
+    rest = {"m2": presence("b"), "m3": presence("c"), "m6": presence("d")}
+    gone = {"m1": presence(silent=4), "m5": presence(silent=4)}
+    assert dropped(rest | gone | {"m4": presence(known=3)}) == "m1"
 
 
 def test_with_no_wanted_members_known_nobody_leaves() -> None:
--- a/tests/routing/test_fair_share.py
+++ b/tests/routing/test_fair_share.py
@@ -64,7 +64,7 @@
 
 
 def submissions(burst_jobs: int) -> list[tuple[float, str]]:
-    """Returns the jobs of 20 s: each of 10 clients submits one at even intervals, and `HOT` submits `hot_jobs` in between."""
+    """Returns the jobs of 20 s: each of 10 clients submits one at even intervals, `BURST_CLIENT` `burst_jobs`."""
     others = [(0.1 + 2.0 * number, f"c{number}") for number in range(10)]
     return others + [(20.0 * number / max(1, burst_jobs), BURST_CLIENT) for number in range(burst_jobs)]
 
@@ -107,7 +107,7 @@
 
 
 @given(st.lists(st.tuples(st.floats(0, 50), st.sampled_from("abc"), st.integers(0, 9)), max_size=40), st.floats(0, 9))
-def test_every_entry_is_served_once_and_what_is_kept_can_be_done(
+def test_every_entry_is_served_once_and_what_is_not_postponed_is_in_time(
     demands: list[tuple[float, str, int]], rate: float
 ) -> None:
     items = [Demand(due, client, size, size * 10) for due, client, size in sorted(demands)]
--- a/tests/tenants/share_world.py
+++ b/tests/tenants/share_world.py
@@ -45,7 +45,7 @@
     burst: float
 
     @property
-    def most(self) -> float:
+    def max_per_window(self) -> float:
         """The largest number of requests that may run in any window."""
         return (self.rate * SLACK.window + self.burst) * (1 + SLACK.excess) + SLACK.extra
 
--- a/tests/tenants/test_limit_holds.py
+++ b/tests/tenants/test_limit_holds.py
@@ -96,7 +96,7 @@
     seed: int, plan: list[Fault], loss: float, shares: list[float]
 ) -> None:
     worst = play(seed, plan, loss, shares)
-    assert worst <= TERMS.most
+    assert worst <= TERMS.max_per_window
     # Exactly what may be handed out, and what each new home starts with; the rest of the guarantee is for clocks that run at
     # different speeds.
     limit = tenant_limit({"keys": [], "rate": TERMS.rate, "burst": TERMS.burst}, SLACK)
@@ -184,7 +184,7 @@
 
 @pytest.mark.parametrize("scenario", SCENARIOS)
 def test_no_window_of_a_scenario_sees_more_than_the_limit_allows(scenario: Scenario) -> None:
-    assert worst_window(scenario) <= TERMS.most
+    assert worst_window(scenario) <= TERMS.max_per_window
 
 
 def forget_end(share: EdgeShare, limit: Any, now: float) -> None:
@@ -249,4 +249,4 @@
 def test_a_broken_variant_exceeds_the_limit(name: str) -> None:
     scenario, target, broken = MUTANTS[name]
     with mock.patch(target, broken):
-        assert worst_window(scenario) > TERMS.most
+        assert worst_window(scenario) > TERMS.max_per_window
--- a/tests/tenants/test_thin_demand.py
+++ b/tests/tenants/test_thin_demand.py
@@ -1,4 +1,4 @@
-"""A tenant whose few requests are spread over many edges: all are admitted below its limit, and no more than the limit above."""
+"""A tenant whose requests are spread over many edges: all are admitted below its limit, and no more than that above it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 @pytest.mark.parametrize("burst", [0.5, 1.0], ids="burst {}".format)
 @pytest.mark.parametrize("used_fraction", [0.3, 0.7], ids="{} of the limit used".format)
 @pytest.mark.parametrize("rate", [4.0, 20.0, 80.0, 160.0], ids="{} requests a second".format)
-def test_requests_below_the_limit_that_come_to_many_edges_are_let_run(
+def test_requests_below_the_limit_that_come_to_many_edges_are_admitted(
     rate: float, used_fraction: float, burst: float
 ) -> None:
     async def main(loop: SimLoop) -> tuple[int, int]:
