--- a/postpass/control/changes.py
+++ b/postpass/control/changes.py
@@ -1,4 +1,4 @@
-"""Changes of the control state that wait to be written."""
+"""The queue entry of a change of the control state that waits to be written."""
 
 from __future__ import annotations
 
@@ -11,13 +11,17 @@
 from postpass.membership.registry import State
 from postpass.runtime.errors import Fault
 
+# Computes the new state from the current one, or the reason why the change is refused.
 Fold = Callable[[State], Result[State, Fault]]
 
 
 @dataclass(eq=False)
-class Edit:
-    """A change of the state that waits to be written, with others. Invariant: `fold` gives the same when it is laid on a
-    state that has it already."""
+class QueuedChange:
+    """A change of the state that waits to be written together with others.
 
-    fold: Fold
-    done: asyncio.Future[Result[int, Fault]]
+    `outcome` is resolved with the revision that contains the change once it is durable, or with the reason why it
+    failed. Invariant: `update` is idempotent; on a state that has the change already it gives the same state.
+    """
+
+    update: Fold
+    outcome: asyncio.Future[Result[int, Fault]]
--- a/postpass/control/contact.py
+++ b/postpass/control/contact.py
@@ -1,8 +1,8 @@
-"""Contact: whether a member heard its primary, or as the primary a majority, within the lease; what it does if not.
+"""Contact: whether a member has heard its primary, or as the primary a majority of the voters, within the lease.
 
-A member whose last contact is older than the lease can't tell what is in force now. It says so at once, hands out no feed
-and refuses no order for a reason of its own. The lease decides only whom a client is sent to: no acknowledgement and no
-confirmed read rests on it.
+A member whose last contact is older than the lease doesn't know what is in force now. It says so at once, serves no
+feed, and refuses no order on the grounds of its own state. The lease decides only which member a client is referred to;
+acknowledgements and confirmed reads never depend on it.
 """
 
 from __future__ import annotations
@@ -18,66 +18,71 @@
 from postpass.runtime.environment import gather_until, now
 from postpass.runtime.errors import REJECTED, Fault
 
-RENEWAL = 2  # times the lease, for which a primary that takes another replica set still counts as one
-RELAYS = 3  # other members that a worker's heartbeat is sent to from one without contact
+RENEWAL_LEASES = 2  # a primary that changes its replica set still counts as the primary for so many times the lease
+RELAYS = 3  # number of other members to which a member without contact forwards a worker's heartbeat
 
 
 def last_majority(voters: Voters, answered: Mapping[str, float]) -> float:
-    """The latest time since which most voters have answered; -INFINITY if there is none."""
+    """Returns the latest time since which more than half of the voters have answered; -INFINITY if there is none."""
     newest_first = sorted((answered.get(name, -INFINITY) for name in voters), reverse=True)
     return newest_first[len(voters) // 2] if newest_first else -INFINITY
 
 
 class Contact(ControlMember):
-    """Tells whether this member is in touch, and answers for one that isn't.
+    """Decides whether this member is in touch with the primary, and answers requests while it isn't.
 
-    Owns no state: reads `leader_heard` and `voter_heard`, which `Replica` changes, and `epoch`. Decides between three
-    cases: in touch, which serves the feed and takes requests; out of touch, which sends clients to others; and a primary
-    that takes another replica set, which counts as one for twice the lease.
+    Owns no state: it reads `leader_heard` and `voter_heard`, which `Replica` changes, and `epoch`. There are three
+    cases: a member in touch serves the feed and takes requests; a member out of touch refers clients to other members;
+    and a primary that is changing its replica set still counts as the primary for twice the lease.
     """
 
     def last_contact(self) -> float:
-        """When this member last heard its primary or, as the primary, most voters; -INFINITY if it never did."""
+        """Returns when this member last heard its primary or, as the primary, most voters; -INFINITY if it never did."""
         answered = self.voter_heard | ({self.settings.name: now()} if self.epoch else {})
         return max(self.leader_heard, last_majority(self.replicated_state.replica_set.voters, answered))
 
     def in_touch(self) -> bool:
-        """Is the last contact recent enough to hand out what this member knows?"""
+        """Returns whether the last contact is within the lease, so that this member may serve what it knows."""
         return now() - self.last_contact() <= self.settings.bounds.contact
 
     def lost_touch(self) -> bool:
-        """Is this one neither the primary nor in touch with it? One that started just now has the lease's time to hear it;
-        one that knows no fleet has nobody to be in touch with."""
-        if self.epoch or self.known() is None or self.takes_another_epoch():
+        """Returns whether this member is neither the primary nor in touch with it. After its start a member has one
+        lease to hear the primary. A member that has no configuration has not lost touch, since it belongs to no fleet
+        yet and so has no primary."""
+        if self.epoch or self.known() is None or self.is_renewing_replica_set():
             return False
         return now() - max(self.last_contact(), self.started) > self.settings.bounds.contact
 
-    def takes_another_epoch(self) -> bool:
-        """Is this the primary that takes another backup or voter? For a moment it leads no epoch then. One that was cut off
-        tries elections too, but has long lost most voters."""
-        renewing = self.leader == self.settings.name and self.lock.locked()
-        return renewing and now() - self.last_contact() <= RENEWAL * self.settings.bounds.contact
+    def is_renewing_replica_set(self) -> bool:
+        """Returns whether this is the primary while it takes another backup or voter by a new epoch; for a moment it
+        leads no epoch then. A former primary that was cut off runs elections too, but has not heard most voters for
+        longer than that."""
+        is_renewing = self.leader == self.settings.name and self.lock.locked()
+        return is_renewing and now() - self.last_contact() <= RENEWAL_LEASES * self.settings.bounds.contact
 
     def other_members(self) -> list[str]:
-        """The addresses of the other control members."""
+        """Returns the addresses of the other control members."""
         return [addr for n in self.members() if n != self.settings.name and (addr := self.addr(n))]
 
     def stale(self) -> Stale:
-        """The answer of a member that is out of touch, with the others to ask instead."""
+        """Returns the feed's answer of a member that is out of touch, with the addresses of the others to ask
+        instead."""
         return Stale(self.configuration_view.revision, tuple(self.other_members()))
 
     def out_of_touch(self, step: str) -> Fault:
-        """The error of a member that is out of touch, with the others to ask instead."""
+        """Returns the fault of a member that is out of touch, with the addresses of the others to ask instead."""
         others = ", ".join(self.other_members()) or "no other is known"
         return Fault(step, self.settings.name, f"out of touch with the primary; ask another: {others}", REJECTED)
 
     async def forward_without_contact(self, verb: str, body: Body) -> PeerResponse:
-        """A worker's heartbeat may reach the primary through another member; for anything else the client is sent there."""
+        """Forwards a worker's heartbeat to other members, through which it may reach the primary; returns the first
+        success. For any other verb, and if no member succeeds, returns the fault that refers the client to the other
+        members."""
         if verb != "beat" or body.get("relayed"):
             return Err(self.out_of_touch(verb))
         others = self.other_members()
         relays = self.environment.chance.sample(others, min(RELAYS, len(others)))
-        limit = self.settings.bounds.leave / 4
-        asks = {addr: self.peer_links.request(addr, verb, body | {"relayed": 1}, limit) for addr in relays}
-        heard = await gather_until(asks, lambda got: any(g.is_ok() for g in got.values()), 0.0)
-        return next((got for got in heard.values() if got.is_ok()), Err(self.out_of_touch(verb)))
+        timeout = self.settings.bounds.leave / 4
+        requests = {addr: self.peer_links.request(addr, verb, body | {"relayed": 1}, timeout) for addr in relays}
+        responses = await gather_until(requests, lambda received: any(r.is_ok() for r in received.values()), 0.0)
+        return next((response for response in responses.values() if response.is_ok()), Err(self.out_of_touch(verb)))
--- a/postpass/control/election_rules.py
+++ b/postpass/control/election_rules.py
@@ -1,7 +1,8 @@
-"""What a candidate decides in an election: pure functions over what the members answered, without any I/O.
+"""The decisions of a candidate in an election: pure functions of the members' answers, without any I/O.
 
-`decide` says what a new epoch begins from, `electorate_after` who votes from then on, and `choose_backups` who keeps the
-state beside the primary. `Election` carries the decisions out. The rules of quorum that they rest on are in `epochs`.
+`decide` chooses the state that a new epoch begins with, `choose_electorate` its voters, and `choose_backups` the
+members that store the state besides the primary. `Election` carries the decisions out. The quorum rules that they are
+based on are in `epochs`.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from postpass.control.epochs import (
     ReplicaSet,
     Voters,
-    backups_of,
+    choose_across_zones,
     majority,
     may_campaign,
     may_lead,
@@ -33,7 +34,7 @@
 
 
 class Cause(Enum):
-    """Why an election is run, as events tell it."""
+    """Why an election is run, in the words that events use."""
 
     FOUNDED = "founded"
     PRIMARY_LOST = "primary lost"
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True)
 class ElectionReason:
-    """A cause, with the members that it concerns where it is a change of voters."""
+    """The cause of an election; for a change of voters also the members that join or leave."""
 
     cause: Cause
     members: tuple[str, ...] = ()
@@ -55,77 +56,87 @@
         return f"{self.cause.value} {list(self.members)}" if self.members else self.cause.value
 
     @property
-    def renews(self) -> bool:
-        """Does the present primary lead on, under another epoch? What it has heard stays true then."""
+    def keeps_primary(self) -> bool:
+        """Whether the present primary stays the primary, under another epoch. What it knows from heartbeats stays valid
+        then."""
         return self.cause in (Cause.BACKUP_LOST, Cause.TOO_FEW_BACKUPS, Cause.VOTERS_CHANGE)
 
     @property
     def replaces_primary(self) -> bool:
-        """Is the primary before gone or leaving? It is the last choice for a backup then."""
+        """Whether the previous primary is lost or leaving. It is the last choice for a backup then."""
         return self.cause in (Cause.PRIMARY_LOST, Cause.HANDED_OVER)
 
 
 # --- the pre-vote
 @dataclass(frozen=True)
 class PreVotes:
-    """The answers to one pre-vote, and when it was asked, in seconds of the candidate's own monotonic clock.
+    """The answers to one pre-vote, and when it was requested, in seconds of the candidate's own monotonic clock.
 
-    They say who heard a primary at that time, and are good for a short while only: a candidate that was frozen since would
-    ask for promises that it was once entitled to, and could depose a primary that most voters hear again.
+    The answers say which members heard a primary at that time, and are valid for a short time only: a candidate that
+    was frozen since then would ask for promises to which it is no longer entitled, and could depose a primary that most
+    voters hear again.
     """
 
     answers: Mapping[str, VoteAnswer]
     asked_at: float
 
     def is_fresh(self, moment: float, limit: float) -> bool:
-        """May promises still be asked for on the strength of these answers? They are good for `limit` seconds."""
+        """Returns whether promises may still be requested on the basis of these answers, which are valid for `limit`
+        seconds."""
         return moment - self.asked_at <= limit
 
 
 def prevote_won(members: set[str], answers: Mapping[str, VoteAnswer]) -> bool:
-    """The rule of the pre-vote, by the voters of the newest epoch that an answer tells."""
+    """Returns whether the pre-vote is won, by the voters of the newest epoch that an answer names."""
     prevotes = [answer.prevote(name) for name, answer in answers.items()]
     return may_campaign(members, newest_replica_set(answers).voters, prevotes)
 
 
-def prevote_lost_why(answers: Mapping[str, VoteAnswer]) -> str:
-    """Why a candidate that lost the pre-vote can't go on: a fleet that nobody has founded needs all its members."""
+def prevote_failure_reason(answers: Mapping[str, VoteAnswer]) -> str:
+    """Returns why a candidate that lost the pre-vote can't go on. If no member that answered knows a fleet, the reason
+    is that all members are needed to found one."""
     return FOUNDED_BY_ALL if all(answer.is_blank for answer in answers.values()) else NO_MAJORITY
 
 
-def may_run(me: str, disk: str, state_epoch: int, members: Sequence[str], answers: Mapping[str, VoteAnswer]) -> bool:
-    """May a member that misses the primary run for election? One that can't lead would only burn epochs of one that can."""
+def may_run_for_election(
+    member: str, disk: str, state_epoch: int, members: Sequence[str], answers: Mapping[str, VoteAnswer]
+) -> bool:
+    """Returns whether a member that hears no primary may run for election. A member that can't lead must not, since it
+    would only raise the epoch and so defeat the candidacy of a member that can."""
     newest = newest_replica_set(answers)
-    # Case: it holds the state of the newest epoch that was granted, or a later one.
+    # Case: it has the state of the newest epoch that was granted, or of a later one.
     if state_epoch >= newest.epoch:
         return True
     # Case: it is a holder of that epoch, and its disk is the one that the replica set names.
-    if me in newest and newest.voters.get(me) == disk:
+    if member in newest and newest.voters.get(member) == disk:
         return True
-    able = [n for n, answer in answers.items() if n in newest and newest.voters.get(n) == answer.disk]
-    # Case: all holders lost their disks. Then anyone may go on, once all have told so.
-    return not able and all(n in answers for n in members)
+    eligible = [n for n, answer in answers.items() if n in newest and newest.voters.get(n) == answer.disk]
+    # Case: all holders lost their disks. Then any member may go on, but only once all members have answered.
+    return not eligible and all(n in answers for n in members)
 
 
 @dataclass(frozen=True)
 class RestartTurn:
-    """When a holder of the state may run after a restart: at once if `is_first`, else after `rank` heartbeats."""
+    """When a holder of the state may run for election after a restart: at once if `is_first`, else after `rank`
+    heartbeat intervals."""
 
     rank: int
     is_first: bool
 
 
-def restart_turn(me: str, state_epoch: int, answers: Mapping[str, VoteAnswer]) -> RestartTurn | None:
-    """After a start of most members: this one's place among the holders of the newest epoch; None if it can't lead."""
+def restart_turn(member: str, state_epoch: int, answers: Mapping[str, VoteAnswer]) -> RestartTurn | None:
+    """Returns the turn of a member after most members have restarted, by its place among the holders of the newest
+    epoch; None if it can't lead, or if too few voters have answered."""
     newest = newest_replica_set(answers)
     disks = {n: answer.disk for n, answer in answers.items()}
-    able = [n for n in newest.holders if n in disks and newest.voters.get(n) == disks[n]]
-    if not majority(newest.voters, disks) or me not in able or state_epoch != newest.epoch:
+    eligible = [n for n in newest.holders if n in disks and newest.voters.get(n) == disks[n]]
+    if not majority(newest.voters, disks) or member not in eligible or state_epoch != newest.epoch:
         return None
-    rank = newest.holders.index(me)
-    # The primary goes first if its disk is here; one that is not heard yet may be starting.
+    rank = newest.holders.index(member)
+    # The former primary goes first if its disk is still there. A holder that has not answered yet may still be
+    # starting, so no later one is the first while an earlier one is missing.
     earlier_answered = all(n in disks for n in newest.holders[:rank])
-    return RestartTurn(rank, is_first=me == able[0] and earlier_answered)
+    return RestartTurn(rank, is_first=member == eligible[0] and earlier_answered)
 
 
 # --- the decision
@@ -133,8 +144,8 @@
 class Campaign:
     """What a candidate knows once enough members have promised it an epoch.
 
-    `own` is the state that it holds since its own promise was synced, `promises` are the answers of those that promised
-    `epoch`, the candidate's own among them, and `is_complete` says that nobody of the electorate is missing.
+    `own` is the state on its disk, read after its own promise was synced. `promises` are the answers of the members that
+    promised `epoch`, the candidate's own included, and `is_complete` says that no member of the electorate is missing.
     """
 
     candidate: str
@@ -145,21 +156,23 @@
 
     @property
     def disks(self) -> Voters:
-        """The disk of each member that promised."""
+        """The disk of each member that gave the promise."""
         return {name: answer.disk for name, answer in self.promises.items()}
 
     @property
     def is_blank(self) -> bool:
-        """Has nobody that promised granted an epoch or synced a state?"""
+        """Whether no member that gave the promise has ever granted an epoch or synced a state."""
         return all(answer.is_blank for answer in self.promises.values())
 
     @property
-    def able(self) -> list[str]:
-        """The holders of the newest replica set that answered with that epoch's state or a later one, on the disk that it
-        names.
-
-        A later state was proposed and not granted: it went on from this epoch's, since whoever proposed it was a holder
-        that could lead, and nothing was acknowledged under it."""
+    def eligible_members(self) -> list[str]:
+        """The holders of the newest granted replica set that have the state of its epoch or of a later one, on the disk
+        that the replica set names.
+
+        A later state was proposed but its epoch was not granted. Such a state may be used as well: it continues from
+        the state of the granted epoch, since its proposer was a holder that could lead, and nothing was acknowledged
+        under it.
+        """
         newest = newest_replica_set(self.promises)
         return [
             name
@@ -169,20 +182,20 @@
 
     @property
     def leaving(self) -> list[str]:
-        """The other members that were told to leave."""
+        """The other members that were told to leave the fleet."""
         return [n for n, answer in self.promises.items() if answer.leaving and n != self.candidate]
 
 
 @dataclass(frozen=True)
 class Refused:
-    """The candidate may not lead; `why` is told to whoever asked."""
+    """The candidate may not lead; `why` is the reason that the election's requester is given."""
 
     why: str
 
 
 @dataclass(frozen=True)
-class Found:
-    """The fleet is founded with this state; all members have promised."""
+class FoundFleet:
+    """A new fleet begins with this state; all members have given the promise."""
 
     state: State
     unanimous: ClassVar[bool] = True
@@ -190,92 +203,96 @@
 
 @dataclass(frozen=True)
 class Resume:
-    """The candidate goes on from the state that it holds. `unanimous` if no majority of the voters before stands behind
-    it, but all members have promised."""
+    """The candidate continues from its own state. `unanimous` says that there is no majority of the previous voters for
+    it, but that all members have given the promise."""
 
     unanimous: bool
 
 
 @dataclass(frozen=True)
 class Rebuild:
-    """No copy of the state is left: it is made anew from the newest configuration that daemons hold, with a revision
-    above `revision_floor`. `losses` is told from then on: acknowledged changes may be gone."""
+    """No copy of the state is left, so it is rebuilt from the newest configuration that daemons have, with a revision
+    above `revision_floor`. Acknowledged changes may be lost; `losses` is the number of such events, which the state
+    reports from then on."""
 
     revision_floor: int
     losses: int
     unanimous: ClassVar[bool] = True
 
 
-Basis = Found | Resume | Rebuild
+Basis = FoundFleet | Resume | Rebuild
 
 
 def decide(campaign: Campaign, fleet_is_known: bool, first: State | None) -> Basis | Refused:
-    """What the new epoch begins from; `first` is the state of a fleet that is to be founded.
+    """Returns the basis of the new epoch's state, or the reason why the candidate may not lead.
 
-    `fleet_is_known` tells that a configuration is in force by the feed, whatever the members hold.
+    `first` is the state of a fleet that is to be founded; None if there is none. `fleet_is_known` says that the
+    candidate has received a configuration by the feed, so that a fleet exists whatever the members' disks say.
     """
     if campaign.is_blank:
         return _decide_blank(campaign, fleet_is_known, first)
-    me, own = campaign.candidate, campaign.own
-    granted = {n: answer.replica_set for n, answer in campaign.promises.items()}
-    flaw = may_lead(me, own.epoch, own.replica_set, granted, own.replica_set.voters, campaign.disks)
-    # Case: the ordinary takeover. A majority of the voters promised, and no later epoch may stand.
-    if not flaw:
+    candidate, own = campaign.candidate, campaign.own
+    granted_replica_sets = {n: answer.replica_set for n, answer in campaign.promises.items()}
+    objection = may_lead(
+        candidate, own.epoch, own.replica_set, granted_replica_sets, own.replica_set.voters, campaign.disks
+    )
+    # Case: the ordinary takeover. A majority of the voters gave the promise, and no later epoch may have been granted.
+    if not objection:
         return Resume(unanimous=False)
-    # Case: someone is missing who may hold a newer state, or be led by one that does.
+    # Case: a member is missing that may have a newer state, or follow a primary that has.
     if not campaign.is_complete:
-        return Refused(flaw)
-    able = campaign.able
-    # Case: all are here, and no disk holds the newest epoch's state any more.
-    if not able:
-        floor = max(answer.state_revision for answer in campaign.promises.values())
-        return Rebuild(floor, own.state.losses + 1)
-    # Case: another one can lead with that state, and goes first.
-    if able[0] != me:
-        return Refused(flaw)
-    # Case: this one told that it holds that state, and has an older one.
+        return Refused(objection)
+    eligible = campaign.eligible_members
+    # Case: all members answered, and no disk has the state of the newest epoch any more.
+    if not eligible:
+        revision_floor = max(answer.state_revision for answer in campaign.promises.values())
+        return Rebuild(revision_floor, own.state.losses + 1)
+    # Case: another member can lead with that state, and goes first.
+    if eligible[0] != candidate:
+        return Refused(objection)
+    # Case: the candidate answered that it has that state, but has an older one now.
     if own.epoch < newest_replica_set(campaign.promises).epoch:
-        return Refused(flaw)
-    # Case: too many voters lost their disks for a majority, but all members are here and this one has the state.
+        return Refused(objection)
+    # Case: too many voters lost their disks for a majority, but all members answered and the candidate has the state.
     return Resume(unanimous=True)
 
 
 def _decide_blank(campaign: Campaign, fleet_is_known: bool, first: State | None) -> Basis | Refused:
-    # Case: a member that did not answer may hold the state of a fleet that was founded already.
+    # Case: a member that did not answer may have the state of a fleet that was founded already.
     if not campaign.is_complete:
         return Refused(FOUNDED_BY_ALL)
-    # Case: all members lost their disks, but daemons serve by a configuration.
+    # Case: all members lost their disks, but daemons serve requests with a configuration.
     if fleet_is_known:
         return Rebuild(0, 1)
     # Case: a new fleet.
     if first is not None:
-        return Found(first)
+        return FoundFleet(first)
     return Refused(NOTHING_TO_BEGIN_FROM)
 
 
 # --- the replica set of the new epoch
-def electorate_after(
+def choose_electorate(
     campaign: Campaign, unanimous: bool, members: Sequence[str], topology: Topology | None
 ) -> tuple[Voters, Voters]:
-    """The voters of the new epoch, and those before it that it carries along until it is settled.
+    """Returns the voters of the new epoch, and the previous voters that its replica set names until it is settled.
 
-    Without a majority of the voters before, all members have answered: those are the voters from here on. Where a
-    `topology` is given, the next safe change of voters is made as well.
+    If the basis is `unanimous`, there is no majority of the previous voters but all members have answered: their disks
+    are the voters from then on. Otherwise the next safe change of voters is made if a `topology` is given.
     """
     if unanimous:
         return campaign.disks, {}
     own = campaign.own.replica_set
-    wanted = own.voters
+    wanted_voters = own.voters
     if topology is not None:
-        wanted = next_voters(own.voters, members, campaign.disks, topology, campaign.leaving)
-    voters = voters_after(own, wanted)
+        wanted_voters = next_voters(own.voters, members, campaign.disks, topology, campaign.leaving)
+    voters = voters_after(own, wanted_voters)
     return voters, previous_voters(own, voters)
 
 
 @dataclass(frozen=True)
 class Placement:
-    """Where backups may stand: `zones` of the members in their agreed order, the primary's own zone, and how many are
-    wanted. Only where `spread` is set do zones count."""
+    """Where backups may be placed: the `zones` of the members in their agreed order, the primary's own zone, and the
+    wanted number of backups. Zones are considered only if `spread` is set."""
 
     zones: Mapping[str, str]
     own_zone: str
@@ -284,26 +301,27 @@
 
 
 def choose_backups(campaign: Campaign, voters: Voters, placement: Placement, reason: ElectionReason) -> tuple[str, ...]:
-    """The backups of the new epoch. Their acknowledgements count by their disks, so only members whose disk is among the
-    voters can be backups; those that leave only if there are no others."""
+    """Returns the backups of the new epoch. Acknowledgements count by disk, so only members whose disk is among the
+    voters can be backups. Members that leave the fleet are chosen only if there are no others."""
     members, disks = list(placement.zones), campaign.disks
-    able = [n for n in members if n != campaign.candidate and n in disks and voters.get(n) == disks[n]]
-    staying = [n for n in able if not campaign.promises[n].leaving]
-    before = campaign.own.replica_set.primary
+    eligible = [n for n in members if n != campaign.candidate and n in disks and voters.get(n) == disks[n]]
+    staying = [n for n in eligible if not campaign.promises[n].leaving]
+    previous_primary = campaign.own.replica_set.primary
     ranked = sorted(
-        staying or able,
+        staying or eligible,
         key=lambda name: (
-            name == before and reason.replaces_primary,
+            name == previous_primary and reason.replaces_primary,
             placement.spread and placement.zones[name] == placement.own_zone,
             members.index(name),
         ),
     )
     zones = placement.zones if placement.spread else {n: n for n in ranked}
-    return backups_of(ranked, zones, placement.own_zone, placement.wanted)
+    return choose_across_zones(ranked, zones, placement.own_zone, placement.wanted)
 
 
 def better_backups(replica_set: ReplicaSet, answered: Sequence[str], placement: Placement) -> bool:
-    """Could there be more backups, or copies in more zones, with those that answered?"""
+    """Returns whether the members that answered allow more backups, or copies in more zones, than the replica set
+    has."""
     if len(replica_set.backups) < placement.wanted:
         return bool(set(answered) - set(replica_set.holders))
     if not placement.spread:
@@ -311,8 +329,8 @@
     zones = placement.zones
     if not set(replica_set.backups) <= set(zones):
         return True
-    best = backups_of([*replica_set.backups, *answered], zones, placement.own_zone, placement.wanted)
-    return _zone_count(best, placement) > _zone_count(replica_set.backups, placement)
+    best_backups = choose_across_zones([*replica_set.backups, *answered], zones, placement.own_zone, placement.wanted)
+    return _zone_count(best_backups, placement) > _zone_count(replica_set.backups, placement)
 
 
 def _zone_count(backups: Sequence[str], placement: Placement) -> int:
--- a/postpass/control/epochs.py
+++ b/postpass/control/epochs.py
@@ -1,4 +1,9 @@
-"""Epochs of the control plane: the record of votes that each member syncs, and the rules of election as pure functions."""
+"""Epochs of the control plane: the vote record that each member syncs to its disk, and the election rules as pure
+functions.
+
+Every election creates a new epoch, which names its primary, its backups and its voters. A vote belongs to a disk, not
+to a machine: a member that lost its disk counts as another member of the same name.
+"""
 
 from __future__ import annotations
 
@@ -8,13 +13,16 @@
 from dataclasses import asdict, dataclass, field, replace
 from typing import Any
 
-Voters = dict[str, str]  # name -> disk
+Voters = dict[str, str]  # member name -> identity of its disk
 
 
 @dataclass(frozen=True)
 class Acknowledgement:
-    """A member's positive answer to a request of an epoch. Invariant: it counts only for the disk that gave it, and only
-    under the epoch it was given for; a member that lost its disk is another member of the same name."""
+    """A member's positive answer to a request of an epoch.
+
+    Invariant: it counts only for the disk that gave it, and only under the epoch that it was given for, since a member
+    that lost its disk is another member of the same name.
+    """
 
     member: str
     disk: str
@@ -23,20 +31,23 @@
 
 @dataclass(frozen=True)
 class PreVote:
-    """What a member answers when it is asked whether it would back a new primary. It promises nothing by it."""
+    """A member's answer to the question whether it would support a new primary. The answer promises nothing."""
 
     member: str
     disk: str
-    hears_primary: bool  # another one than whoever asks
+    hears_primary: bool  # whether the member hears a primary other than the candidate that asks
 
 
 @dataclass(frozen=True)
 class ReplicaSet:
-    """Invariant: an epoch names one primary and its backups, for good; every one of them has synced a write before it is
-    answered.
+    """The primary, the backups and the voters of one epoch.
 
-    `previous_voters` are those of the epoch before, where they differ. Elections that rest on this replica set need a
-    majority of them as well until it is settled: until the primary, once this epoch was granted, wrote them off.
+    Invariant: an epoch names one primary and its backups and never changes them; each of them has synced a write before
+    the write is answered.
+
+    `previous_voters` are the voters of the preceding epoch where they differ from `voters`. An election by a member that
+    holds the state of this epoch needs a majority of them as well, until the replica set is settled: until the primary,
+    after this epoch was granted, has replicated a replica set without them.
     """
 
     epoch: int = 0
@@ -50,200 +61,237 @@
 
     @property
     def holders(self) -> tuple[str, ...]:
-        """Who keeps the state, in the order in which they lead."""
+        """The members that store the state, the primary first, in the order in which they would lead."""
         return (self.primary, *self.backups)
 
     @property
     def backup(self) -> str:
-        """The one that leads next."""
+        """The backup that would lead next; empty if there is none."""
         return self.backups[0] if self.backups else ""
 
-    def counts(self, answer: Acknowledgement) -> bool:
-        """Was this answer given under this epoch, by the very disk that this replica set names?"""
-        return answer.epoch == self.epoch and self.voters.get(answer.member) == answer.disk
+    def is_valid_acknowledgement(self, acknowledgement: Acknowledgement) -> bool:
+        """Returns whether the acknowledgement was given under this epoch, by the very disk that this replica set
+        names."""
+        return acknowledgement.epoch == self.epoch and self.voters.get(acknowledgement.member) == acknowledgement.disk
 
-    def copied_to_all(self, answers: Iterable[Acknowledgement]) -> bool:
-        """Have all backups acknowledged?"""
-        return set(self.backups) <= {a.member for a in answers if self.counts(a)}
+    def acknowledged_by_all_backups(self, acknowledgements: Iterable[Acknowledgement]) -> bool:
+        """Returns whether all backups have acknowledged, each by the disk that this replica set names."""
+        return set(self.backups) <= {a.member for a in acknowledgements if self.is_valid_acknowledgement(a)}
 
-    def confirmed_by(self, answers: Iterable[Acknowledgement]) -> bool:
-        """The rule of acknowledging and of confirmed reads: all holders and most voters answered under this epoch.
+    def confirmed_by(self, acknowledgements: Iterable[Acknowledgement]) -> bool:
+        """Returns whether a write may be acknowledged or a read is confirmed: all holders and a majority of the voters
+        answered under this epoch.
 
-        A later primary has promises of most voters, so one of those that answered here had not promised it yet when it
-        did: nobody led a later epoch when the request that these answers follow came in.
+        A primary of a later epoch needs promises from a majority of the voters. At least one voter is in both
+        majorities, and had not given that promise when it answered here. So nobody led a later epoch when the request
+        arrived for which these acknowledgements were collected.
         """
-        counted = {a.member for a in answers if self.counts(a)}
-        return set(self.holders) <= counted and 2 * len(counted) > len(self.voters)
+        acknowledging_members = {a.member for a in acknowledgements if self.is_valid_acknowledgement(a)}
+        return set(self.holders) <= acknowledging_members and 2 * len(acknowledging_members) > len(self.voters)
 
     @property
     def electorates(self) -> list[Voters]:
-        """The sets of voters of each of which an election that rests on this replica set needs a majority."""
+        """The sets of voters; an election that continues from this replica set needs a majority of each of them."""
         return [self.voters, self.previous_voters] if self.previous_voters else [self.voters]
 
     def settled(self) -> ReplicaSet:
-        """This replica set, once its epoch is known to be granted."""
+        """Returns this replica set without the previous voters, for use once its epoch is known to be granted."""
         return replace(self, previous_voters={})
 
     def elected_by(self, granted: Voters) -> bool:
-        """Do the disks that granted this epoch make its primary the leader?"""
+        """Returns whether the disks that granted this epoch suffice to make its primary the leader."""
         return all(majority(voters, granted) for voters in self.electorates)
 
     def as_json(self) -> dict[str, Any]:
-        """As members send it and as it stands on disk; shares nothing with this one."""
+        """Returns the JSON object that members send and store on disk; it is a deep copy."""
         return asdict(self)
 
     @classmethod
     def of(cls, raw: dict[str, Any]) -> ReplicaSet:
-        """From JSON; releases up to 0.2.0 knew one backup, and none before 0.3 knew the voters of the epoch before."""
+        """Decodes a JSON object. Releases up to 0.2.0 have a single `backup`, and those before 0.3 no
+        `previous_voters`."""
         backups = raw["backups"] if "backups" in raw else [raw["backup"]] if raw["backup"] else []
         return cls(raw["epoch"], raw["primary"], tuple(backups), raw["voters"], raw.get("previous_voters", {}))
 
 
 @dataclass(frozen=True)
 class VoteRecord:
-    """What a member promised and granted; synced before it is told to anyone.
+    """What a member has promised and granted. It is synced to disk before any other process learns of it.
 
-    `promised` is the highest epoch that was promised, to `candidate`; `replica_set` is the last one that was granted.
-    Invariants: `promised` never falls; `replica_set.epoch` <= `promised`; one name holds the promise of one epoch.
+    `promised` is the highest epoch that the member promised, and `candidate` the member that it promised it to;
+    `replica_set` is that of the last epoch that it granted.
+    Invariants: `promised` never decreases; `replica_set.epoch` <= `promised`; an epoch is promised to one member only.
     """
 
     promised: int = 0
     candidate: str = ""
     replica_set: ReplicaSet = ReplicaSet()
 
-    def prepare(self, epoch: int, who: str) -> VoteRecord | None:
-        """Promises to take nothing below `epoch`; None if that can't be promised."""
-        if epoch > self.promised or (epoch == self.promised and who == self.candidate):
-            return replace(self, promised=epoch, candidate=who)
+    def prepare(self, epoch: int, candidate: str) -> VoteRecord | None:
+        """Returns the record that promises `candidate` to accept nothing below `epoch`; None if that can't be promised,
+        because a later epoch, or this one to another member, was promised."""
+        if epoch > self.promised or (epoch == self.promised and candidate == self.candidate):
+            return replace(self, promised=epoch, candidate=candidate)
         return None
 
-    def accept(self, epoch: int, who: str, granted: bool) -> VoteRecord | None:
-        """What must be on disk before a message of that epoch takes effect; None if it is refused.
+    def accept(self, epoch: int, sender: str, granted: bool) -> VoteRecord | None:
+        """Returns the record that must be on disk before a message from `sender` under `epoch` takes effect; None if the
+        message must be refused.
 
-        A primary whose epoch a majority granted is followed, whoever else asked here for a promise of that epoch: no
-        majority can grant it to another. A candidate is heard only by those that promised the epoch to it.
+        A primary whose epoch a majority `granted` is followed, whichever member that epoch was promised to here: no
+        majority can grant the same epoch to another member. A message of a candidate is accepted only by members that
+        promised the epoch to it.
         """
         if granted and epoch > self.promised:
-            return replace(self, promised=epoch, candidate=who)
-        if epoch == self.promised and (granted or who == self.candidate):
+            return replace(self, promised=epoch, candidate=sender)
+        if epoch == self.promised and (granted or sender == self.candidate):
             return self
         return None
 
-    def grant(self, replica_set: ReplicaSet, who: str) -> VoteRecord | None:
-        """Grants an epoch with its replica set; None if a later epoch, or this one to another, was promised."""
-        if replica_set.epoch < self.promised or (replica_set.epoch == self.promised and who != self.candidate):
+    def grant(self, replica_set: ReplicaSet, candidate: str) -> VoteRecord | None:
+        """Returns the record that grants `candidate` the epoch of `replica_set`; None if a later epoch, or this one to
+        another member, was promised."""
+        if replica_set.epoch < self.promised or (replica_set.epoch == self.promised and candidate != self.candidate):
             return None
-        return VoteRecord(replica_set.epoch, who, replica_set)
+        return VoteRecord(replica_set.epoch, candidate, replica_set)
 
     def dump(self) -> bytes:
-        """The record by its keys on disk, which are those of release 0.2.0."""
+        """Encodes the record for the disk, with the keys of release 0.2.0."""
         body = {"promised": self.promised, "to": self.candidate, "pair": self.replica_set.as_json()}
         return json.dumps(body).encode()
 
     @classmethod
     def load(cls, data: bytes) -> VoteRecord:
-        """Reads what `dump` wrote; raises ValueError, KeyError or TypeError if it is damaged."""
+        """Decodes what `dump` wrote; raises ValueError, KeyError or TypeError if the data is damaged."""
         raw = json.loads(data)
         return cls(raw["promised"], raw["to"], ReplicaSet.of(raw["pair"]))
 
 
-def backups_of(ranked: list[str], zone: Mapping[str, str], mine: str, want: int) -> tuple[str, ...]:
-    """As many as are wanted, the better ranked first, no two of them or with `mine` in one zone while zones suffice."""
-    out: list[str] = []
-    used, rest = {mine}, list(ranked)
-    while rest and len(out) < want:
-        name = min(rest, key=lambda name: (zone[name] in used, ranked.index(name)))
-        rest.remove(name)
-        out.append(name)
-        used.add(zone[name])
-    return tuple(out)
+def choose_across_zones(
+    ranked: list[str], zone_of: Mapping[str, str], primary_zone: str, wanted: int
+) -> tuple[str, ...]:
+    """Returns the first `wanted` of the ranked members, or all if there are fewer. As long as there are unused zones,
+    no two of them share a zone with each other or with `primary_zone`."""
+    chosen: list[str] = []
+    used_zones, remaining = {primary_zone}, list(ranked)
+    while remaining and len(chosen) < wanted:
+        name = min(remaining, key=lambda name: (zone_of[name] in used_zones, ranked.index(name)))
+        remaining.remove(name)
+        chosen.append(name)
+        used_zones.add(zone_of[name])
+    return tuple(chosen)
 
 
-def majority(voters: Voters, got: Voters) -> bool:
-    """Do the answers, by the disks that have a vote, make more than half?"""
-    return 2 * sum(got.get(n) == d for n, d in voters.items()) > len(voters)
+def majority(voters: Voters, disks: Voters) -> bool:
+    """Returns whether the members that answered, each by the disk that has its vote, are more than half of the
+    voters."""
+    return 2 * sum(disks.get(n) == d for n, d in voters.items()) > len(voters)
 
 
-def may_campaign(members: Iterable[str], voters: Voters, answers: Iterable[PreVote]) -> bool:
-    """The rule of the pre-vote: may a member ask for promises, and promise itself?
+def may_campaign(members: Iterable[str], voters: Voters, prevotes: Iterable[PreVote]) -> bool:
+    """Returns whether the pre-vote is won: whether a member may ask for promises, and promise the epoch itself.
 
-    Most voters, by their disks, hear no other primary; so none that a majority hears is deposed. Where too many disks are
-    lost for that, or there were never any voters, all `members` must have answered so.
+    It is won if a majority of the voters, by their disks, hear no other primary; so a primary that a majority hears is
+    not deposed. Where too many disks are lost for that, or there were never any voters, all `members` must have
+    answered so.
     """
-    willing = {a.member: a.disk for a in answers if not a.hears_primary}
-    everyone = set(members)
-    return majority(voters, willing) or (bool(everyone) and everyone <= set(willing))
+    supporters = {a.member: a.disk for a in prevotes if not a.hears_primary}
+    all_members = set(members)
+    return majority(voters, supporters) or (bool(all_members) and all_members <= set(supporters))
 
 
-def in_touch(voters: Voters, answered: Mapping[str, float], since: float) -> bool:
-    """Has a primary had answers of most voters since that time? `answered` tells when each voter's disk last answered."""
-    return 2 * sum(answered.get(name, -math.inf) >= since for name in voters) > len(voters)
+def in_touch(voters: Voters, answered_at: Mapping[str, float], since: float) -> bool:
+    """Returns whether most voters have answered the primary since that time. `answered_at` has the time at which each
+    voter's disk last answered."""
+    return 2 * sum(answered_at.get(name, -math.inf) >= since for name in voters) > len(voters)
 
 
-def votes(answers: Iterable[Acknowledgement], epoch: int) -> Voters:
-    """The disks that answered under this epoch, by member."""
-    return {a.member: a.disk for a in answers if a.epoch == epoch}
+def acknowledging_disks(acknowledgements: Iterable[Acknowledgement], epoch: int) -> Voters:
+    """Returns the disks that acknowledged under this epoch, by member."""
+    return {a.member: a.disk for a in acknowledgements if a.epoch == epoch}
 
 
-def voters_after(own: ReplicaSet, wanted: Voters) -> Voters:
-    """The voters of an epoch that follows the replica set `own`: they change only from a settled one, so no epoch rests
-    on more than two sets of them."""
-    return own.voters if own.previous_voters else wanted
+def voters_after(current: ReplicaSet, wanted: Voters) -> Voters:
+    """Returns the voters of an epoch that follows the replica set `current`. They may change only if that one is
+    settled, so an epoch never depends on more than two sets of voters."""
+    return current.voters if current.previous_voters else wanted
 
 
-def previous_voters(own: ReplicaSet, voters: Voters) -> Voters:
-    """The voters before, which an epoch with these `voters` carries along when it follows the replica set `own`."""
-    if own.previous_voters:
-        return own.previous_voters
-    return own.voters if voters != own.voters else {}
+def previous_voters(current: ReplicaSet, voters: Voters) -> Voters:
+    """Returns the previous voters that an epoch with these `voters` names when it follows the replica set `current`."""
+    if current.previous_voters:
+        return current.previous_voters
+    return current.voters if voters != current.voters else {}
 
 
-def unheard_holders(
+def missing_holders(
     newest: ReplicaSet,
     members: Iterable[str],
     dropped: Collection[str],
     declared_gone: Collection[str],
     answered: Collection[str],
 ) -> set[str]:
-    """Who might still come back with a newer state than any that answered. The state is rebuilt from daemons only if this
-    is empty.
+    """Returns the members that have not answered and may hold a newer state than any member that answered. The state
+    may be rebuilt from the daemons' configuration only if there are none.
 
-    `newest` is the newest replica set that an answer tells, `members` are those of the newest configuration in force.
-    All of these and all voters must answer, but for those that this configuration has `dropped`: every holder has it, so
-    none of them makes a dropped one a holder of a later epoch. A holder of `newest` itself must answer even so, unless
-    the operator has declared it gone.
+    `newest` is the newest replica set that an answer names, `members` are those of the newest configuration in force.
+    All of these members and all voters must answer, except those that this configuration has `dropped`: every holder
+    has that configuration, so none of them makes a dropped member a holder of a later epoch. A holder of `newest`
+    itself must answer even if it is dropped, unless the operator has declared it gone.
     """
-    needed = ({*members, *newest.voters} - set(dropped)) | (set(newest.holders) - set(declared_gone))
-    return needed - {""} - set(answered)
+    required = ({*members, *newest.voters} - set(dropped)) | (set(newest.holders) - set(declared_gone))
+    return required - {""} - set(answered)
 
 
 def may_lead(
-    me: str, state_epoch: int, own: ReplicaSet, replica_sets: dict[str, ReplicaSet], voters: Voters, got: Voters
+    candidate: str,
+    state_epoch: int,
+    own_replica_set: ReplicaSet,
+    granted_replica_sets: dict[str, ReplicaSet],
+    voters: Voters,
+    promised_disks: Voters,
 ) -> str:
-    """The rule of takeover: empty if `me` may go on from the state it holds of epoch `state_epoch`, else why not.
+    """Decides whether `candidate` may lead a new epoch with the state of epoch `state_epoch` that it holds. Returns the
+    empty string if it may, else the reason why not.
+
+    `promised_disks` has the disk of each member that promised the new epoch, the candidate's own included.
+    `own_replica_set` is the replica set of epoch `state_epoch`, and `granted_replica_sets` has the one that each
+    answering voter last granted. The candidate's disk must be the one that its replica set names: another disk may hold
+    an older state of the same epoch, since the primary never counted its acknowledgements.
 
-    `got` has the disk of each member that promised, `me` among them. A disk that the replica set doesn't name may hold
-    an older state of the same epoch: the primary never counted its answers. `replica_sets` has what each answering
-    voter last granted; `own` is the replica set of epoch `state_epoch`. A later epoch stands in the way unless it is proved
-    that no majority granted it: those that answered and did not grant it have promised a higher one, so they never will. All of
-    this holds for `voters` and for the voters before them, if `own` is not settled.
+    An epoch later than `state_epoch` prevents the takeover unless it is proved that no majority granted it. The members
+    that answered and have not granted it can't do so any more, because they have promised a higher epoch. Majorities
+    are needed of `voters` and, if `own_replica_set` is not settled, of its previous voters too.
     """
-    if state_epoch == 0 or own.epoch != state_epoch or me not in own or own.voters.get(me) != got.get(me):
+    if (
+        state_epoch == 0
+        or own_replica_set.epoch != state_epoch
+        or candidate not in own_replica_set
+        or own_replica_set.voters.get(candidate) != promised_disks.get(candidate)
+    ):
         return "not of the pair whose state this is, or the state isn't whole"
-    electorates = [voters, own.previous_voters] if own.previous_voters else [voters]
-    if not all(majority(electorate, got) for electorate in electorates):
+    electorates = [voters, own_replica_set.previous_voters] if own_replica_set.previous_voters else [voters]
+    if not all(majority(electorate, promised_disks) for electorate in electorates):
         return "no majority answered"
-    later = {p.epoch: p for p in replica_sets.values() if p.epoch > state_epoch}
+    later = {p.epoch: p for p in granted_replica_sets.values() if p.epoch > state_epoch}
     for replica_set in later.values():
-        if any(may_be_granted(replica_set.epoch, electorate, replica_sets, got) for electorate in electorates):
+        if any(
+            may_have_been_granted(replica_set.epoch, electorate, granted_replica_sets, promised_disks)
+            for electorate in electorates
+        ):
             return f"epoch {replica_set.epoch} of {replica_set.primary} may stand"
     return ""
 
 
-def may_be_granted(epoch: int, voters: Voters, replica_sets: dict[str, ReplicaSet], got: Voters) -> bool:
-    """Could a majority of these voters have granted this epoch, as far as those tell that promised a later one?"""
-    valid = {n for n, d in voters.items() if got.get(n) == d}
-    # One that has granted a later one may have granted this one before.
-    granted = {n for n in valid if n in replica_sets and replica_sets[n].epoch >= epoch}
-    missing = set(voters) - valid
-    return 2 * len(granted | missing) > len(voters)
+def may_have_been_granted(
+    epoch: int, voters: Voters, granted_replica_sets: dict[str, ReplicaSet], promised_disks: Voters
+) -> bool:
+    """Returns whether a majority of these voters may have granted this epoch, by the answers of those that promised a
+    later one."""
+    answering_voters = {n for n, d in voters.items() if promised_disks.get(n) == d}
+    # A voter that has granted a later epoch may have granted this one before.
+    possible_granters = {
+        n for n in answering_voters if n in granted_replica_sets and granted_replica_sets[n].epoch >= epoch
+    }
+    missing_voters = set(voters) - answering_voters
+    return 2 * len(possible_granters | missing_voters) > len(voters)
--- a/postpass/control/journal.py
+++ b/postpass/control/journal.py
@@ -1,7 +1,7 @@
-"""Control's replicated state on disk: a log of changes in segments, with a snapshot beside it.
+"""Control's replicated state on disk: a segmented log of changes, and a snapshot that the log continues from.
 
-A change names the state that it builds on and the state that it leads to, each by epoch, version and checksum. It is
-taken only by a replica that holds exactly that base, and counts only once it is synced there.
+A change names its base state and the state that results from it, each by epoch, version and checksum. A replica accepts
+a change only if its own state is exactly that base, and acknowledges the change only once it is synced.
 """
 
 from __future__ import annotations
@@ -19,44 +19,44 @@
 from postpass.runtime.errors import BROKE, FULL, Fault, FaultError
 from postpass.storage.segmented_log import SegmentedLog
 
-RECORD_FORMAT = 1  # of a record in the log; a later one is left alone
-SNAPSHOT, CHANGE = "snapshot", "change"  # operations of the log's entries
+RECORD_FORMAT = 1  # format of a record in the log; records of a later format are neither read nor overwritten
+SNAPSHOT, CHANGE = "snapshot", "change"  # values of the field `op` of a log entry
 CHECKSUM_SPACE = 1 << 64
 
-Tree = dict[str, Any]  # a state as JSON has it; states share the parts that they have in common
+Tree = dict[str, Any]  # a state as a JSON object; trees share the parts that they have in common
 
 
 class JournalError(ValueError):
-    """A record that can't be used: nothing was changed by it."""
+    """A record or change can't be applied; nothing was changed."""
 
 
 class BaseMismatchError(JournalError):
-    """A change that builds on another state than the one held."""
+    """A change has another base than the current state."""
 
 
 class ChecksumMismatchError(JournalError):
-    """A state that is not the one its checksum was made of."""
+    """A state does not have the checksum that was recorded for it."""
 
 
 class UnknownFormatError(JournalError):
-    """A record of a later release."""
+    """A record has a format that only a later release can read."""
 
 
 @dataclass(frozen=True)
 class Position:
-    """Names one state. Invariant: two states with the same position have the same content."""
+    """The identity of a state. Invariant: two states with the same position have the same content."""
 
     epoch: int
     version: int
     checksum: str
 
     def as_json(self) -> list[Any]:
-        """As peers send it."""
+        """Returns the JSON value that peers send."""
         return [self.epoch, self.version, self.checksum]
 
     @classmethod
     def from_json(cls, raw: Any) -> Self:
-        """Reads what a peer sent; raises JournalError if it is no position."""
+        """Decodes what a peer sent; raises JournalError if it is not a position."""
         if not isinstance(raw, list) or [type(x) for x in raw] != [int, int, str]:
             raise JournalError(f"position: want [epoch, version, checksum], got {raw!r:.80}")
         return cls(*raw)
@@ -64,19 +64,19 @@
 
 @dataclass(frozen=True)
 class Change:
-    """Leads from the state at `base` to the state at `position`."""
+    """The difference between the state at `base` and the state at `position` that results from applying it."""
 
     base: Position
     position: Position
     delta: Delta
 
     def as_json(self) -> Tree:
-        """As peers send it."""
+        """Returns the JSON object that peers send."""
         return {"base": self.base.as_json(), "position": self.position.as_json(), "delta": self.delta}
 
     @classmethod
     def from_json(cls, raw: Any) -> Self:
-        """Reads what a peer sent; raises JournalError if it is no change."""
+        """Decodes what a peer sent; raises JournalError if it is not a change."""
         if not isinstance(raw, dict) or not isinstance(raw.get("delta"), list):
             raise JournalError(f"change: want base, position and delta, got {raw!r:.80}")
         return cls(Position.from_json(raw.get("base")), Position.from_json(raw.get("position")), raw["delta"])
@@ -84,55 +84,63 @@
 
 @dataclass(frozen=True)
 class Image:
-    """A whole state at its position. Invariant: `total` is the sum over the parts of `tree` that the checksum tells."""
+    """A complete state and its position.
+
+    Invariant: `checksum_sum` is the sum of the checksums of all parts of `tree`, modulo `CHECKSUM_SPACE`;
+    `position.checksum` is its text.
+    """
 
     position: Position
     tree: Tree
-    total: int
+    checksum_sum: int
 
     @classmethod
     def of(cls, epoch: int, version: int, tree: Tree) -> Self:
-        """The image of a whole state, whose checksum is made of all its parts."""
-        total = parts_sum(tree) % CHECKSUM_SPACE
-        return cls(Position(epoch, version, _checksum(total)), tree, total)
+        """Returns the image of a complete state; its checksum is computed from all its parts."""
+        checksum_sum = parts_sum(tree) % CHECKSUM_SPACE
+        return cls(Position(epoch, version, _format_checksum(checksum_sum)), tree, checksum_sum)
 
     def change_to(self, epoch: int, version: int, tree: Tree) -> tuple[Change, Image]:
-        """The change from here to `tree`, and the image that it gives.
+        """Returns the change from this state to `tree`, and the image that results from applying it.
 
-        The image is the patched one, so that its keys stand in the same order wherever the change is applied.
+        The image holds the patched tree rather than `tree` itself, so that the order of its keys is the same wherever
+        the change is applied.
         """
-        steps = delta(self.tree, tree, splices=True)
-        patched: Tree = patch(self.tree, steps)
-        total = (self.total + parts_sum_difference(self.tree, patched)) % CHECKSUM_SPACE
-        position = Position(epoch, version, _checksum(total))
-        return Change(self.position, position, steps), Image(position, patched, total)
+        operations = delta(self.tree, tree, splices=True)
+        patched: Tree = patch(self.tree, operations)
+        checksum_sum = (self.checksum_sum + parts_sum_difference(self.tree, patched)) % CHECKSUM_SPACE
+        position = Position(epoch, version, _format_checksum(checksum_sum))
+        return Change(self.position, position, operations), Image(position, patched, checksum_sum)
 
     def apply(self, change: Change) -> Image:
-        """The image that the change leads to; raises JournalError if it builds on another state or is garbled."""
+        """Returns the image that results from the change; raises JournalError if the change has another base or is
+        garbled."""
         if change.base != self.position:
             raise BaseMismatchError(f"the change builds on {change.base}, {self.position} is held")
         try:
             tree = patch(self.tree, change.delta)
-            total = (self.total + parts_sum_difference(self.tree, tree)) % CHECKSUM_SPACE
+            checksum_sum = (self.checksum_sum + parts_sum_difference(self.tree, tree)) % CHECKSUM_SPACE
         except (TypeError, KeyError, IndexError, ValueError, AttributeError) as error:
             raise JournalError(f"the change can't be applied: {error!r:.120}") from error
-        if _checksum(total) != change.position.checksum:
-            raise ChecksumMismatchError(f"the change gives checksum {_checksum(total)}, not {change.position.checksum}")
-        return Image(change.position, tree, total)
+        if _format_checksum(checksum_sum) != change.position.checksum:
+            raise ChecksumMismatchError(
+                f"the change gives checksum {_format_checksum(checksum_sum)}, not {change.position.checksum}"
+            )
+        return Image(change.position, tree, checksum_sum)
 
 
-def _checksum(total: int) -> str:
-    return f"{total:016x}"
+def _format_checksum(checksum_sum: int) -> str:
+    return f"{checksum_sum:016x}"
 
 
 # --- records of the log
 def change_entry(change: Change) -> Any:
-    """The entry of the log that holds a change."""
+    """Returns the log entry for a change."""
     return _entry(CHANGE, change.position, change.base, change.delta)
 
 
 def snapshot_entry(image: Image) -> Any:
-    """The entry of the log that holds a whole state."""
+    """Returns the log entry for a complete state."""
     return _entry(SNAPSHOT, image.position, Position(0, 0, ""), image.tree)
 
 
@@ -146,7 +154,8 @@
 
 
 def replay(entries: Iterable[Any]) -> Image | None:
-    """The state that the log leads to; None if it holds nothing. Raises JournalError where its records don't join."""
+    """Returns the state that results from the log's entries; None if there are none. Raises JournalError if a record
+    doesn't continue from the one before it."""
     image: Image | None = None
     for entry in entries:
         image = _next_image(image, entry)
@@ -156,7 +165,7 @@
 def _next_image(image: Image | None, entry: Any) -> Image:
     try:
         record = unpack(IDL.StateRecord, entry.body)
-    except Exception as error:  # the library raises whatever the bytes lead it to
+    except Exception as error:  # the thrift library may raise any exception on damaged bytes
         raise JournalError(f"a record can't be read: {error!r:.120}") from error
     if record.format != RECORD_FORMAT or entry.op not in (SNAPSHOT, CHANGE):
         raise UnknownFormatError(
@@ -178,67 +187,74 @@
 # --- the journal
 @dataclass(eq=False)
 class StateJournal:
-    """Invariants: `image` is what the log on disk leads to; whatever `append` and `replace` return was synced, and so
-    survives a loss of power. After a failed sync every later call raises FaultError, until the folder is opened
-    again."""
+    """The control state of one member, with its log on disk.
+
+    Invariants: `image` is the state that results from replaying the log on disk; each image that `append` or `replace`
+    returns was synced before, and so survives a loss of power. After a failed sync every later write raises FaultError,
+    until the data directory is opened again.
+    """
 
-    who: str
+    member: str
     disk: Disk
     log: SegmentedLog
     image: Image | None = None
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)
 
     @classmethod
-    async def open(cls, who: str, disk: Disk, log: SegmentedLog, entries: Iterable[Any]) -> Self:
-        """Raises JournalError if the records don't join, which is damage, and FaultError if a later release wrote
-        them."""
+    async def open(cls, member: str, disk: Disk, log: SegmentedLog, entries: Iterable[Any]) -> Self:
+        """Replays the entries and syncs what they contain. Raises JournalError if a record doesn't continue from the one
+        before it, which means that the log is damaged, and FaultError if a later release wrote the records."""
         try:
-            journal = cls(who, disk, log, replay(entries))
+            journal = cls(member, disk, log, replay(entries))
         except UnknownFormatError as error:
-            raise FaultError(Fault("open data folder", who, f"{error}; nothing was touched", BROKE)) from error
+            raise FaultError(Fault("open data folder", member, f"{error}; nothing was touched", BROKE)) from error
         if journal.image is not None and log.logged_bytes:
             await journal._make_durable()
         return journal
 
     async def _make_durable(self) -> None:
-        """What was read may be in the system's cache alone: left by a killed process, or behind a failed sync."""
+        """Makes sure that what was read at the start survives a loss of power. It may exist in the operating system's
+        cache alone, because a process was killed before its sync or because its sync failed. Writes a snapshot, or
+        syncs the log if the disk has no space for one."""
         try:
             await self.compact()
-        except FaultError as stop:
-            if stop.fault.code != FULL:
+        except FaultError as error:
+            if error.fault.code != FULL:
                 raise
-            await self._guarded(self.disk.sync(self.log.segment_name))
+            await self._await_write(self.disk.sync(self.log.segment_name))
 
     async def append(self, change: Change) -> Image:
-        """Syncs a change of the state held. One that is held already is synced again. Raises BaseMismatchError for another."""
+        """Applies a change and syncs it; a change that led to the current state already is only synced again. Raises
+        BaseMismatchError if the change has another base."""
         return await asyncio.shield(asyncio.create_task(self._append(change)))
 
     async def replace(self, image: Image) -> Image:
-        """Syncs a whole state in place of the one held."""
+        """Replaces the current state by another complete one, and syncs it."""
         return await asyncio.shield(asyncio.create_task(self._replace(image)))
 
     async def compact_if_due(self) -> bool:
-        """Writes a snapshot once the log has outgrown the last one by a ratio, if there is room for it."""
+        """Writes a snapshot if the log has outgrown the last one by a given ratio and the disk has space for another;
+        returns whether it did."""
         if self.image is None or not self.log.is_compaction_due():
             return False
         await self.compact()
         return True
 
     async def compact(self) -> None:
-        """Writes a snapshot of the state held; a later start reads only what came after it."""
+        """Writes a snapshot of the current state; a later start reads it and only the entries after it."""
         await asyncio.shield(asyncio.create_task(self._compact()))
 
     async def _append(self, change: Change) -> Image:
         async with self.lock:
-            self._check_trusted()
+            self._raise_if_failed()
             if self.image is None:
                 raise BaseMismatchError("no state is held here")
             if self.image.position != change.position:
                 image = self.image.apply(change)
                 self.log.append([change_entry(change)])
-                # From here on the log leads there, whether the sync succeeds or not.
+                # From here on a replay of the log may give this image, whether the sync succeeds or not.
                 self.image = image
-            await self._guarded(self.log.sync())
+            await self._await_write(self.log.sync())
             return self.image
 
     async def _replace(self, image: Image) -> Image:
@@ -253,19 +269,19 @@
                 await self._write_snapshot(self.image)
 
     async def _write_snapshot(self, image: Image) -> None:
-        self._check_trusted()
+        self._raise_if_failed()
         segment = self.log.segment_number
-        await self._guarded(self.log.compact(iter([snapshot_entry(image)])))
+        await self._await_write(self.log.compact(iter([snapshot_entry(image)])))
         if self.log.segment_number == segment:
-            raise FaultError(Fault("write snapshot", self.who, "the disk is full", FULL))
+            raise FaultError(Fault("write snapshot", self.member, "the disk is full", FULL))
 
-    def _check_trusted(self) -> None:
+    def _raise_if_failed(self) -> None:
         if self.log.failure:
-            raise FaultError(Fault("sync", self.who, self.log.failure, BROKE))
+            raise FaultError(Fault("sync", self.member, self.log.failure, BROKE))
 
-    async def _guarded(self, write: Coroutine[Any, Any, None]) -> None:
+    async def _await_write(self, write: Coroutine[Any, Any, None]) -> None:
         try:
             await write
         except OSError as error:
             self.log.failure = f"sync failed: {error.strerror}"
-            raise FaultError(Fault("sync", self.who, self.log.failure, BROKE)) from error
+            raise FaultError(Fault("sync", self.member, self.log.failure, BROKE)) from error
--- a/postpass/control/messages.py
+++ b/postpass/control/messages.py
@@ -1,7 +1,7 @@
-"""The messages between control members, with their codecs to and from the JSON body of a verb.
+"""The messages between control members, with their encoding as the JSON body of a verb.
 
-Keys and their order are those of release 0.2.0; fields carry the field's terms. A decoder raises KeyError, TypeError or
-ValueError if a key that every release sends is missing or garbled.
+Keys and their order are those of release 0.2.0, while the fields of the classes are named by the usual terms. A decoder
+raises KeyError, TypeError or ValueError if a key that every release sends is missing or garbled.
 """
 
 from __future__ import annotations
@@ -15,31 +15,32 @@
 from postpass.control.state import ReplicatedState
 from postpass.rpc.codec import Body
 
-# Verbs between members, as they stand on the wire. A handler is the method `on_<verb>`.
+# Verbs between members, as they are sent. The handler of a verb is the method `on_<verb>`.
 PREPARE = "look"
 GRANT = "grant"
 APPEND = "copy"
 ADOPT = "adopt"
-HEAR = "hear"
+HEAR = "hear"  # carries a HeartbeatReport
 
 
 # --- votes
 @dataclass(frozen=True)
 class PreVoteRequest:
-    """Asks whether a member would back `candidate` as the primary of a new epoch; nothing is promised."""
+    """Asks whether a member would support `candidate` as the primary of a new epoch. The answer promises nothing."""
 
     candidate: str
 
     def as_json(self) -> Body:
-        """As members send it."""
+        """Returns the JSON object that members send."""
         return {"probe": 1, "who": self.candidate}
 
 
 @dataclass(frozen=True)
 class PrepareRequest:
-    """Asks for a promise to accept nothing below `epoch`, and nothing of it but from `candidate`.
+    """Asks a member to promise that it accepts nothing below `epoch`, and messages of `epoch` from `candidate` only.
 
-    `handover` is set where the primary asked for this election: the others still hear it, and promise all the same.
+    `handover` is set if the present primary started this election to hand over its leadership: the members still hear
+    that primary, and give the promise all the same.
     """
 
     candidate: str
@@ -47,12 +48,12 @@
     handover: bool = False
 
     def as_json(self) -> Body:
-        """As members send it."""
+        """Returns the JSON object that members send."""
         return {"epoch": self.epoch, "who": self.candidate} | ({"handover": 1} if self.handover else {})
 
 
-def prepare_request_of(body: Body) -> PreVoteRequest | PrepareRequest:
-    """The two requests share a verb; the one of the pre-vote is marked as a probe."""
+def prepare_request_from_json(body: Body) -> PreVoteRequest | PrepareRequest:
+    """Decodes a request of either kind. The two share a verb; a pre-vote is marked by the key `probe`."""
     if body.get("probe"):
         return PreVoteRequest(body.get("who", ""))
     return PrepareRequest(body.get("who", ""), body["epoch"], bool(body.get("handover")))
@@ -60,28 +61,30 @@
 
 @dataclass(frozen=True)
 class GrantRequest:
-    """Asks a member to grant the epoch of `replica_set` to `candidate`, whose backups hold the state by now."""
+    """Asks a member to grant the epoch of `replica_set` to `candidate`, whose backups have synced the state before."""
 
     candidate: str
     replica_set: ReplicaSet
 
     def as_json(self) -> Body:
-        """As members send it."""
+        """Returns the JSON object that members send."""
         return {"pair": self.replica_set.as_json(), "who": self.candidate}
 
     @classmethod
     def from_json(cls, body: Body) -> GrantRequest:
-        """Reads what a candidate sent."""
+        """Decodes what a candidate sent."""
         return cls(body["who"], ReplicaSet.of(body["pair"]))
 
 
 @dataclass(frozen=True)
 class VoteAnswer:
-    """What a member answers in an election, and what it holds.
+    """A member's answer to a request of an election, with what the member has on its disk.
 
-    `accepted` says that it would back the candidate, promised the epoch or granted it, by the question. `replica_set` is
-    the last one that it granted, `state_epoch` and `state_revision` tell the state on its disk (0 if there is none) and
-    `known_revision` the newest configuration that it knows to be in force.
+    `accepted` says, depending on the request, that the member would support the candidate, has promised the epoch or
+    has granted it. `promised` is the highest epoch that it promised, `replica_set` the last one that it granted.
+    `state_epoch` and `state_revision` are those of the state on its disk (0 if there is none), `known_revision` is that
+    of the newest configuration that it knows to be in force, and `leaving` says that the member was told to leave the
+    fleet.
     """
 
     accepted: bool
@@ -94,7 +97,7 @@
     leaving: bool
 
     def as_json(self) -> Body:
-        """As members send it."""
+        """Returns the JSON object that members send."""
         return {
             "disk": self.disk, "promised": self.promised, "pair": self.replica_set.as_json(),
             "whole": self.state_epoch, "edition": self.state_revision, "news": self.known_revision,
@@ -103,7 +106,7 @@
 
     @classmethod
     def from_json(cls, body: Body) -> VoteAnswer:
-        """Reads what a member answered; releases before 0.3 don't tell whether they leave."""
+        """Decodes what a member answered; releases before 0.3 don't send `leaving`."""
         return cls(
             accepted=bool(body["ok"]),
             disk=str(body["disk"]),
@@ -117,30 +120,32 @@
 
     @property
     def is_blank(self) -> bool:
-        """Has the member neither granted an epoch nor synced a state?"""
+        """Whether the member has neither granted an epoch nor synced a state."""
         return self.state_epoch == 0 and self.replica_set.epoch == 0
 
     def prevote(self, member: str) -> PreVote:
-        """The answer to a pre-vote, as the rule of the pre-vote takes it."""
+        """Returns this answer to a pre-vote request in the form that `may_campaign` takes."""
         return PreVote(member, self.disk, not self.accepted)
 
     def acknowledgement(self, member: str) -> Acknowledgement:
-        """The answer to a grant, as it counts for the epoch that it tells."""
+        """Returns this answer to a grant request as an acknowledgement of the epoch that the member granted last."""
         return Acknowledgement(member, self.disk, self.replica_set.epoch)
 
 
 def newest_replica_set(answers: Mapping[str, VoteAnswer]) -> ReplicaSet:
-    """The replica set of the highest epoch that any of the answers tells."""
+    """Returns the replica set of the highest epoch in the answers."""
     return max((answer.replica_set for answer in answers.values()), key=lambda replica_set: replica_set.epoch)
 
 
 # --- replication
 @dataclass(frozen=True)
 class AppendRequest:
-    """A state to sync, whole or as a change, or a heartbeat alone, from the primary or candidate of `epoch`.
+    """A state to sync, either complete or as a change, or only a heartbeat; sent by the primary or candidate of
+    `epoch`.
 
-    `revision` is the configuration in force by the sender, which may be fetched at `address`. `granted` is false while
-    the epoch is not granted yet. `state` and `change` are decoded only once the epoch is accepted.
+    `revision` is that of the configuration which the sender knows to be in force, and which may be fetched from its
+    `address`. `granted` is false while the epoch is not granted yet. The receiver decodes `state` or `change` only once
+    it has accepted the epoch.
     """
 
     epoch: int
@@ -152,7 +157,7 @@
     state_json: Body | None = None
 
     def as_json(self) -> Body:
-        """As members send it."""
+        """Returns the JSON object that members send."""
         body: Body = {
             "epoch": self.epoch, "who": self.sender, "edition": self.revision, "at": self.address, "granted": self.granted,
         }  # fmt: skip
@@ -164,8 +169,8 @@
 
     @classmethod
     def from_json(cls, body: Body) -> AppendRequest:
-        """Reads what a member sent. Releases before 0.3 don't tell whether their epoch is granted, and are taken for
-        primaries."""
+        """Decodes what a member sent. Releases before 0.3 don't send `granted`; their sender is taken for the primary
+        of a granted epoch."""
         return cls(
             epoch=body["epoch"],
             sender=body.get("who", ""),
@@ -178,23 +183,25 @@
 
     @property
     def is_heartbeat(self) -> bool:
-        """Is there nothing to sync?"""
+        """Whether the request has nothing to sync."""
         return self.change_json is None and self.state_json is None
 
     def change(self) -> Change:
-        """The change to sync; raises JournalError if it is garbled."""
+        """Decodes the change to sync; raises JournalError if it is garbled."""
         return Change.from_json(self.change_json)
 
     def state(self) -> ReplicatedState:
-        """The whole state to sync."""
+        """Decodes the complete state to sync."""
         assert self.state_json is not None
         return ReplicatedState.of(self.state_json)
 
 
 @dataclass(frozen=True)
 class AppendAnswer:
-    """What a replica answers to an append: `accepted` once what came is synced. `position` names the state that it holds,
-    where a change was sent; None if that isn't told."""
+    """A replica's answer to an append: `accepted` once everything that was sent is synced.
+
+    `position` is that of the state on the replica's disk; it is sent only in answer to a change, and None otherwise.
+    """
 
     accepted: bool
     epoch: int
@@ -204,7 +211,7 @@
     position: Position | None = None
 
     def as_json(self) -> Body:
-        """As members send it."""
+        """Returns the JSON object that members send."""
         body: Body = {
             "ok": self.accepted, "epoch": self.epoch, "promised": self.promised, "disk": self.disk, "leaving": self.leaving,
         }  # fmt: skip
@@ -214,20 +221,21 @@
 
     @classmethod
     def from_json(cls, body: Body, epoch: int) -> AppendAnswer:
-        """Reads the answer to a request of `epoch`: releases before 0.3 don't repeat it, and the answer belongs to this
-        request by its number."""
+        """Decodes the answer to a request of `epoch`. Releases before 0.3 don't repeat the epoch; the request's epoch
+        stands in for it, since the link matches the answer to this request by its number."""
         return cls(
             accepted=bool(body["ok"]),
             epoch=body.get("epoch", epoch),
             promised=body["promised"],
             disk=str(body["disk"]),
             leaving=bool(body.get("leaving")),
-            position=_position(body.get("holds")),
+            position=_position_from_json(body.get("holds")),
         )
 
 
-def _position(raw: Any) -> Position | None:
-    """A garbled position names no state, so whoever sent a change sends the whole state next."""
+def _position_from_json(raw: Any) -> Position | None:
+    """Decodes a position; returns None if it is missing or garbled, so that the sender of a change sends the complete
+    state next."""
     try:
         return Position.from_json(raw)
     except JournalError:
@@ -237,65 +245,65 @@
 # --- leadership
 @dataclass(frozen=True)
 class AdoptRequest:
-    """The primary of `epoch` leaves, and asks a backup to run for election at once."""
+    """Asks a backup to run for election at once, because the primary of `epoch` leaves."""
 
     epoch: int
 
     def as_json(self) -> Body:
-        """As members send it."""
+        """Returns the JSON object that members send."""
         return {"epoch": self.epoch}
 
     @classmethod
     def from_json(cls, body: Body) -> AdoptRequest:
-        """Reads what a primary sent."""
+        """Decodes what a primary sent."""
         return cls(body["epoch"])
 
 
 @dataclass(frozen=True)
 class AdoptAnswer:
-    """Whether the backup is the primary of a new epoch now."""
+    """The answer to an `AdoptRequest`: whether the backup has become the primary of a new epoch."""
 
     accepted: bool
 
     def as_json(self) -> Body:
-        """As members send it."""
+        """Returns the JSON object that members send."""
         return {"ok": self.accepted}
 
     @classmethod
     def from_json(cls, body: Body) -> AdoptAnswer:
-        """Reads what a backup answered."""
+        """Decodes what a backup answered."""
         return cls(bool(body["ok"]))
 
 
 @dataclass(frozen=True)
 class HeartbeatReport:
-    """Whom a control member heard lately: workers and machines, each with the seconds since then."""
+    """The seconds since `member` last received a heartbeat of each worker and of each machine; sent to the primary."""
 
     worker_ages: Mapping[str, float]
     machine_ages: Mapping[str, float]
     member: str = ""
 
     def as_json(self) -> Body:
-        """As members send it."""
+        """Returns the JSON object that members send."""
         return {"beats": self.worker_ages, "spoke": self.machine_ages, "who": self.member}
 
     @classmethod
     def from_json(cls, body: Body) -> HeartbeatReport:
-        """Reads what a member sent; releases before 0.3 don't tell which one it is."""
+        """Decodes what a member sent; releases before 0.3 don't send `member`, which is empty then."""
         return cls(body["beats"], body["spoke"], body.get("who", ""))
 
 
 @dataclass(frozen=True)
 class HeartbeatReportAnswer:
-    """Whether the member that took a report leads: only then does the report count."""
+    """The answer to a `HeartbeatReport`: whether the receiver is the primary. Only then does the report take effect."""
 
     leads: bool
 
     def as_json(self) -> Body:
-        """As members send it."""
+        """Returns the JSON object that members send."""
         return {"leads": self.leads}
 
     @classmethod
     def from_json(cls, body: Body) -> HeartbeatReportAnswer:
-        """Reads what a member answered."""
+        """Decodes what a member answered."""
         return cls(bool(body["leads"]))
--- a/postpass/control/replica.py
+++ b/postpass/control/replica.py
@@ -1,4 +1,5 @@
-"""Replication of the control state: append to the backups, commit, and confirm that this member still leads."""
+"""Replication of the control state: appends to the backups, commits, and the confirmation that this member still
+leads."""
 
 from __future__ import annotations
 
@@ -21,26 +22,26 @@
 
 
 class Replica(Contact):
-    """Copies the state to the replicas, and answers as one of them.
+    """Sends the state to the replicas as the primary, and handles appends as one of the replicas.
 
-    Changes `replicated_state` (a commit here, or an append of another), `committed` and `configuration_view` (once all
-    holders synced), `leader`, `leader_heard` and `leader_silent_since` (by appends of a granted epoch). Owns
-    `backup_heard`, `voter_heard`, `departing_members` and `wiped_backups`, which the answers of others change.
-    Decides whether an append is accepted, whether a state is durable at all holders, and whether this member was still
-    the primary when a request came.
+    Changes `replicated_state` (by a commit here, or by an append from another member), `committed` and
+    `configuration_view` (once all holders have synced), `leader`, `leader_heard` and `leader_silent_since` (by appends
+    of a granted epoch). Owns `backup_heard`, `voter_heard`, `departing_members` and `wiped_backups`, which change by
+    the answers of other members. Decides whether an append is accepted, whether a state is durable at all holders, and
+    whether this member was still the primary when a request arrived.
     """
 
     async def on_copy(self, body: Body) -> PeerResponse:
-        """From the primary, or from a candidate to its backups: the state to sync, or just a heartbeat under the epoch.
+        """Handles an append from the primary, or from a candidate to its backups: a state to sync, or a heartbeat alone.
         Nothing of an epoch is accepted before the promise of that epoch is on disk."""
         request = AppendRequest.from_json(body)
-        accepted = self.vote_record.accept(request.epoch, request.sender, request.granted)
-        if accepted is None:
+        record = self.vote_record.accept(request.epoch, request.sender, request.granted)
+        if record is None:
             return self.append_answer(request, False)
-        if accepted.promised > self.promise_on_disk:
-            promised = await self.promise(accepted)
-            if isinstance(promised, Err):
-                return promised
+        if record.promised > self.promise_on_disk:
+            promise_response = await self.promise(record)
+            if isinstance(promise_response, Err):
+                return promise_response
             if request.epoch < self.vote_record.promised:
                 return self.append_answer(request, False)
         if request.granted:
@@ -48,36 +49,39 @@
         if not request.is_heartbeat:
             try:
                 is_synced = await (
-                    self.take_change(request) if request.change_json is not None else self.take_state(request)
+                    self.sync_change(request) if request.change_json is not None else self.sync_full_state(request)
                 )
-            except FaultError as bad:
-                return Err(bad.fault)
+            except FaultError as error:
+                return Err(error.fault)
             if not is_synced or request.epoch < self.vote_record.promised:
                 return self.append_answer(request, False)
-            self.replicated_state = self.stored()
+            self.replicated_state = self.last_synced_state()
         if request.granted:
-            self.learn_version(request)
+            self.learn_revision(request)
         return self.append_answer(request, True)
 
     def follow_leader(self, name: str) -> None:
-        """The primary of a granted epoch was heard."""
+        """Records that the primary of a granted epoch was heard, and wakes all tasks that wait for one."""
         self.leader_silent_since = self.leader_heard = now()
         self.leader = name
         self.announce_leader()
 
-    async def take_state(self, request: AppendRequest) -> bool:
-        """Syncs a whole state, unless a newer one is held."""
-        new = request.state()
-        if new.replica_set.voters.get(self.settings.name) != self.disk_id:
-            # Meant for the disk that this member had before; it may have been under way since then.
+    async def sync_full_state(self, request: AppendRequest) -> bool:
+        """Syncs the complete state that was sent, unless this member has a newer one; returns whether it did."""
+        received = request.state()
+        if received.replica_set.voters.get(self.settings.name) != self.disk_id:
+            # Meant for the disk that this member had before: the request may have been under way since then.
             return False
-        if new.order < self.replicated_state.order:
+        if received.order < self.replicated_state.order:
             return False
-        await self.write_journal(self.journal.replace(Image.of(new.epoch, new.state.revision, new.raw())))
+        await self.write_journal(
+            self.journal.replace(Image.of(received.epoch, received.state.revision, received.raw()))
+        )
         return True
 
-    async def take_change(self, request: AppendRequest) -> bool:
-        """Syncs a change if exactly the state that it builds on is held here; if not, the primary sends the whole."""
+    async def sync_change(self, request: AppendRequest) -> bool:
+        """Syncs the change that was sent if its base is exactly the state of this member, and returns whether it did.
+        If not, the primary sends the complete state."""
         try:
             change = request.change()
             if change.base.epoch != request.epoch or change.position.epoch != request.epoch:
@@ -88,31 +92,37 @@
             return False
         return True
 
-    def learn_version(self, request: AppendRequest) -> None:
-        """The primary tells the revision in force: publishes it, or fetches it if this member has no copy of it."""
+    def learn_revision(self, request: AppendRequest) -> None:
+        """Takes over the revision that the primary says is in force: publishes it, or starts to fetch it from the
+        primary if this member has no copy of it."""
         revision = request.revision
         if revision <= self.configuration_view.revision:
             return
         if self.replicated_state.epoch == request.epoch and self.replicated_state.state.revision == revision:
             self.publish(self.replicated_state.state)
-        elif at := self.addr(request.sender) or request.address:
-            task = asyncio.create_task(self.follower.fetch(at))
+        elif address := self.addr(request.sender) or request.address:
+            task = asyncio.create_task(self.follower.fetch(address))
             self.fetches.add(task)
             task.add_done_callback(self.fetches.discard)
 
     def append_answer(self, request: AppendRequest, accepted: bool) -> PeerResponse:
-        """The answer to an append; where a change came, with the position of the state that is held."""
+        """Returns the answer to an append; to a change it contains the position of this member's state."""
         image = self.journal.image
         position = image.position if request.change_json is not None and image is not None else None
         answer = AppendAnswer(accepted, request.epoch, self.vote_record.promised, self.disk_id, self.leaving, position)
         return Ok(answer.as_json())
 
     async def append_to(
-        self, replicated_state: ReplicatedState | None, epoch: int, to: str, change: Change | None = None
+        self, replicated_state: ReplicatedState | None, epoch: int, member: str, change: Change | None = None
     ) -> Acknowledgement | None:
-        """Sends the state, as a change where one is given, or a heartbeat alone; the member's acknowledgement, if any."""
-        addr = self.addr(to)
-        if not addr:
+        """Sends a member the state, as a change if one is given. Without a state (`replicated_state` is None) the
+        request is a heartbeat under the epoch.
+
+        Returns the member's acknowledgement, or None if it gave none. A member that can't apply the change is sent the
+        complete state.
+        """
+        address = self.addr(member)
+        if not address:
             return None
         request = AppendRequest(
             epoch=epoch,
@@ -123,49 +133,57 @@
             change_json=change.as_json() if change is not None else None,
             state_json=replicated_state.raw() if change is None and replicated_state is not None else None,
         )
-        # Where machines announce themselves another backup is soon found; an order doesn't wait long for this one.
-        wait = self.settings.bounds.promise / (2 if self.settings.announce else 1)
-        got = await self.peer_links.request(addr, APPEND, request.as_json(), wait)
-        if isinstance(got, Err):
+        # Where machines announce themselves, another backup is soon found, so an order doesn't wait long for this one.
+        timeout = self.settings.bounds.promise / (2 if self.settings.announce else 1)
+        response = await self.peer_links.request(address, APPEND, request.as_json(), timeout)
+        if isinstance(response, Err):
             return None
-        answer, replica_set = AppendAnswer.from_json(got.unwrap(), epoch), self.replicated_state.replica_set
+        answer, replica_set = AppendAnswer.from_json(response.unwrap(), epoch), self.replicated_state.replica_set
         if answer.promised > epoch and self.epoch == epoch:
             self.step_down(answer.promised)
-        if epoch == self.epoch and to in replica_set.backups and replica_set.voters.get(to) != answer.disk:
-            self.wiped_backups.add(to)
+        if epoch == self.epoch and member in replica_set.backups and replica_set.voters.get(member) != answer.disk:
+            self.wiped_backups.add(member)
         elif change is not None and not (answer.accepted and answer.position == change.position):
-            # It held another state, or is of a release that takes whole states only and took this for a heartbeat.
-            return await self.append_to(replicated_state, epoch, to) if self.epoch == epoch else None
+            # The member has another state, or runs a release that knows complete states only and took this for a
+            # heartbeat.
+            return await self.append_to(replicated_state, epoch, member) if self.epoch == epoch else None
         if not answer.accepted:
             return None
-        (self.departing_members.add if answer.leaving else self.departing_members.discard)(to)
-        acknowledgement = Acknowledgement(to, answer.disk, answer.epoch)
-        if epoch == self.epoch and replica_set.counts(acknowledgement):
-            self.voter_heard[to] = now()
-            if to in replica_set.backups:
-                self.backup_heard[to] = now()
+        (self.departing_members.add if answer.leaving else self.departing_members.discard)(member)
+        acknowledgement = Acknowledgement(member, answer.disk, answer.epoch)
+        if epoch == self.epoch and replica_set.is_valid_acknowledgement(acknowledgement):
+            self.voter_heard[member] = now()
+            if member in replica_set.backups:
+                self.backup_heard[member] = now()
         return acknowledgement
 
     async def append_to_backups(
         self, replicated_state: ReplicatedState | None, epoch: int, change: Change | None = None
     ) -> list[Acknowledgement]:
-        """Sends the state, or a heartbeat alone, to all backups of the present replica set; who acknowledged."""
+        """Sends the state, or a heartbeat alone, to all backups of the present replica set; returns the
+        acknowledgements."""
         answers = await asyncio.gather(
             *(self.append_to(replicated_state, epoch, n, change) for n in self.replicated_state.replica_set.backups)
         )
         return [a for a in answers if a is not None]
 
     async def append_to_all(self, replicated_state: ReplicatedState | None, epoch: int) -> bool:
-        """True once all backups of the epoch have acknowledged, each by the disk that the replica set names."""
+        """Sends the state, or a heartbeat alone, to all backups; returns whether all of them acknowledged under this
+        epoch, each by the disk that the replica set names."""
         replica_set = self.replicated_state.replica_set
         answers = await self.append_to_backups(replicated_state, epoch)
-        return replica_set.epoch == epoch and replica_set.copied_to_all(answers)
+        return replica_set.epoch == epoch and replica_set.acknowledged_by_all_backups(answers)
 
     async def commit(self, state: State) -> bool:
-        """True once the state is synced here and at all backups, and most voters have answered under this epoch since."""
+        """Writes a state here and at all backups, and publishes it.
+
+        Returns True once the state is synced by all holders and most voters have answered under this epoch since the
+        call. False means that it is not known whether the state will take effect. Steps down if this member's disk
+        stalls or stays full. Raises FaultError if the disk fails or is full.
+        """
         epoch, replica_set = self.epoch, self.replicated_state.replica_set
-        # The voters that keep no copy are asked while the disks sync, so that their round trip adds no delay.
-        others = asyncio.create_task(self.answers_of_voters(epoch, replica_set))
+        # The voters without a copy of the state are asked while the disks sync, so that their round trip adds no delay.
+        voters_task = asyncio.create_task(self.collect_voter_acknowledgements(epoch, replica_set))
         try:
             async with asyncio.timeout(self.settings.bounds.detect):
                 stored = await self.store(ReplicatedState(epoch, replica_set, state))
@@ -174,26 +192,28 @@
             self.replicated_state = replicated_state = stored.replicated_state
             backups = await self.append_to_backups(replicated_state, epoch, stored.change)
             answers = [self.own_acknowledgement(epoch), *backups]
-            if not replica_set.copied_to_all(answers):
+            if not replica_set.acknowledged_by_all_backups(answers):
                 return False
             if not replica_set.confirmed_by(answers):
-                answers += await others
-        except FaultError as bad:
-            if bad.fault.code == FULL and self.disk_stays_full:
-                # Nothing was written, and nothing will be while there is no room; another may lead meanwhile.
+                answers += await voters_task
+        except FaultError as error:
+            if error.fault.code == FULL and self.disk_stays_full:
+                # Nothing was written, and nothing will be as long as the disk is full; another member may lead
+                # meanwhile.
                 self.step_down("the disk is full")
             raise
         except TimeoutError:
-            # While its disk stalls this member takes no change; another may lead meanwhile.
+            # While its disk stalls this member accepts no change; another member may lead meanwhile.
             self.step_down(epoch)
             return False
         finally:
-            others.cancel()
+            voters_task.cancel()
         if self.epoch != epoch or not replica_set.confirmed_by(answers):
             return False
         self.publish(replicated_state.state)
-        # In force within its bound even if this machine dies now: the backups hand it out as well before the
-        # operator is answered, and the other voters are told.
+        # The backups learn that the state is committed before the operator is answered, and the other members are
+        # notified: so it comes into force within its time limit even if this machine dies now, since the backups serve
+        # it as well.
         for name in [n for n in self.members(state.manifest) if n not in replicated_state.replica_set]:
             task = asyncio.create_task(self.notify(name, epoch))
             self.fetches.add(task)
@@ -202,57 +222,61 @@
         return True
 
     def own_acknowledgement(self, epoch: int) -> Acknowledgement:
-        """That this member's own disk has synced what the others are asked for."""
+        """Returns this member's own acknowledgement; its disk has synced what the others are asked to sync."""
         return Acknowledgement(self.settings.name, self.disk_id, epoch)
 
-    async def answers_of_voters(self, epoch: int, replica_set: ReplicaSet) -> list[Acknowledgement]:
-        """A round to the voters that are no holders; ends once they and the holders are a majority."""
+    async def collect_voter_acknowledgements(self, epoch: int, replica_set: ReplicaSet) -> list[Acknowledgement]:
+        """Sends a heartbeat to the voters that are not holders, and returns the acknowledgements. Ends as soon as they
+        would confirm the epoch together with the holders."""
         holders = [Acknowledgement(n, replica_set.voters.get(n, ""), epoch) for n in replica_set.holders]
 
-        def enough(got: dict[str, Acknowledgement | None]) -> bool:
-            return replica_set.confirmed_by([*holders, *(a for a in got.values() if a is not None)])
+        def has_quorum(responses: dict[str, Acknowledgement | None]) -> bool:
+            return replica_set.confirmed_by([*holders, *(a for a in responses.values() if a is not None)])
 
-        if enough({}):
+        if has_quorum({}):
             return []
-        asks = {n: self.append_to(None, epoch, n) for n in replica_set.voters if n not in replica_set}
-        got = await gather_until(asks, enough, 0.0)
-        return [a for a in got.values() if a is not None]
+        requests = {n: self.append_to(None, epoch, n) for n in replica_set.voters if n not in replica_set}
+        responses = await gather_until(requests, has_quorum, 0.0)
+        return [a for a in responses.values() if a is not None]
 
     async def settle(self) -> None:
-        """Once more the state to the disks of all holders, now that its epoch is known to be granted: an election that
-        rests on it needs no majority of the voters before any more. Called with the lock held."""
+        """Writes the state once more at all holders, now that its epoch is known to be granted and its replica set is
+        settled: an election that continues from it needs no majority of the previous voters any more. Must be called
+        with the lock held; raises FaultError if this member's disk fails."""
         stored = await self.store(self.replicated_state)
         self.replicated_state, epoch = stored.replicated_state, stored.replicated_state.epoch
         answers = await self.append_to_backups(stored.replicated_state, epoch, stored.change)
-        if self.replicated_state.replica_set.copied_to_all(answers) and self.unsettled_epoch == epoch:
+        if self.replicated_state.replica_set.acknowledged_by_all_backups(answers) and self.unsettled_epoch == epoch:
             self.unsettled_epoch = 0
 
     async def notify(self, name: str, epoch: int) -> None:
-        """Sends one member a heartbeat, by which it learns the revision in force."""
+        """Sends one member a heartbeat, from which it learns the revision in force."""
         await self.append_to(None, epoch, name)
 
     async def heartbeat(self, epoch: int, configuration: Configuration) -> list[Acknowledgement]:
-        """One round to all other members; those that are late are not waited for once most have answered."""
+        """Sends a heartbeat to all other members and returns the acknowledgements. Once most members have answered, the
+        rest are waited for only a short time."""
         others = [n for n in self.members(configuration) if n != self.settings.name]
 
-        def enough(got: dict[str, Acknowledgement | None]) -> bool:
-            return 2 * (1 + sum(a is not None for a in got.values())) > len(others) + 1
+        def has_majority(responses: dict[str, Acknowledgement | None]) -> bool:
+            return 2 * (1 + sum(a is not None for a in responses.values())) > len(others) + 1
 
-        asks = {n: self.append_to(None, epoch, n) for n in others}
-        got = await gather_until(asks, enough, self.settings.bounds.promise / 2)
-        return [a for a in got.values() if a is not None]
+        requests = {n: self.append_to(None, epoch, n) for n in others}
+        responses = await gather_until(requests, has_majority, self.settings.bounds.promise / 2)
+        return [a for a in responses.values() if a is not None]
 
     async def ask_all(
         self, verb: str, body: Body, names: list[str], configuration: Configuration, quick: bool = False
     ) -> dict[str, Body]:
-        """The answers of these members, this one among them, to a request; those that gave none are left out.
+        """Sends a request to these members, which may include this one, and returns the answers by member; members that
+        gave none are left out.
 
-        Once most have answered, the others are waited for no longer than a heartbeat. `quick` takes shorter limits, where
-        this member leads and clients wait.
+        Once most have answered, the others are waited for no longer than a heartbeat interval. `quick` uses shorter
+        limits, for a member that leads while clients wait.
         """
         bounds = self.settings.bounds
 
-        async def one(name: str) -> PeerResponse:
+        async def ask_member(name: str) -> PeerResponse:
             machine = configuration["machines"].get(name)
             if not machine or machine.get("gone"):
                 return Err(Fault(verb, name, "gone"))
@@ -262,20 +286,24 @@
                 machine["peer"], verb, body, bounds.beat / 2 if quick else bounds.promise
             )
 
-        def enough(got: dict[str, PeerResponse]) -> bool:
-            return 2 * sum(isinstance(g, Ok) for g in got.values()) > len(names)
+        def has_majority(responses: dict[str, PeerResponse]) -> bool:
+            return 2 * sum(isinstance(g, Ok) for g in responses.values()) > len(names)
 
-        got = await gather_until({n: one(n) for n in names}, enough, bounds.beat / 8 if quick else bounds.beat)
-        return {n: g.unwrap() for n, g in got.items() if isinstance(g, Ok)}
+        responses = await gather_until(
+            {n: ask_member(n) for n in names}, has_majority, bounds.beat / 8 if quick else bounds.beat
+        )
+        return {n: g.unwrap() for n, g in responses.items() if isinstance(g, Ok)}
 
-    async def confirmation_round(self) -> list[Acknowledgement]:
-        """Answers under this epoch to messages sent from now on; ends once they confirm it."""
+    async def run_confirmation_round(self) -> list[Acknowledgement]:
+        """Sends a heartbeat to all voters and backups, and returns the acknowledgements, this member's own included.
+        Ends as soon as they confirm the epoch. All of them answer messages that were sent after the call, so if they
+        confirm the epoch no other member led at the time of the call."""
         epoch, replica_set = self.epoch, self.replicated_state.replica_set
-        mine = self.own_acknowledgement(epoch)
+        own = self.own_acknowledgement(epoch)
 
-        def enough(got: dict[str, Acknowledgement | None]) -> bool:
-            return replica_set.confirmed_by([mine, *(a for a in got.values() if a is not None)])
+        def has_quorum(responses: dict[str, Acknowledgement | None]) -> bool:
+            return replica_set.confirmed_by([own, *(a for a in responses.values() if a is not None)])
 
         names = sorted({*replica_set.voters, *replica_set.backups} - {self.settings.name})
-        got = await gather_until({name: self.append_to(None, epoch, name) for name in names}, enough, 0.0)
-        return [mine, *(a for a in got.values() if a is not None)]
+        responses = await gather_until({name: self.append_to(None, epoch, name) for name in names}, has_quorum, 0.0)
+        return [own, *(a for a in responses.values() if a is not None)]
--- a/postpass/control/writer.py
+++ b/postpass/control/writer.py
@@ -1,4 +1,4 @@
-"""A change of the state: queued, written with others at the primary, answered once it is durable."""
+"""Changes of the state: queued at the primary, written in batches, and answered once they are durable."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from result import Err, Ok, Result
 
-from postpass.control.changes import Edit, Fold
+from postpass.control.changes import Fold, QueuedChange
 from postpass.control.election import Election
 from postpass.control.election_rules import Cause, ElectionReason
 from postpass.control.member import INFINITY
@@ -19,127 +19,134 @@
 
 
 class Writer(Election):
-    """Writes changes at the primary, and forwards to it from any other member.
+    """Writes changes at the primary, and forwards requests to it from any other member.
 
-    Owns the queue `waiting_edits`, the time `write_due` at which it is written, and `write_wakeup`, which is set when that
-    time comes sooner; `change` fills the queue and the task `write` empties it, with `lock` held.
-    Decides which changes share a write, and whether a write that a backup didn't take is tried once more with another.
+    Owns the queue `queued_changes`, the time `write_due` at which the queue is to be written, and the event
+    `write_wakeup`, which is set when that time becomes earlier. `change` fills the queue, and the task `write` empties
+    it with `lock` held. Decides which changes share a write, and whether a write that a backup didn't accept is retried
+    with another backup.
     """
 
     async def is_leading(self) -> bool:
-        """Is this the primary? While it takes another backup or voter it is for a moment not, and soon again."""
-        if not self.epoch and self.takes_another_epoch():
+        """Returns whether this member is the primary. While the primary takes another backup or voter by a new epoch it
+        leads none for a moment; the method waits until that is over."""
+        if not self.epoch and self.is_renewing_replica_set():
             async with self.lock:
                 pass
         return self.epoch > 0
 
-    async def change(self, fold: Fold, pause: float) -> Result[int, Fault]:
-        """Writes a change, with others that come within the pause; the revision that has it, once it is durable."""
+    async def change(self, update: Fold, pause: float) -> Result[int, Fault]:
+        """Writes a change together with others that arrive within `pause` seconds. Returns the revision that contains
+        it once it is durable, or the reason why it was refused or its outcome is unknown."""
         if not await self.is_leading():
             return Err(self.not_leader("write"))
-        edit = Edit(fold, asyncio.get_running_loop().create_future())
-        self.waiting_edits.append(edit)
+        queued = QueuedChange(update, asyncio.get_running_loop().create_future())
+        self.queued_changes.append(queued)
         if now() + pause < self.write_due:
             self.write_due = now() + pause
             self.write_wakeup.set()
-        return await edit.done
+        return await queued.outcome
 
     async def write(self) -> None:
-        """Writes what waits, whenever its time has come."""
+        """Writes the queued changes whenever their time has come; runs until it is cancelled."""
         while True:
-            if not self.waiting_edits:
+            if not self.queued_changes:
                 self.write_due = INFINITY
-            left = self.write_due - now()
-            if left > 0:
+            remaining = self.write_due - now()
+            if remaining > 0:
                 self.write_wakeup.clear()
                 try:
-                    await asyncio.wait_for(self.write_wakeup.wait(), None if left == INFINITY else left)
+                    await asyncio.wait_for(self.write_wakeup.wait(), None if remaining == INFINITY else remaining)
                 except TimeoutError:
                     pass
                 continue
-            edits, self.waiting_edits, self.write_due = self.waiting_edits, [], INFINITY
+            changes, self.queued_changes, self.write_due = self.queued_changes, [], INFINITY
             async with self.lock:
                 try:
-                    got = await self.write_edits(edits)
-                except FaultError as bad:
-                    got = [Err(bad.fault) for _ in edits]
-            for edit, result in zip(edits, got, strict=True):
-                if not edit.done.done():
-                    edit.done.set_result(result)
+                    results = await self.write_changes(changes)
+                except FaultError as error:
+                    results = [Err(error.fault) for _ in changes]
+            for queued, result in zip(changes, results, strict=True):
+                if not queued.outcome.done():
+                    queued.outcome.set_result(result)
 
-    async def write_edits(self, edits: list[Edit]) -> list[Result[int, Fault]]:
-        """One write for many changes. If the backup is silent another one is taken, and all are laid on once more."""
-        me, bounds = self.settings.name, self.settings.bounds
+    async def write_changes(self, changes: list[QueuedChange]) -> list[Result[int, Fault]]:
+        """Writes many changes as one revision, and returns the result of each. If a backup doesn't answer, another one
+        is taken by an election, and all changes are applied and written once more."""
+        own_name, bounds = self.settings.name, self.settings.bounds
         for _ in range(2):
             epoch, before = self.epoch, self.committed.state
             if not epoch or before.manifest is None:
                 break
-            state, out = before, []
-            for edit in edits:
-                got = edit.fold(state)
-                state = got.unwrap_or(state)
-                out.append(got)
+            state, results = before, []
+            for queued in changes:
+                result = queued.update(state)
+                state = result.unwrap_or(state)
+                results.append(result)
             if state is not before:
                 state = replace(state, revision=before.revision + 1)
-                done = await self.commit(state)
+                is_durable = await self.commit(state)
             else:
-                done = (
-                    self.replicated_state.replica_set.confirmed_by(await self.confirmation_round())
+                is_durable = (
+                    self.replicated_state.replica_set.confirmed_by(await self.run_confirmation_round())
                     and self.epoch == epoch
                 )
-            if done:
-                return [Ok(state.revision) if isinstance(g, Ok) else Err(g.unwrap_err()) for g in out]
+            if is_durable:
+                return [Ok(state.revision) if isinstance(g, Ok) else Err(g.unwrap_err()) for g in results]
             if self.epoch == epoch:
                 self.epoch = 0
-                again = await self.run_election(state.configuration, ElectionReason(Cause.BACKUP_LOST))
-                if isinstance(again, Err):
+                election_result = await self.run_election(state.configuration, ElectionReason(Cause.BACKUP_LOST))
+                if isinstance(election_result, Err):
                     self.leader_silent_since = now() - bounds.detect
                 else:
                     log_events.emit(
                         Event.BACKUP_CHANGED,
-                        me,
+                        own_name,
                         backup=",".join(self.replicated_state.replica_set.backups),
                         why="it did not take a write",
                     )
-        return [Err(Fault("write", me, "not known whether it was taken; ask again", SLOW)) for _ in edits]
+        return [Err(Fault("write", own_name, "not known whether it was taken; ask again", SLOW)) for _ in changes]
 
     async def forward(self, verb: str, body: Body, limit: float = 0.0) -> PeerResponse:
-        """To the primary, wherever it is; where machines announce themselves, a moment is given for one to come."""
+        """Sends a request to the primary, wherever it is, and returns the response. Where machines announce themselves,
+        a request without a primary is retried for a short time, in case one is elected."""
         if self.lost_touch():
             return await self.forward_without_contact(verb, body)
-        until = now() + (self.settings.bounds.leave / 4 if self.settings.announce else 0.0)
+        deadline = now() + (self.settings.bounds.leave / 4 if self.settings.announce else 0.0)
         while True:
-            event = self.leader_heard_event
-            got = await self.forward_once(verb, body, limit)
-            if not self.found_no_primary(got) or not await self.wait_for_leader(event, until):
-                return got
+            leader_event = self.leader_heard_event
+            response = await self.forward_once(verb, body, limit)
+            if not self.found_no_primary(response) or not await self.wait_for_leader(leader_event, deadline):
+                return response
 
-    def found_no_primary(self, got: PeerResponse) -> bool:
-        """Did this member itself refuse, because it found no primary? An error that the primary answered names another."""
-        if got.is_ok():
+    def found_no_primary(self, response: PeerResponse) -> bool:
+        """Returns whether the response is this member's own fault that it found no primary; a fault that the primary
+        answered with names another peer."""
+        if response.is_ok():
             return False
-        fault = got.unwrap_err()
+        fault = response.unwrap_err()
         return fault.code == REJECTED and fault.peer == self.settings.name
 
     async def forward_once(self, verb: str, body: Body, limit: float) -> PeerResponse:
-        """Tries this member, then whoever it names as primary, then all others."""
-        got: PeerResponse = await getattr(self, f"on_{verb}")(body)
+        """Tries this member, then the one that it names as the primary, then all others; returns the first response
+        that isn't a referral to another member."""
+        response: PeerResponse = await getattr(self, f"on_{verb}")(body)
         tried = {self.settings.name}
         names = [n for n in self.members() if n != self.settings.name]
-        while isinstance(got, Err) and got.unwrap_err().code == MOVED:
-            hint = got.unwrap_err().hint
-            todo = [n for n in ([hint] if hint else []) + names if n not in tried]
-            if not todo:
+        while isinstance(response, Err) and response.unwrap_err().code == MOVED:
+            hint = response.unwrap_err().hint
+            untried = [n for n in ([hint] if hint else []) + names if n not in tried]
+            if not untried:
                 return Err(Fault(verb, self.settings.name, "no primary now; ask again", REJECTED))
-            tried.add(todo[0])
-            addr = self.addr(todo[0])
-            if not addr:
+            tried.add(untried[0])
+            address = self.addr(untried[0])
+            if not address:
                 continue
-            # An apply may use the whole bound, and more for the disks before it.
+            # An apply may take as long as the limit itself, and additional time for the syncs that precede it.
             limit = limit or self.settings.bounds.manifest * (2 if verb == "apply" else 1)
-            there = await self.peer_links.request(addr, verb, body | {"passed": 1}, limit)
-            if isinstance(there, Err) and there.unwrap_err().unsent:
-                got = Err(Fault(verb, todo[0], there.unwrap_err().why, MOVED))
+            remote_response = await self.peer_links.request(address, verb, body | {"passed": 1}, limit)
+            if isinstance(remote_response, Err) and remote_response.unwrap_err().unsent:
+                response = Err(Fault(verb, untried[0], remote_response.unwrap_err().why, MOVED))
             else:
-                got = there
-        return got
+                response = remote_response
+        return response
--- a/tests/control/test_messages.py
+++ b/tests/control/test_messages.py
@@ -20,11 +20,13 @@
     PrepareRequest,
     PreVoteRequest,
     VoteAnswer,
-    prepare_request_of,
+    prepare_request_from_json,
 )
 
 REPLICA_SET = ReplicaSet(3, "c1", ("c2",), {"c1": "d1"}, {"c1": "d0"})
-PAIR = '{"epoch": 3, "primary": "c1", "backups": ["c2"], "voters": {"c1": "d1"}, "previous_voters": {"c1": "d0"}}'
+REPLICA_SET_JSON = (
+    '{"epoch": 3, "primary": "c1", "backups": ["c2"], "voters": {"c1": "d1"}, "previous_voters": {"c1": "d0"}}'
+)
 VOTE_ANSWER = VoteAnswer(True, "d1", 4, REPLICA_SET, 3, 7, 6, False)
 POSITION = Position(3, 7, "00ab")
 CHANGE = Change(Position(3, 6, "00aa"), POSITION, [])
@@ -36,10 +38,10 @@
         (PreVoteRequest("c1"), '{"probe": 1, "who": "c1"}'),
         (PrepareRequest("c1", 4), '{"epoch": 4, "who": "c1"}'),
         (PrepareRequest("c1", 4, handover=True), '{"epoch": 4, "who": "c1", "handover": 1}'),
-        (GrantRequest("c1", REPLICA_SET), f'{{"pair": {PAIR}, "who": "c1"}}'),
+        (GrantRequest("c1", REPLICA_SET), f'{{"pair": {REPLICA_SET_JSON}, "who": "c1"}}'),
         (
             VOTE_ANSWER,
-            f'{{"disk": "d1", "promised": 4, "pair": {PAIR}, "whole": 3, "edition": 7, "news": 6, "leaving": false, "ok": true}}',
+            f'{{"disk": "d1", "promised": 4, "pair": {REPLICA_SET_JSON}, "whole": 3, "edition": 7, "news": 6, "leaving": false, "ok": true}}',
         ),
         (
             AppendRequest(3, "c1", 7, "h:1", granted=True),
@@ -75,7 +77,7 @@
     assert json.dumps(message.as_json()) == wire
     body = json.loads(wire)
     if isinstance(message, PreVoteRequest | PrepareRequest):
-        assert prepare_request_of(body) == message
+        assert prepare_request_from_json(body) == message
     elif isinstance(message, AppendAnswer):
         assert AppendAnswer.from_json(body, 0) == message
     else:
@@ -83,9 +85,9 @@
 
 
 def test_what_releases_before_0_3_leave_out_is_filled_in() -> None:
-    pair = {"epoch": 3, "primary": "c1", "backup": "c2", "voters": {"c1": "d1"}}
-    old = {"disk": "d1", "promised": 4, "pair": pair, "whole": 3, "edition": 7, "news": 6, "ok": True}
-    answer = VoteAnswer.from_json(old)
+    replica_set = {"epoch": 3, "primary": "c1", "backup": "c2", "voters": {"c1": "d1"}}
+    legacy_json = {"disk": "d1", "promised": 4, "pair": replica_set, "whole": 3, "edition": 7, "news": 6, "ok": True}
+    answer = VoteAnswer.from_json(legacy_json)
     assert not answer.leaving and answer.replica_set == ReplicaSet(3, "c1", ("c2",), {"c1": "d1"})
     assert AppendRequest.from_json({"epoch": 3, "who": "c1"}) == AppendRequest(3, "c1", 0, "", granted=True)
     assert AppendAnswer.from_json({"ok": True, "promised": 4, "disk": "d1"}, 9).epoch == 9
--- a/tests/control/test_release_messages.py
+++ b/tests/control/test_release_messages.py
@@ -1,4 +1,4 @@
-"""The typed messages of control read what the release before recorded, and write it byte by byte as it did."""
+"""The typed messages of control decode what the previous release recorded, and encode it to the same bytes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     HeartbeatReport,
     HeartbeatReportAnswer,
     VoteAnswer,
-    prepare_request_of,
+    prepare_request_from_json,
 )
 from postpass.control.order_messages import OrderAnswer, WorkerHeartbeat, order_of
 from postpass.control.read_messages import ReadRequest, RevisionAnswer, SourceAnswer
@@ -25,16 +25,16 @@
 
 RECORDED = Path(__file__).parents[1] / "data" / "ce9bbc7" / "frames.json"
 FRAMES = [Frame.from_json(raw) for raw in json.loads(RECORDED.read_text())]
-FORWARDING_KEYS = ("passed", "relayed")  # set by a member that sends a message on; no part of the message
+FORWARDING_KEYS = ("passed", "relayed")  # set by a member that forwards a message; not part of the message itself
 
 
 def append_answer_of(body: Body) -> AppendAnswer:
-    """The epoch is in the recorded answer, so that of the request doesn't count."""
+    """Decodes a recorded answer; it contains the epoch, so the epoch of the request is not used."""
     return AppendAnswer.from_json(body, 0)
 
 
 def read_answer_of(body: Body) -> Any:
-    """The recorded reads ask for a revision or for the document."""
+    """Decodes the answer to a recorded read, which asks for a revision or for the document."""
     if "source" in body:
         return SourceAnswer(body["edition"], body["source"], body["version"])
     return RevisionAnswer.from_json(body)
@@ -43,7 +43,7 @@
 @pytest.mark.parametrize(
     ("verb", "direction", "decode"),
     [
-        ("look", CALL, prepare_request_of),
+        ("look", CALL, prepare_request_from_json),
         ("look", REPLY, VoteAnswer.from_json),
         ("grant", CALL, GrantRequest.from_json),
         ("grant", REPLY, VoteAnswer.from_json),
@@ -63,9 +63,9 @@
 def test_a_recorded_message_is_read_and_written_as_it_was(
     verb: str, direction: str, decode: Callable[[Body], Any]
 ) -> None:
-    found = [f for f in FRAMES if f.verb == verb and f.direction == direction and f.value.get("fault") is None]
-    assert found, f"no {verb} {direction} is recorded"
-    for frame in found:
+    frames = [f for f in FRAMES if f.verb == verb and f.direction == direction and f.value.get("fault") is None]
+    assert frames, f"no {verb} {direction} is recorded"
+    for frame in frames:
         body = frame.body["json"]
         forwarding = {key: body[key] for key in FORWARDING_KEYS if key in body}
         written = decode(body).as_json() | forwarding
--- a/tests/control/test_state_recovery.py
+++ b/tests/control/test_state_recovery.py
@@ -1,4 +1,5 @@
-"""Members and daemons that were away while hundreds of changes were made: what they lead with, serve, and how soon they follow."""
+"""Members and daemons that were absent while hundreds of changes were made: with which state they lead or serve, and
+how soon they have caught up."""
 
 from __future__ import annotations
 
@@ -23,76 +24,80 @@
 from tests.platform.test_configuration import document
 from tests.support.announced import Fleet
 
-RATE = 10.0  # changes a second that go on while a member catches up
-FASTEST = 0.02  # seconds between two changes while it is away
-CAUGHT_UP = 0.5  # seconds that a follower may be behind while changes go on
-FOLLOW_BOUND = 4.0  # seconds in which one that is back follows to the end, once there is a primary
-LEAD_BOUND = 8.0  # seconds in which the fleet has a primary again
-COUNTED = "counted"  # the worker whose slots count the changes
+CHANGES_PER_SECOND = 10.0  # the load that continues while a member catches up
+MINIMUM_PAUSE = 0.02  # seconds between two changes while the member is absent
+MAXIMUM_LAG = 0.5  # seconds by which a follower may lag while changes continue
+FOLLOW_BOUND = 4.0  # seconds in which a member that is back has caught up, once there is a primary
+LEAD_BOUND = 8.0  # seconds within which the fleet has a primary again
+COUNTED_WORKER = "counted"  # the worker whose number of slots counts the changes
 
 
 @dataclass(eq=False)
 class Changes:
-    """A stream of changes, each of which counts one worker's slots up. Invariant: `acknowledged` is the last count that
-    was acknowledged, `editions` tells under which edition."""
+    """A sequence of changes, each of which raises one worker's number of slots by one.
+
+    Invariant: `acknowledged` is the last count that was acknowledged, and `revision` the revision that contains it.
+    """
 
     fleet: Fleet
-    asked: int = 1
+    last_sent: int = 1
     acknowledged: int = 0
     revision: int = 0
     refused: int = 0
     times: dict[int, float] = field(default_factory=dict)  # when each count was acknowledged
-    going: asyncio.Task[None] | None = None
+    task: asyncio.Task[None] | None = None
 
-    async def one(self) -> bool:
-        self.asked += 1
-        count = self.asked
+    async def make_one(self) -> bool:
+        self.last_sent += 1
+        count = self.last_sent
         names = [c.settings.name for c in self.fleet.controls() if self.reachable(c.settings.name)]
         via = names[count % len(names)]
-        call = asyncio.wait_for(
-            self.fleet.ask(via, lambda c: c.record_worker_heartbeat(COUNTED, standing(1, slots=count), count)), 2.0
+        request = asyncio.wait_for(
+            self.fleet.ask(via, lambda c: c.record_worker_heartbeat(COUNTED_WORKER, standing(1, slots=count), count)),
+            2.0,
         )
         try:
-            got = await call
+            response = await request
         except TimeoutError:
-            got = None
-        if got is None or got.is_err() or "edition" not in got.unwrap():
+            response = None
+        if response is None or response.is_err() or "edition" not in response.unwrap():
             self.refused += 1
             return False
-        self.acknowledged, self.revision = count, got.unwrap()["edition"]
+        self.acknowledged, self.revision = count, response.unwrap()["edition"]
         self.times[count] = self.fleet.loop.clock
         return True
 
     def reachable(self, name: str) -> bool:
-        """Neither frozen nor cut off from most others."""
+        """Whether a machine is neither frozen nor cut off from most others."""
         cuts = sum(name == one for one, _ in self.fleet.loop.net.cuts)
         return 2 * cuts < len(self.fleet.nodes) and not self.fleet.nodes[name].host.frozen
 
-    async def make(self, count: int, pause: float = FASTEST) -> None:
-        """So many acknowledged changes, none of which may be refused for longer than the fleet has to find a primary."""
+    async def make(self, count: int, pause: float = MINIMUM_PAUSE) -> None:
+        """Makes so many changes and waits until each is acknowledged. None may be refused for longer than the time
+        within which the fleet must have a primary."""
         for _ in range(count):
-            began = self.fleet.loop.clock
-            while not await self.one():
-                assert self.fleet.loop.clock - began < LEAD_BOUND, "no change is taken any more"
+            started_at = self.fleet.loop.clock
+            while not await self.make_one():
+                assert self.fleet.loop.clock - started_at < LEAD_BOUND, "no change is accepted any more"
                 await asyncio.sleep(0.1)
             await asyncio.sleep(pause)
 
     async def stream(self) -> None:
         while True:
-            began = self.fleet.loop.clock
-            await self.one()
-            await asyncio.sleep(max(0.001, 1 / RATE - (self.fleet.loop.clock - began)))
+            started_at = self.fleet.loop.clock
+            await self.make_one()
+            await asyncio.sleep(max(0.001, 1 / CHANGES_PER_SECOND - (self.fleet.loop.clock - started_at)))
 
-    def go_on(self) -> None:
-        self.going = asyncio.create_task(self.stream())
+    def start(self) -> None:
+        self.task = asyncio.create_task(self.stream())
 
     async def stop(self) -> None:
-        assert self.going is not None
-        self.going.cancel()
-        await asyncio.gather(self.going, return_exceptions=True)
+        assert self.task is not None
+        self.task.cancel()
+        await asyncio.gather(self.task, return_exceptions=True)
 
-    def wanted(self, before: float) -> int:
-        """The last count that was acknowledged before that time."""
+    def acknowledged_before(self, before: float) -> int:
+        """The last count that was acknowledged before a time."""
         return max((n for n, at in self.times.items() if at <= before), default=0)
 
 
@@ -101,21 +106,21 @@
     daemon = fleet.nodes[name].daemon
     manifest = daemon.configuration_view.manifest if daemon is not None else None
     pool = manifest["pools"].get("llm") if manifest else None
-    return pool["servers"][COUNTED]["slots"] if pool and COUNTED in pool["servers"] else 0
+    return pool["servers"][COUNTED_WORKER]["slots"] if pool and COUNTED_WORKER in pool["servers"] else 0
 
 
 def follows(fleet: Fleet, name: str, changes: Changes) -> bool:
-    """Does it show what was acknowledged a moment ago?"""
-    return count_at(fleet, name) >= changes.wanted(fleet.loop.clock - CAUGHT_UP) > 0
+    """Whether a daemon shows everything that was acknowledged up to `MAXIMUM_LAG` ago."""
+    return count_at(fleet, name) >= changes.acknowledged_before(fleet.loop.clock - MAXIMUM_LAG) > 0
 
 
 @dataclass(frozen=True)
 class Fault:
-    """How a machine goes and comes back."""
+    """How a machine becomes unavailable, and how it recovers."""
 
     kind: str
 
-    def strike(self, fleet: Fleet, name: str) -> None:
+    def inject(self, fleet: Fleet, name: str) -> None:
         node = fleet.nodes[name]
         match self.kind:
             case "frozen":
@@ -128,7 +133,7 @@
             case "power" | "wiped":
                 fleet.kill(name, silent=True)
 
-    def mend(self, fleet: Fleet, name: str) -> None:
+    def repair(self, fleet: Fleet, name: str) -> None:
         node = fleet.nodes[name]
         match self.kind:
             case "frozen":
@@ -158,7 +163,7 @@
         assert (await fleet.ask("c1", lambda c: c.apply_source(document(3), 0))).is_ok()
         changes = Changes(fleet)
         await changes.make(3)
-        # From here on nobody founds a fleet.
+        # From here on no member may found a fleet.
         fleet.first = False
         for node in fleet.nodes.values():
             node.settings = replace(node.settings, bootstrap=False)
@@ -167,34 +172,34 @@
     return run_sim(main, seed)
 
 
-def role_of(fleet: Fleet, role: str) -> str:
+def member_with_role(fleet: Fleet, role: str) -> str:
     """The name of the control member with this role now."""
-    lead = fleet.primary()
-    assert lead is not None
-    pair = lead.replicated_state.replica_set
+    primary = fleet.primary()
+    assert primary is not None
+    replica_set = primary.replicated_state.replica_set
     if role == "primary":
-        return lead.settings.name
+        return primary.settings.name
     if role == "backup":
-        return pair.backups[0]
-    return next(n for n in sorted(fleet.nodes) if fleet.nodes[n].settings.duties == () and n not in pair.holders)
+        return replica_set.backups[0]
+    return next(n for n in sorted(fleet.nodes) if fleet.nodes[n].settings.duties == () and n not in replica_set.holders)
 
 
-def voters_of(fleet: Fleet) -> int:
-    lead = fleet.primary()
-    return len(lead.replicated_state.replica_set.voters) if lead is not None else 0
+def voter_count(fleet: Fleet) -> int:
+    primary = fleet.primary()
+    return len(primary.replicated_state.replica_set.voters) if primary is not None else 0
 
 
-async def leader_with_all(fleet: Fleet, changes: Changes) -> str:
-    """Waits for a primary; it must show all that was acknowledged."""
+async def wait_for_up_to_date_leader(fleet: Fleet, changes: Changes) -> str:
+    """Waits for a primary, which must have all acknowledged changes; returns its name."""
     assert await fleet.until(lambda: fleet.primary() is not None, LEAD_BOUND) >= 0
-    lead = fleet.primary()
-    assert lead is not None
-    assert count_at(fleet, lead.settings.name) >= changes.acknowledged, (
-        lead.settings.name,
-        count_at(fleet, lead.settings.name),
+    primary = fleet.primary()
+    assert primary is not None
+    assert count_at(fleet, primary.settings.name) >= changes.acknowledged, (
+        primary.settings.name,
+        count_at(fleet, primary.settings.name),
     )
-    assert lead.replicated_state.state.losses == 0
-    return lead.settings.name
+    assert primary.replicated_state.state.losses == 0
+    return primary.settings.name
 
 
 ROLES = ("primary", "backup", "witness")
@@ -202,26 +207,26 @@
 
 def member_cases(kinds: tuple[str, ...]) -> list[Any]:
     return [
-        pytest.param(role, Fault(kind), missed, id=f"{role}-{kind}-{missed}")
+        pytest.param(role, Fault(kind), missed_changes, id=f"{role}-{kind}-{missed_changes}")
         for role in ROLES
         for kind in kinds
-        for missed in (10, 100, 1000)
-        if missed < 1000 or role == "backup"
+        for missed_changes in (10, 100, 1000)
+        if missed_changes < 1000 or role == "backup"
     ]
 
 
 MEMBER_CASES = member_cases(KINDS)
 RESTART_CASES = member_cases(RESTARTS)
 DAEMON_CASES = [
-    pytest.param(name, Fault(kind), missed, id=f"{name}-{kind}-{missed}")
+    pytest.param(name, Fault(kind), missed_changes, id=f"{name}-{kind}-{missed_changes}")
     for name in ("e1", "s1")
     for kind in KINDS
-    for missed in (10, 100, 1000)
-    if missed < 1000 or kind in ("killed", "cut")
+    for missed_changes in (10, 100, 1000)
+    if missed_changes < 1000 or kind in ("killed", "cut")
 ]
 
 
-def all_lose_power(fleet: Fleet) -> None:
+def power_off_all(fleet: Fleet) -> None:
     for name in list(fleet.nodes):
         fleet.kill(name, silent=True)
     for node in fleet.nodes.values():
@@ -230,86 +235,90 @@
 
 
 class Test_a_member_that_missed_changes:
-    @pytest.mark.parametrize(("role", "fault", "missed"), MEMBER_CASES)
-    def test_follows_to_the_end_while_changes_go_on(self, role: str, fault: Fault, missed: int) -> None:
+    @pytest.mark.parametrize(("role", "fault", "missed_changes"), MEMBER_CASES)
+    def test_follows_to_the_end_while_changes_go_on(self, role: str, fault: Fault, missed_changes: int) -> None:
         async def scene(fleet: Fleet, changes: Changes) -> float:
-            name = role_of(fleet, role)
-            fault.strike(fleet, name)
-            await changes.make(missed)
-            changes.go_on()
+            name = member_with_role(fleet, role)
+            fault.inject(fleet, name)
+            await changes.make(missed_changes)
+            changes.start()
             await asyncio.sleep(1.0)
-            fault.mend(fleet, name)
-            took = await fleet.until(lambda: follows(fleet, name, changes), FOLLOW_BOUND)
-            # And stays there.
-            late = 0
+            fault.repair(fleet, name)
+            duration = await fleet.until(lambda: follows(fleet, name, changes), FOLLOW_BOUND)
+            # It must not fall behind again.
+            late_checks = 0
             for _ in range(30):
                 await asyncio.sleep(0.1)
-                late += not follows(fleet, name, changes)
+                late_checks += not follows(fleet, name, changes)
             await changes.stop()
-            assert late <= 3, late
-            return took
+            assert late_checks <= 3, late_checks
+            return duration
 
-        took = play(scene)
-        assert 0 <= took <= FOLLOW_BOUND
+        duration = play(scene)
+        assert 0 <= duration <= FOLLOW_BOUND
 
-    @pytest.mark.parametrize(("role", "fault", "missed"), MEMBER_CASES)
-    def test_never_leads_with_old_state(self, role: str, fault: Fault, missed: int) -> None:
-        """The present primary is lost for good as soon as the other is back: whoever leads has all changes."""
+    @pytest.mark.parametrize(("role", "fault", "missed_changes"), MEMBER_CASES)
+    def test_never_leads_with_old_state(self, role: str, fault: Fault, missed_changes: int) -> None:
+        """The present primary is lost permanently as soon as the absent member is back: the next primary has all
+        changes."""
 
         async def scene(fleet: Fleet, changes: Changes) -> float:
-            name = role_of(fleet, role)
-            fault.strike(fleet, name)
-            await changes.make(missed)
-            old = next(c for c in fleet.controls() if c.epoch and c.settings.name != name).settings.name
-            fault.mend(fleet, name)
-            # One that lost its disk counts again only once it has been let in.
+            name = member_with_role(fleet, role)
+            fault.inject(fleet, name)
+            await changes.make(missed_changes)
+            old_primary = next(c for c in fleet.controls() if c.epoch and c.settings.name != name).settings.name
+            fault.repair(fleet, name)
+            # A member that lost its disk has a vote again only after a change of voters.
             await asyncio.sleep(3.0 if fault.kind == "wiped" else 0.05)
-            fleet.kill(old, silent=True)
-            began = fleet.loop.clock
-            await leader_with_all(fleet, changes)
-            took = fleet.loop.clock - began
+            fleet.kill(old_primary, silent=True)
+            started_at = fleet.loop.clock
+            await wait_for_up_to_date_leader(fleet, changes)
+            duration = fleet.loop.clock - started_at
             await changes.make(3)
-            return took
+            return duration
 
         assert play(scene) <= LEAD_BOUND
 
     @pytest.mark.parametrize("kind", KINDS)
     @pytest.mark.parametrize("role", ["primary", "backup"])
     def test_never_leads_with_old_state_though_a_majority_answers(self, role: str, kind: str) -> None:
-        """Of five, the primary is lost and its backup frozen: the others are a majority, and none of them has the state."""
+        """Of five members the primary is lost and its backup is frozen: the others are a majority, but none of them has
+        the newest state, so none of them may lead."""
 
         async def scene(fleet: Fleet, changes: Changes) -> None:
-            assert await fleet.until(lambda: voters_of(fleet) == 5, 5) >= 0
-            fault, name = Fault(kind), role_of(fleet, role)
-            fault.strike(fleet, name)
+            assert await fleet.until(lambda: voter_count(fleet) == 5, 5) >= 0
+            fault, name = Fault(kind), member_with_role(fleet, role)
+            fault.inject(fleet, name)
             await changes.make(10)
-            old = next(c for c in fleet.controls() if c.epoch and c.settings.name != name)
-            backup = old.replicated_state.replica_set.backups[0]
-            fault.mend(fleet, name)
+            old_primary = next(c for c in fleet.controls() if c.epoch and c.settings.name != name)
+            backup = old_primary.replicated_state.replica_set.backups[0]
+            fault.repair(fleet, name)
             await asyncio.sleep(0.05)
-            fleet.kill(old.settings.name, silent=True)
+            fleet.kill(old_primary.settings.name, silent=True)
             fleet.loop.freeze(fleet.nodes[backup].host)
             assert await fleet.until(lambda: fleet.primary() is not None, 6.0) < 0
             fleet.loop.thaw(fleet.nodes[backup].host)
-            await leader_with_all(fleet, changes)
+            await wait_for_up_to_date_leader(fleet, changes)
             await changes.make(3)
 
         play(scene, control=5)
 
-    @pytest.mark.parametrize(("role", "fault", "missed"), RESTART_CASES)
-    def test_never_leads_with_old_state_when_all_start_at_once(self, role: str, fault: Fault, missed: int) -> None:
+    @pytest.mark.parametrize(("role", "fault", "missed_changes"), RESTART_CASES)
+    def test_never_leads_with_old_state_when_all_start_at_once(
+        self, role: str, fault: Fault, missed_changes: int
+    ) -> None:
         async def scene(fleet: Fleet, changes: Changes) -> None:
-            name = role_of(fleet, role)
-            fault.strike(fleet, name)
-            await changes.make(missed)
-            all_lose_power(fleet)
+            name = member_with_role(fleet, role)
+            fault.inject(fleet, name)
+            await changes.make(missed_changes)
+            power_off_all(fleet)
             if fault.kind == "wiped":
                 fleet.nodes[name].disk = SimDisk(random.Random(f"{name} new"))
-            # The one that was away is first, then the others.
+            # The member that was absent starts first, then the others.
             for other in [name, *(n for n in fleet.nodes if n != name)]:
                 fleet.boot(other)
                 await asyncio.sleep(0.02)
-            await leader_with_all(fleet, changes)
+            await wait_for_up_to_date_leader(fleet, changes)
             await changes.make(3)
 
             def all_follow() -> bool:
@@ -321,52 +330,53 @@
 
 
 class Test_a_daemon_that_missed_changes:
-    @pytest.mark.parametrize(("name", "fault", "missed"), DAEMON_CASES)
+    @pytest.mark.parametrize(("name", "fault", "missed_changes"), DAEMON_CASES)
     def test_serves_nothing_older_and_waits_for_no_longer_than_its_bound(
-        self, name: str, fault: Fault, missed: int
+        self, name: str, fault: Fault, missed_changes: int
     ) -> None:
-        """From its start on it is ready only with what was acknowledged before; one that was cut off or frozen follows."""
+        """A daemon that restarts is ready only once it has all that was acknowledged before; one that was cut off or
+        frozen catches up."""
 
         async def scene(fleet: Fleet, changes: Changes) -> float:
-            fault.strike(fleet, name)
-            await changes.make(missed)
-            changes.go_on()
+            fault.inject(fleet, name)
+            await changes.make(missed_changes)
+            changes.start()
             await asyncio.sleep(1.0)
-            floor, began = changes.acknowledged, fleet.loop.clock
-            fault.mend(fleet, name)
+            last_acknowledged, started_at = changes.acknowledged, fleet.loop.clock
+            fault.repair(fleet, name)
             started = fault.kind in RESTARTS
 
             def serves() -> bool:
                 daemon = fleet.nodes[name].daemon
                 ready = isinstance(daemon, DataPlane) and daemon.ready() == ""
                 if ready and started:
-                    assert count_at(fleet, name) >= floor, (count_at(fleet, name), floor)
+                    assert count_at(fleet, name) >= last_acknowledged, (count_at(fleet, name), last_acknowledged)
                 return ready and follows(fleet, name, changes)
 
-            took = await fleet.until(serves, FOLLOW_BOUND)
+            duration = await fleet.until(serves, FOLLOW_BOUND)
             await changes.stop()
-            assert fleet.loop.clock - began < FOLLOW_BOUND + 1
-            return took
+            assert fleet.loop.clock - started_at < FOLLOW_BOUND + 1
+            return duration
 
         assert 0 <= play(scene) <= FOLLOW_BOUND
 
     @pytest.mark.parametrize("name", ["e1", "s1"])
     def test_that_starts_while_there_is_no_primary_serves_nothing_older(self, name: str) -> None:
-        """Primary and daemon are away together; the daemon comes back in the middle of the takeover."""
+        """The primary and the daemon are lost at the same time; the daemon starts again during the takeover."""
 
         async def scene(fleet: Fleet, changes: Changes) -> float:
             fleet.kill(name, silent=True)
             await changes.make(100)
-            lead = role_of(fleet, "primary")
-            floor = changes.acknowledged
-            fleet.kill(lead, silent=True)
+            primary = member_with_role(fleet, "primary")
+            last_acknowledged = changes.acknowledged
+            fleet.kill(primary, silent=True)
             await asyncio.sleep(0.3)
             fleet.boot(name)
 
             def serves() -> bool:
                 daemon = fleet.nodes[name].daemon
                 ready = isinstance(daemon, DataPlane) and daemon.ready() == ""
-                assert not ready or count_at(fleet, name) >= floor
+                assert not ready or count_at(fleet, name) >= last_acknowledged
                 return ready
 
             return await fleet.until(serves, LEAD_BOUND)
@@ -378,7 +388,7 @@
         async def scene(fleet: Fleet, changes: Changes) -> float:
             fleet.kill(name, silent=True)
             await changes.make(100)
-            floor = changes.acknowledged
+            last_acknowledged = changes.acknowledged
             for control in [c.settings.name for c in fleet.controls()]:
                 fleet.kill(control, silent=True)
             node = fleet.nodes[name]
@@ -388,7 +398,7 @@
             def serves() -> bool:
                 daemon = fleet.nodes[name].daemon
                 ready = isinstance(daemon, DataPlane) and daemon.ready() == ""
-                assert not ready or count_at(fleet, name) >= floor
+                assert not ready or count_at(fleet, name) >= last_acknowledged
                 return ready
 
             return await fleet.until(serves, 15.0)
@@ -397,73 +407,75 @@
 
     @pytest.mark.parametrize("name", ["e1", "s1"])
     def test_that_starts_on_an_island_with_a_stale_member_waits_for_the_way_out(self, name: str) -> None:
-        """It reaches one control member alone, which is cut off as well: nothing proves that member's word to be new."""
+        """The daemon reaches a single control member, which is cut off as well, so nothing proves that its
+        configuration is the newest."""
 
         async def scene(fleet: Fleet, changes: Changes) -> float:
-            island = {name, role_of(fleet, "witness")}
+            island = {name, member_with_role(fleet, "witness")}
             fleet.kill(name, silent=True)
             rest = set(fleet.nodes) - island
             fleet.loop.net.cuts |= {pair for i in island for r in rest for pair in ((i, r), (r, i))}
             await changes.make(100)
-            changes.go_on()
-            Fault("power").mend(fleet, name)
+            changes.start()
+            Fault("power").repair(fleet, name)
 
             def ready() -> bool:
                 daemon = fleet.nodes[name].daemon
                 return isinstance(daemon, DataPlane) and daemon.ready() == ""
 
             assert await fleet.until(ready, 10.0) < 0
-            floor = changes.acknowledged
+            last_acknowledged = changes.acknowledged
             fleet.loop.net.cuts.clear()
-            took = await fleet.until(ready, FOLLOW_BOUND)
-            assert count_at(fleet, name) >= floor > 104
+            duration = await fleet.until(ready, FOLLOW_BOUND)
+            assert count_at(fleet, name) >= last_acknowledged > 104
             await changes.stop()
-            return took
+            return duration
 
         assert 0 <= play(scene) <= FOLLOW_BOUND
 
 
 class Test_an_acknowledged_change:
-    @pytest.mark.parametrize("made", [1, 10, 300])
-    def test_is_on_the_backups_disk(self, made: int) -> None:
-        """As the answer comes all lose power, and the primary its disk."""
+    @pytest.mark.parametrize("change_count", [1, 10, 300])
+    def test_is_on_the_backups_disk(self, change_count: int) -> None:
+        """At the moment of the answer all machines lose power, and the primary loses its disk."""
 
         async def scene(fleet: Fleet, changes: Changes) -> None:
-            await changes.make(made, pause=0.0)
-            name = role_of(fleet, "primary")
-            all_lose_power(fleet)
+            await changes.make(change_count, pause=0.0)
+            name = member_with_role(fleet, "primary")
+            power_off_all(fleet)
             fleet.nodes[name].disk = SimDisk(random.Random(f"{name} new"))
             for other in fleet.nodes:
                 fleet.boot(other)
-            await leader_with_all(fleet, changes)
+            await wait_for_up_to_date_leader(fleet, changes)
             await changes.make(3)
 
         play(scene)
 
 
-def in_the_old_format(disk: SimDisk) -> ReplicatedState:
-    """Turns a folder into one of release 0.2.0: the whole state in one file, no log, format 2."""
+def convert_to_release_0_2_0(disk: SimDisk) -> ReplicatedState:
+    """Converts a data directory to that of release 0.2.0: the complete state in one file, no log, format 2. Returns the
+    state."""
 
-    async def state() -> ReplicatedState:
+    async def read_state() -> ReplicatedState:
         data_directory = await open_data_directory(
             "any", disk, random.Random(1), 1 << 16, 0, strict=True, highest_format=STATE_FORMAT
         )
         image = replay(data_directory.entries)
         return ReplicatedState.of(image.tree) if image is not None else ReplicatedState()
 
-    held = asyncio.run(state())
-    mark = json.loads(disk.files[IDENTITY_FILE])
+    state = asyncio.run(read_state())
+    identity = json.loads(disk.files[IDENTITY_FILE])
     for name in [n for n in disk.names() if n.startswith(("log-", "snap-"))]:
         disk.remove(name)
-    disk.files[IDENTITY_FILE] = bytearray(json.dumps(mark | {"format": 2}).encode())
-    if held.epoch:
-        disk.files["state"] = bytearray(held.dump())
+    disk.files[IDENTITY_FILE] = bytearray(json.dumps(identity | {"format": 2}).encode())
+    if state.epoch:
+        disk.files["state"] = bytearray(state.dump())
     disk.kept = {n: bytes(b) for n, b in disk.files.items()}
-    return held
+    return state
 
 
 async def off_loop(call: Any) -> Any:
-    """Runs a blocking call that has a loop of its own."""
+    """Runs a blocking function in a thread, because it starts an event loop of its own."""
     with ThreadPoolExecutor(1) as pool:
         return pool.submit(call).result()
 
@@ -473,48 +485,49 @@
     def test_left_a_state_file_that_is_read_and_replaced(self, members: list[str]) -> None:
         async def scene(fleet: Fleet, changes: Changes) -> None:
             await changes.make(20)
-            all_lose_power(fleet)
+            power_off_all(fleet)
             for name in members:
                 disk = fleet.nodes[name].disk
                 assert disk is not None
-                held = await off_loop(partial(in_the_old_format, disk))
-                assert ("state" in disk.names()) == bool(held.epoch)
+                old_state = await off_loop(partial(convert_to_release_0_2_0, disk))
+                assert ("state" in disk.names()) == bool(old_state.epoch)
             for name in fleet.nodes:
                 fleet.boot(name)
-            await leader_with_all(fleet, changes)
+            await wait_for_up_to_date_leader(fleet, changes)
             await changes.make(3)
             for name in members:
                 disk = fleet.nodes[name].disk
                 assert disk is not None and "state" not in disk.names()
                 assert json.loads(disk.read(IDENTITY_FILE))["format"] == STATE_FORMAT
-            all_lose_power(fleet)
+            power_off_all(fleet)
             for name in fleet.nodes:
                 fleet.boot(name)
-            await leader_with_all(fleet, changes)
+            await wait_for_up_to_date_leader(fleet, changes)
 
         play(scene)
 
     def test_left_a_damaged_state_file_that_costs_the_identity(self) -> None:
         async def scene(fleet: Fleet, changes: Changes) -> None:
             await changes.make(20)
-            name = role_of(fleet, "primary")
+            name = member_with_role(fleet, "primary")
             daemon, disk = fleet.nodes[name].daemon, fleet.nodes[name].disk
             assert isinstance(daemon, ControlPlane) and disk is not None
             identity = daemon.disk_id
-            all_lose_power(fleet)
-            await off_loop(partial(in_the_old_format, disk))
+            power_off_all(fleet)
+            await off_loop(partial(convert_to_release_0_2_0, disk))
             disk.damage("state", len(disk.files["state"]) // 2)
             for other in fleet.nodes:
                 fleet.boot(other)
-            await leader_with_all(fleet, changes)
-            again = fleet.nodes[name].daemon
-            assert isinstance(again, ControlPlane) and again.disk_id != identity
+            await wait_for_up_to_date_leader(fleet, changes)
+            restarted = fleet.nodes[name].daemon
+            assert isinstance(restarted, ControlPlane) and restarted.disk_id != identity
             assert "damaged-state" in disk.names()
 
         play(scene)
 
     def test_as_a_backup_is_sent_whole_states(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """It takes a change for a heartbeat and says yes, which must not count."""
+        """Such a backup takes a change for a heartbeat and answers that it accepted it; this must not count as an
+        acknowledgement."""
         old_members: set[str] = set()
         sent: list[str] = []
         on_copy = ControlPlane.on_copy
@@ -528,29 +541,29 @@
         monkeypatch.setattr(ControlPlane, "on_copy", old_on_copy)
 
         async def scene(fleet: Fleet, changes: Changes) -> None:
-            old_members.add(role_of(fleet, "backup"))
+            old_members.add(member_with_role(fleet, "backup"))
             await changes.make(5)
             assert sent == ["change", "held"] * 5
-            fleet.kill(role_of(fleet, "primary"), silent=True)
-            await leader_with_all(fleet, changes)
+            fleet.kill(member_with_role(fleet, "primary"), silent=True)
+            await wait_for_up_to_date_leader(fleet, changes)
 
         play(scene)
 
 
 class Test_a_backup_of_another_state:
     def test_takes_no_change_and_is_sent_the_whole_state(self) -> None:
-        """Its content differs at the same epoch and version; only the checksum tells."""
+        """Its state has the same epoch and version but another content, which only the checksum reveals."""
 
         async def scene(fleet: Fleet, changes: Changes) -> None:
-            lead, backup = fleet.primary(), fleet.nodes[role_of(fleet, "backup")].daemon
-            assert lead is not None and isinstance(backup, ControlPlane) and backup.journal.image is not None
+            primary, backup = fleet.primary(), fleet.nodes[member_with_role(fleet, "backup")].daemon
+            assert primary is not None and isinstance(backup, ControlPlane) and backup.journal.image is not None
             image = backup.journal.image
             tree = image.tree | {"state": image.tree["state"] | {"left": ["somebody"]}}
             backup.journal.image = Image.of(image.position.epoch, image.position.version, tree)
-            epoch = lead.epoch
+            epoch = primary.epoch
             await changes.make(3)
-            assert lead.epoch == epoch and backup.replicated_state == lead.replicated_state
-            assert backup.journal.image.position == lead.journal.image.position  # type: ignore[union-attr]
+            assert primary.epoch == epoch and backup.replicated_state == primary.replicated_state
+            assert backup.journal.image.position == primary.journal.image.position  # type: ignore[union-attr]
 
         play(scene)
 
@@ -559,10 +572,11 @@
     @pytest.mark.parametrize("role", ["primary", "backup"])
     @pytest.mark.parametrize("trouble", ["full", "failing", "stalled"])
     def test_costs_no_acknowledged_change(self, role: str, trouble: str) -> None:
-        """With the member's disk in trouble changes go on, or are refused; later all lose power and it is back."""
+        """While the member's disk is full, failing or stalled, changes are accepted or refused. Later all machines lose
+        power and start again with that disk repaired."""
 
         async def scene(fleet: Fleet, changes: Changes) -> None:
-            name = role_of(fleet, role)
+            name = member_with_role(fleet, role)
             disk = fleet.nodes[name].disk
             assert disk is not None
             await changes.make(5)
@@ -570,30 +584,30 @@
             if trouble == "full":
                 disk.cap = sum(map(len, disk.files.values()))
             disk.fails, disk.stall = trouble == "failing", 60.0 if trouble == "stalled" else 0.0
-            changes.go_on()
+            changes.start()
             await asyncio.sleep(LEAD_BOUND)
-            floor = changes.acknowledged
+            last_acknowledged = changes.acknowledged
             await asyncio.sleep(1.0)
             if role == "backup" or trouble != "full":
-                assert changes.acknowledged > floor  # others do its part
+                assert changes.acknowledged > last_acknowledged  # other members replace it
             await changes.stop()
             disk.cap, disk.fails, disk.stall = cap, False, 0.0
-            all_lose_power(fleet)
+            power_off_all(fleet)
             for other in fleet.nodes:
                 fleet.boot(other)
-            await leader_with_all(fleet, changes)
+            await wait_for_up_to_date_leader(fleet, changes)
             await changes.make(3)
 
         play(scene)
 
     def test_that_is_full_as_primary_says_so(self) -> None:
         async def scene(fleet: Fleet, changes: Changes) -> None:
-            name = role_of(fleet, "primary")
+            name = member_with_role(fleet, "primary")
             disk = fleet.nodes[name].disk
             assert disk is not None
             cap, disk.cap = disk.cap, sum(map(len, disk.files.values()))
-            got = await fleet.ask(name, lambda c: c.evacuate("a", True))
-            fault = got.unwrap_err()
+            result = await fleet.ask(name, lambda c: c.evacuate("a", True))
+            fault = result.unwrap_err()
             assert "log-" in fault.why and "No space left on device" in fault.why and fault.peer == name
             disk.cap = cap
             assert (await fleet.ask(name, lambda c: c.evacuate("a", True))).is_ok()
