--- a/tests/control/test_full_disk.py
+++ b/tests/control/test_full_disk.py
@@ -39,7 +39,7 @@
             if primary is not None:
                 base, number = self.version, self.sent
                 result = await self.fleet.ask(
-                    primary.settings.name, lambda c, n=number, b=base: c.apply_source(document(n), b)
+                    primary.settings.name, lambda c, n=number, b=base: c.apply_document(document(n), b)
                 )
                 if result.is_ok():
                     self.version = number
--- a/tests/control/test_voters.py
+++ b/tests/control/test_voters.py
@@ -125,7 +125,7 @@
         await asyncio.sleep(2 * DETECTION_TIME)
         disks = {c.settings.name: c.disk_id for c in fleet.controls()}
         assert leader(fleet).replicated_state.replica_set.voters == disks
-        assert (await fleet.ask(leader(fleet).settings.name, lambda c: c.read_source())).unwrap()["version"] == 3
+        assert (await fleet.ask(leader(fleet).settings.name, lambda c: c.read_document())).unwrap()["version"] == 3
 
     play(scene, seed)
 
