--- a/bench/capacity/measurements/tenants.py
+++ b/bench/capacity/measurements/tenants.py
@@ -9,7 +9,7 @@
 from bench.capacity.simulated_fleet import announced_fleet
 from postpass.control.configuration import ConfigurationChange
 from postpass.control.journal import Image
-from postpass.control.state import state_body
+from postpass.control.state import state_as_json
 from postpass.feed.configuration_view import ConfigurationView
 from postpass.membership.machine_registry import initial_configuration
 from postpass.membership.registry import State
@@ -29,7 +29,7 @@
     changed = _tenant(tenants // 2) | {"keys": ["another"]}
     patch = _change({"version": 9, "upsert": {"tenants": [changed]}}, document["version"], is_patch=True)
     after = patch(state).unwrap()
-    image = Image.of(1, 1, state_body(state))
+    image = Image.of(1, 1, state_as_json(state))
     view = ConfigurationView("e1")
     view.accept(1, state.configuration)
     view.accept(2, after.configuration)
@@ -38,8 +38,8 @@
         "tenants": tenants,
         "whole_ms": timed(lambda: _change(document, 0, is_patch=False)(founded)) * 1e3,
         "patch_ms": timed(lambda: patch(state)) * 1e3,
-        "journal_ms": timed(lambda: image.change_to(1, 2, state_body(after))) * 1e3,
-        "journal_bytes": len(json.dumps(image.change_to(1, 2, state_body(after))[0].as_json())),
+        "journal_ms": timed(lambda: image.change_to(1, 2, state_as_json(after))) * 1e3,
+        "journal_bytes": len(json.dumps(image.change_to(1, 2, state_as_json(after))[0].as_json())),
         "follow_ms": timed(lambda: _follower(state).apply_answer(answer)) * 1e3 - timed(lambda: _follower(state)) * 1e3,
         "feed_bytes": len(json.dumps(answer)),
     }
--- a/model/contact/rules.py
+++ b/model/contact/rules.py
@@ -32,7 +32,7 @@
 def prevote_counts(stale: bool) -> bool:
     """The product's rule: a pre-vote is good for the detection time. A stale one is taken to be older than that: links
     change no faster."""
-    return PreVoteAnswers({}, asked_at=0.0).is_fresh(moment=2.0 if stale else 1.0, limit=1.0)
+    return PreVoteAnswers({}, requested_at=0.0).is_fresh(current_time=2.0 if stale else 1.0, max_age=1.0)
 
 
 def any_prevote_counts(stale: bool) -> bool:
--- a/model/control/transcribed.py
+++ b/model/control/transcribed.py
@@ -102,7 +102,7 @@
 def without_majority(heard: Heard) -> tuple[str, bool]:
     """Whether a candidate that `may_lead` refuses leads all the same: why not, and whether it then loses acknowledged
     orders."""
-    basis = decide(heard.campaign, fleet_is_known=False, first=None)
+    basis = decide(heard.campaign, fleet_is_known=False, founding_state=None)
     if isinstance(basis, Refused):
         return basis.why, False
     return "", isinstance(basis, Rebuild)
--- a/postpass/control/changes.py
+++ b/postpass/control/changes.py
@@ -12,7 +12,7 @@
 from postpass.runtime.errors import Fault
 
 # Computes the new state from the current one, or the reason why the change is refused.
-Fold = Callable[[State], Result[State, Fault]]
+StateUpdate = Callable[[State], Result[State, Fault]]
 
 
 @dataclass(eq=False)
@@ -23,5 +23,5 @@
     failed. Invariant: `update` is idempotent; on a state that has the change already it gives the same state.
     """
 
-    update: Fold
+    update: StateUpdate
     outcome: asyncio.Future[Result[int, Fault]]
--- a/postpass/control/contact.py
+++ b/postpass/control/contact.py
@@ -45,11 +45,11 @@
         """Returns whether the last contact is within the lease, so that this member may serve what it knows."""
         return now() - self.last_contact() <= self.settings.bounds.contact
 
-    def lost_touch(self) -> bool:
+    def has_lost_contact(self) -> bool:
         """Returns whether this member is neither the primary nor in touch with it. After its start a member has one
         lease to hear the primary. A member that has no configuration has not lost touch, since it belongs to no fleet
         yet and so has no primary."""
-        if self.epoch or self.known() is None or self.is_renewing_replica_set():
+        if self.epoch or self.known_configuration() is None or self.is_renewing_replica_set():
             return False
         return now() - max(self.last_contact(), self.started) > self.settings.bounds.contact
 
@@ -62,14 +62,14 @@
 
     def other_members(self) -> list[str]:
         """Returns the addresses of the other control members."""
-        return [addr for n in self.members() if n != self.settings.name and (addr := self.addr(n))]
+        return [addr for n in self.members() if n != self.settings.name and (addr := self.peer_address(n))]
 
-    def stale(self) -> Stale:
+    def stale_answer(self) -> Stale:
         """Returns the feed's answer of a member that is out of touch, with the addresses of the others to ask
         instead."""
         return Stale(self.configuration_view.revision, tuple(self.other_members()))
 
-    def out_of_touch(self, step: str) -> Fault:
+    def out_of_touch_fault(self, step: str) -> Fault:
         """Returns the fault of a member that is out of touch, with the addresses of the others to ask instead."""
         others = ", ".join(self.other_members()) or "no other is known"
         return Fault(step, self.settings.name, f"out of touch with the primary; ask another: {others}", REJECTED)
@@ -79,10 +79,12 @@
         success. For any other verb, and if no member succeeds, returns the fault that refers the client to the other
         members."""
         if verb != "beat" or body.get("relayed"):
-            return Err(self.out_of_touch(verb))
+            return Err(self.out_of_touch_fault(verb))
         others = self.other_members()
         relays = self.environment.chance.sample(others, min(RELAYS, len(others)))
         timeout = self.settings.bounds.leave / 4
         requests = {addr: self.peer_links.request(addr, verb, body | {"relayed": 1}, timeout) for addr in relays}
         responses = await gather_until(requests, lambda received: any(r.is_ok() for r in received.values()), 0.0)
-        return next((response for response in responses.values() if response.is_ok()), Err(self.out_of_touch(verb)))
+        return next(
+            (response for response in responses.values() if response.is_ok()), Err(self.out_of_touch_fault(verb))
+        )
--- a/postpass/control/election.py
+++ b/postpass/control/election.py
@@ -86,10 +86,10 @@
     async def collect_prevotes(self, configuration: Configuration, quick: bool = False) -> PreVotes:
         """Asks the electorate whether it would support this member as the primary of a new epoch, and what state each
         member has. Nothing is promised."""
-        own_name, asked_at = self.settings.name, now()
+        own_name, requested_at = self.settings.name, now()
         others = [n for n in self.electorate(configuration) if n != own_name]
         answers = await self.ask_for_votes(PREPARE, PreVoteRequest(own_name).as_json(), others, configuration, quick)
-        return PreVotes(answers | {own_name: self.vote_answer(not self.hears_another_primary(own_name))}, asked_at)
+        return PreVotes(answers | {own_name: self.vote_answer(not self.hears_another_primary(own_name))}, requested_at)
 
     async def ask_for_votes(
         self, verb: str, body: Body, names: list[str], configuration: Configuration, quick: bool = False
@@ -122,7 +122,7 @@
         self,
         configuration: Configuration,
         reason: ElectionReason,
-        first: State | None = None,
+        founding_state: State | None = None,
         prevotes: PreVotes | None = None,
         handover: bool = False,
         change_voters: bool = False,
@@ -130,10 +130,10 @@
         """Tries to become the primary of a new epoch; returns the fault that says why if it fails. Must be called with
         the lock held.
 
-        `first` is the initial state of a fleet that has none yet. `handover` says that the present primary requested
-        the election to hand over its leadership, although the members still hear it. `change_voters` also makes the
-        next safe change of voters, and settles it before this member leads the epoch; it is for elections that no
-        client waits for. Raises FaultError if this member's disk fails.
+        `founding_state` is the initial state of a fleet that has none yet. `handover` says that the present primary
+        requested the election to hand over its leadership, although the members still hear it. `change_voters` also
+        makes the next safe change of voters, and settles it before this member leads the epoch; it is for elections
+        that no client waits for. Raises FaultError if this member's disk fails.
         """
         try:
             if prevotes is None:
@@ -141,7 +141,7 @@
             if not handover and not self.prevote_won(configuration, prevotes.answers):
                 raise ElectionLostError(election_rules.prevote_failure_reason(prevotes.answers))
             campaign = await self.campaign(configuration, prevotes, handover)
-            basis = self.choose_basis(campaign, first)
+            basis = self.choose_basis(campaign, founding_state)
             state = await self.initial_state(configuration, campaign, basis)
             replica_set = self.choose_replica_set(configuration, campaign, basis, reason, change_voters)
             await self.replicate_proposal(ReplicatedState(campaign.epoch, replica_set, state))
@@ -179,9 +179,9 @@
         # since.
         return Campaign(candidate, epoch, self.replicated_state, promises, is_complete)
 
-    def choose_basis(self, campaign: Campaign, first: State | None) -> Basis:
+    def choose_basis(self, campaign: Campaign, founding_state: State | None) -> Basis:
         """Returns the basis of the new epoch's state; raises ElectionLostError if this member may not lead the epoch."""
-        basis = election_rules.decide(campaign, self.configuration_view.manifest is not None, first)
+        basis = election_rules.decide(campaign, self.configuration_view.manifest is not None, founding_state)
         if isinstance(basis, Refused):
             raise ElectionLostError(basis.why)
         return basis
@@ -259,7 +259,7 @@
             return
         self.replicated_state = replace(proposal, replica_set=proposal.replica_set.settled())
         self.unsettled_epoch = proposal.epoch
-        await self.settle()
+        await self.settle_replica_set()
         self.check_not_deposed(proposal.epoch)
 
     def become_primary(self, replica_set: ReplicaSet, granted: Voters, reason: ElectionReason) -> None:
@@ -292,7 +292,7 @@
 
     async def announce_epoch(self, epoch: int, configuration: Configuration) -> None:
         """Sends a heartbeat at once, so that all members learn of a granted epoch."""
-        await self.heartbeat(epoch, configuration)
+        await self.send_heartbeats(epoch, configuration)
 
     async def confirm_leadership(self) -> bool:
         """Returns True if no other member led when this was called: all holders and most voters have answered under
@@ -307,7 +307,7 @@
                 return False
             if replica_set.confirmed_by(answers):
                 return True
-            configuration = self.known()
+            configuration = self.known_configuration()
             if attempt or configuration is None or replica_set.acknowledged_by_all_backups(answers):
                 return False
             await self.renew_replica_set(configuration, ElectionReason(Cause.BACKUP_LOST), quick=True)
@@ -365,7 +365,7 @@
         lost."""
         return max(1, self.settings.disks_lost)
 
-    def better_replica_set(self, configuration: Configuration, answered: list[str]) -> bool:
+    def can_improve_replica_set(self, configuration: Configuration, answered: list[str]) -> bool:
         """Returns whether the members that answered allow more backups, or copies in more zones."""
         return election_rules.better_backups(self.replicated_state.replica_set, answered, self.placement(configuration))
 
--- a/postpass/control/election_rules.py
+++ b/postpass/control/election_rules.py
@@ -78,12 +78,12 @@
     """
 
     answers: Mapping[str, VoteAnswer]
-    asked_at: float
+    requested_at: float
 
-    def is_fresh(self, moment: float, limit: float) -> bool:
-        """Returns whether promises may still be requested on the basis of these answers, which are valid for `limit`
+    def is_fresh(self, current_time: float, max_age: float) -> bool:
+        """Returns whether promises may still be requested on the basis of these answers, which are valid for `max_age`
         seconds."""
-        return moment - self.asked_at <= limit
+        return current_time - self.requested_at <= max_age
 
 
 def prevote_won(members: set[str], answers: Mapping[str, VoteAnswer]) -> bool:
@@ -223,14 +223,14 @@
 Basis = FoundFleet | Resume | Rebuild
 
 
-def decide(campaign: Campaign, fleet_is_known: bool, first: State | None) -> Basis | Refused:
+def decide(campaign: Campaign, fleet_is_known: bool, founding_state: State | None) -> Basis | Refused:
     """Returns the basis of the new epoch's state, or the reason why the candidate may not lead.
 
-    `first` is the state of a fleet that is to be founded; None if there is none. `fleet_is_known` says that the
+    `founding_state` is the state of a fleet that is to be founded; None if there is none. `fleet_is_known` says that the
     candidate has received a configuration by the feed, so that a fleet exists whatever the members' disks say.
     """
     if campaign.is_blank:
-        return _decide_blank(campaign, fleet_is_known, first)
+        return _decide_blank(campaign, fleet_is_known, founding_state)
     candidate, own = campaign.candidate, campaign.own
     granted_replica_sets = {n: answer.replica_set for n, answer in campaign.promises.items()}
     objection = may_lead(
@@ -257,7 +257,7 @@
     return Resume(unanimous=True)
 
 
-def _decide_blank(campaign: Campaign, fleet_is_known: bool, first: State | None) -> Basis | Refused:
+def _decide_blank(campaign: Campaign, fleet_is_known: bool, founding_state: State | None) -> Basis | Refused:
     # Case: a member that did not answer may have the state of a fleet that was founded already.
     if not campaign.is_complete:
         return Refused(FOUNDED_BY_ALL)
@@ -265,8 +265,8 @@
     if fleet_is_known:
         return Rebuild(0, 1)
     # Case: a new fleet.
-    if first is not None:
-        return FoundFleet(first)
+    if founding_state is not None:
+        return FoundFleet(founding_state)
     return Refused(NOTHING_TO_BEGIN_FROM)
 
 
--- a/postpass/control/epochs.py
+++ b/postpass/control/epochs.py
@@ -107,7 +107,7 @@
         return asdict(self)
 
     @classmethod
-    def of(cls, raw: dict[str, Any]) -> ReplicaSet:
+    def from_json(cls, raw: dict[str, Any]) -> ReplicaSet:
         """Decodes a JSON object. Releases up to 0.2.0 have a single `backup`, and those before 0.3 no
         `previous_voters`."""
         backups = raw["backups"] if "backups" in raw else [raw["backup"]] if raw["backup"] else []
@@ -164,7 +164,7 @@
     def load(cls, data: bytes) -> VoteRecord:
         """Decodes what `dump` wrote; raises ValueError, KeyError or TypeError if the data is damaged."""
         raw = json.loads(data)
-        return cls(raw["promised"], raw["to"], ReplicaSet.of(raw["pair"]))
+        return cls(raw["promised"], raw["to"], ReplicaSet.from_json(raw["pair"]))
 
 
 def choose_across_zones(
--- a/postpass/control/feed.py
+++ b/postpass/control/feed.py
@@ -33,7 +33,7 @@
     async def on_ping(self, body: Body) -> PeerResponse:
         """Answers a ping. One that asks for an entry gets this member's announcement and whether its disk is blank."""
         if "entry" in body:
-            return Ok({"entry": self.announcer.announcement(), "blank": self.blank()})
+            return Ok({"entry": self.announcer.announcement(), "blank": self.knows_no_fleet()})
         return await super().on_ping(body)
 
     async def on_follow(self, body: Body) -> PeerResponse:
@@ -50,7 +50,9 @@
             lease_end = self.last_contact() + self.settings.bounds.contact
             await self.configuration_view.wait(poll.after, max(min(deadline, lease_end) - now(), MIN_WAIT_S))
         answer = (
-            cast(Body, self.configuration_view.changes_since(poll.after)) if self.in_touch() else self.stale().as_json()
+            cast(Body, self.configuration_view.changes_since(poll.after))
+            if self.in_touch()
+            else self.stale_answer().as_json()
         )
         return Ok(answer)
 
@@ -70,7 +72,7 @@
         """
         bounds, me = self.settings.bounds, self.settings.name
         if new_configuration.get("announced"):
-            contact_times = ContactTimes(self.machine_heartbeats, self.member_reports, self.leading_since)
+            contact_times = ContactTimes(self.machine_heartbeats, self.member_reported_at, self.leading_since)
             machines = awaited_senders(new_configuration, me, contact_times, now(), bounds.detect, 4 * self.patience)
         else:
             all_machines = {
@@ -148,7 +150,7 @@
                     async with self.lock:
                         revision = self.committed.state.revision
                         return revision if await self.confirm_leadership() else 0
-                address = self.addr(self.leader) if self.leader != self.settings.name else ""
+                address = self.peer_address(self.leader) if self.leader != self.settings.name else ""
                 if not address:
                     return 0
                 response = await self.peer_links.request(
@@ -163,8 +165,8 @@
 
         if self.next_confirmation is None:
             self.next_confirmation = asyncio.create_task(run_round())
-            self.fetches.add(self.next_confirmation)
-            self.next_confirmation.add_done_callback(self.fetches.discard)
+            self.background_tasks.add(self.next_confirmation)
+            self.next_confirmation.add_done_callback(self.background_tasks.discard)
         return await asyncio.shield(self.next_confirmation)
 
     async def read_when_confirmed(self, max_wait: float) -> PeerResponse:
@@ -174,8 +176,8 @@
         """
         deadline = now() + min(max_wait, self.settings.bounds.manifest)
         while True:
-            if self.lost_touch():
-                return Err(self.out_of_touch("read"))
+            if self.has_lost_contact():
+                return Err(self.out_of_touch_fault("read"))
             event = self.leader_heard_event
             revision = await self.confirmed_revision()
             if revision:
--- a/postpass/control/in_force.py
+++ b/postpass/control/in_force.py
@@ -27,12 +27,12 @@
 class ContactTimes:
     """When each machine was last heard, as far as the primary knows. All times are in seconds of the primary's clock.
 
-    `machines` holds when any control member last heard each machine, `member_reports` when each control member last
+    `machines` holds when any control member last heard each machine, `member_reported_at` when each control member last
     reported whom it had heard, and `listening_since` when this primary began to listen.
     """
 
     machines: Mapping[str, float]
-    member_reports: Mapping[str, float]
+    member_reported_at: Mapping[str, float]
     listening_since: float
 
     def heard_at(self, name: str) -> float:
@@ -45,7 +45,7 @@
         A member that is cut off may have heard more machines after its last report.
         """
         return min(
-            [clock, *(max(self.member_reports.get(m, self.listening_since), self.listening_since) for m in members)]
+            [clock, *(max(self.member_reported_at.get(m, self.listening_since), self.listening_since) for m in members)]
         )
 
 
--- a/postpass/control/leadership.py
+++ b/postpass/control/leadership.py
@@ -36,7 +36,7 @@
         bounds = self.settings.bounds
         while True:
             await asyncio.sleep(bounds.beat * (0.8 + 0.4 * self.environment.chance.random()))
-            configuration = self.known()
+            configuration = self.known_configuration()
             if configuration is None or self.settings.name not in self.members(configuration):
                 continue
             self.note_newcomers(configuration)
@@ -57,7 +57,7 @@
         complete it.
         """
         bounds, epoch, replica_set = self.settings.bounds, self.epoch, self.replicated_state.replica_set
-        answers = await self.heartbeat(epoch, configuration)
+        answers = await self.send_heartbeats(epoch, configuration)
         if self.epoch != epoch:
             return
         self.voter_heard[self.settings.name] = now()
@@ -74,7 +74,7 @@
                     await self.renew_replica_set(configuration, reason)
         elif self.unsettled_epoch == epoch and not self.lock.locked():
             async with self.lock:
-                await self.settle()
+                await self.settle_replica_set()
 
     def reason_to_renew_replica_set(
         self, configuration: Configuration, answers: list[Acknowledgement]
@@ -87,7 +87,7 @@
             or any(heard_time < heard_after for heard_time in self.backup_heard.values())
         ):
             return ElectionReason(Cause.BACKUP_LOST)
-        if self.better_replica_set(configuration, [a.member for a in answers]):
+        if self.can_improve_replica_set(configuration, [a.member for a in answers]):
             return ElectionReason(Cause.TOO_FEW_BACKUPS)
         changed_voters = self.voters_to_change(configuration, answers)
         return ElectionReason(Cause.VOTERS_CHANGE, tuple(changed_voters)) if changed_voters else None
@@ -110,7 +110,7 @@
         while (
             now() - started_at < bounds.detect and not (self.epoch or self.leaving) and self.leader_heard < started_at
         ):
-            configuration = self.known()
+            configuration = self.known_configuration()
             if configuration is not None and self.may_lead_after_restart(configuration):
                 # The second argument, `quick`, selects shorter timeouts for the answers.
                 prevotes = await self.collect_prevotes(configuration, True)
@@ -152,7 +152,7 @@
             key=lambda name: (name not in self.replicated_state.replica_set, self.members(configuration).index(name)),
         )
         rank = ranked_members.index(self.settings.name)
-        if self.disk_was_full:
+        if self.disk_was_recently_full:
             # Ranks behind all others, since as the primary it could not write the changes that it would be sent.
             rank += len(ranked_members)
         if (
@@ -188,7 +188,7 @@
         while self.epoch or self.others_need_this_member():
             if self.epoch:
                 handed_over = await self.hand_over()
-            configuration = self.known()
+            configuration = self.known_configuration()
             if configuration is None or self.members(configuration) == [self.settings.name]:
                 return
             if not handed_over and self.settings.name == self.vote_record.replica_set.primary:
@@ -207,7 +207,7 @@
 
     def others_need_this_member(self) -> bool:
         """Returns whether the others still depend on this member's copy or vote, by the newest epoch that it granted."""
-        replica_set, configuration = self.vote_record.replica_set, self.known()
+        replica_set, configuration = self.vote_record.replica_set, self.known_configuration()
         if self.settings.name in replica_set:
             return True
         if configuration is None or self.settings.name not in replica_set.voters:
@@ -224,7 +224,7 @@
         async with self.lock:
             epoch, addresses = (
                 self.epoch,
-                [address for n in self.replicated_state.replica_set.backups if (address := self.addr(n))],
+                [address for n in self.replicated_state.replica_set.backups if (address := self.peer_address(n))],
             )
             if not epoch or not addresses:
                 return False
@@ -242,7 +242,7 @@
 
         That is safe since the primary, before it asks, has stopped writing under this epoch.
         """
-        request, configuration = AdoptRequest.from_json(body), self.known()
+        request, configuration = AdoptRequest.from_json(body), self.known_configuration()
         async with self.lock:
             if (
                 configuration is None
--- a/postpass/control/member.py
+++ b/postpass/control/member.py
@@ -90,7 +90,9 @@
         # Workers whose departure was acknowledged through this member, and when.
         self.drained_workers: dict[str, float] = {}
         self.machine_heartbeats: dict[str, float] = {}
-        self.member_reports: dict[str, float] = {}  # when each other control machine last sent its report of heartbeats
+        self.member_reported_at: dict[
+            str, float
+        ] = {}  # when each other control machine last sent its report of heartbeats
         self.first_heard: dict[str, float] = {}
         self.leading_since = self.reported_at = 0.0
         self.leader = ""
@@ -114,7 +116,7 @@
         self.lock, self.disk_lock, self.disk_failure = asyncio.Lock(), asyncio.Lock(), ""
         self.disk_full_at, self.disk_full_since = -INFINITY, INFINITY
         # Tasks that run in the background; the set keeps a reference to each until it is done.
-        self.fetches: set[asyncio.Task[Any]] = set()
+        self.background_tasks: set[asyncio.Task[Any]] = set()
 
         for name, help_text, read_value in (
             ("control_leads", "1 while this machine is the primary", lambda: float(self.epoch > 0)),
@@ -180,21 +182,23 @@
         # replaces that file.
         await raise_format(self.disk, STATE_FORMAT)
         if legacy_state.epoch:
-            await self.journal.replace(Image.of(legacy_state.epoch, legacy_state.state.revision, legacy_state.raw()))
+            await self.journal.replace(
+                Image.of(legacy_state.epoch, legacy_state.state.revision, legacy_state.as_json())
+            )
         if STATE_FILE in self.disk.names():
             self.disk.remove(STATE_FILE)
         if self.journal.image is not None:
-            self.replicated_state = ReplicatedState.of(self.journal.image.tree)
+            self.replicated_state = ReplicatedState.from_json(self.journal.image.tree)
 
     async def store(self, replicated_state: ReplicatedState) -> StoredState:
         """Syncs a state on this member's disk, as a change of the state in the journal if there is one."""
-        base, tree, version = self.journal.image, replicated_state.raw(), replicated_state.state.revision
+        base, tree, version = self.journal.image, replicated_state.as_json(), replicated_state.state.revision
         if base is None:
             image = await self.write_journal(self.journal.replace(Image.of(replicated_state.epoch, version, tree)))
-            return StoredState(ReplicatedState.of(image.tree), None)
+            return StoredState(ReplicatedState.from_json(image.tree), None)
         change, _ = base.change_to(replicated_state.epoch, version, tree)
         image = await self.write_journal(self.journal.append(change))
-        return StoredState(ReplicatedState.of(image.tree), change)
+        return StoredState(ReplicatedState.from_json(image.tree), change)
 
     @property
     def disk_busy(self) -> bool:
@@ -207,7 +211,7 @@
         return now() - self.disk_full_since > self.settings.bounds.detect
 
     @property
-    def disk_was_full(self) -> bool:
+    def disk_was_recently_full(self) -> bool:
         """Whether a write failed because of a full disk within the recovery time. Such a member is the last choice for a
         primary."""
         return now() - self.disk_full_at <= self.settings.bounds.recover
@@ -215,7 +219,7 @@
     def last_synced_state(self) -> ReplicatedState:
         """Returns the state that was synced here last, as it is in the journal."""
         image = self.journal.image
-        return ReplicatedState.of(image.tree) if image is not None else ReplicatedState()
+        return ReplicatedState.from_json(image.tree) if image is not None else ReplicatedState()
 
     async def write_journal(self, write: Coroutine[Any, Any, Image]) -> Image:
         """Awaits a write of the journal; raises FaultError if it fails. Any failure except a full disk ends the
@@ -344,21 +348,21 @@
         if state.manifest is not None:
             self.configuration_view.accept(state.revision, state.manifest)
 
-    def known(self) -> Configuration | None:
+    def known_configuration(self) -> Configuration | None:
         """Returns the best configuration for finding the other members: the one known to be in force, else the one on
         disk; None if there is none."""
         return self.configuration_view.manifest or self.replicated_state.state.manifest or self.configuration_on_disk
 
-    def addr(self, name: str) -> str:
+    def peer_address(self, name: str) -> str:
         """Returns the address at which its peers reach a machine; empty if the machine is unknown or gone."""
-        configuration = self.known()
+        configuration = self.known_configuration()
         machine = configuration["machines"].get(name) if configuration else None
         return machine["peer"] if machine and not machine.get("gone") else ""
 
     def members(self, configuration: Configuration | None = None) -> list[str]:
         """Returns the names of the control machines, in the order that all members agree on; those of the known
         configuration if none is given."""
-        configuration = configuration or self.known()
+        configuration = configuration or self.known_configuration()
         return with_duty(configuration, "control") if configuration else []
 
     def announce_leader(self) -> None:
@@ -376,11 +380,15 @@
             return False
         return True
 
-    def not_leader(self, step: str) -> Fault:
+    def not_leader_fault(self, step: str) -> Fault:
         """Returns the fault of a member that isn't the primary; its hint names the primary that was heard last."""
         hint = self.leader if self.leader != self.settings.name else ""
         return Fault(step, self.settings.name, "not the primary", MOVED, hint)
 
-    def blank(self) -> bool:
+    def knows_no_fleet(self) -> bool:
         """Returns whether this member knows of no fleet: it has no configuration, no state and has granted no epoch."""
-        return self.known() is None and self.replicated_state.epoch == 0 and self.vote_record.replica_set.epoch == 0
+        return (
+            self.known_configuration() is None
+            and self.replicated_state.epoch == 0
+            and self.vote_record.replica_set.epoch == 0
+        )
--- a/postpass/control/messages.py
+++ b/postpass/control/messages.py
@@ -73,7 +73,7 @@
     @classmethod
     def from_json(cls, body: Body) -> GrantRequest:
         """Decodes what a candidate sent."""
-        return cls(body["who"], ReplicaSet.of(body["pair"]))
+        return cls(body["who"], ReplicaSet.from_json(body["pair"]))
 
 
 @dataclass(frozen=True)
@@ -111,7 +111,7 @@
             accepted=bool(body["ok"]),
             disk=str(body["disk"]),
             promised=int(body["promised"]),
-            replica_set=ReplicaSet.of(body["pair"]),
+            replica_set=ReplicaSet.from_json(body["pair"]),
             state_epoch=body["whole"],
             state_revision=body.get("edition", 0),
             known_revision=body.get("news", 0),
@@ -193,7 +193,7 @@
     def state(self) -> ReplicatedState:
         """Decodes the complete state to sync."""
         assert self.state_json is not None
-        return ReplicatedState.of(self.state_json)
+        return ReplicatedState.from_json(self.state_json)
 
 
 @dataclass(frozen=True)
--- a/postpass/control/orders.py
+++ b/postpass/control/orders.py
@@ -10,7 +10,7 @@
 from postpass.configuration import accepted_orders
 from postpass.configuration.configuration import Configuration, dump, members, with_duty
 from postpass.configuration.configuration_check import check
-from postpass.control.changes import Fold
+from postpass.control.changes import StateUpdate
 from postpass.control.configuration import ConfigurationChange
 from postpass.control.election_rules import Cause, ElectionReason
 from postpass.control.leadership import Leadership
@@ -84,7 +84,7 @@
         Refuses if there is a fleet already, of which this member is not the primary.
         """
         step, me = "apply", self.settings.name
-        if self.known() is not None or base not in (0, -1):
+        if self.known_configuration() is not None or base not in (0, -1):
             hint = self.vote_record.replica_set.primary if self.vote_record.replica_set.primary != me else ""
             return Err(Fault(step, me, "not the primary", MOVED, hint))
         if me not in self.members(configuration):
@@ -168,7 +168,7 @@
     async def on_order(self, body: Body) -> PeerResponse:
         """Carries out an order as the primary; answers with its revision and the machines not known to run it in time."""
         if not await self.is_leading():
-            return Err(self.not_leader("order"))
+            return Err(self.not_leader_fault("order"))
         requested_at, order = now(), order_of(body)
         if isinstance(order, RetirementQuery):
             return await self.retirement_status(order.store)
@@ -182,7 +182,7 @@
         )
         return Ok(OrderAnswer(revision, unconfirmed).as_json())
 
-    def change_for(self, order: Change) -> Fold:
+    def change_for(self, order: Change) -> StateUpdate:
         """Returns the function that applies an order to the replicated state, or refuses it."""
         match order:
             case DocumentOrder(document, base, is_patch):
@@ -194,7 +194,7 @@
             case UnknownOrder(kind):
                 return lambda _: Err(Fault("order", self.settings.name, f"unknown order {kind!r:.60}", BAD))
 
-    def evacuation_change(self, order: EvacuationOrder) -> Fold:
+    def evacuation_change(self, order: EvacuationOrder) -> StateUpdate:
         """Returns the change that marks a zone as evacuated or as open again; it refuses a zone missing from the settings."""
         zone = order.zone
         if zone not in self.settings.zones:
@@ -205,7 +205,7 @@
             else operator_changes.with_zone_returned(state, zone)
         )
 
-    def retirement_change(self, order: RetirementOrder) -> Fold:
+    def retirement_change(self, order: RetirementOrder) -> StateUpdate:
         """Returns the change that marks a store to be emptied.
 
         It refuses if the other stores alone could not survive the loss of as many disks and zones as are tolerated.
@@ -219,7 +219,7 @@
 
         return retire
 
-    def configuration_change(self, sent: Any, base: int, is_patch: bool) -> Fold:
+    def configuration_change(self, sent: Any, base: int, is_patch: bool) -> StateUpdate:
         """Returns the change that applies a document of the operator: a complete one, or a patch made from version `base`."""
         remembered_orders = accepted_orders.limit_of(self.settings.bounds)
         return ConfigurationChange(self.settings.name, self.translator, remembered_orders, sent, base, is_patch)
--- a/postpass/control/registry.py
+++ b/postpass/control/registry.py
@@ -69,7 +69,7 @@
     """Keeps the registry of machines and workers.
 
     Owns what is known of their heartbeats, in seconds of this machine's clock: `worker_heartbeats`, `machine_heartbeats`,
-    `worker_seqnos`, `drained_workers`, `first_heard`, `member_reports` and `reported_at`. Heartbeats and the reports of
+    `worker_seqnos`, `drained_workers`, `first_heard`, `member_reported_at` and `reported_at`. Heartbeats and the reports of
     other members change these; the first two are reset when another primary leads. None of this is on disk: the registry
     itself is a part of the replicated state, and is changed by `change` alone.
     Decides which machines join, which machines and workers are late or gone, and how many copies of the data there can be
@@ -85,7 +85,7 @@
         if not self.settings.bootstrap or self.settings.peer not in seeds:
             return
         await asyncio.sleep(bounds.detect * seeds.index(self.settings.peer))
-        while self.blank():
+        while self.knows_no_fleet():
             requests = [
                 self.peer_links.request(seed, "ping", {"entry": 1}, bounds.beat if seed != self.settings.peer else 0)
                 for seed in seeds
@@ -94,7 +94,7 @@
             responses = await asyncio.gather(*requests)
             if (
                 all(isinstance(response, Ok) and response.unwrap().get("blank") for response in responses)
-                and self.blank()
+                and self.knows_no_fleet()
             ):
                 entries: list[MachineAnnouncement] = [
                     self.announcer.announcement(),
@@ -118,12 +118,12 @@
         """Adds a machine that announces itself; returns the revision that contains it, once that revision is durable."""
         step, entry = "join", body["entry"]
         if not await self.is_leading():
-            return Err(self.not_leader(step))
+            return Err(self.not_leader_fault(step))
         flaws = machine_registry.announcement_errors(entry, self.settings.zones)
         if flaws:
             return Err(Fault(step, self.settings.name, "\n".join(flaws), BAD))
         self.machine_heartbeats[entry["name"]] = now()
-        if (configuration := self.known()) is not None:
+        if (configuration := self.known_configuration()) is not None:
             self.note_newcomers(configuration)
         self.first_heard.setdefault(entry["name"], now())
         result = await self.change(
@@ -151,7 +151,7 @@
             if self.epoch:
                 self.reported_at = now()
                 continue
-            address = self.addr(self.leader)
+            address = self.peer_address(self.leader)
             if not address:
                 continue
             sent_at = now()
@@ -180,7 +180,7 @@
         """Merges another member's report of whom it heard into what was heard here."""
         report = HeartbeatReport.from_json(body)
         if report.member:
-            self.member_reports[report.member] = now()
+            self.member_reported_at[report.member] = now()
         for ages, heard_at in (
             (report.worker_ages, self.worker_heartbeats),
             (report.machine_ages, self.machine_heartbeats),
@@ -300,7 +300,7 @@
         If the worker leaves, the answer waits until the machines that send requests to workers run that revision.
         """
         if not await self.is_leading():
-            return Err(self.not_leader("beat"))
+            return Err(self.not_leader_fault("beat"))
         bounds, heartbeat, requested_at = self.settings.bounds, WorkerHeartbeat.from_json(body), now()
         if self.is_superseded(heartbeat):
             return Ok({})
--- a/postpass/control/replica.py
+++ b/postpass/control/replica.py
@@ -75,7 +75,7 @@
         if received.order < self.replicated_state.order:
             return False
         await self.write_journal(
-            self.journal.replace(Image.of(received.epoch, received.state.revision, received.raw()))
+            self.journal.replace(Image.of(received.epoch, received.state.revision, received.as_json()))
         )
         return True
 
@@ -100,10 +100,10 @@
             return
         if self.replicated_state.epoch == request.epoch and self.replicated_state.state.revision == revision:
             self.publish(self.replicated_state.state)
-        elif address := self.addr(request.sender) or request.address:
+        elif address := self.peer_address(request.sender) or request.address:
             task = asyncio.create_task(self.follower.fetch(address))
-            self.fetches.add(task)
-            task.add_done_callback(self.fetches.discard)
+            self.background_tasks.add(task)
+            task.add_done_callback(self.background_tasks.discard)
 
     def append_answer(self, request: AppendRequest, accepted: bool) -> PeerResponse:
         """Returns the answer to an append; to a change it contains the position of this member's state."""
@@ -121,7 +121,7 @@
         Returns the member's acknowledgement, or None if it gave none. A member that can't apply the change is sent the
         complete state.
         """
-        address = self.addr(member)
+        address = self.peer_address(member)
         if not address:
             return None
         request = AppendRequest(
@@ -131,7 +131,7 @@
             address=self.settings.peer,
             granted=self.epoch == epoch,
             change_json=change.as_json() if change is not None else None,
-            state_json=replicated_state.raw() if change is None and replicated_state is not None else None,
+            state_json=replicated_state.as_json() if change is None and replicated_state is not None else None,
         )
         # Where machines announce themselves, another backup is soon found, so an order doesn't wait long for this one.
         timeout = self.settings.bounds.promise / (2 if self.settings.announce else 1)
@@ -216,8 +216,8 @@
         # it as well.
         for name in [n for n in self.members(state.manifest) if n not in replicated_state.replica_set]:
             task = asyncio.create_task(self.notify(name, epoch))
-            self.fetches.add(task)
-            task.add_done_callback(self.fetches.discard)
+            self.background_tasks.add(task)
+            task.add_done_callback(self.background_tasks.discard)
         await self.append_to_all(None, epoch)
         return True
 
@@ -239,7 +239,7 @@
         responses = await gather_until(requests, has_quorum, 0.0)
         return [a for a in responses.values() if a is not None]
 
-    async def settle(self) -> None:
+    async def settle_replica_set(self) -> None:
         """Writes the state once more at all holders, now that its epoch is known to be granted and its replica set is
         settled: an election that continues from it needs no majority of the previous voters any more. Must be called
         with the lock held; raises FaultError if this member's disk fails."""
@@ -253,7 +253,7 @@
         """Sends one member a heartbeat, from which it learns the revision in force."""
         await self.append_to(None, epoch, name)
 
-    async def heartbeat(self, epoch: int, configuration: Configuration) -> list[Acknowledgement]:
+    async def send_heartbeats(self, epoch: int, configuration: Configuration) -> list[Acknowledgement]:
         """Sends a heartbeat to all other members and returns the acknowledgements. Once most members have answered, the
         rest are waited for only a short time."""
         others = [n for n in self.members(configuration) if n != self.settings.name]
--- a/postpass/control/state.py
+++ b/postpass/control/state.py
@@ -16,12 +16,12 @@
 STATE_FIELDS = {key: name for name, key in STATE_KEYS.items()}
 
 
-def state_body(state: State) -> Body:
+def state_as_json(state: State) -> Body:
     """Returns the state as a JSON object with its keys on disk; the values are shared with the state, not copied."""
     return {STATE_KEYS.get(name, name): value for name, value in vars(state).items()}
 
 
-def state_of(body: Body) -> State:
+def state_from_json(body: Body) -> State:
     """Returns the state that a JSON object with its keys on disk describes; the values are shared, not copied. Fields
     that an older release doesn't write take their default."""
     return State(**{STATE_FIELDS.get(key, key): value for key, value in body.items()})
@@ -57,19 +57,19 @@
         settled."""
         return self.epoch, not self.replica_set.previous_voters, self.state.revision
 
-    def raw(self) -> Body:
+    def as_json(self) -> Body:
         """Returns the JSON object that is stored and sent to members, with the keys of release 0.2.0. The values of
         `state` are shared with this object, not copied."""
-        return {"whole": self.epoch, "pair": self.replica_set.as_json(), "state": state_body(self.state)}
+        return {"whole": self.epoch, "pair": self.replica_set.as_json(), "state": state_as_json(self.state)}
 
     @classmethod
-    def of(cls, raw: Body) -> ReplicatedState:
+    def from_json(cls, raw: Body) -> ReplicatedState:
         """Decodes a JSON object; the values of the state are shared with it, not copied."""
-        return cls(raw["whole"], ReplicaSet.of(raw["pair"]), state_of(raw["state"]))
+        return cls(raw["whole"], ReplicaSet.from_json(raw["pair"]), state_from_json(raw["state"]))
 
     def dump(self) -> bytes:
         """Encodes the state file of releases up to 0.2.0, which has the checksum of its body."""
-        body = json.dumps(self.raw(), separators=(",", ":"))
+        body = json.dumps(self.as_json(), separators=(",", ":"))
         return json.dumps({"sum": hashlib.sha256(body.encode()).hexdigest(), "body": body}).encode()
 
     @classmethod
@@ -78,4 +78,4 @@
         raw = json.loads(data)
         if hashlib.sha256(raw["body"].encode()).hexdigest() != raw["sum"]:
             raise ValueError("the checksum doesn't match")
-        return cls.of(json.loads(raw["body"]))
+        return cls.from_json(json.loads(raw["body"]))
--- a/postpass/control/writer.py
+++ b/postpass/control/writer.py
@@ -7,7 +7,7 @@
 
 from result import Err, Ok, Result
 
-from postpass.control.changes import Fold, QueuedChange
+from postpass.control.changes import QueuedChange, StateUpdate
 from postpass.control.election import Election
 from postpass.control.election_rules import Cause, ElectionReason
 from postpass.control.member import INFINITY
@@ -35,11 +35,11 @@
                 pass
         return self.epoch > 0
 
-    async def change(self, update: Fold, pause: float) -> Result[int, Fault]:
+    async def change(self, update: StateUpdate, pause: float) -> Result[int, Fault]:
         """Writes a change together with others that arrive within `pause` seconds. Returns the revision that contains
         it once it is durable, or the reason why it was refused or its outcome is unknown."""
         if not await self.is_leading():
-            return Err(self.not_leader("write"))
+            return Err(self.not_leader_fault("write"))
         queued = QueuedChange(update, asyncio.get_running_loop().create_future())
         self.queued_changes.append(queued)
         if now() + pause < self.write_due:
@@ -110,7 +110,7 @@
     async def forward(self, verb: str, body: Body, limit: float = 0.0) -> PeerResponse:
         """Sends a request to the primary, wherever it is, and returns the response. Where machines announce themselves,
         a request without a primary is retried for a short time, in case one is elected."""
-        if self.lost_touch():
+        if self.has_lost_contact():
             return await self.forward_without_contact(verb, body)
         deadline = now() + (self.settings.bounds.leave / 4 if self.settings.announce else 0.0)
         while True:
@@ -139,7 +139,7 @@
             if not untried:
                 return Err(Fault(verb, self.settings.name, "no primary now; ask again", REJECTED))
             tried.add(untried[0])
-            address = self.addr(untried[0])
+            address = self.peer_address(untried[0])
             if not address:
                 continue
             # An apply may take as long as the limit itself, and additional time for the syncs that precede it.
--- a/tests/control/test_epochs.py
+++ b/tests/control/test_epochs.py
@@ -137,9 +137,13 @@
 
 def test_a_replica_set_without_previous_voters_is_settled_also_in_the_form_of_earlier_releases() -> None:
     raw = {"epoch": 3, "primary": "c1", "backups": ["c2"], "voters": THREE}
-    assert ReplicaSet.of(raw) == ReplicaSet(3, "c1", ("c2",), THREE) == ReplicaSet.of(raw | {"previous_voters": {}})
+    assert (
+        ReplicaSet.from_json(raw)
+        == ReplicaSet(3, "c1", ("c2",), THREE)
+        == ReplicaSet.from_json(raw | {"previous_voters": {}})
+    )
     unsettled = ReplicaSet(3, "c1", ("c2",), WIPED, THREE)
-    assert ReplicaSet.of(raw | {"voters": WIPED, "previous_voters": THREE}) == unsettled
+    assert ReplicaSet.from_json(raw | {"voters": WIPED, "previous_voters": THREE}) == unsettled
     assert unsettled.settled() == ReplicaSet(3, "c1", ("c2",), WIPED)
     promised = VoteRecord().prepare(3, "c1")
     assert promised is not None
--- a/tests/control/test_isolation.py
+++ b/tests/control/test_isolation.py
@@ -223,7 +223,7 @@
         primary, _, other_members = await settle(fleet)
         member = other_members[0]
         address = fleet.nodes["e1"].settings.peer
-        member.addr = lambda name: address if name == primary.settings.name else ""  # type: ignore[method-assign]
+        member.peer_address = lambda name: address if name == primary.settings.name else ""  # type: ignore[method-assign]
         responses = [
             await fleet.ask(member.settings.name, lambda c: c.evacuate("a", True)),
             await fleet.ask(member.settings.name, lambda c: c.record_worker_heartbeat("w7", worker_announcement(7), 1)),
--- a/tests/control/test_prevote_age.py
+++ b/tests/control/test_prevote_age.py
@@ -16,7 +16,7 @@
 async def won_prevote(fleet: Fleet, candidate: ControlPlane, others: list[str]) -> PreVotes:
     """Cuts off a candidate and these others from the primary, and returns the pre-vote that the candidate wins."""
     isolate(fleet, [candidate.settings.name, *others])
-    configuration = candidate.known()
+    configuration = candidate.known_configuration()
     assert configuration is not None
     await asyncio.sleep(DETECTION_TIME)
     prevotes: PreVotes = await fleet.ask(candidate.settings.name, lambda c: c.collect_prevotes(configuration))
@@ -26,7 +26,7 @@
 
 async def election_failure(fleet: Fleet, candidate: ControlPlane, prevotes: PreVotes) -> str:
     """Runs an election on the basis of a pre-vote; returns why it was lost, or an empty string if it was won."""
-    configuration = candidate.known()
+    configuration = candidate.known_configuration()
     assert configuration is not None
 
     async def locked(member: ControlPlane) -> str:
@@ -58,7 +58,7 @@
         await asyncio.sleep(2 * DETECTION_TIME)
         fleet.loop.thaw(fleet.nodes[candidate.settings.name].host)
         primary_before = (leader(fleet), leader(fleet).epoch)
-        reason = await election_failure(fleet, candidate, replace(prevotes, asked_at=frozen_since - 0.1))
+        reason = await election_failure(fleet, candidate, replace(prevotes, requested_at=frozen_since - 0.1))
         fleet.loop.net.cuts.clear()
         await asyncio.sleep(2 * DETECTION_TIME)
         return reason, (leader(fleet), leader(fleet).epoch) == primary_before
--- a/tests/control/test_state_recovery.py
+++ b/tests/control/test_state_recovery.py
@@ -463,7 +463,7 @@
             "any", disk, random.Random(1), 1 << 16, 0, strict=True, highest_format=STATE_FORMAT
         )
         image = replay(data_directory.entries)
-        return ReplicatedState.of(image.tree) if image is not None else ReplicatedState()
+        return ReplicatedState.from_json(image.tree) if image is not None else ReplicatedState()
 
     state = asyncio.run(read_state())
     identity = json.loads(disk.files[IDENTITY_FILE])
--- a/tests/control/test_voters.py
+++ b/tests/control/test_voters.py
@@ -42,7 +42,7 @@
 
 async def campaign(candidate: ControlPlane, late_answers: dict[str, Body]) -> None:
     """Runs an election in which promises arrive that members gave before the candidate was cut off from them."""
-    ask_all, configuration = candidate.ask_all, candidate.known()
+    ask_all, configuration = candidate.ask_all, candidate.known_configuration()
     assert configuration is not None
 
     async def ask_with_late_answers(
@@ -95,7 +95,7 @@
     fleet.loop.net.cuts -= {(second, third), (third, second)}
     fleet.boot(third)
     await fleet.until(
-        lambda: fleet.nodes[third].daemon is not None and fleet.nodes[third].daemon.known() is not None,  # type: ignore[union-attr]
+        lambda: fleet.nodes[third].daemon is not None and fleet.nodes[third].daemon.known_configuration() is not None,  # type: ignore[union-attr]
         5,
     )
     await fleet.ask(second, lambda c: campaign(c, {first: late_answer.unwrap()}))
--- a/tests/membership/test_registry.py
+++ b/tests/membership/test_registry.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from postpass.control.state import state_body, state_of
+from postpass.control.state import state_as_json, state_from_json
 from postpass.membership.machine_registry import (
     announcement_errors,
     initial_configuration,
@@ -44,9 +44,9 @@
 
 def test_the_state_keeps_its_keys_on_disk_and_their_order() -> None:
     keys = ["edition", "manifest", "losses", "source", "orders", "aside", "left", "retired"]
-    assert list(state_body(State())) == keys
+    assert list(state_as_json(State())) == keys
     body: dict[str, Any] = dict(zip(keys, (3, None, 1, "text", ["o"], {"p": {}}, ["w"], {"s": "d"}), strict=True))
-    assert state_body(state_of(body)) == body
+    assert state_as_json(state_from_json(body)) == body
 
 
 @pytest.mark.parametrize("value", [None, False, 2.5, "text", [1], {"deep": []}], ids=repr)
--- a/tests/support/data_directories.py
+++ b/tests/support/data_directories.py
@@ -96,7 +96,7 @@
             "disk": daemon.disk_id,
             "witness": json.loads(daemon.vote_record.dump()),
             "position": image.position.as_json(),
-            "held": daemon.replicated_state.raw(),
+            "held": daemon.replicated_state.as_json(),
         }
     )
     return told
--- a/tests/support/release_keys.py
+++ b/tests/support/release_keys.py
@@ -38,7 +38,7 @@
 
 def data_keys() -> Names:
     """The keys of what stands in the directories of control and stores, in their order."""
-    state = as_json(ReplicatedState().raw())
+    state = as_json(ReplicatedState().as_json())
     view, _ = decode_record(JobView(jobs={"x": Job("x", 1, {"items": []}, "")}).dump())
     return {
         "witness": list(json.loads(VoteRecord().dump())),
--- a/tests/test_release_compatibility.py
+++ b/tests/test_release_compatibility.py
@@ -327,13 +327,13 @@
     for raw in bodies("copy", CALL, "change"):
         assert Change.from_json(raw).as_json() == raw
     for raw in bodies("copy", CALL, "held"):
-        assert directories.as_json(ReplicatedState.of(raw).raw()) == raw
+        assert directories.as_json(ReplicatedState.from_json(raw).as_json()) == raw
 
 
 def test_epochs_are_read_and_told_as_they_were() -> None:
     for verb, direction in (("grant", CALL), ("look", REPLY), ("grant", REPLY)):
         for raw in bodies(verb, direction, "pair"):
-            assert directories.as_json(vars(ReplicaSet.of(raw))) == raw
+            assert directories.as_json(vars(ReplicaSet.from_json(raw))) == raw
 
 
 def test_messages_of_the_feed_are_read_and_told_as_they_were() -> None:
