--- a/postpass/batch/job_api.py
+++ b/postpass/batch/job_api.py
@@ -112,7 +112,7 @@
         Statuses are 202, 400, 409, 413, 429, 503, and 504, which leaves open whether the job was accepted.
         """
         edge = self.edge
-        if edge.unready() is not None or edge.leaving:
+        if edge.not_ready_response() is not None or edge.leaving:
             return JobAnswer(503, {"error": "this edge takes none now"})
         if not IDENTIFIER.fullmatch(job_id):
             return JobAnswer(400, {"error": "id: want 1 to 80 of A-Z a-z 0-9 . _ -"})
@@ -126,11 +126,11 @@
         job = self.job_body(name, route, job_id, body["items"], tenant)
         partition = partition_of(job_id, edge.configuration["parts"])
         owner_timeout = min(self.owner_timeout(), route["timeout"])
-        answer = await edge.owners.ask(partition, "accept", {"lot": job}, now() + owner_timeout)
+        answer = await edge.owners.request(partition, "accept", {"lot": job}, now() + owner_timeout)
         if isinstance(answer, Err):
             return self.not_accepted(job_id, answer.unwrap_err())
         edge.jobs_total.labels("kept").inc()
-        edge.remember_job(job_id)
+        edge.record_accepted_job(job_id)
         return JobAnswer(202, {"id": job_id})
 
     def job_body(self, name: str, route: Route, job_id: str, items: list[Item], tenant: str) -> Body:
@@ -156,10 +156,10 @@
             jobs_total.labels("shed").inc()
             if fault.code == CROWD:
                 return JobAnswer(429, {"error": fault.why})
-            self.edge.note_unkept(job_id, fault, 503)
+            self.edge.record_unacknowledged_job(job_id, fault, 503)
             return JobAnswer(503, {"error": fault.why})
         jobs_total.labels("unknown").inc()
-        self.edge.note_unkept(job_id, fault, 504)
+        self.edge.record_unacknowledged_job(job_id, fault, 504)
         return JobAnswer(504, {"error": fault.why})
 
     async def ask(self, job_id: str, verb: str, body: Body, wait: float, tenant: str) -> Result[Body, int]:
@@ -168,13 +168,13 @@
         Otherwise returns a status: 404 if it is certain that the tenant has no such job, else 503.
         """
         edge = self.edge
-        if edge.unready() is not None:
+        if edge.not_ready_response() is not None:
             return Err(503)
         if not IDENTIFIER.fullmatch(job_id):
             return Err(404)
         partition = partition_of(job_id, edge.configuration["parts"])
         client = {"caller": tenant} if tenant else {}
-        answer = await edge.owners.ask(partition, verb, body | {"id": job_id} | client, now() + wait)
+        answer = await edge.owners.request(partition, verb, body | {"id": job_id} | client, now() + wait)
         return answer.map_err(lambda fault: 404 if fault.code == LACK else 503)
 
     async def results(self, job_id: str, start: int, hold: float, tenant: str = "") -> Result[Body, int]:
--- a/postpass/daemon/data_plane.py
+++ b/postpass/daemon/data_plane.py
@@ -18,7 +18,7 @@
 from postpass.daemon.process import HTTP_PROTOCOL, Daemon, Task
 from postpass.gateway.connection_pool import ConnectionPool
 from postpass.gateway.gateway import Gateway
-from postpass.gateway.http_server import HeadLimits, limited_protocol, serve_ready
+from postpass.gateway.http_server import ConnectionLimits, limited_protocol, serve_ready
 from postpass.gateway.load_exchange import LoadExchange
 from postpass.gateway.relay import Relay
 from postpass.gateway.worker_load import WorkerLoad
@@ -196,7 +196,7 @@
         """Names of jobs of a partition that this edge has lately told a client to be accepted."""
         if self.edge is None or self.configuration_view.manifest is None:
             return []
-        return self.edge.remembered_jobs(part)
+        return self.edge.recently_accepted_jobs(part)
 
     def ready(self) -> str:
         """Empty if ready to serve; else what is lacking."""
@@ -231,12 +231,12 @@
             return HTTP_PROTOCOL
         return limited_protocol(self.head_limits, self.settings.bounds.recover / 2)
 
-    def head_limits(self) -> HeadLimits:
+    def head_limits(self) -> ConnectionLimits:
         """The limits on request heads now: those of the configuration, or the defaults while there is none."""
         configuration = self.configuration_view.manifest
         if configuration is None:
-            return HeadLimits(LIMITS["head_bytes"], LIMITS["head_ms"] / 1000, LIMITS["idle_ms"] / 1000)
-        return HeadLimits(
+            return ConnectionLimits(LIMITS["head_bytes"], LIMITS["head_ms"] / 1000, LIMITS["idle_ms"] / 1000)
+        return ConnectionLimits(
             limit(configuration, "head_bytes"),
             limit(configuration, "head_ms") / 1000,
             limit(configuration, "idle_ms") / 1000,
--- a/postpass/gateway/client_identity.py
+++ b/postpass/gateway/client_identity.py
@@ -67,7 +67,7 @@
 
     configuration_view: ConfigurationView
     tenants: dict[str, Tenant] | None = None  # None if the configuration has none, so that no client needs a key
-    holders: dict[str, str] = field(default_factory=dict)  # the tenant's name by the digest of its key
+    tenant_by_digest: dict[str, str] = field(default_factory=dict)  # the tenant's name by the digest of its key
     # By key, so that the digest of each key is computed only once.
     identities: dict[bytes, ClientIdentity] = field(default_factory=dict)
 
@@ -84,10 +84,10 @@
         for name, tenant in old.items():
             if new.get(name) is not tenant:
                 for digest in tenant["keys"]:
-                    self.holders.pop(digest, None)
+                    self.tenant_by_digest.pop(digest, None)
         for name, tenant in new.items():
             if old.get(name) is not tenant:
-                self.holders.update(dict.fromkeys(tenant["keys"], name))
+                self.tenant_by_digest.update(dict.fromkeys(tenant["keys"], name))
         self.tenants = tenants
         self.identities.clear()
 
@@ -120,7 +120,7 @@
         if cached_identity is not None:
             return Ok(cached_identity)
         digest = key_digest(key)
-        name = self.holders.get(digest)
+        name = self.tenant_by_digest.get(digest)
         if name is None or self.tenants is None:
             return Err(KeyRefusal.UNKNOWN)
         identity = ClientIdentity(name, digest, self.tenants[name].get("rank"))
@@ -135,7 +135,7 @@
             return KeyStanding.HELD if client == expected else KeyStanding.CHANGED
         if not client.digest:
             return KeyStanding.CHANGED
-        tenant = self.holders.get(client.digest)
+        tenant = self.tenant_by_digest.get(client.digest)
         if tenant is None:
             return KeyStanding.WITHDRAWN
         return KeyStanding.HELD if tenant == client.tenant else KeyStanding.CHANGED
--- a/postpass/gateway/edge_state.py
+++ b/postpass/gateway/edge_state.py
@@ -77,7 +77,7 @@
 
     @property
     def configuration(self) -> Configuration:
-        """The configuration in force at this edge. There must be one: `unready` tells whether there is."""
+        """The configuration in force at this edge. There must be one: `not_ready_response` tells whether there is."""
         assert self.configuration_view.manifest is not None
         return self.configuration_view.manifest
 
@@ -90,7 +90,7 @@
         """Stops accepting new requests: from now on clients are told to use another edge."""
         self.admission.leaving = True
 
-    def unready(self) -> JSONResponse | None:
+    def not_ready_response(self) -> JSONResponse | None:
         """Returns the response to send while this edge has no up-to-date configuration; None if it has one."""
         name = self.settings.name
         if self.configuration_view.manifest is None:
@@ -110,11 +110,11 @@
         why = f"class: unknown {kind} class {class_name!r:.40}; known are {known_names}"
         return Err(fault_response(Fault("read body", self.settings.name, why), 400))
 
-    def remember_job(self, job_id: str) -> None:
+    def record_accepted_job(self, job_id: str) -> None:
         """Records a job that was just acknowledged to its client."""
         self.accepted_jobs.append(AcceptedJob(job_id, now()))
 
-    def note_unkept(self, job_id: str, fault: Fault, status: int) -> None:
+    def record_unacknowledged_job(self, job_id: str, fault: Fault, status: int) -> None:
         """Counts and logs a job that was not acknowledged because of a fault of the fleet.
 
         `status` is that of the response that the client just got: that the job is not stored, or that this is unknown.
@@ -128,7 +128,7 @@
             why=fault.why,
         )  # fmt: skip
 
-    def remembered_jobs(self, partition: int) -> list[str]:
+    def recently_accepted_jobs(self, partition: int) -> list[str]:
         """Returns the ids of a partition's accepted jobs that are too new for the retention to have removed any of them."""
         min_accepted_at = now() - self.configuration.get("retention", 3600.0)
         partition_count = self.configuration["parts"]
--- a/postpass/gateway/http_server.py
+++ b/postpass/gateway/http_server.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class HeadLimits:
+class ConnectionLimits:
     """Limits on clients' requests and connections.
 
     Attributes:
@@ -36,7 +36,7 @@
     idle_s: float
 
 
-def refusal(status: int) -> bytes:
+def refusal_response(status: int) -> bytes:
     """Returns an encoded response without a body, after which the server closes the connection."""
     retry_header = b"retry-after: %g\r\n" % RETRY_AFTER_S if status == HTTPStatus.REQUEST_TIMEOUT else b""
     phrase = HTTPStatus(status).phrase.encode()
@@ -50,7 +50,7 @@
     or while nothing has arrived yet on a new connection.
     """
 
-    limits: Callable[[], HeadLimits]
+    limits: Callable[[], ConnectionLimits]
     peer_timeout_s: float  # seconds until a peer that doesn't acknowledge data is considered lost
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
@@ -159,11 +159,11 @@
             if cycle.response_started or self.pipeline:
                 self.transport.close()
                 return
-        self.transport.write(refusal(status))
+        self.transport.write(refusal_response(status))
         self.transport.close()
 
 
-def limited_protocol(current_limits: Callable[[], HeadLimits], timeout_s: float) -> type[LimitedProtocol]:
+def limited_protocol(current_limits: Callable[[], ConnectionLimits], timeout_s: float) -> type[LimitedProtocol]:
     """Returns the protocol class for a server.
 
     `current_limits` is called for each head; `timeout_s`: seconds until a peer that doesn't acknowledge data is considered
--- a/postpass/gateway/job_routes.py
+++ b/postpass/gateway/job_routes.py
@@ -39,7 +39,7 @@
         tenant whose key the client presents, and only the handlers of configured routes ask for keys.
         """
         edge = self.edge
-        if (not_ready := edge.unready()) is not None:
+        if (not_ready := edge.not_ready_response()) is not None:
             return not_ready
         if "tenants" in edge.configuration:
             return fault_response(Fault("find page", edge.settings.name, "no such page; jobs go by routes here"), 404)
@@ -72,10 +72,10 @@
         job = self._build_job(body, client_name_of(request))
         deadline = now() + edge.settings.bounds.recover
         partition = edge.partition_for(job["id"])
-        result = await edge.owners.ask(partition, "submit", {"lot": job, "again": client_chose_id}, deadline)
+        result = await edge.owners.request(partition, "submit", {"lot": job, "again": client_chose_id}, deadline)
         if isinstance(result, Ok):
             edge.jobs_total.labels("kept").inc()
-            edge.remember_job(job["id"])
+            edge.record_accepted_job(job["id"])
             return JSONResponse(result.unwrap(), 201)
         return self._not_acknowledged_response(result.unwrap_err(), job["id"], client_chose_id)
 
@@ -129,10 +129,10 @@
         if fault.code in REJECTION_CODES or (fault.unsent and not client_chose_id):
             jobs_total.labels("shed").inc()
             if fault.code != CROWD:
-                self.edge.note_unkept(job_id, fault, fault.code if fault.code in REJECTION_CODES else 503)
+                self.edge.record_unacknowledged_job(job_id, fault, fault.code if fault.code in REJECTION_CODES else 503)
             return fault_response(fault, fault.code if fault.code in REJECTION_CODES else 503, id=job_id, state="shed")
         jobs_total.labels("unknown").inc()
-        self.edge.note_unkept(job_id, fault, 504)
+        self.edge.record_unacknowledged_job(job_id, fault, 504)
         return fault_response(fault, 504, id=job_id, state="unknown", ask=f"/v1/lots/{job_id}")
 
     async def show_or_end(self, request: Request) -> Response:
@@ -163,7 +163,7 @@
             return fault_response(Fault("read path", edge.settings.name, f"id: {IDENTIFIER_RULE}"), 400)
         body = body | {"id": job_id, "caller": client_name_of(request)}
         deadline = now() + edge.settings.bounds.recover
-        result = await edge.owners.ask(edge.partition_for(job_id), verb, body, deadline)
+        result = await edge.owners.request(edge.partition_for(job_id), verb, body, deadline)
         if isinstance(result, Ok):
             return JSONResponse(result.unwrap())
         fault = result.unwrap_err()
--- a/postpass/gateway/live_requests.py
+++ b/postpass/gateway/live_requests.py
@@ -105,7 +105,7 @@
         Raises ClientDisconnect if the client disconnects before the end of the body.
         """
         edge = self.edge
-        if (not_ready := edge.unready()) is not None:
+        if (not_ready := edge.not_ready_response()) is not None:
             return Err(not_ready)
         max_bytes = edge.configuration_view.limit("body_bytes")
         parse_result = await read_json(request, LiveRequestBody, max_bytes, edge.settings.name)
--- a/postpass/gateway/owner_client.py
+++ b/postpass/gateway/owner_client.py
@@ -41,7 +41,7 @@
     known_owners: dict[int, str] = field(default_factory=dict)
     unresponsive: set[str] = field(default_factory=set)
 
-    async def ask(self, partition: int, verb: str, body: Body, deadline: float) -> Result[Body, Fault]:
+    async def request(self, partition: int, verb: str, body: Body, deadline: float) -> Result[Body, Fault]:
         """Sends a request to a partition's owner and returns its response; tries until the deadline.
 
         The request must be safe to repeat, since a machine may get it more than once. `deadline` is in seconds of the event
@@ -65,7 +65,7 @@
                 continue
             timeout_s = self._response_timeout(name, deadline)
             repeat_mark = {"again": True} if unsure else {}
-            response = await self._request(
+            response = await self._request_machine(
                 name, addr, verb, body | {"wait": timeout_s * OWNER_FRACTION} | repeat_mark, timeout_s
             )
             if isinstance(response, Ok):
@@ -85,7 +85,7 @@
                 await asyncio.sleep(bounds.beat / 8)
         return Err(Fault(verb, last_fault.peer, last_fault.why, SLOW, unsent=not unsure, unsure=unsure))
 
-    async def _request(self, name: str, addr: str, verb: str, body: Body, timeout_s: float) -> PeerResponse:
+    async def _request_machine(self, name: str, addr: str, verb: str, body: Body, timeout_s: float) -> PeerResponse:
         """Sends a request to one machine, and records whether the machine answered."""
         link_result = await self.peer_links.link(addr, timeout_s * CONNECT_FRACTION)
         if isinstance(link_result, Err):
@@ -127,7 +127,7 @@
         configuration = self.configuration_view.manifest
         assert configuration is not None
         partition = partition_of(key, configuration["parts"])
-        response = await self.ask(
+        response = await self.request(
             partition, "claim", {"key": key, "nonce": nonce, "edge": self.settings.name}, deadline
         )
         if isinstance(response, Err):
--- a/postpass/gateway/proxied_routes.py
+++ b/postpass/gateway/proxied_routes.py
@@ -106,7 +106,7 @@
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Reads a request, admits it, and serves it until its response is complete."""
         edge, connection = self.edge, ClientConnection(scope, receive, send)
-        if (not_ready := edge.unready()) is not None:
+        if (not_ready := edge.not_ready_response()) is not None:
             await connection.respond(not_ready)
             return
         class_name = self.class_for(scope["path"])
--- a/tests/batch/test_tenant_jobs.py
+++ b/tests/batch/test_tenant_jobs.py
@@ -32,7 +32,7 @@
     items = json.loads(job_json("a", tokens=tokens))["items"]
     job = api.job_body("r", ROUTE, job_id, items, tenant)
     partition = partition_of(job_id, api.edge.configuration["parts"])
-    answer = await api.edge.owners.ask(partition, "accept", {"lot": job}, now() + api.owner_timeout())
+    answer = await api.edge.owners.request(partition, "accept", {"lot": job}, now() + api.owner_timeout())
     return 202 if answer.is_ok() else api.not_accepted(job_id, answer.unwrap_err()).status
 
 
@@ -40,7 +40,7 @@
     """Returns an owner's response about a job of a tenant."""
     partition = partition_of(job_id, api.edge.configuration["parts"])
     request = body | {"id": job_id, "caller": tenant}
-    return (await api.edge.owners.ask(partition, verb, request, now() + api.owner_timeout())).unwrap()
+    return (await api.edge.owners.request(partition, verb, request, now() + api.owner_timeout())).unwrap()
 
 
 def job_of(fleet: SimFleet, partition: int, turn: int) -> str:
--- a/tests/gateway/test_answers_broken.py
+++ b/tests/gateway/test_answers_broken.py
@@ -20,7 +20,7 @@
 from postpass.gateway.answer_delivery import AnswerDelivery
 from postpass.gateway.event_stream import EventStream
 from postpass.gateway.http_headers import RESPONSE_CONNECTION_HEADERS, HeaderNames
-from postpass.gateway.http_server import limited_protocol, refusal
+from postpass.gateway.http_server import limited_protocol, refusal_response
 from postpass.gateway.relay import Relay
 from postpass.gateway.response_check import Proof, ResponseCheck, check_response
 from postpass.gateway.upstream_connection import Exchange, UpstreamConnection
@@ -111,7 +111,7 @@
         class Broken(original_protocol):  # type: ignore[misc]
             def refuse(self, status: int) -> None:
                 self.refused = True
-                self.transport.write(refusal(status))
+                self.transport.write(refusal_response(status))
                 self.transport.close()
 
         return Broken
--- a/tests/gateway/test_client_identity.py
+++ b/tests/gateway/test_client_identity.py
@@ -104,7 +104,7 @@
         assert [tenant_of(keys, bearer_header(f"k{n}")) for n in range(1, 6)] == [None, "t0", "t4", "t3", "t1"]
         apply_tenants(view, {"t3": first["t3"]})
         assert [tenant_of(keys, bearer_header(f"k{n}")) for n in range(1, 6)] == [None, None, None, "t3", None]
-        assert list(keys.holders.values()) == ["t3"]
+        assert list(keys.tenant_by_digest.values()) == ["t3"]
 
     def test_a_snapshot_that_shares_no_objects_gives_the_same_keys(self) -> None:
         tenants = {"t1": tenant("k1"), "t2": tenant("k2")}
--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -16,7 +16,7 @@
 from postpass.configuration.settings import Bounds, Settings
 from postpass.daemon.data_plane import DataPlane
 from postpass.feed.configuration_view import ConfigurationView
-from postpass.gateway.http_server import HeadLimits, limited_protocol, serve_ready
+from postpass.gateway.http_server import ConnectionLimits, limited_protocol, serve_ready
 from postpass.gateway.relay import Relay
 from postpass.gateway.worker_selection import OUTCOME_INTERVALS
 from postpass.routing.load_picture import WorkerUse
@@ -165,7 +165,9 @@
     return int(first.split()[1]), head, out, True
 
 
-def play(plays: dict[str, Play], main: Callable[[Scene], Awaitable[Any]], limits: HeadLimits | None = None) -> Any:
+def play(
+    plays: dict[str, Play], main: Callable[[Scene], Awaitable[Any]], limits: ConnectionLimits | None = None
+) -> Any:
     async def world(loop: SimLoop) -> Any:
         here = loop.add(Host("e", ("127.0.0.1",), "a"))
         client = loop.add(Host("c", ("127.0.0.9",), "a"))
@@ -179,7 +181,7 @@
         configuration_view = ConfigurationView("e")
         assert configuration_view.accept(1, manifest(list(plays)))
         relay = Relay(settings, Environment(), configuration_view, Dialect(), CollectorRegistry())
-        bound = limits or HeadLimits(16384, 5.0, 15.0)
+        bound = limits or ConnectionLimits(16384, 5.0, 15.0)
         stop = asyncio.Event()
         server = loop.create_task(
             serve_http(relay, "127.0.0.1", 2, stop, 5.0, limited_protocol(lambda: bound, 3.0)), context=here.context()
@@ -446,7 +448,7 @@
         assert (await read_answer(reader))[0] == 200
         assert await reader.read() == b"" and s.ran == [1]
 
-    play({"w1": slow}, main, HeadLimits(300, 0.5, 1.0))
+    play({"w1": slow}, main, ConnectionLimits(300, 0.5, 1.0))
 
 
 def test_each_refusal_says_when_to_come_again_and_comes_at_once() -> None:
@@ -473,7 +475,7 @@
         s.change(lambda m: m["pools"]["p"]["servers"].clear())
         await refused(whole, 503, 0.1)  # there is no worker
 
-    play({"w1": FULL, "w2": refusing("429 Slow", "X-Not-Run: 1")}, main, HeadLimits(300, 0.5, 1.0))
+    play({"w1": FULL, "w2": refusing("429 Slow", "X-Not-Run: 1")}, main, ConnectionLimits(300, 0.5, 1.0))
 
 
 def test_an_idempotent_request_goes_elsewhere_after_any_failure() -> None:
@@ -713,7 +715,7 @@
         assert s.ran == [2]
         assert s.workers[0].seen[1].endswith(b"\r\n\r\nxxx") and word(s.workers[0].seen[1], "content-length") == "3"
 
-    play({"w1": well}, main, HeadLimits(300, 0.5, 1.0))
+    play({"w1": well}, main, ConnectionLimits(300, 0.5, 1.0))
 
 
 def test_one_that_leaves_says_so_on_its_answers() -> None:
--- a/tests/sim/test_broken_variants.py
+++ b/tests/sim/test_broken_variants.py
@@ -158,7 +158,7 @@
 
     def authenticate(self: ClientKeys, route: Any, headers: Any) -> Any:
         found = plain(self, route, headers)
-        return Ok(ClientIdentity("t0", next(iter(self.holders)))) if found.is_err() else found
+        return Ok(ClientIdentity("t0", next(iter(self.tenant_by_digest)))) if found.is_err() else found
 
     mp.setattr(ClientKeys, "authenticate", authenticate)
 
