--- a/postpass/gateway/admission_control.py
+++ b/postpass/gateway/admission_control.py
@@ -79,7 +79,8 @@
     def has_capacity(self, class_name: str) -> bool:
         """Returns whether one more request of the class may be in flight at this edge.
 
-        It may use the quota of its class, or the unused part of another class's quota from which its class may borrow.
+        Besides its own quota, a class may use that of the classes listed in its `borrows`, except for the reserved part of it.
+        A class lends only while none of its own requests wait.
         """
         if self.in_flight[class_name] < self.quota(class_name):
             return True
--- a/postpass/gateway/body_reader.py
+++ b/postpass/gateway/body_reader.py
@@ -37,7 +37,7 @@
 
 
 async def _read_rest(receive: Receive, max_bytes: int, first_chunk: bytes) -> bytes | BodyRefusal:
-    """Reads the parts of a body behind the first one; returns the complete body, or why it wasn't read."""
+    """Reads the rest of a body after its first chunk; returns the complete body, or why it wasn't read."""
     chunks, size = [first_chunk], len(first_chunk)
     while size <= max_bytes:
         message = await receive()
--- a/postpass/gateway/client_identity.py
+++ b/postpass/gateway/client_identity.py
@@ -72,7 +72,7 @@
     identities: dict[bytes, ClientIdentity] = field(default_factory=dict)
 
     def refresh(self) -> None:
-        """Takes over the tenants of the configuration in force.
+        """Loads the tenants of the configuration in force, if they have changed.
 
         Successive revisions share the objects of tenants that did not change, so that only changed tenants cost time.
         """
@@ -128,7 +128,11 @@
         return Ok(identity)
 
     def standing(self, route: Route, client: ClientIdentity) -> KeyStanding:
-        """Returns whether a client that was authenticated would still be authenticated now, with the same identity."""
+        """Returns what has become of the key of an authenticated client.
+
+        `HELD`: the client would be authenticated now with the same identity; `WITHDRAWN`: no tenant has its key any more;
+        `CHANGED`: its identity would be another, or it would need a key although it presented none.
+        """
         self.refresh()
         if self.tenants is None or route.get("public"):
             expected = WITHOUT_TENANTS if self.tenants is None else PUBLIC
--- a/postpass/gateway/edge_state.py
+++ b/postpass/gateway/edge_state.py
@@ -29,7 +29,7 @@
     import aiohttp
 
 REMEMBERED_JOBS = 4000
-OUTCOME_UNKNOWN_STATUS = 504  # HTTP status of a response that leaves open whether the job was stored
+OUTCOME_UNKNOWN_STATUS = 504  # HTTP status of a response that doesn't say whether the job was stored
 
 
 class AcceptedJob(NamedTuple):
--- a/tests/gateway/test_answers_broken.py
+++ b/tests/gateway/test_answers_broken.py
@@ -189,7 +189,9 @@
     monkeypatch.setattr(
         item_request,
         "request_headers",
-        lambda d, call, client, host, worker, wait, _last: original(d, call, client, host, worker, wait, -1),
+        lambda dialect, item, client, host, worker, wait, _last: original(
+            dialect, item, client, host, worker, wait, -1
+        ),
     )
 
 
