--- a/postpass/gateway/answer_delivery.py
+++ b/postpass/gateway/answer_delivery.py
@@ -1,4 +1,4 @@
-"""Passes a worker's answer on to the client, and joins the parts of one that several workers gave."""
+"""Passes a worker's answer on to the client, and joins the parts of an answer that several workers gave."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 from postpass.runtime.environment import now
 from postpass.runtime.errors import Fault, FaultError
 
-READ_AHEAD = 64 << 10  # bytes of a repeatable answer that are read before any is passed on
+READ_AHEAD = 64 << 10  # bytes of an idempotent request's answer that are buffered before any is passed on
 REPEATED_STATUSES = (500, 502, 504)  # answers after which a repeatable request is sent to another worker
 
 
 @dataclass(eq=False)
 class AnswerDelivery:
-    """Owner: `Relay`. Invariant: of one answer nothing is sent twice, and nothing after a gap.
+    """Sends answers to clients. Owner: `Relay`. Invariant: no part of an answer is sent twice, and none after a gap.
 
-    :ivar first_byte_seconds: time from a request's begin to the first byte of its answer, by route.
-    :ivar leaving: is this edge about to end, so that connections are to be closed?
+    :ivar first_byte_seconds: time from the start of a request to the first byte of its answer, by route.
+    :ivar is_leaving: returns whether this edge is about to shut down, so that connections are to be closed.
     """
 
     first_byte_seconds: Histogram
-    leaving: Callable[[], bool]
+    is_leaving: Callable[[], bool]
 
-    async def deliver(self, request: RelayedRequest, exchange: Exchange, answer_begins: Callable[[], None]) -> None:
-        """Passes the answer on. Raises FaultError if it is cut, or if it is better asked for elsewhere.
+    async def deliver(self, request: RelayedRequest, exchange: Exchange, on_first_piece: Callable[[], None]) -> None:
+        """Passes the answer on. Raises FaultError if it is cut off, or if the request should be sent to another worker.
 
-        `answer_begins` is called with the first piece of its body: its worker has read the prompt.
+        `on_first_piece` is called when the first piece of the body arrives: the worker has then processed the prompt.
         """
         self._check_status(request, exchange)
         events = request.events if exchange.status == 200 else None
@@ -44,16 +44,16 @@
         while True:
             data = await exchange.next_chunk()
             if request.unread:
-                answer_begins()
-            end = exchange.complete and not exchange.has_unread
+                on_first_piece()
+            ended = exchange.complete and not exchange.has_unread
             if data and events is not None:
                 try:
                     data = events.feed(data)
                 except ValueError as error:
                     raise FaultError(Fault("join", exchange.addr, str(error))) from error
-            if end and events is not None and events.incomplete:
+            if ended and events is not None and events.incomplete:
                 data, events.incomplete = data + events.incomplete, b""
-            if not end and size < read_ahead:
+            if not ended and size < read_ahead:
                 buffered.append(data)
                 size += len(data)
                 continue
@@ -61,36 +61,39 @@
                 data = b"".join([*buffered, data])
                 buffered.clear()
                 read_ahead = 0
-            if not request.begun and (data or end or events is None):
+            if not request.begun and (data or ended or events is None):
                 await self.begin(request, exchange, events is not None)
-            if end:
+            if ended:
                 request.attempt_log = request.attempt_log.mark(AttemptState.DONE)
-                request.note_piece(now())
+                request.record_piece(now())
                 await request.send({"type": "http.response.body", "body": data})
                 return
             if data:
-                request.note_piece(now())
+                request.record_piece(now())
                 await request.send({"type": "http.response.body", "body": data, "more_body": True})
 
     def _check_status(self, request: RelayedRequest, exchange: Exchange) -> None:
-        """Raises FaultError if the request is better sent to another worker, by the answer's status alone."""
+        """Raises FaultError if the answer's status alone shows that the request should be sent to another worker."""
         status, route = exchange.status, request.route
-        may_repeat = request.repeatable and status in REPEATED_STATUSES and now() < request.until
+        may_repeat = request.repeatable and status in REPEATED_STATUSES and now() < request.deadline
         states = [a.state for a in request.attempt_log.attempts]
-        # The open attempt counts as well, though it isn't marked as sent.
-        ran = sum(s not in (AttemptState.UNSENT, AttemptState.REJECTED) for s in states)
-        if may_repeat and ran < route["tries"]:
+        # The current attempt counts as well, though it isn't marked as sent.
+        run_count = sum(s not in (AttemptState.UNSENT, AttemptState.REJECTED) for s in states)
+        if may_repeat and run_count < route["tries"]:
             raise FaultError(Fault("repeat", exchange.addr, f"it answered {status}"))
         if request.begun and status != 200:
             raise FaultError(Fault("repeat", exchange.addr, f"it answered {status} in place of the rest"))
 
     async def begin(self, request: RelayedRequest, exchange: Exchange, joined: bool) -> None:
-        """Sends the head of the answer. `joined`: its body may come from several runs, so its length isn't known."""
+        """Sends the head of the answer.
+
+        `joined`: its body may be joined from several runs, so its length isn't known.
+        """
         unsized = joined or exchange.status in BODILESS
-        drop = RESPONSE_CONNECTION_HEADERS | {b"content-length"} if unsized else RESPONSE_CONNECTION_HEADERS
-        headers = end_to_end(exchange.headers, drop)
-        if self.leaving():
+        excluded = RESPONSE_CONNECTION_HEADERS | {b"content-length"} if unsized else RESPONSE_CONNECTION_HEADERS
+        headers = end_to_end(exchange.headers, excluded)
+        if self.is_leaving():
             headers.append((b"connection", b"close"))
         request.begun = True
-        self.first_byte_seconds.labels(request.route_name).observe(now() - request.began)
+        self.first_byte_seconds.labels(request.route_name).observe(now() - request.started_at)
         await request.send({"type": "http.response.start", "status": exchange.status, "headers": headers})
--- a/postpass/gateway/attempts.py
+++ b/postpass/gateway/attempts.py
@@ -1,7 +1,7 @@
-"""The log of a request's attempts, and the decision that follows from it: send again, or end with an answer.
+"""The log of the attempts made for a request, and the decision that follows: send it again, or end it with an answer.
 
-`next_live_attempt` decides for live requests to model workers, `next_relayed_attempt` for requests that are relayed by
-a route. Both are pure functions, so that tests can walk through every state.
+`next_live_attempt` decides for live requests to model workers, `next_relayed_attempt` for requests that the relay
+forwards by their route. Both are pure functions, so that tests can go through every state.
 """
 
 from __future__ import annotations
@@ -9,38 +9,43 @@
 from dataclasses import dataclass, replace
 from enum import Enum, StrEnum, auto
 
-MAX_ASKED = 6  # workers that are asked for one relayed request, those that took nothing included
-CUT = "cut"  # how the reason of an attempt begins that broke after part of the answer had gone to the client
+MAX_WORKERS_TRIED = 6  # per relayed request, including workers that did not accept it
+CUT = "cut"  # prefix of an attempt's reason if it broke after part of the answer was sent to the client
 
 
 class AttemptState(StrEnum):
-    """States of one attempt: PLANNED, SENT, FIRST and DONE in this order, or one of the other three as its end."""
+    """The state of one attempt.
+
+    An attempt goes through PLANNED, SENT, FIRST and DONE in this order, unless it ends in one of the other three.
+    """
 
     PLANNED = "planned"
-    SENT = "sent"  # bytes of the request may have left
-    FIRST = "first"  # the first piece of the answer went to the client
+    SENT = "sent"  # bytes of the request may have been written
+    FIRST = "first"  # the first piece of the answer was sent to the client
     DONE = "done"
-    UNSENT = "unsent"  # proved: no byte of the request left
-    REJECTED = "shed"  # the worker answered that it took nothing
-    BROKEN = "broken"  # from SENT or FIRST: unknown whether it ran
+    UNSENT = "unsent"  # proved: no byte of the request was written
+    REJECTED = "shed"  # the worker answered that it did not accept the request
+    BROKEN = "broken"  # failed from SENT or FIRST; it is unknown whether the request ran
 
 
 class Action(StrEnum):
-    """What to do next with a request. The values are the label `end` of the metrics."""
+    """What to do next with a request. The values are those of the metrics' label `end`."""
 
     SEND = "send"
     DONE = "done"
-    ERROR = "error"  # it ends without a whole answer, and may have run
-    REJECT = "shed"  # it ends, and is proved never to have run
-    REFUSE_KEY = "401"  # the same, since its client's key was withdrawn
+    ERROR = "error"  # the request ends without a complete answer, and may have run
+    REJECT = "shed"  # the request ends, and is proved never to have run
+    REFUSE_KEY = "401"  # as REJECT, because the key of its client was withdrawn
 
 
 class KeyStanding(Enum):
-    """What became of a client's key since its request came."""
+    """Whether the key of a client is still valid, compared to when its request arrived."""
 
-    HELD = auto()  # it is still its tenant's
-    WITHDRAWN = auto()  # no tenant has it any more
-    CHANGED = auto()  # the request would be another client's now, or would need a key that was not asked for
+    HELD = auto()  # the key still belongs to the same tenant
+    WITHDRAWN = auto()  # the key belongs to no tenant any more
+    CHANGED = (
+        auto()
+    )  # the request would now count as another client's, or would need a key that was not required before
 
 
 NOT_TAKEN = frozenset((AttemptState.PLANNED, AttemptState.UNSENT, AttemptState.REJECTED))
@@ -48,7 +53,10 @@
 
 @dataclass(frozen=True)
 class Attempt:
-    """One attempt at a worker; `why` is the reason of its end. An empty worker stands for none that was free."""
+    """One attempt at a worker.
+
+    `why` is the reason for which it ended. An empty `worker` means that no worker was free.
+    """
 
     worker: str
     state: AttemptState = AttemptState.PLANNED
@@ -57,16 +65,16 @@
 
 @dataclass(frozen=True)
 class AttemptLog:
-    """All attempts of one request, the oldest first. Invariant: only the last one is open."""
+    """All attempts of one request, the oldest first. Invariant: only the last one may be unfinished."""
 
     attempts: tuple[Attempt, ...] = ()
 
     def plan(self, worker: str) -> AttemptLog:
-        """The log with a new attempt at `worker`."""
+        """Returns the log with a new attempt at `worker` added."""
         return AttemptLog((*self.attempts, Attempt(worker)))
 
     def mark(self, state: AttemptState, why: str = "") -> AttemptLog:
-        """The log with the last attempt in a new state."""
+        """Returns the log with the last attempt in a new state."""
         return AttemptLog((*self.attempts[:-1], replace(self.attempts[-1], state=state, why=why)))
 
     @property
@@ -76,17 +84,17 @@
 
     @property
     def never_ran(self) -> bool:
-        """Proved: no worker took anything of this request."""
+        """Whether it is proved that no worker accepted any part of this request."""
         return all(a.state in NOT_TAKEN for a in self.attempts)
 
     @property
-    def ran(self) -> int:
-        """How many attempts may have begun to run."""
+    def run_count(self) -> int:
+        """The number of attempts whose worker may have started to process the request."""
         return sum(a.state not in NOT_TAKEN for a in self.attempts)
 
     @property
     def reached_client(self) -> bool:
-        """Did a piece of an answer go to the client?"""
+        """Whether a piece of an answer was sent to the client."""
         return any(
             a.state is AttemptState.FIRST or (a.state is AttemptState.BROKEN and a.why.startswith(CUT))
             for a in self.attempts
@@ -95,7 +103,7 @@
 
 @dataclass(frozen=True)
 class Decision:
-    """The next action, with its reason for the client and the log."""
+    """The next action, with its reason for the client and for the log."""
 
     action: Action
     why: str = ""
@@ -103,8 +111,11 @@
 
 @dataclass
 class RetryBudget:
-    """Attempts that one edge may spend on retries, over all its live requests: each new request earns a part of one,
-    so that retries stay a small part of the load when many workers fail at once."""
+    """The retries that one edge may still make, over all its live requests.
+
+    Each new request earns a part of a retry, so that retries stay a small part of the load when many workers fail at
+    once.
+    """
 
     tokens: float = 10.0
     earned_per_request: float = 0.1
@@ -112,37 +123,37 @@
 
     @property
     def available(self) -> bool:
-        """May another attempt be spent?"""
+        """Whether another retry is allowed."""
         return self.tokens >= 1
 
     def earn(self) -> None:
-        """A request was admitted."""
+        """Adds what an admitted request earns."""
         self.tokens = min(self.tokens + self.earned_per_request, self.max_tokens)
 
     def spend(self) -> None:
-        """A request is sent again."""
+        """Takes one retry from the budget."""
         self.tokens -= 1
 
 
 def next_live_attempt(
-    attempt_log: AttemptLog, once: bool, now: float, until: float, max_attempts: int, may_retry: bool
+    attempt_log: AttemptLog, at_most_once: bool, now: float, deadline: float, max_attempts: int, may_retry: bool
 ) -> Decision:
-    """The next action of a live request.
+    """Returns the next action for a live request.
 
-    Parameters: `once`: the request must not run twice; `now` and `until` (the deadline): seconds of the loop's clock;
-    `max_attempts`: attempts of any kind; `may_retry`: the retry budget of this edge allows another one.
+    Parameters: `at_most_once`: the request must not run twice; `now` and `deadline`: seconds of the loop's clock;
+    `max_attempts`: attempts in any state; `may_retry`: the retry budget of this edge allows another attempt.
     """
     last = attempt_log.last
     if last is None:
-        return _first_attempt(now, until)
+        return _first_attempt(now, deadline)
     if last.state is AttemptState.DONE:
         return Decision(Action.DONE)
     if attempt_log.reached_client:
-        # Another run's pieces must not be appended to those of this one.
+        # Pieces of another run's answer must not be appended to those of this run.
         return Decision(Action.ERROR, last.why)
-    if last.state is AttemptState.BROKEN and once:
+    if last.state is AttemptState.BROKEN and at_most_once:
         return Decision(Action.ERROR, f"unknown whether it ran: {last.why}")
-    exhausted = len(attempt_log.attempts) >= max_attempts or now >= until or not may_retry
+    exhausted = len(attempt_log.attempts) >= max_attempts or now >= deadline or not may_retry
     if exhausted:
         if attempt_log.never_ran:
             return Decision(Action.REJECT, f"no server took it: {last.why}")
@@ -157,47 +168,52 @@
     resumable: bool,
     begun: bool,
     now: float,
-    ask_until: float,
-    until: float,
+    search_until: float,
+    deadline: float,
     max_runs: int,
     standing: KeyStanding = KeyStanding.HELD,
 ) -> Decision:
-    """The next action of a relayed request.
+    """Returns the next action for a relayed request.
 
-    Parameters: `repeatable`: it may run more than once; `resumable`: another worker can go on where the last one
-    ended; `begun`: something of an answer went to the client; `ask_until`: until when other workers are asked while
-    none has taken it; `until`: its deadline (all three times in seconds of the loop's clock); `max_runs`: how many
-    workers may have begun it; `standing`: what became of its client's key.
+    Parameters: `repeatable`: it may run more than once; `resumable`: another worker can continue the answer where the
+    last one stopped; `begun`: a part of an answer was sent to the client; `search_until`: until when other workers are
+    tried as long as none has accepted it; `deadline`: when it must have ended (like `now` and `search_until` in seconds
+    of the loop's clock); `max_runs`: how many workers may have started to process it; `standing`: whether the key of
+    its client is still valid.
     """
     last = attempt_log.last
     if standing is not KeyStanding.HELD and (last is None or last.state is not AttemptState.DONE):
         return _without_key(attempt_log, standing)
     if last is None:
-        return _first_attempt(now, until)
+        return _first_attempt(now, deadline)
     if last.state is AttemptState.DONE:
         return Decision(Action.DONE)
-    ran = attempt_log.ran
-    count = len(attempt_log.attempts)
-    if ran == 0:
-        enough_asked = count >= MAX_ASKED or (now >= ask_until and count >= 2) or now >= until
-        return Decision(Action.REJECT, f"no worker took it: {last.why}") if enough_asked else Decision(Action.SEND)
+    run_count = attempt_log.run_count
+    attempt_count = len(attempt_log.attempts)
+    if run_count == 0:
+        search_exhausted = (
+            attempt_count >= MAX_WORKERS_TRIED or (now >= search_until and attempt_count >= 2) or now >= deadline
+        )
+        return Decision(Action.REJECT, f"no worker took it: {last.why}") if search_exhausted else Decision(Action.SEND)
     if begun and not resumable:
         return Decision(Action.ERROR, last.why)
-    if not repeatable or ran >= max_runs or count >= MAX_ASKED + max_runs or now >= until:
+    if not repeatable or run_count >= max_runs or attempt_count >= MAX_WORKERS_TRIED + max_runs or now >= deadline:
         return Decision(Action.ERROR, last.why)
     return Decision(Action.SEND)
 
 
 def _without_key(attempt_log: AttemptLog, standing: KeyStanding) -> Decision:
-    """The end of a request that must not be sent any more. One that another client's key stands for now may come again,
-    to be judged anew."""
+    """Returns how a request ends that must not be sent any more, because the standing of its key has changed.
+
+    If its key now belongs to another client, the client may send it again, to be authenticated anew.
+    """
     if not attempt_log.never_ran:
         return Decision(Action.ERROR, "its client's key has changed")
     action = Action.REFUSE_KEY if standing is KeyStanding.WITHDRAWN else Action.REJECT
     return Decision(action, "its client's key has changed")
 
 
-def _first_attempt(now: float, until: float) -> Decision:
-    if now < until:
+def _first_attempt(now: float, deadline: float) -> Decision:
+    if now < deadline:
         return Decision(Action.SEND)
     return Decision(Action.REJECT, "its deadline passed before it was sent")
--- a/postpass/gateway/connection_pool.py
+++ b/postpass/gateway/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to workers by address: opened, kept while idle, and probed where a worker is silent."""
+"""The pool of connections to workers: opens them, keeps idle ones, and probes workers that are silent."""
 
 from __future__ import annotations
 
@@ -10,30 +10,35 @@
 from postpass.gateway.upstream_connection import Exchange, UpstreamConnection
 from postpass.runtime.errors import BROKE, CROWD, SLOW, Fault, FaultError
 
-# A connection attempt is given up after so many times what one usually takes, but not before so many seconds.
-CONNECT_TIMES, CONNECT_LEAST = 8, 0.04
-USUAL_DECAY = 0.9  # of the usual time, with each connection that took less
+# An attempt to connect is abandoned after this multiple of the usual time, but not before so many seconds.
+CONNECT_TIMEOUT_FACTOR, MIN_CONNECT_TIMEOUT = 8, 0.04
+USUAL_DECAY = 0.9  # factor for the usual time with each connection that took less
 
 
 @dataclass(eq=False)
 class ConnectionPool:
-    """Owner: an edge's relay, or a scheduler. Invariants: `idle` connections have no exchange, the last used last;
-    `opened` has every connection of an address that is open or being opened, idle ones too, the newest last."""
+    """The connections of one process to workers, by address. Owner: an edge's relay, or a scheduler.
 
-    connect: float = 0.5  # seconds until a connection attempt is given up
-    silence: float = 3.0  # seconds until a peer that doesn't acknowledge is believed gone
+    Invariants: connections in `idle` have no exchange, and the last used one is the last; `opened` has every connection
+    to an address that is open or being opened, including idle ones, the newest last.
+    """
+
+    connect: float = 0.5  # seconds after which an attempt to connect is abandoned
+    silence: float = 3.0  # seconds after which a peer that doesn't acknowledge data counts as dead
     idle: dict[str, list[UpstreamConnection]] = field(default_factory=dict)
     opened: dict[str, list[UpstreamConnection]] = field(default_factory=dict)
-    made: int = 0  # connections ever opened
-    sent: int = 0  # requests ever written
-    usual_seconds: float = 0.0  # that a connection takes to open: the longest lately; 0 before the first
-    last_received: float = 0.0  # when something last came from any worker, by the loop's clock
+    connections_opened: int = 0  # since the start
+    requests_sent: int = 0  # since the start
+    usual_seconds: float = 0.0  # that opening a connection takes: the longest recent time, decaying; 0 before the first
+    last_received: float = 0.0  # when something was last received from any worker, by the loop's clock
     probe_timer: asyncio.TimerHandle | None = None
-    probes: dict[str, asyncio.Task[None]] = field(default_factory=dict)  # under way
-    probed: dict[str, float] = field(default_factory=dict)  # when a probe was last answered
+    probe_tasks: dict[str, asyncio.Task[None]] = field(default_factory=dict)  # running probes by address
+    probe_passed_at: dict[str, float] = field(
+        default_factory=dict
+    )  # by address: end of the last probe that didn't show a failure
 
     def put(self, connection: UpstreamConnection) -> None:
-        """Keeps an idle connection; drops those of its address that are too old."""
+        """Keeps an idle connection for later requests; closes those of its address that have been idle too long."""
         now = asyncio.get_running_loop().time()
         connection.usable_until = now + connection.idle_seconds
         idle = self.idle.setdefault(connection.addr, [])
@@ -42,7 +47,7 @@
         idle.append(connection)
 
     def forget(self, connection: UpstreamConnection) -> None:
-        """The connection is closed."""
+        """Removes a connection that is being closed."""
         for table in (self.idle, self.opened):
             connections = table.get(connection.addr)
             if connections is not None and connection in connections:
@@ -50,8 +55,9 @@
                 if not connections:
                     del table[connection.addr]
 
-    def pick(self, addr: str) -> UpstreamConnection | None:
-        """The idle connection that was used last, if there is one that the worker surely still holds open."""
+    def take_idle(self, addr: str) -> UpstreamConnection | None:
+        """Removes and returns the idle connection that was used last, or None if there is none that the worker is sure to
+        have kept open. Closes those that may have been closed by the worker."""
         now = asyncio.get_running_loop().time()
         while idle := self.idle.get(addr):
             connection = idle.pop()
@@ -63,24 +69,24 @@
         return None
 
     def busy(self, addr: str) -> int:
-        """How many connections of an address have an exchange or are being opened."""
+        """Returns how many connections to an address have an exchange or are being opened."""
         return len(self.opened.get(addr, ())) - len(self.idle.get(addr, ()))
 
     async def open(self, addr: str, limit: float) -> UpstreamConnection:
-        """A new connection within `limit` seconds. Raises FaultError; nothing was sent."""
+        """Opens a new connection within `limit` seconds. Raises FaultError if that fails; nothing was sent then."""
         host, port = split_address(addr)
         connection = UpstreamConnection(addr, self)
         self.opened.setdefault(addr, []).append(connection)
-        self.made += 1
+        self.connections_opened += 1
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        seconds = self.connect
+        started_at = loop.time()
+        connect_timeout = self.connect
         if self.usual_seconds:
-            seconds = min(self.connect, max(CONNECT_LEAST, self.usual_seconds * CONNECT_TIMES))
+            connect_timeout = min(self.connect, max(MIN_CONNECT_TIMEOUT, self.usual_seconds * CONNECT_TIMEOUT_FACTOR))
         try:
-            async with asyncio.timeout(min(limit, seconds)):
+            async with asyncio.timeout(min(limit, connect_timeout)):
                 await loop.create_connection(lambda: connection, host, port)
-            self.usual_seconds = max(loop.time() - began, self.usual_seconds * USUAL_DECAY)
+            self.usual_seconds = max(loop.time() - started_at, self.usual_seconds * USUAL_DECAY)
         except (OSError, TimeoutError) as error:
             connection.drop()
             code = SLOW if isinstance(error, TimeoutError) else BROKE
@@ -104,30 +110,31 @@
         expect: tuple[bytes, bytes] | None = None,
         patience: float = 0.0,
     ) -> Exchange:
-        """Sends one request and returns when the head of its answer came.
+        """Sends one request, and returns its exchange once the head of the answer has arrived.
 
-        Parameters: `admission_check`: asked right before the first byte is written; what it says, if
-        anything, is why not. `limit`: seconds for the whole exchange, body included. `max_connections`: how many this
-        process may have to that address; 0: no bound. `expect`: a header that the answer must carry with just this
-        value, or lack if it is empty, or else it belongs to another request. `patience`: for an exchange that may be
-        given up and done elsewhere, seconds for which nothing may come before the worker is probed.
+        Parameters: `admission_check`: called right before the first byte is written; returns the reason if the request
+        must not be sent, otherwise an empty string. `limit`: seconds for the complete exchange, including the body.
+        `max_connections`: how many connections this process may have to that address; 0: no bound. `expect`: name and
+        value of a header that the answer must have with exactly this value, or must not have if the value is empty;
+        otherwise the answer belongs to another request. `patience`: for an exchange that may be abandoned and repeated
+        elsewhere, the seconds of silence after which the worker is probed; 0 for others.
 
-        Raises FaultError; its fault is `unsent` only if it is proved that no byte left.
+        Raises FaultError; its fault is marked `unsent` only if it is proved that no byte was sent.
         """
-        until = asyncio.get_running_loop().time() + limit
-        connection = self.pick(addr)
+        deadline = asyncio.get_running_loop().time() + limit
+        connection = self.take_idle(addr)
         reused = connection is not None
         if connection is None:
             if max_connections and len(self.opened.get(addr, ())) >= max_connections:
                 raise FaultError(Fault("connect", addr, f"{max_connections} connections are open", CROWD, unsent=True))
             connection = await self.open(addr, limit)
-        why = admission_check()
-        if why:
+        objection = admission_check()
+        if objection:
             if connection.usable():
                 self.put(connection)
-            raise FaultError(Fault("gate", addr, why, CROWD, unsent=True))
-        left = until - asyncio.get_running_loop().time()
-        if not connection.usable() or left <= 0:
+            raise FaultError(Fault("gate", addr, objection, CROWD, unsent=True))
+        remaining = deadline - asyncio.get_running_loop().time()
+        if not connection.usable() or remaining <= 0:
             connection.drop()
             raise FaultError(Fault("connect", addr, "closed before a byte was written", unsent=True))
         data = [method.encode(), b" ", target, b" HTTP/1.1\r\n"]
@@ -135,15 +142,15 @@
             data += (name, b": ", value, b"\r\n")
         data += (b"\r\n", body)
         exchange = Exchange(addr, connection, reused)
-        self.sent += 1
-        connection.start(exchange, data, method == "HEAD", left, expect, patience)
-        await self._head_of(exchange, connection)
+        self.requests_sent += 1
+        connection.start(exchange, data, method == "HEAD", remaining, expect, patience)
+        await self._wait_for_head(exchange, connection)
         return exchange
 
-    async def _head_of(self, exchange: Exchange, connection: UpstreamConnection) -> None:
-        """Returns when the head came; raises the exchange's fault if none did."""
+    async def _wait_for_head(self, exchange: Exchange, connection: UpstreamConnection) -> None:
+        """Returns once the head has arrived; raises FaultError with the exchange's fault if it doesn't arrive."""
         try:
-            while not exchange.complete and exchange.fault is None and not connection.head_came:
+            while not exchange.complete and exchange.fault is None and not connection.head_complete:
                 await exchange.wait()
         except BaseException:
             exchange.close()
@@ -151,57 +158,63 @@
         if exchange.fault is not None and not exchange.status:
             raise FaultError(exchange.fault)
 
-    # --- workers that say nothing
+    # --- probing silent workers
     def schedule_probes(self, patience: float) -> None:
-        """An exchange begins that may be silent for `patience` seconds."""
+        """Schedules the next check for silent workers, for an exchange that may be silent for `patience` seconds.
+
+        Does nothing if a check is scheduled already.
+        """
         if self.probe_timer is None:
             self.probe_timer = asyncio.get_running_loop().call_later(patience / 2, self._probe_silent)
 
     def _probe_silent(self) -> None:
-        """Probes the addresses where an exchange that may be done elsewhere has been silent for its patience."""
+        """Probes each address where an exchange that may be repeated elsewhere has been silent for its `patience`."""
         self.probe_timer = None
         loop = asyncio.get_running_loop()
-        at, least = loop.time(), 0.0
+        current_time, shortest_patience = loop.time(), 0.0
         for addr, connections in self.opened.items():
             for connection in connections:
                 if connection.exchange is None or not connection.patience:
                     continue
-                least = min(least or connection.patience, connection.patience)
-                last_sign = max(connection.last_received, self.probed.get(addr, 0.0))
-                if at - last_sign >= connection.patience and addr not in self.probes:
-                    self.probes[addr] = loop.create_task(self._probe(addr, connection.last_received))
-        self.probed = {a: t for a, t in self.probed.items() if a in self.opened}
-        if least:
-            self.schedule_probes(least)
-
-    async def _probe(self, addr: str, since: float) -> None:
-        """Silence may be work, so a new connection is asked for: a worker that is there takes or resets it. Where not
-        even that comes though others were heard, what may be done elsewhere is given up here. `since`: when the
-        silent exchange last received something."""
+                shortest_patience = min(shortest_patience or connection.patience, connection.patience)
+                last_sign_of_life = max(connection.last_received, self.probe_passed_at.get(addr, 0.0))
+                if current_time - last_sign_of_life >= connection.patience and addr not in self.probe_tasks:
+                    self.probe_tasks[addr] = loop.create_task(self._probe(addr, connection.last_received))
+        self.probe_passed_at = {a: t for a, t in self.probe_passed_at.items() if a in self.opened}
+        if shortest_patience:
+            self.schedule_probes(shortest_patience)
+
+    async def _probe(self, addr: str, silent_since: float) -> None:
+        """Checks whether a silent worker is alive, by opening a new connection to it.
+
+        A silent worker may just be busy, but one that is alive accepts or resets a new connection. If it does neither,
+        though something was received from other workers, all silent exchanges with it that may be repeated elsewhere
+        are ended with a fault. `silent_since`: when the silent exchange last received something.
+        """
         loop = asyncio.get_running_loop()
         try:
             connection = await self.open(addr, self.connect)
             connection.usable_until = 0.0
             self.put(connection)
-            self.probed[addr] = loop.time()
-        except FaultError as stop:
-            if stop.fault.code != SLOW or self.last_received <= since:
-                # A reset tells that somebody is there; and if nobody at all was heard, this side may be cut off.
-                self.probed[addr] = loop.time()
+            self.probe_passed_at[addr] = loop.time()
+        except FaultError as error:
+            if error.fault.code != SLOW or self.last_received <= silent_since:
+                # A reset shows that the host is alive; and if nothing was received from any worker, this side may be cut off.
+                self.probe_passed_at[addr] = loop.time()
                 return
             for connection in list(self.opened.get(addr, ())):
                 if connection.exchange is None:
                     connection.drop()
-                elif connection.patience and connection.last_received <= since:
-                    connection.fail(connection.step(), "nothing came, and no connection was taken", SLOW)
+                elif connection.patience and connection.last_received <= silent_since:
+                    connection.fail(connection.fault_step(), "nothing came, and no connection was taken", SLOW)
         finally:
-            del self.probes[addr]
+            del self.probe_tasks[addr]
 
     def close(self) -> None:
-        """Ends all exchanges and connections; the process is about to end."""
+        """Closes all connections and ends their exchanges, because the process is about to end."""
         if self.probe_timer is not None:
             self.probe_timer.cancel()
-        for task in self.probes.values():
+        for task in self.probe_tasks.values():
             task.cancel()
         for connections in list(self.opened.values()):
             for connection in list(connections):
--- a/postpass/gateway/load_exchange.py
+++ b/postpass/gateway/load_exchange.py
@@ -1,7 +1,8 @@
-"""Exchanges the load of workers between edges and schedulers, by the hubs of `routing.load_picture`.
+"""Exchanges the load of workers between edges and schedulers, through the hubs of `routing.load_picture`.
 
-A daemon tells its counts several times a second and is told the sum of all; nothing waits for it. Who hears no hub goes by
-its own counts alone. A lost or late message costs one interval: each report replaces the sender's last one.
+Each daemon reports its own counts several times a second and receives the sum of all others; no request waits for that. A
+daemon that reaches no hub decides by its own counts alone. A lost or late message costs one interval, because each report
+replaces the sender's previous one.
 """
 
 from __future__ import annotations
@@ -35,18 +36,19 @@
 from postpass.rpc.peer_links import PeerLinks
 from postpass.runtime.environment import now
 
-STALE_INTERVALS = 5  # after so many intervals a report counts no more
-RETRY_INTERVALS = 20  # for so many a hub that didn't answer is passed over
-LIMIT_INTERVALS = 3  # for so many a hub's answer is waited for
-MESSAGE = "floor"  # the message between peers
+STALE_INTERVALS = 5  # after so many intervals a report isn't used any more
+RETRY_INTERVALS = 20  # for so many intervals a hub that didn't answer is skipped
+LIMIT_INTERVALS = 3  # time limit for a hub's answer, in intervals
+LOAD_VERB = "floor"  # verb of the request between peers
 
 
 @dataclass(eq=False)
 class LoadExchange:
-    """Owner: the data plane's process. Invariant: `others` has nothing of this process.
+    """What the other edges and schedulers have in progress at the workers, as far as reported.
 
-    `own_use` tells what this process has at each worker; `updated` is called with each new picture. A daemon that gets
-    reports of members acts as their hub, whoever it is.
+    Owner: the data plane's process. Invariant: `others` contains nothing of this process. `own_use` returns the load that
+    this process puts on each worker; `updated` is called whenever `others` changes. A daemon that receives reports of
+    members acts as their hub, whichever daemon it is.
     """
 
     settings: Settings
@@ -54,50 +56,50 @@
     peer_links: PeerLinks
     own_use: Callable[[], LoadReport]
     updated: Callable[[], None] = lambda: None
-    wanted: Callable[[], bool] = lambda: True  # is there anything to tell or to decide here?
-    others: dict[str, WorkerUse] = field(default_factory=dict)
-    heard_at: float = -1e9  # when `others` was told, in seconds of the loop's clock
-    interval: float = 1.0
-    members: ReportTable = field(default_factory=ReportTable)
-    hub_sums: ReportTable = field(default_factory=ReportTable)  # what other hubs' members have
-    passed_over: dict[str, float] = field(default_factory=dict)  # hubs that didn't answer, until when
-    asking: dict[str, asyncio.Task[None]] = field(default_factory=dict)  # by peer
-    revision: int = -1
-    order: list[str] = field(default_factory=list)
+    wanted: Callable[[], bool] = lambda: True  # whether this process has any load to report or any worker to choose
+    others: dict[str, WorkerUse] = field(default_factory=dict)  # by worker
+    received_at: float = -1e9  # when `others` was received, in seconds of the loop's clock
+    interval: float = 1.0  # seconds between two reports
+    members: ReportTable = field(default_factory=ReportTable)  # reports of this hub's members
+    hub_sums: ReportTable = field(default_factory=ReportTable)  # sums over the members of other hubs
+    skipped_until: dict[str, float] = field(default_factory=dict)  # by hub that didn't answer: until when it is skipped
+    pending_requests: dict[str, asyncio.Task[None]] = field(default_factory=dict)  # by peer
+    revision: int = -1  # of the configuration that the hubs are derived from
+    preferred_hubs: list[str] = field(default_factory=list)  # in the order in which this daemon tries them
     all_hubs: list[str] = field(default_factory=list)
 
     @property
     def age(self) -> float:
-        """Seconds since the picture came."""
-        return now() - self.heard_at
+        """The seconds since `others` was received."""
+        return now() - self.received_at
 
     @property
     def is_fresh(self) -> bool:
-        """Is the picture new enough to go by?"""
+        """Whether `others` is recent enough to be used."""
         return self.age <= self.interval * STALE_INTERVALS
 
     def others_at(self, worker: str) -> WorkerUse:
-        """What the others have at a worker, as last heard."""
+        """Returns what the others have in progress at a worker, as last received."""
         return self.others.get(worker, IDLE)
 
     # --- rounds
     async def run(self) -> None:
-        """Exchanges until it is cancelled."""
+        """Exchanges reports in each interval, until it is cancelled."""
         phase = zlib.crc32(self.settings.name.encode()) / 2**32
         while True:
-            self._learn()
-            # Each has a moment of its own, so that not all messages come at once.
+            self._refresh_hubs()
+            # Each daemon has its own phase, so that not all messages arrive at the same time.
             await asyncio.sleep(self.interval * (0.9 + 0.2 * phase))
             self._forget_stale()
-            if not self.order or not self.wanted():
+            if not self.preferred_hubs or not self.wanted():
                 continue
-            if self.members.reports or self.order[0] == self.settings.name:
+            if self.members.reports or self.preferred_hubs[0] == self.settings.name:
                 self._exchange_as_hub()
             else:
                 self._exchange_as_member()
 
-    def _learn(self) -> None:
-        """Who the hubs are, by the configuration in force."""
+    def _refresh_hubs(self) -> None:
+        """Derives the hubs and the interval from the configuration in force, if that is a new revision."""
         configuration = self.configuration_view.manifest
         if configuration is None or self.revision == self.configuration_view.revision:
             return
@@ -107,7 +109,7 @@
             if "edge" in machine["duties"] and not machine.get("gone"):
                 by_zone.setdefault(machine["area"], []).append(name)
         self.interval = exchange_interval(self.settings.bounds.exchange, by_zone)
-        self.order = hub_order(self.settings.name, self.settings.zone, by_zone)
+        self.preferred_hubs = hub_order(self.settings.name, self.settings.zone, by_zone)
         self.all_hubs = hubs(by_zone)
 
     def _forget_stale(self) -> None:
@@ -116,71 +118,79 @@
             table.forget_before(oldest)
 
     def _exchange_as_member(self) -> None:
-        """Tells the first hub that answers; one that is still being asked is not asked twice."""
-        at = now()
-        for name in self.order:
+        """Reports to the first hub that isn't skipped, unless the previous report to it is still pending; acts as a hub if
+        that is this daemon."""
+        current_time = now()
+        for name in self.preferred_hubs:
             if name == self.settings.name:
                 self._exchange_as_hub()
                 return
-            if self.passed_over.get(name, 0.0) <= at:
-                if name not in self.asking:
-                    self._start(name, self._report_to(name))
+            if self.skipped_until.get(name, 0.0) <= current_time:
+                if name not in self.pending_requests:
+                    self._start_task(name, self._report_to(name))
                 return
 
     def _exchange_as_hub(self) -> None:
-        """Sees its members' reports itself, and asks the other hubs that have not asked lately."""
-        at = now()
-        self._show(summed([self.members.total, self.hub_sums.total]))
+        """Updates `others` from its members' reports, and exchanges sums with the other hubs that haven't sent theirs
+        recently."""
+        current_time = now()
+        self._set_picture(summed([self.members.total, self.hub_sums.total]))
         for name in self.all_hubs:
-            heard = self.hub_sums.reports.get(name)
-            lately = heard is not None and at - heard.at < self.interval
-            if name == self.settings.name or name in self.asking or self.passed_over.get(name, 0.0) > at:
+            last_sum = self.hub_sums.reports.get(name)
+            is_recent = last_sum is not None and current_time - last_sum.at < self.interval
+            if (
+                name == self.settings.name
+                or name in self.pending_requests
+                or self.skipped_until.get(name, 0.0) > current_time
+            ):
                 continue
-            if name > self.settings.name or not lately:
-                self._start(name, self._exchange_with(name))
+            if name > self.settings.name or not is_recent:
+                self._start_task(name, self._exchange_with(name))
 
-    def _start(self, name: str, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.create_task(work)
-        self.asking[name] = task
-        task.add_done_callback(partial(self._ended, name))
+    def _start_task(self, name: str, exchange_work: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.create_task(exchange_work)
+        self.pending_requests[name] = task
+        task.add_done_callback(partial(self._forget_task, name))
 
-    def _ended(self, name: str, _task: asyncio.Task[None]) -> None:
-        self.asking.pop(name, None)
+    def _forget_task(self, name: str, _task: asyncio.Task[None]) -> None:
+        self.pending_requests.pop(name, None)
 
-    async def _ask(self, name: str, body: Body) -> Body | None:
-        """A hub's answer; None if it gave none, and it is passed over for a while."""
+    async def _send_request(self, name: str, body: Body) -> Body | None:
+        """Sends a request to a hub and returns its answer; None if there was none, and then the hub is skipped for a while."""
         addr = self.configuration_view.addr(name)
         limit = self.interval * LIMIT_INTERVALS
-        answer = await self.peer_links.request(addr, MESSAGE, body, limit) if addr else None
-        if isinstance(answer, Ok) and "use" in answer.unwrap():
-            return answer.unwrap()
-        self.passed_over[name] = now() + self.interval * RETRY_INTERVALS
+        response = await self.peer_links.request(addr, LOAD_VERB, body, limit) if addr else None
+        if isinstance(response, Ok) and "use" in response.unwrap():
+            return response.unwrap()
+        self.skipped_until[name] = now() + self.interval * RETRY_INTERVALS
         return None
 
     async def _report_to(self, name: str) -> None:
         own = dict(self.own_use())
-        answer = await self._ask(name, {"by": self.settings.name, "use": report_as_json(own)})
-        if answer is not None:
-            self._show(without(report_from_json(answer["use"]), own))
+        response = await self._send_request(name, {"by": self.settings.name, "use": report_as_json(own)})
+        if response is not None:
+            self._set_picture(without(report_from_json(response["use"]), own))
 
     async def _exchange_with(self, name: str) -> None:
         own = report_as_json(self._members_sum())
-        answer = await self._ask(name, {"by": self.settings.name, "hub": True, "use": own})
-        if answer is not None:
-            self.hub_sums.replace(name, TimedReport(now(), report_from_json(answer["use"])))
+        response = await self._send_request(name, {"by": self.settings.name, "hub": True, "use": own})
+        if response is not None:
+            self.hub_sums.replace(name, TimedReport(now(), report_from_json(response["use"])))
 
     def _members_sum(self) -> dict[str, WorkerUse]:
-        """What this process and its members have."""
+        """Returns what this process and its members have in progress."""
         return summed([self.own_use(), self.members.total])
 
-    def _show(self, others: dict[str, WorkerUse]) -> None:
-        self.others, self.heard_at = others, now()
+    def _set_picture(self, others: dict[str, WorkerUse]) -> None:
+        self.others, self.received_at = others, now()
         self.updated()
 
-    # --- the side of a hub
+    # --- requests to a hub
     async def on_report(self, body: Body) -> PeerResponse:
-        """A daemon tells what it has, or another hub what its members have; the answer is the sum of all, or what the
-        members here have."""
+        """Handles the report of a member, or of another hub with the sum over its members.
+
+        A member gets the sum of all as the answer, another hub the sum over this hub and its members.
+        """
         table = self.hub_sums if body.get("hub") else self.members
         table.replace(body["by"], TimedReport(now(), report_from_json(body["use"])))
         if body.get("hub"):
@@ -188,6 +198,6 @@
         return Ok({"use": report_as_json(summed([self._members_sum(), self.hub_sums.total]))})
 
     def close(self) -> None:
-        """Ends what is under way; the process is about to end."""
-        for task in list(self.asking.values()):
+        """Cancels the pending requests, because the process is about to end."""
+        for task in list(self.pending_requests.values()):
             task.cancel()
--- a/postpass/gateway/relayed_request.py
+++ b/postpass/gateway/relayed_request.py
@@ -14,102 +14,103 @@
 from postpass.routing.live_choice import Choice
 from postpass.routing.prefixes import NO_PREFIX, Prefix, prefix_of
 
-NOT_YET = -1.0
-PATIENCE = 1 / 3  # of the aim, or of the longest pause: silence from which a worker is probed
-MAX_URGENCY = 6  # live requests have an urgency of at most this; those of jobs stand behind
+NOT_YET = -1.0  # stands for a time that isn't known yet
+PATIENCE = 1 / 3  # share of the target, or of the longest allowed pause, after which a silent worker is probed
+MAX_URGENCY = 6  # the highest urgency number of live requests, so that requests of jobs come after them
 
 
 @dataclass(eq=False, slots=True)
 class RelayedRequest:
-    """One request on its way. Owner: the task of `Relay.relay`. Invariant: `begun` once anything of an answer has gone
-    to the client, and from then on only whole events of a run that joins on go after it. Times are seconds of the
-    loop's clock."""
+    """One relayed request in progress. Owner: the task of `Relay.relay`.
+
+    Invariant: `begun` is set once any part of an answer was sent to the client; if the answer is then cut off, only
+    complete events of a run that continues it exactly are sent after it. Times are seconds of the loop's clock.
+    """
 
     route_name: str
     route: Route
     method: str
-    target: bytes  # path and query as the client wrote them
-    headers: Headers  # as they go to any worker
+    target: bytes  # path and query exactly as the client sent them
+    headers: Headers  # as sent to every worker; `attempt_headers` adds those of one attempt
     body: bytes
     request_id: bytes | None
     prefix: Prefix
-    began: float
-    until: float  # its deadline
+    started_at: float
+    deadline: float
     send: Send
     client: ClientIdentity
-    tokens: bytes = b""  # as the client says: of the prompt, and the most of the answer
+    tokens: bytes = b""  # the client's header: number of tokens of the prompt, and the maximum of the answer
     attempt_log: AttemptLog = field(default_factory=AttemptLog)
-    begun: bool = False
-    gone: bool = False  # the client has gone
+    begun: bool = False  # a part of an answer was sent to the client
+    client_gone: bool = False  # the client has disconnected
     events: EventStream | None = None
-    first_delay: float = NOT_YET  # seconds until the first piece of an answer went out
-    latest: float = 0.0  # when the last one did
-    longest_pause: float = 0.0  # seconds between two of them
-    choice: Choice | None = None  # of the newest attempt's worker
-    unread: int = 0  # tokens of its prompt that the worker of the open attempt may still have to read
+    first_piece_delay: float = NOT_YET  # seconds until the first piece of an answer was sent
+    last_piece_at: float = 0.0  # when the latest piece was sent
+    longest_pause: float = 0.0  # seconds between two pieces
+    choice: Choice | None = None  # how the worker of the newest attempt was chosen
+    unread: int = 0  # tokens of its prompt that the worker of the current attempt may still have to process
 
     @property
     def repeatable(self) -> bool:
-        """May it run at more than one worker?"""
+        """Whether it may run at more than one worker."""
         return self.route["kind"] == "idem" or self.resumable
 
     @property
     def resumable(self) -> bool:
-        """Can another worker go on where one ended?"""
+        """Whether another worker can continue the answer where one stopped."""
         return self.route["kind"] == "stream" and self.route["resumable"]
 
     @property
     def can_resume(self) -> bool:
-        """Is it known after which event another worker has to go on?"""
+        """Whether it is known after which event another worker has to continue."""
         return self.events is not None and self.events.last_id is not None
 
     @property
     def prompt_tokens(self) -> int:
-        """Tokens of its prompt, as the client says; 0 if it doesn't."""
+        """The number of tokens of its prompt as stated by the client; 0 if it isn't stated."""
         return parse_number(self.tokens.partition(b",")[0].strip()) or 0
 
     @property
     def patience(self) -> float:
-        """Seconds for which nothing may come for a request that may be done elsewhere, so that this is still in time;
-        0 for others."""
+        """The seconds of silence after which the worker is probed, so that a repeatable request can still be done in time
+        elsewhere; 0 for other requests."""
         if not self.repeatable:
             return 0.0
         return min(self.route["target"], self.route["gap"] or self.route["target"]) * PATIENCE
 
     @property
-    def late(self) -> bool:
-        """Did its answer miss the route's aims?"""
+    def missed_target(self) -> bool:
+        """Whether its answer missed the route's targets for the first piece or for the pauses."""
         gap = self.route["gap"]
-        return self.first_delay > self.route["target"] or (gap > 0 and self.longest_pause > gap)
+        return self.first_piece_delay > self.route["target"] or (gap > 0 and self.longest_pause > gap)
 
-    def note_piece(self, at: float) -> None:
-        """A piece of the answer goes out."""
-        if self.first_delay < 0:
-            self.first_delay = at - self.began
-        elif at - self.latest > self.longest_pause:
-            self.longest_pause = at - self.latest
-        self.latest = at
+    def record_piece(self, at: float) -> None:
+        """Records that a piece of the answer is sent at the time `at`."""
+        if self.first_piece_delay < 0:
+            self.first_piece_delay = at - self.started_at
+        elif at - self.last_piece_at > self.longest_pause:
+            self.longest_pause = at - self.last_piece_at
+        self.last_piece_at = at
 
 
 def build_request(
     names: HeaderNames, route_name: str, route: Route, client: ClientIdentity, scope: Scope, body: bytes,
-    began: float, until: float, send: Send,
+    started_at: float, deadline: float, send: Send,
 ) -> RelayedRequest:  # fmt: skip
-    """A client's request as it goes to workers. `began`, `until`: its begin and its deadline, in seconds of the loop's
-    clock."""
+    """Returns a client's request as it is sent to workers. `started_at` and `deadline` are seconds of the loop's clock."""
     headers: Headers = scope["headers"]
     query = scope["query_string"]
     target = scope.get("extensions", {}).get("target") or scope["raw_path"] + (b"?" + query if query else b"")
-    out = end_to_end(headers, names.dropped(route["tokens"], client.hides_key))
+    worker_headers = end_to_end(headers, names.dropped(route["tokens"], client.hides_key))
     if body or header(headers, b"content-length") is not None or header(headers, b"transfer-encoding") is not None:
-        out.append((b"content-length", b"%d" % len(body)))
+        worker_headers.append((b"content-length", b"%d" % len(body)))
     if route["tokens"]:
-        out.append((names.urgency, b"%d" % min(max(client.rank_on(route), 0), MAX_URGENCY)))
+        worker_headers.append((names.urgency, b"%d" % min(max(client.rank_on(route), 0), MAX_URGENCY)))
     if client.tenant:
-        out.append((names.tenant, client.tenant.encode()))
+        worker_headers.append((names.tenant, client.tenant.encode()))
     prefix = prefix_of(header(headers, names.prompt) or b"") if route["tokens"] else NO_PREFIX
     request = RelayedRequest(
-        route_name, route, scope["method"], target, out, body, header(headers, names.request_id), prefix, began, until,
+        route_name, route, scope["method"], target, worker_headers, body, header(headers, names.request_id), prefix, started_at, deadline,
         send, client, header(headers, names.tokens) or b"",
     )  # fmt: skip
     if request.resumable:
@@ -118,7 +119,7 @@
 
 
 def attempt_headers(names: HeaderNames, request: RelayedRequest, worker: str, seconds_left: float) -> Headers:
-    """The request's headers with those that are of one attempt."""
+    """Returns the request's headers with those of one attempt added: the worker, the deadline, and where to continue."""
     headers = [
         *request.headers, (names.want_worker, worker.encode()),
         (names.deadline_ms, b"%d" % max(1, int(seconds_left * 1000))),
--- a/postpass/gateway/upstream_connection.py
+++ b/postpass/gateway/upstream_connection.py
@@ -1,7 +1,8 @@
-"""One HTTP/1.1 connection to a worker, with proofs: whether a byte of a request left, and whether the whole answer came.
+"""One HTTP/1.1 connection to a worker, which can prove whether any byte of a request was sent and whether the complete
+answer arrived.
 
-`UpstreamConnection` speaks the protocol, `Exchange` is the answer to one request as its reader sees it. The pool of
-connections (`connection_pool`) opens, keeps and probes them.
+`UpstreamConnection` implements the protocol, `Exchange` is the answer to one request as its reader sees it. The
+connection pool (`connection_pool`) opens, keeps and probes the connections.
 """
 
 from __future__ import annotations
@@ -19,36 +20,41 @@
 from postpass.gateway.http_headers import Headers
 from postpass.runtime.errors import BROKE, SLOW, Fault, FaultError
 
-MAX_HEAD_BYTES = 64 << 10  # an answer with a longer head is broken
-MAX_BODY_BYTES = 64 << 20  # that are read at once
-MAX_BUFFERED_BYTES = 128 << 10  # of an answer's body, until the reader has caught up
-DEFAULT_IDLE = 0.5  # seconds that a connection is kept if the worker doesn't say
-IDLE_MARGIN = 0.25  # of what the worker says
-BODILESS = (204, 304)  # statuses of answers that have no body, whatever length they tell
+MAX_HEAD_BYTES = 64 << 10  # a longer head of an answer is an error
+MAX_BODY_BYTES = 64 << 20  # the longest body that `Exchange.read` accepts unless told otherwise
+MAX_BUFFERED_BYTES = 128 << 10  # of a body; beyond that, reading from the worker pauses until the reader has caught up
+DEFAULT_IDLE = 0.5  # seconds that an idle connection is kept if the worker doesn't specify a time
+IDLE_MARGIN = 0.25  # share of the time specified by the worker that is left unused
+BODILESS = (204, 304)  # statuses of answers without a body, whatever length their headers state
 SWITCHING_PROTOCOLS = 101
-GARBLED = "garbled"  # hint of a fault: the bytes that came are no answer in the protocol
+GARBLED = "garbled"  # hint of a fault: the received bytes are not a valid HTTP answer
 KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout\s*=\s*\"?(\d+)")
 
 
 def carries(headers: Headers, name: bytes, value: bytes) -> bool:
-    """Is this the one value of a header? An empty one is as good as none, and two that differ are no value."""
+    """Returns whether `value` is the only value of a header.
+
+    Empty values are ignored, so an empty `value` means that the header must be missing. Two different values never
+    match.
+    """
     return {v for n, v in headers if n == name and v} == ({value} if value else set())
 
 
 def has_known_end(headers: Headers) -> bool:
-    """Does a head say where its body ends, by a length or by chunks?"""
+    """Returns whether a head defines where its body ends, by a length or by chunked encoding."""
     return any(n == b"content-length" or (n == b"transfer-encoding" and b"chunked" in v.lower()) for n, v in headers)
 
 
 def tune(sock: socket.socket, silence: float) -> None:
-    """A dead or cut-off peer is noticed after about `silence` seconds, also while nothing is written."""
+    """Sets the socket's options so that a dead or unreachable peer is noticed after about `silence` seconds, also while
+    nothing is written."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    every = max(1, round(silence / 3))
+    probe_interval = max(1, round(silence / 3))
     for name, value in (
         ("TCP_USER_TIMEOUT", int(silence * 1000)),
-        ("TCP_KEEPIDLE", every),
-        ("TCP_KEEPINTVL", every),
+        ("TCP_KEEPIDLE", probe_interval),
+        ("TCP_KEEPINTVL", probe_interval),
         ("TCP_KEEPCNT", 2),
     ):
         if hasattr(socket, name):
@@ -59,62 +65,67 @@
 
 
 class Phase(Enum):
-    """How much of an answer a connection has seen."""
+    """How much of an answer a connection has received."""
 
-    NOTHING = auto()  # or an interim answer alone
-    HEAD = auto()  # a part of the head
-    BODY = auto()  # the whole head
-    END = auto()  # the whole answer
+    NOTHING = auto()  # nothing, or only an interim (1xx) answer
+    HEAD = auto()  # part of the head
+    BODY = auto()  # the complete head
+    END = auto()  # the complete answer
 
 
 class Pool(Protocol):
-    """What a connection needs of the pool that owns it."""
+    """The interface of the pool that a connection belongs to."""
 
     silence: float
     last_received: float
 
     def put(self, connection: UpstreamConnection) -> None:
-        """Keeps an idle connection."""
+        """Keeps an idle connection for later requests."""
 
     def forget(self, connection: UpstreamConnection) -> None:
-        """The connection is closed."""
+        """Removes a connection that is being closed."""
 
     def schedule_probes(self, patience: float) -> None:
-        """An exchange begins that may be silent for `patience` seconds."""
+        """Makes sure that workers are checked for silence, for an exchange that may be silent for `patience` seconds."""
 
 
 class Exchange:
-    """One request's answer. Owner: the task that reads it. Invariants: the head came completely; `complete` only if
-    the last byte of the body came, and then the connection is no longer ours; after a fault nothing more comes but
-    what was buffered before it."""
+    """The answer to one request. Owner: the task that reads it.
+
+    Invariants: the reader gets it only once the head has arrived completely; `complete` is set only if the last byte of
+    the body has arrived, and from then on the exchange no longer owns the connection; after a fault, only what was
+    buffered before it is still returned.
+    """
 
-    __slots__ = ("addr", "status", "headers", "complete", "fault", "reused", "_connection", "_buffer", "_size",
+    __slots__ = ("addr", "status", "headers", "complete", "fault", "reused", "_connection", "_buffer", "_buffered_bytes",
                  "_waiter")  # fmt: skip
 
     def __init__(self, addr: str, connection: UpstreamConnection, reused: bool) -> None:
         self.addr = addr
-        self.status = 0  # 0 until the head came
+        self.status = 0  # 0 until the head has arrived
         self.headers: Headers = []
         self.complete = False
         self.fault: Fault | None = None
-        self.reused = reused  # the connection had carried another exchange before
+        self.reused = reused  # whether the connection served another exchange before
         self._connection: UpstreamConnection | None = connection
         self._buffer: deque[bytes] = deque()
-        self._size = 0  # bytes in the buffer
+        self._buffered_bytes = 0  # in `_buffer`
         self._waiter: asyncio.Future[None] | None = None
 
     def header(self, name: bytes) -> bytes | None:
-        """The first value of a header, by its name in lower case; None if there is none."""
+        """Returns the first value of a header, by its name in lower case, or None if the header is missing."""
         return next((v for n, v in self.headers if n == name), None)
 
     @property
     def has_unread(self) -> bool:
-        """Has something come that wasn't taken yet?"""
+        """Whether a part of the body is buffered that wasn't read yet."""
         return bool(self._buffer)
 
     async def next_chunk(self) -> bytes:
-        """What has come since the last time, in one piece; empty once the whole body came. Raises FaultError
-        on a cut."""
+        """Returns what has arrived since the last time, in one piece, or b"" once the complete body was read.
+
+        Waits if nothing has arrived. Raises FaultError if the answer was cut off.
+        """
         while not self._buffer:
             if self.complete:
                 return b""
@@ -123,18 +134,18 @@
             await self.wait()
         data = self._buffer.popleft() if len(self._buffer) == 1 else b"".join(self._buffer)
         self._buffer.clear()
-        if self._size > MAX_BUFFERED_BYTES and self._connection is not None:
+        if self._buffered_bytes > MAX_BUFFERED_BYTES and self._connection is not None:
             self._connection.resume()
-        self._size = 0
+        self._buffered_bytes = 0
         return data
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """The body as it comes. Raises FaultError on a cut."""
+        """Yields the body as it arrives. Raises FaultError if the answer was cut off."""
         while data := await self.next_chunk():
             yield data
 
     async def read(self, max_bytes: int = MAX_BODY_BYTES) -> bytes:
-        """The whole body. Raises FaultError on a cut, or if it is longer than `max_bytes`."""
+        """Returns the complete body. Raises FaultError if it was cut off, or if it is longer than `max_bytes`."""
         parts: list[bytes] = []
         size = 0
         while data := await self.next_chunk():
@@ -146,33 +157,33 @@
         return b"".join(parts)
 
     def close(self) -> None:
-        """Breaks off what hasn't ended; nothing to do after a whole answer."""
+        """Aborts the exchange if it hasn't ended; does nothing after a complete answer."""
         if self._connection is not None:
             self._connection.fail("close", "broken off here")
 
     async def wait(self) -> None:
-        """Returns once something came, or the exchange ended."""
+        """Returns once something has arrived, or the exchange has ended."""
         self._waiter = asyncio.get_running_loop().create_future()
         try:
             await self._waiter
         finally:
             self._waiter = None
 
-    # --- for its connection
+    # --- used by the connection
     def wake(self) -> None:
-        """Something came: its reader goes on."""
+        """Wakes the reader, because something has arrived or the exchange has ended."""
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
-    def take(self, data: bytes) -> None:
-        """A part of the body came; the worker is held up if the reader is far behind."""
+    def append_body(self, data: bytes) -> None:
+        """Buffers a part of the body; pauses reading from the worker if the reader is far behind."""
         self._buffer.append(data)
-        self._size += len(data)
-        if self._size > MAX_BUFFERED_BYTES and self._connection is not None:
+        self._buffered_bytes += len(data)
+        if self._buffered_bytes > MAX_BUFFERED_BYTES and self._connection is not None:
             self._connection.pause()
 
     def end(self, fault: Fault | None) -> None:
-        """The whole answer came, or a fault."""
+        """Ends the exchange: with a complete answer if `fault` is None, otherwise with that fault."""
         self._connection = None
         self.complete = fault is None
         self.fault = fault
@@ -180,8 +191,11 @@
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """One connection to a worker. Owner: its pool. Invariants: at most one exchange; bytes that come while there is
-    none close it. Times are seconds of the loop's clock."""
+    """One connection to a worker. Owner: its pool.
+
+    Invariants: it has at most one exchange at a time; bytes that arrive while it has none close it. Times are seconds of
+    the loop's clock.
+    """
 
     def __init__(self, addr: str, pool: Pool) -> None:
         self.addr, self.pool = addr, pool
@@ -189,22 +203,22 @@
         self.parser = httptools.HttpResponseParser(self)
         self.exchange: Exchange | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.idle_seconds = DEFAULT_IDLE  # that the worker surely keeps it open while idle
-        self.usable_until = 0.0  # while idle
-        self.last_received = 0.0  # when something last came, or the request went out
-        self.patience = 0.0  # seconds of silence from which the worker is probed; 0: its answer is waited for
-        self.bodiless = False  # the answer has no body, since the request's method is HEAD
+        self.idle_seconds = DEFAULT_IDLE  # for which the worker is sure to keep it open while idle
+        self.usable_until = 0.0  # while idle: until when it may be used again
+        self.last_received = 0.0  # when something was last received, or when the request was sent
+        self.patience = 0.0  # seconds of silence after which the worker is probed; 0: it is never probed, and its answer is waited for
+        self.bodiless = False  # the answer has no body, because the request's method is HEAD
         self.head_bytes = 0
         self.phase = Phase.NOTHING
         self.keep_alive = False
-        self.surplus = False  # more came than the answer
-        self.expect: tuple[bytes, bytes] | None = None  # a header that proves that the answer is ours
-        self.foreign = False  # the head that came is of another request
-        self.unsized = False  # the head that came doesn't say where its body ends
+        self.has_surplus = False  # whether more bytes were received than the answer
+        self.expect: tuple[bytes, bytes] | None = None  # the header that an answer to this request must have
+        self.answers_other_request = False  # whether the received head belongs to another request
+        self.lacks_length = False  # whether the received head doesn't define where its body ends
 
-    # --- of asyncio
+    # --- methods of asyncio.Protocol
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by the loop once the connection is open."""
+        """Called by the event loop once the connection is open."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         sock = transport.get_extra_info("socket")
@@ -212,7 +226,7 @@
             tune(sock, self.pool.silence)
 
     def data_received(self, data: bytes) -> None:
-        """Called by the loop."""
+        """Called by the event loop: parses what the worker sent, and ends the exchange at its end or on an error."""
         if self.exchange is None:
             self.drop()
             return
@@ -223,12 +237,12 @@
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             if self.phase is not Phase.END:
-                self.fail(self.step(), f"not an answer: {error}", hint=GARBLED)
+                self.fail(self.fault_step(), f"not an answer: {error}", hint=GARBLED)
                 return
-            self.surplus = True
-        if self.foreign:
+            self.has_surplus = True
+        if self.answers_other_request:
             self.fail("head", "an answer to another request")
-        elif self.unsized:
+        elif self.lacks_length:
             self.fail("head", "an answer without a length", hint=GARBLED)
         elif self.phase is Phase.END:
             self.finish()
@@ -238,29 +252,29 @@
             self.fail("head", f"more than {MAX_HEAD_BYTES} bytes")
 
     def eof_received(self) -> bool:
-        """Called by the loop."""
-        self.fail(self.step(), "the worker closed the connection")
+        """Called by the event loop: ends the exchange, because the worker closed the connection."""
+        self.fail(self.fault_step(), "the worker closed the connection")
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Called by the loop."""
-        self.fail(self.step(), f"the connection was lost: {exc}" if exc else "the connection was lost")
+        """Called by the event loop: ends the exchange, because the connection was lost."""
+        self.fail(self.fault_step(), f"the connection was lost: {exc}" if exc else "the connection was lost")
 
-    # --- of the parser
+    # --- callbacks of the parser
     def on_message_begin(self) -> None:
-        """Called by the parser."""
+        """Called by the parser at the begin of an answer; a second one is surplus."""
         if self.phase is Phase.END:
-            self.surplus = True
+            self.has_surplus = True
         else:
             self.phase = Phase.HEAD
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Called by the parser."""
+        """Called by the parser for each header."""
         if self.phase is Phase.HEAD and self.exchange is not None:
             self.exchange.headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Called by the parser."""
+        """Called by the parser at the end of a head: skips interim answers, and checks whose answer it is."""
         exchange = self.exchange
         if self.phase is not Phase.HEAD or exchange is None:
             return
@@ -271,40 +285,40 @@
             return
         self.keep_alive = self.parser.should_keep_alive()
         for name, value in exchange.headers:
-            if name == b"keep-alive" and (found := KEEP_ALIVE_TIMEOUT.search(value)):
-                self.idle_seconds = int(found[1]) * (1 - IDLE_MARGIN)
+            if name == b"keep-alive" and (timeout_match := KEEP_ALIVE_TIMEOUT.search(value)):
+                self.idle_seconds = int(timeout_match[1]) * (1 - IDLE_MARGIN)
         if self.expect is not None and not carries(exchange.headers, *self.expect):
-            # Ours may still come on this connection, which is not used again.
-            self.foreign = True
+            # The answer to this request may still follow; the connection is not used again.
+            self.answers_other_request = True
             return
         if not (self.bodiless or status in BODILESS or has_known_end(exchange.headers)):
-            # What follows would run on into whatever else comes, until the worker closes.
-            self.unsized = True
+            # The body would include whatever else arrives until the worker closes the connection.
+            self.lacks_length = True
             return
         exchange.status = status
         self.phase = Phase.BODY
         if self.bodiless and status not in BODILESS:
-            # The parser waits for a body that never comes.
+            # The parser would wait for a body that never arrives.
             self.phase, self.keep_alive = Phase.END, False
 
     def on_body(self, data: bytes) -> None:
-        """Called by the parser."""
+        """Called by the parser for each part of the body."""
         if self.phase is Phase.BODY and self.exchange is not None:
-            self.exchange.take(data)
+            self.exchange.append_body(data)
 
     def on_message_complete(self) -> None:
-        """Called by the parser."""
+        """Called by the parser at the end of an answer."""
         if self.phase is Phase.BODY:
             self.phase = Phase.END
 
-    # --- of the exchange
-    def step(self) -> str:
-        """Where a fault now arises: in the head of an answer or in its body."""
+    # --- the exchange
+    def fault_step(self) -> str:
+        """Returns the step that a fault at this moment belongs to: "head" or "body" of the answer."""
         return "body" if self.phase is Phase.BODY else "head"
 
     @property
-    def head_came(self) -> bool:
-        """Did the head come, but not yet the end?"""
+    def head_complete(self) -> bool:
+        """Whether the head has arrived completely, but not the end of the answer."""
         return self.phase is Phase.BODY
 
     def start(
@@ -316,10 +330,13 @@
         expect: tuple[bytes, bytes] | None,
         patience: float,
     ) -> None:
-        """Writes a request; see `ConnectionPool.request` for what the parameters mean."""
+        """Writes a request; `ConnectionPool.request` explains the parameters.
+
+        `data` is the complete request in parts; `bodiless`: its answer has no body.
+        """
         assert self.transport is not None
         self.exchange, self.bodiless, self.expect = exchange, bodiless, expect
-        self.phase, self.head_bytes, self.keep_alive, self.surplus = Phase.NOTHING, 0, False, False
+        self.phase, self.head_bytes, self.keep_alive, self.has_surplus = Phase.NOTHING, 0, False, False
         loop = asyncio.get_running_loop()
         self.timer = loop.call_later(limit, self._timed_out)
         self.last_received, self.patience = loop.time(), patience
@@ -328,14 +345,14 @@
         self.transport.write(b"".join(data))
 
     def _timed_out(self) -> None:
-        self.fail(self.step(), "no whole answer in time", SLOW)
+        self.fail(self.fault_step(), "no whole answer in time", SLOW)
 
     def finish(self) -> None:
-        """The whole answer came: the connection is kept if nothing speaks against it."""
+        """Ends the exchange with a complete answer. Keeps the connection for further requests if it is still usable."""
         exchange, self.exchange = self.exchange, None
         assert exchange is not None
         self._stop_timer()
-        if self.keep_alive and not self.surplus and self.usable() and self.transport.get_write_buffer_size() == 0:  # type: ignore[union-attr]
+        if self.keep_alive and not self.has_surplus and self.usable() and self.transport.get_write_buffer_size() == 0:  # type: ignore[union-attr]
             self.resume()
             self.pool.put(self)
         else:
@@ -343,7 +360,7 @@
         exchange.end(None)
 
     def fail(self, step: str, why: str, code: int = BROKE, hint: str = "") -> None:
-        """Closes the connection, and ends its exchange with a fault."""
+        """Closes the connection, and ends its exchange, if there is one, with a fault."""
         exchange, self.exchange = self.exchange, None
         self._stop_timer()
         self.drop()
@@ -356,21 +373,21 @@
             self.timer = None
 
     def drop(self) -> None:
-        """Closes the connection; there must be no exchange."""
+        """Closes the connection. It must have no exchange."""
         self.pool.forget(self)
         if self.transport is not None and not self.transport.is_closing():
             self.transport.abort()
 
     def usable(self) -> bool:
-        """Is it open on this side?"""
+        """Returns whether the connection is open on this side."""
         return self.transport is not None and not self.transport.is_closing()
 
     def pause(self) -> None:
-        """Takes nothing more from the worker for now."""
+        """Pauses reading from the worker."""
         if self.usable():
             self.transport.pause_reading()  # type: ignore[union-attr]
 
     def resume(self) -> None:
-        """Takes more from the worker."""
+        """Resumes reading from the worker."""
         if self.usable():
             self.transport.resume_reading()  # type: ignore[union-attr]
--- a/tests/gateway/test_attempts.py
+++ b/tests/gateway/test_attempts.py
@@ -4,7 +4,13 @@
 
 from typing import Any
 
-from postpass.gateway.attempts import MAX_ASKED, AttemptLog, AttemptState, next_live_attempt, next_relayed_attempt
+from postpass.gateway.attempts import (
+    MAX_WORKERS_TRIED,
+    AttemptLog,
+    AttemptState,
+    next_live_attempt,
+    next_relayed_attempt,
+)
 
 
 def _ledger(*states: tuple[Any, str]) -> AttemptLog:
@@ -33,7 +39,14 @@
 
 def _next(ledger: AttemptLog, repeatable: bool, begun: bool = False, resumable: bool = False, t: float = 0.0) -> str:
     return next_relayed_attempt(
-        ledger, repeatable=repeatable, resumable=resumable, begun=begun, now=t, ask_until=1.0, until=10.0, max_runs=2
+        ledger,
+        repeatable=repeatable,
+        resumable=resumable,
+        begun=begun,
+        now=t,
+        search_until=1.0,
+        deadline=10.0,
+        max_runs=2,
     ).action
 
 
@@ -43,7 +56,7 @@
         assert _next(_ledger(("unsent", ""), ("shed", "")), repeatable) == "send"
         assert _next(_ledger(("unsent", "")), repeatable, t=2) == "send"
         assert _next(_ledger(("unsent", ""), ("shed", "")), repeatable, t=2) == "shed"
-        assert _next(_ledger(*[("shed", "")] * MAX_ASKED), repeatable) == "shed"
+        assert _next(_ledger(*[("shed", "")] * MAX_WORKERS_TRIED), repeatable) == "shed"
         assert _next(_ledger(("done", "")), repeatable) == "done"
     assert _next(_ledger(("broken", "")), False) == "error"
     assert _next(_ledger(("shed", ""), ("broken", "")), False) == "error"
--- a/tests/gateway/test_load_exchange.py
+++ b/tests/gateway/test_load_exchange.py
@@ -99,7 +99,7 @@
 
 def test_lost_hubs_are_replaced_and_their_members_counts_are_not_lost() -> None:
     fleet = Fleet(24, 2)
-    fleet.exchanges["e0"]._learn()
+    fleet.exchanges["e0"]._refresh_hubs()
     hubs = set(fleet.exchanges["e0"].all_hubs)
     assert len(hubs) == 2
     fleet.down = hubs
--- a/tests/gateway/test_response_check.py
+++ b/tests/gateway/test_response_check.py
@@ -5,7 +5,7 @@
 import pytest
 
 from postpass.configuration.header_names import Dialect
-from postpass.gateway.response_check import PROMISES, Proof, ResponseHeaderNames, check_response
+from postpass.gateway.response_check import NOT_RUN_STATUSES, Proof, ResponseHeaderNames, check_response
 
 NAMES = ResponseHeaderNames.of(Dialect())
 ID, SEAL, NOT_RUN = (b"x-call-id", b"c"), (b"x-seal", b"s"), (b"x-not-run", b"1")
@@ -20,7 +20,7 @@
     assert proof(200, SEAL, (b"content-encoding", b"gzip")) is Proof.NONE
 
 
-@pytest.mark.parametrize("status", sorted(PROMISES - {421}))
+@pytest.mark.parametrize("status", sorted(NOT_RUN_STATUSES - {421}))
 def test_a_refusal_needs_the_word_that_it_did_not_run(status: int) -> None:
     assert proof(status, NOT_RUN) is Proof.NOT_RUN and proof(status) is Proof.NONE
 
--- a/tests/gateway/test_upstream_connection.py
+++ b/tests/gateway/test_upstream_connection.py
@@ -70,7 +70,7 @@
     async def main(links: ConnectionPool, _loop: SimLoop, worker: Worker) -> None:
         for _ in range(5):
             assert await ask(links) == (200, b"ok")
-        assert worker.connections == 1 and links.made == 1 and links.sent == 5
+        assert worker.connections == 1 and links.connections_opened == 1 and links.requests_sent == 5
         assert worker.heads[0] == b"GET /a%2fb?x HTTP/1.1\r\nhost: h\r\n\r\n"
         assert links.busy("w:1") == 0
         await asyncio.gather(*(ask(links) for _ in range(3)))
@@ -235,7 +235,7 @@
     async def main(links: ConnectionPool, _loop: SimLoop, _worker: Worker) -> None:
         ex = await links.request("w:1", "GET", b"/", [], b"", admission_check=lambda: "", limit=50)
         await asyncio.sleep(5)
-        assert ex._size < 1 << 20
+        assert ex._buffered_bytes < 1 << 20
         assert len(await ex.read()) == size
         assert await ask(links, limit=50) != ("head", False)
 
