--- a/tests/gateway/test_attempts.py
+++ b/tests/gateway/test_attempts.py
@@ -13,61 +13,66 @@
 )
 
 
-def _ledger(*states: tuple[Any, str]) -> AttemptLog:
-    out = AttemptLog()
+def attempt_log_of(*states: tuple[Any, str]) -> AttemptLog:
+    attempt_log = AttemptLog()
     for state, why in states:
-        out = out.plan("w").mark(AttemptState(state), why)
-    return out
+        attempt_log = attempt_log.plan("w").mark(AttemptState(state), why)
+    return attempt_log
 
 
-def test_a_once_call_goes_out_again_only_if_no_byte_left() -> None:
-    def move(ledger: AttemptLog, once: bool, t: float = 0.0, budget: bool = True) -> str:
-        return next_live_attempt(ledger, once, t, 10.0, 3, budget).action
+def test_a_request_that_must_not_run_twice_is_sent_again_only_if_it_did_not_run() -> None:
+    def live_action(attempt_log: AttemptLog, at_most_once: bool, now: float = 0.0, budget: bool = True) -> str:
+        return next_live_attempt(attempt_log, at_most_once, now, 10.0, 3, budget).action
 
-    assert move(AttemptLog(), True) == "send" and move(AttemptLog(), True, 11) == "shed"
-    assert move(_ledger(("unsent", "refused")), True) == "send"
-    assert move(_ledger(("shed", "429")), True) == "send"
-    assert move(_ledger(("broken", "reset")), True) == "error"
-    assert move(_ledger(("broken", "reset")), False) == "send"
-    assert move(_ledger(("broken", "reset")), False, budget=False) == "error"
-    assert move(_ledger(("broken", "cut after 3 pieces")), False) == "error"
-    assert move(_ledger(("broken", "reset"), ("unsent", "refused")), True) == "send"
-    assert move(_ledger(*[("unsent", "refused")] * 3), True) == "shed"
-    assert move(_ledger(("broken", "x"), ("unsent", "y"), ("unsent", "z")), False) == "error"
-    assert not _ledger(("broken", "x"), ("unsent", "y")).never_ran
+    assert live_action(AttemptLog(), True) == "send" and live_action(AttemptLog(), True, 11) == "shed"
+    assert live_action(attempt_log_of(("unsent", "refused")), True) == "send"
+    assert live_action(attempt_log_of(("shed", "429")), True) == "send"
+    assert live_action(attempt_log_of(("broken", "reset")), True) == "error"
+    assert live_action(attempt_log_of(("broken", "reset")), False) == "send"
+    assert live_action(attempt_log_of(("broken", "reset")), False, budget=False) == "error"
+    assert live_action(attempt_log_of(("broken", "cut after 3 pieces")), False) == "error"
+    assert live_action(attempt_log_of(("broken", "reset"), ("unsent", "refused")), True) == "send"
+    assert live_action(attempt_log_of(*[("unsent", "refused")] * 3), True) == "shed"
+    assert live_action(attempt_log_of(("broken", "x"), ("unsent", "y"), ("unsent", "z")), False) == "error"
+    assert not attempt_log_of(("broken", "x"), ("unsent", "y")).never_ran
 
 
-def _next(ledger: AttemptLog, repeatable: bool, begun: bool = False, resumable: bool = False, t: float = 0.0) -> str:
+def relayed_action(
+    attempt_log: AttemptLog, repeatable: bool, begun: bool = False, resumable: bool = False, now: float = 0.0
+) -> str:
     return next_relayed_attempt(
-        ledger,
+        attempt_log,
         repeatable=repeatable,
         resumable=resumable,
         begun=begun,
-        now=t,
+        now=now,
         search_until=1.0,
         deadline=10.0,
         max_runs=2,
     ).action
 
 
-def test_a_relayed_request_goes_on_by_what_is_proved() -> None:
+def test_a_relayed_request_is_sent_again_only_if_that_is_proved_safe() -> None:
     for repeatable in (False, True):
-        assert _next(AttemptLog(), repeatable) == "send" and _next(AttemptLog(), repeatable, t=11) == "shed"
-        assert _next(_ledger(("unsent", ""), ("shed", "")), repeatable) == "send"
-        assert _next(_ledger(("unsent", "")), repeatable, t=2) == "send"
-        assert _next(_ledger(("unsent", ""), ("shed", "")), repeatable, t=2) == "shed"
-        assert _next(_ledger(*[("shed", "")] * MAX_WORKERS_TRIED), repeatable) == "shed"
-        assert _next(_ledger(("done", "")), repeatable) == "done"
-    assert _next(_ledger(("broken", "")), False) == "error"
-    assert _next(_ledger(("shed", ""), ("broken", "")), False) == "error"
-    assert _next(_ledger(("broken", "")), True) == "send"
-    assert _next(_ledger(("broken", ""), ("unsent", "")), True) == "send"
-    assert _next(_ledger(("broken", ""), ("broken", "")), True) == "error"
-    # Never a promise once it may have run.
-    assert _next(_ledger(("broken", ""), ("shed", "")), True, t=11) == "error"
+        assert (
+            relayed_action(AttemptLog(), repeatable) == "send"
+            and relayed_action(AttemptLog(), repeatable, now=11) == "shed"
+        )
+        assert relayed_action(attempt_log_of(("unsent", ""), ("shed", "")), repeatable) == "send"
+        assert relayed_action(attempt_log_of(("unsent", "")), repeatable, now=2) == "send"
+        assert relayed_action(attempt_log_of(("unsent", ""), ("shed", "")), repeatable, now=2) == "shed"
+        assert relayed_action(attempt_log_of(*[("shed", "")] * MAX_WORKERS_TRIED), repeatable) == "shed"
+        assert relayed_action(attempt_log_of(("done", "")), repeatable) == "done"
+    assert relayed_action(attempt_log_of(("broken", "")), False) == "error"
+    assert relayed_action(attempt_log_of(("shed", ""), ("broken", "")), False) == "error"
+    assert relayed_action(attempt_log_of(("broken", "")), True) == "send"
+    assert relayed_action(attempt_log_of(("broken", ""), ("unsent", "")), True) == "send"
+    assert relayed_action(attempt_log_of(("broken", ""), ("broken", "")), True) == "error"
+    # Once the request may have run, the client is never promised that it did not.
+    assert relayed_action(attempt_log_of(("broken", ""), ("shed", "")), True, now=11) == "error"
 
 
 def test_an_answer_under_way_goes_on_elsewhere_only_if_it_can_be_resumed() -> None:
-    assert _next(_ledger(("broken", "")), True, begun=True) == "error"
-    assert _next(_ledger(("broken", "")), True, begun=True, resumable=True) == "send"
-    assert _next(_ledger(("broken", ""), ("broken", "")), True, begun=True, resumable=True) == "error"
+    assert relayed_action(attempt_log_of(("broken", "")), True, begun=True) == "error"
+    assert relayed_action(attempt_log_of(("broken", "")), True, begun=True, resumable=True) == "send"
+    assert relayed_action(attempt_log_of(("broken", ""), ("broken", "")), True, begun=True, resumable=True) == "error"
--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay between stand-in workers and a client, on the simulated loop, through the server that callers meet."""
+"""Tests the relay between simulated workers and a client, on the simulated loop, through the real HTTP server."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Worker:
-    """Keeps what it was sent; `play` answers the nth request."""
+    """A simulated worker: stores the requests it receives in `seen`; `play` answers the nth of them."""
 
     def __init__(self, name: str, play: Play) -> None:
         self.name, self.play = name, play
@@ -134,15 +134,15 @@
     async def ask(
         self, path: str, body: bytes = b"", method: str = "POST", host: str = "shop.example:80", **more: str
     ) -> tuple[int, Head, bytes, bool]:
-        """Status, headers, body, and whether it came whole."""
+        """Sends a request; returns status, headers and body of the answer, and whether it arrived completely."""
         reader, writer = await asyncio.open_connection("127.0.0.1", 2)
         heads = {"host": host, "x-call-id": "c1", "content-length": str(len(body))}
         heads |= {k.replace("_", "-"): v for k, v in more.items()}
         lines = "".join(f"{k}: {v}\r\n" for k, v in heads.items())
         writer.write(f"{method} {path} HTTP/1.1\r\n{lines}\r\n".encode() + body)
-        got = await read_answer(reader)
+        answer = await read_answer(reader)
         writer.close()
-        return got
+        return answer
 
 
 async def read_answer(reader: asyncio.StreamReader) -> tuple[int, Head, bytes, bool]:
@@ -152,29 +152,31 @@
         return 0, {}, b"", False
     first, *rest = raw.decode().strip().split("\r\n")
     head = {k.lower(): v for k, v in (line.split(": ", 1) for line in rest)}
-    out = b""
+    body = b""
     try:
         if "content-length" in head:
-            out = await reader.readexactly(int(head["content-length"]))
+            body = await reader.readexactly(int(head["content-length"]))
         else:
             while size := int(await reader.readline(), 16):
-                out += (await reader.readexactly(size + 2))[:-2]
+                body += (await reader.readexactly(size + 2))[:-2]
             await reader.readline()
     except (asyncio.IncompleteReadError, ValueError):
-        return int(first.split()[1]), head, out, False
-    return int(first.split()[1]), head, out, True
+        return int(first.split()[1]), head, body, False
+    return int(first.split()[1]), head, body, True
 
 
 def play(plays: dict[str, Play], main: Callable[[Scene], Awaitable[Any]], limits: HeadLimits | None = None) -> Any:
     async def world(loop: SimLoop) -> Any:
-        here = loop.add(Host("e", ("127.0.0.1",), "a"))
-        client = loop.add(Host("c", ("127.0.0.9",), "a"))
+        edge_host = loop.add(Host("e", ("127.0.0.1",), "a"))
+        client_host = loop.add(Host("c", ("127.0.0.9",), "a"))
         workers = [Worker(n, p) for n, p in plays.items()]
         hosts = []
         for i, worker in enumerate(workers):
-            there = loop.add(Host(worker.name, (f"127.0.1.{i + 1}",), "a"))
-            hosts.append(there)
-            await loop.create_task(asyncio.start_server(worker.take, f"127.0.1.{i + 1}", 9), context=there.context())  # type: ignore[arg-type]
+            worker_host = loop.add(Host(worker.name, (f"127.0.1.{i + 1}",), "a"))
+            hosts.append(worker_host)
+            await loop.create_task(
+                asyncio.start_server(worker.take, f"127.0.1.{i + 1}", 9), context=worker_host.context()
+            )  # type: ignore[arg-type]
         settings = Settings("e", "a", "127.0.0.1:1", "127.0.0.1:2", ("127.0.0.1:1",), ("edge",), announce=True)
         configuration_view = ConfigurationView("e")
         assert configuration_view.accept(1, manifest(list(plays)))
@@ -182,15 +184,16 @@
         bound = limits or HeadLimits(16384, 5.0, 15.0)
         stop = asyncio.Event()
         server = loop.create_task(
-            serve_http(relay, "127.0.0.1", 2, stop, 5.0, limited_protocol(lambda: bound, 3.0)), context=here.context()
+            serve_http(relay, "127.0.0.1", 2, stop, 5.0, limited_protocol(lambda: bound, 3.0)),
+            context=edge_host.context(),
         )
         await asyncio.sleep(0.01)
         try:
             scene = Scene(loop, relay, configuration_view, workers, hosts)
-            got: Any = await loop.create_task(main(scene), context=client.context())  # type: ignore[arg-type]
+            result: Any = await loop.create_task(main(scene), context=client_host.context())  # type: ignore[arg-type]
             assert loop.errors == []
             assert all(h.in_flight == 0 for h in relay.workers.health_by_worker.values())
-            return got
+            return result
         finally:
             server.cancel()
 
@@ -198,52 +201,52 @@
 
 
 def test_bytes_pass_untouched_and_connection_headers_do_not() -> None:
-    async def main(s: Scene) -> None:
-        got = await s.ask(
+    async def main(scene: Scene) -> None:
+        response = await scene.ask(
             "/i/a%2Fb//c?x=%20&&y", b"\x00body", x_other="1", te="trailers", connection="close, x-hop", x_hop="1",
             x_deadline_ms="900",
         )  # fmt: skip
-        assert got[0] == 200 and got[2] == b"ok" and got[3]
-        assert got[1]["x-seal"] == "s1" and got[1]["x-call-id"] == "c1"
-        seen = s.workers[0].seen[0]
+        assert response[0] == 200 and response[2] == b"ok" and response[3]
+        assert response[1]["x-seal"] == "s1" and response[1]["x-call-id"] == "c1"
+        seen = scene.workers[0].seen[0]
         assert seen.startswith(b"POST /i/a%2Fb//c?x=%20&&y HTTP/1.1\r\n") and seen.endswith(b"\r\n\r\n\x00body")
         assert word(seen, "host") == "shop.example:80" and word(seen, "x-other") == "1"
         assert word(seen, "x-want-worker") == "w1" and 850 < int(word(seen, "x-deadline-ms")) <= 900
         assert not word(seen, "te") and not word(seen, "x-hop") and not word(seen, "connection")
-        await s.ask("/i/?", method="GET")
-        assert s.workers[0].seen[1].startswith(b"GET /i/? HTTP/1.1\r\n")
-        assert 4900 < int(word(s.workers[0].seen[1], "x-deadline-ms")) <= 5000
-        assert len(s.workers[0].writers) == 1
+        await scene.ask("/i/?", method="GET")
+        assert scene.workers[0].seen[1].startswith(b"GET /i/? HTTP/1.1\r\n")
+        assert 4900 < int(word(scene.workers[0].seen[1], "x-deadline-ms")) <= 5000
+        assert len(scene.workers[0].writers) == 1
 
     play({"w1": well}, main)
 
 
-def test_what_no_route_fits_gets_404_and_before_news_503() -> None:
-    async def main(s: Scene) -> None:
-        assert (await s.ask("/none/"))[0] == 404
-        assert (await s.ask("/i/x", host="other.example"))[0] == 404
-        assert (await s.ask("/i"))[0] == 404
-        assert (await s.ask("/l/x"))[0] == 503
-        s.relay.unready = lambda: "no news"
-        # It has just started: control may be starting as well. Later on it is this one's own trouble.
+def test_an_unmatched_request_gets_404_and_an_unready_edge_answers_503() -> None:
+    async def main(scene: Scene) -> None:
+        assert (await scene.ask("/none/"))[0] == 404
+        assert (await scene.ask("/i/x", host="other.example"))[0] == 404
+        assert (await scene.ask("/i"))[0] == 404
+        assert (await scene.ask("/l/x"))[0] == 503
+        scene.relay.unready = lambda: "no news"
+        # Right after the edge's start, control may be starting as well and be ready soon; later, only this edge isn't ready.
         for least, most, wait in ((0.37, 0.76, 0.5), (1.1, 2.1, 2.0), (0.37, 0.63, 0.0)):
             for path in ("/i/x", "/none/"):
-                status, head, _, _ = await s.ask(path)
+                status, head, _, _ = await scene.ask(path)
                 assert status == 503 and least < float(head["retry-after"]) < most
             await asyncio.sleep(wait)
-        s.relay.unready = lambda: ""
-        s.change(lambda m: m["routes"].pop("idem"))
-        assert (await s.ask("/i/x"))[0] == 404
-        assert s.ran == [0]
+        scene.relay.unready = lambda: ""
+        scene.change(lambda m: m["routes"].pop("idem"))
+        assert (await scene.ask("/i/x"))[0] == 404
+        assert scene.ran == [0]
 
     play({"w1": well}, main)
 
 
 def refusing(status: str, *more: str) -> Play:
-    async def turn(_w: Worker, _n: int, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def answer_play(_w: Worker, _n: int, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(reply(head, b"", status, *more, seal=False))
 
-    return turn
+    return answer_play
 
 
 CHUNKED = b"Transfer-Encoding: chunked"
@@ -253,44 +256,44 @@
 def test_a_proof_that_it_did_not_run_lets_any_kind_go_elsewhere() -> None:
     for status, more in (("503 Full", ("X-Not-Run: 1",)), ("429 Slow", ("X-Not-Run: 1",)), ("421 Other", ())):
 
-        async def main(s: Scene) -> None:
+        async def main(scene: Scene) -> None:
             for path in ("/o/x", "/i/x", "/s/x", "/r/x"):
-                assert (await s.ask(path))[0] == 200
-            assert s.ran[2] == 4
+                assert (await scene.ask(path))[0] == 200
+            assert scene.ran[2] == 4
 
         play({"w1": refusing(status, *more), "w2": refusing(status, *more), "w3": well}, main)
 
 
 @pytest.mark.parametrize("wanted", [True, False])
 def test_a_worker_with_other_weights_than_a_client_wants_is_not_avoided(wanted: bool) -> None:
-    """A 421 says that another worker has the address, and the worker is avoided, unless the client asked for a version."""
+    """A 421 means that the address belongs to another worker, so it is avoided, unless the client asked for a version."""
     headers: dict[str, Any] = {"x_want_version": "7"} if wanted else {}
 
-    async def main(s: Scene) -> None:
-        assert (await s.ask("/i/x", **headers))[0] == 503
-        health = s.relay.workers.health_by_worker
+    async def main(scene: Scene) -> None:
+        assert (await scene.ask("/i/x", **headers))[0] == 503
+        health = scene.relay.workers.health_by_worker
         assert [health[w].failures for w in ("w1", "w2")] == ([0, 0] if wanted else [1, 1])
-        assert all((b"x-want-version: 7" in w.seen[0].lower()) is wanted for w in s.workers)
+        assert all((b"x-want-version: 7" in w.seen[0].lower()) is wanted for w in scene.workers)
 
     play({"w1": refusing("421 Other"), "w2": refusing("421 Other")}, main)
 
 
-def test_dead_ports_are_a_proof_and_are_avoided() -> None:
-    async def main(s: Scene) -> None:
-        s.loop.kill(s.hosts[0])
+def test_a_refused_connection_proves_that_nothing_ran_and_its_worker_is_avoided() -> None:
+    async def main(scene: Scene) -> None:
+        scene.loop.kill(scene.hosts[0])
         for _ in range(6):
-            assert (await s.ask("/o/x"))[0] == 200
-        assert s.relay.workers.health_by_worker["w1"].failures <= 2
+            assert (await scene.ask("/o/x"))[0] == 200
+        assert scene.relay.workers.health_by_worker["w1"].failures <= 2
 
     play({"w1": well, "w2": well}, main)
 
 
-def test_if_nobody_takes_it_the_refusal_comes_at_once_with_a_time() -> None:
-    async def main(s: Scene) -> None:
-        before = s.loop.clock
-        status, head, _, _ = await s.ask("/o/x")
+def test_a_request_that_no_worker_takes_is_rejected_at_once_with_a_retry_delay() -> None:
+    async def main(scene: Scene) -> None:
+        before = scene.loop.clock
+        status, head, _, _ = await scene.ask("/o/x")
         assert status == 503 and 0 < float(head["retry-after"]) <= 0.2
-        assert s.ran == [1, 1] and s.loop.clock - before < 0.1
+        assert scene.ran == [1, 1] and scene.loop.clock - before < 0.1
 
     play({"w1": FULL, "w2": FULL}, main)
 
@@ -299,35 +302,35 @@
     async def cut(_w: Worker, _n: int, _head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.close()
 
-    odd: list[Play] = [
+    unproved_plays: list[Play] = [
         cut, refusing("503 Full"), refusing("429 Slow"), refusing("408 Late"), refusing("200 OK"),
         refusing("200 OK", "X-Seal: s1", "Content-Encoding: gzip"),
     ]  # fmt: skip
 
-    async def main(s: Scene) -> None:
+    async def main(scene: Scene) -> None:
         for path in ("/o/x", "/s/x"):
-            assert (await s.ask(path))[0] == 502
-        assert sum(s.ran) == 2
+            assert (await scene.ask(path))[0] == 502
+        assert sum(scene.ran) == 2
 
-    for turn in odd:
-        play({"w1": turn, "w2": turn}, main)
+    for answer_play in unproved_plays:
+        play({"w1": answer_play, "w2": answer_play}, main)
 
 
 def test_a_success_that_says_that_it_did_not_run_is_not_passed_on() -> None:
-    async def main(s: Scene) -> None:
-        assert (await s.ask("/o/x"))[0] == 502 and sum(s.ran) == 1
+    async def main(scene: Scene) -> None:
+        assert (await scene.ask("/o/x"))[0] == 502 and sum(scene.ran) == 1
 
     for seal in ((), ("X-Seal: s1",)):
-        turn = refusing("200 OK", "X-Not-Run: 1", *seal)
-        play({"w1": turn, "w2": turn}, main)
+        answer_play = refusing("200 OK", "X-Not-Run: 1", *seal)
+        play({"w1": answer_play, "w2": answer_play}, main)
 
 
 def test_a_refusal_that_is_no_answer_in_the_protocol_proves_nothing() -> None:
     async def garbled(_w: Worker, _n: int, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(reply(head, b"", "503 Full", "X-Not-Run: 1").replace(b"Content-Length: 0", CHUNKED) + b"zz\r\n")
 
-    async def main(s: Scene) -> None:
-        assert (await s.ask("/o/x"))[0] == 502 and sum(s.ran) == 1
+    async def main(scene: Scene) -> None:
+        assert (await scene.ask("/o/x"))[0] == 502 and sum(scene.ran) == 1
 
     play({"w1": garbled, "w2": garbled}, main)
 
@@ -340,43 +343,43 @@
     async def stalls(_w: Worker, _n: int, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(reply(head, b"body", "503 Full", "X-Not-Run: 1")[:-2])
 
-    async def main(s: Scene) -> None:
+    async def main(scene: Scene) -> None:
         for _ in range(4):
-            assert (await s.ask("/o/x"))[0] == 200
-        assert s.ran[1] == 4
+            assert (await scene.ask("/o/x"))[0] == 200
+        assert scene.ran[1] == 4
 
-    for turn in (cut, stalls):
-        play({"w1": turn, "w2": well}, main)
+    for answer_play in (cut, stalls):
+        play({"w1": answer_play, "w2": well}, main)
 
 
 def test_a_workers_408_is_a_refusal_like_the_others() -> None:
-    async def main(s: Scene) -> None:
-        status, head, _, _ = await s.ask("/o/x")
-        assert status == 503 and float(head["retry-after"]) > 0 and s.ran == [1, 1]
+    async def main(scene: Scene) -> None:
+        status, head, _, _ = await scene.ask("/o/x")
+        assert status == 503 and float(head["retry-after"]) > 0 and scene.ran == [1, 1]
 
     play({"w1": refusing("408 Late", "X-Not-Run: 1"), "w2": refusing("408 Late", "X-Not-Run: 1")}, main)
 
 
-def test_a_head_with_two_ids_is_of_two_answers() -> None:
-    async def main(s: Scene) -> None:
-        assert (await s.ask("/o/x"))[0] == 502 and sum(s.ran) == 1
+def test_a_head_with_two_request_ids_is_not_passed_on() -> None:
+    async def main(scene: Scene) -> None:
+        assert (await scene.ask("/o/x"))[0] == 502 and sum(scene.ran) == 1
 
     play({"w1": refusing("200 OK", "X-Call-Id: c0", "X-Seal: s1")}, main)
 
 
-def test_an_answer_without_a_length_is_none_and_takes_up_nothing_that_follows() -> None:
+def test_an_answer_without_a_length_is_not_passed_on() -> None:
     async def endless(_w: Worker, n: int, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(reply(head).replace(b"Content-Length", b"Contejt-Length") + reply(head, b"surplus"))
 
-    async def main(s: Scene) -> None:
-        assert (await s.ask("/o/x"))[0] == 502
+    async def main(scene: Scene) -> None:
+        assert (await scene.ask("/o/x"))[0] == 502
 
     play({"w1": endless}, main)
 
 
 def test_an_answer_that_has_no_body_tells_no_length() -> None:
-    async def main(s: Scene) -> None:
-        status, head, _, _ = await s.ask("/o/x", method="HEAD")
+    async def main(scene: Scene) -> None:
+        status, head, _, _ = await scene.ask("/o/x", method="HEAD")
         assert status == 204 and "content-length" not in head and "connection" not in head
 
     play({"w1": refusing("204 None", "X-Seal: s1")}, main)
@@ -387,13 +390,13 @@
         stale = b"c0" if n == 1 else b""
         writer.write(reply(head.replace(b"\r\n\r\n", b"\r\nx-call-id: " + stale + b"\r\n\r\n")))
 
-    async def main(s: Scene) -> None:
+    async def main(scene: Scene) -> None:
         async def ask() -> int:
             reader, writer = await asyncio.open_connection("127.0.0.1", 2)
             writer.write(b"POST /o/x HTTP/1.1\r\nhost: shop.example\r\ncontent-length: 0\r\n\r\n")
-            got = (await read_answer(reader))[0]
+            status = (await read_answer(reader))[0]
             writer.close()
-            return got
+            return status
 
         assert [await ask(), await ask()] == [502, 200]
 
@@ -416,7 +419,7 @@
         await asyncio.sleep(0.2)
         writer.write(b" body")
 
-    async def main(s: Scene) -> None:
+    async def main(scene: Scene) -> None:
         for after in (0.0, 0.3):
             reader, writer = await send(ASK % 0)
             await asyncio.sleep(after)
@@ -424,12 +427,12 @@
             status, head, body, whole = await read_answer(reader)
             assert (status, head["x-seal"], body, whole) == (200, "s1", b"whole body", True)
             assert await reader.read() == b""
-        # Junk in place of a request, or of the rest of one, has an answer of its own.
+        # Junk in place of a request, or of the rest of one, is answered with 400.
         reader, _ = await send(b"\x00junk\r\n\r\n")
         assert (await read_answer(reader))[0] == 400
         reader, _ = await send((ASK % 0).replace(b"content-length: 0", b"transfer-encoding: chunked") + b"zz\r\n")
         assert (await read_answer(reader))[0] == 400
-        assert s.ran == [2]
+        assert scene.ran == [2]
 
     play({"w1": slow}, main)
 
@@ -439,38 +442,40 @@
         await asyncio.sleep(1.0)
         writer.write(reply(head))
 
-    async def main(s: Scene) -> None:
+    async def main(scene: Scene) -> None:
         reader, writer = await send(ASK % 0)
         await asyncio.sleep(0.1)
         writer.write(b"POST /o/y HT")
         assert (await read_answer(reader))[0] == 200
-        assert await reader.read() == b"" and s.ran == [1]
+        assert await reader.read() == b"" and scene.ran == [1]
 
     play({"w1": slow}, main, HeadLimits(300, 0.5, 1.0))
 
 
-def test_each_refusal_says_when_to_come_again_and_comes_at_once() -> None:
-    async def main(s: Scene) -> None:
+def test_each_rejection_has_a_retry_delay_and_is_sent_at_once() -> None:
+    async def main(scene: Scene) -> None:
         async def refused(data: bytes, status: int, within: float) -> None:
-            began = s.loop.clock
+            began = scene.loop.clock
             reader, writer = await send(data)
-            got, head, _, whole = await read_answer(reader)
-            assert (got, whole) == (status, True) and 0 < float(head["retry-after"]) < 2.1
-            assert s.loop.clock - began < within
+            answered_status, head, _, whole = await read_answer(reader)
+            assert (answered_status, whole) == (status, True) and 0 < float(head["retry-after"]) < 2.1
+            assert scene.loop.clock - began < within
             writer.close()
 
         whole = ASK % 0
-        await refused(whole, 503, 0.1)  # the workers are full
+        await refused(whole, 503, 0.1)  # all workers are full
         await refused(whole.replace(b"x-call-id", b"x-deadline-ms: 0\r\nx-call-id"), 503, 0.1)
-        await refused(whole[:-9], 408, 0.6)  # the head stays away
+        await refused(whole[:-9], 408, 0.6)  # the rest of the head never arrives
         late = (ASK % 9).replace(b"x-call-id", b"x-deadline-ms: 300\r\nx-call-id")
-        await refused(late + b"half", 408, 0.4)  # the body stays away
-        await refused(whole.replace(b"/o/x", b"/l/x"), 503, 0.1)  # no lots are taken
-        s.relay.unready = lambda: "no news"
+        await refused(late + b"half", 408, 0.4)  # the rest of the body never arrives
+        await refused(whole.replace(b"/o/x", b"/l/x"), 503, 0.1)  # there is no handler of jobs
+        scene.relay.unready = lambda: "no news"
         for path in (b"/o/x", b"/none"):
-            await refused((ASK % 9).replace(b"/o/x", path), 503, 0.1)  # before its body is read
-        s.relay.unready = lambda: ""
-        s.change(lambda m: m["pools"]["p"]["servers"].clear())
+            await refused(
+                (ASK % 9).replace(b"/o/x", path), 503, 0.1
+            )  # an edge that isn't ready answers before it has read the body
+        scene.relay.unready = lambda: ""
+        scene.change(lambda m: m["pools"]["p"]["servers"].clear())
         await refused(whole, 503, 0.1)  # there is no worker
 
     play({"w1": FULL, "w2": refusing("429 Slow", "X-Not-Run: 1")}, main, HeadLimits(300, 0.5, 1.0))
@@ -481,35 +486,35 @@
         writer.write(reply(head, b"whole body")[: -3 if n % 2 else -12])
         writer.close()
 
-    async def main(s: Scene) -> None:
+    async def main(scene: Scene) -> None:
         for _ in range(8):
-            assert (await s.ask("/i/x", x_deadline_ms="2000"))[:1] == (200,)
+            assert (await scene.ask("/i/x", x_deadline_ms="2000"))[:1] == (200,)
             await asyncio.sleep(2)
 
-    for turn in (cut, refusing("500 Oops"), refusing("200 OK"), refusing("503 Full")):
-        play({"w1": turn, "w2": well}, main)
+    for answer_play in (cut, refusing("500 Oops"), refusing("200 OK"), refusing("503 Full")):
+        play({"w1": answer_play, "w2": well}, main)
 
 
 def test_a_workers_own_failure_is_passed_on_when_nothing_is_left_to_try() -> None:
-    async def main(s: Scene) -> None:
-        assert (await s.ask("/i/x"))[0] == 500 and s.ran == [1, 1]
-        assert (await s.ask("/o/x"))[0] == 500 and sum(s.ran) == 3
+    async def main(scene: Scene) -> None:
+        assert (await scene.ask("/i/x"))[0] == 500 and scene.ran == [1, 1]
+        assert (await scene.ask("/o/x"))[0] == 500 and sum(scene.ran) == 3
 
     play({"w1": refusing("500 Oops"), "w2": refusing("500 Oops")}, main)
 
 
-def test_a_worker_that_answers_with_failures_is_avoided_and_told_to_others() -> None:
-    async def main(s: Scene) -> None:
-        while not s.workers[0].seen:
-            await s.ask("/o/x")
-        failed = s.ran[0]
+def test_a_worker_that_answers_with_failures_is_avoided_and_reported_to_others() -> None:
+    async def main(scene: Scene) -> None:
+        while not scene.workers[0].seen:
+            await scene.ask("/o/x")
+        failed = scene.ran[0]
         for _ in range(4):
-            assert (await s.ask("/o/x"))[0] == 200
-        assert s.ran[0] == failed
-        told = s.relay.workers.own_use()
-        assert told["w1"] == WorkerUse(failed=1) and told["w2"] == WorkerUse(answered=1)
-        await asyncio.sleep(s.relay.settings.bounds.exchange * OUTCOME_INTERVALS * 2)
-        assert s.relay.workers.own_use() == {}
+            assert (await scene.ask("/o/x"))[0] == 200
+        assert scene.ran[0] == failed
+        reported_use = scene.relay.workers.own_use()
+        assert reported_use["w1"] == WorkerUse(failed=1) and reported_use["w2"] == WorkerUse(answered=1)
+        await asyncio.sleep(scene.relay.settings.bounds.exchange * OUTCOME_INTERVALS * 2)
+        assert scene.relay.workers.own_use() == {}
 
     play({"w1": refusing("500 Oops"), "w2": well}, main)
 
@@ -518,10 +523,10 @@
     async def late(_w: Worker, n: int, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(reply(head.replace(b"c1", b"c0") if n == 1 else head))
 
-    async def main(s: Scene) -> None:
-        assert (await s.ask("/o/x"))[0] == 502
-        assert (await s.ask("/o/x"))[0] == 200
-        assert len(s.workers[0].writers) == 2
+    async def main(scene: Scene) -> None:
+        assert (await scene.ask("/o/x"))[0] == 502
+        assert (await scene.ask("/o/x"))[0] == 200
+        assert len(scene.workers[0].writers) == 2
 
     play({"w1": late}, main)
 
@@ -538,14 +543,14 @@
             await asyncio.sleep(0.01)
             writer.close()
 
-    async def main(s: Scene) -> None:
-        assert (await s.ask("/s/cut"))[2:] == (event(0) + event(1) + event(2), False)
-        assert (await s.ask("/s/whole"))[2:] == (event(0) + event(1) + event(2), True)
+    async def main(scene: Scene) -> None:
+        assert (await scene.ask("/s/cut"))[2:] == (event(0) + event(1) + event(2), False)
+        assert (await scene.ask("/s/whole"))[2:] == (event(0) + event(1) + event(2), True)
         reader, writer = await asyncio.open_connection("127.0.0.1", 2)
-        began = s.loop.clock
+        began = scene.loop.clock
         writer.write(b"POST /s/whole HTTP/1.1\r\nhost: shop.example\r\nx-call-id: c1\r\ncontent-length: 0\r\n\r\n")
         await reader.readuntil(b"id: 0")
-        assert s.loop.clock - began < 0.51
+        assert scene.loop.clock - began < 0.51
         writer.close()
         await asyncio.sleep(0.1)
 
@@ -565,27 +570,30 @@
             writer.write(chunk(event(n)))
         writer.write(b"0\r\n\r\n")
 
-    async def main(s: Scene) -> None:
-        s.change(lambda m: m["pools"]["p"]["servers"]["w2"].update(leave=True))
-        task = asyncio.create_task(s.ask("/r/x", x_prompt_prefix="a:5,b:6"))
+    async def main(scene: Scene) -> None:
+        scene.change(lambda m: m["pools"]["p"]["servers"]["w2"].update(leave=True))
+        task = asyncio.create_task(scene.ask("/r/x", x_prompt_prefix="a:5,b:6"))
         await asyncio.sleep(0.05)
-        s.change(lambda m: m["pools"]["p"]["servers"]["w2"].pop("leave"))
+        scene.change(lambda m: m["pools"]["p"]["servers"]["w2"].pop("leave"))
         status, head, body, whole = await task
         assert (status, head["x-seal"], body, whole) == (200, "s1", b"".join(map(event, range(5))), True)
-        assert word(s.workers[1].seen[0], "last-event-id") == "1" and word(s.workers[1].seen[0], "x-urgency") == "1"
+        assert (
+            word(scene.workers[1].seen[0], "last-event-id") == "1"
+            and word(scene.workers[1].seen[0], "x-urgency") == "1"
+        )
 
     play({"w1": broken, "w2": rest}, main)
 
 
-def test_a_run_that_begins_elsewhere_is_not_joined_on() -> None:
+def test_a_run_that_starts_at_another_event_is_not_joined() -> None:
     async def broken(_w: Worker, _n: int, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(opening(head) + chunk(event(0) + event(1)))
         await asyncio.sleep(0.1)
         writer.close()
 
-    async def main(s: Scene) -> None:
-        assert (await s.ask("/r/x"))[2:] == (event(0) + event(1), False)
-        assert s.ran == [1, 1]
+    async def main(scene: Scene) -> None:
+        assert (await scene.ask("/r/x"))[2:] == (event(0) + event(1), False)
+        assert scene.ran == [1, 1]
 
     play({"w1": broken, "w2": broken}, main)
 
@@ -599,28 +607,28 @@
     async def whole(_w: Worker, _n: int, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(opening(head).replace(b"s1", b"s2") + chunk(event(0)) + b"0\r\n\r\n")
 
-    async def main(s: Scene) -> None:
+    async def main(scene: Scene) -> None:
         for _ in range(4):
-            status, head, body, done = await s.ask("/r/x")
+            status, head, body, done = await scene.ask("/r/x")
             assert (status, head["x-seal"], body, done) == (200, "s2", event(0), True)
             await asyncio.sleep(2)
 
     play({"w1": empty, "w2": whole}, main)
 
 
-def test_a_client_that_goes_takes_its_request_along() -> None:
+def test_a_request_is_cancelled_when_its_client_disconnects() -> None:
     async def slow(w: Worker, _n: int, head: bytes, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(1)
         writer.write(reply(head))
 
-    async def main(s: Scene) -> None:
+    async def main(scene: Scene) -> None:
         _, writer = await asyncio.open_connection("127.0.0.1", 2)
         writer.write(b"POST /o/x HTTP/1.1\r\nhost: shop.example\r\nx-call-id: c1\r\ncontent-length: 0\r\n\r\n")
         await asyncio.sleep(0.2)
-        assert s.ran == [1] and s.relay.connections.busy("127.0.1.1:9") == 1
+        assert scene.ran == [1] and scene.relay.connections.busy("127.0.1.1:9") == 1
         writer.close()
         await asyncio.sleep(0.2)
-        assert s.relay.connections.busy("127.0.1.1:9") == 0
+        assert scene.relay.connections.busy("127.0.1.1:9") == 0
 
     play({"w1": slow}, main)
 
@@ -629,76 +637,78 @@
     async def silent(_w: Worker, _n: int, _head: bytes, _writer: asyncio.StreamWriter) -> None:
         return
 
-    async def main(s: Scene) -> None:
-        before = s.loop.clock
-        assert (await s.ask("/o/x", x_deadline_ms="800"))[0] == 504
-        assert 0.8 <= s.loop.clock - before < 1.2
+    async def main(scene: Scene) -> None:
+        before = scene.loop.clock
+        assert (await scene.ask("/o/x", x_deadline_ms="800"))[0] == 504
+        assert 0.8 <= scene.loop.clock - before < 1.2
 
     play({"w1": silent}, main)
 
 
 def test_leaving_evacuated_and_changed_workers_get_nothing() -> None:
-    async def main(s: Scene) -> None:
-        s.change(lambda m: m["pools"]["p"]["servers"]["w1"].update(leave=True))
-        assert (await s.ask("/o/x"))[0] == 200 and s.ran == [0, 1]
-        s.change(lambda m: m.update(evacuated=["a"]))
-        status, head, _, _ = await s.ask("/o/x")
-        assert status == 503 and "retry-after" in head and s.ran == [0, 1]
-        s.change(lambda m: (m.pop("evacuated"), m["pools"]["p"]["servers"]["w1"].pop("leave")))
-        # It leaves while the connection is being opened: nothing is written.
-        task = asyncio.create_task(s.ask("/o/deep/x"))
-        while not any(s.relay.connections.opened.values()):
+    async def main(scene: Scene) -> None:
+        scene.change(lambda m: m["pools"]["p"]["servers"]["w1"].update(leave=True))
+        assert (await scene.ask("/o/x"))[0] == 200 and scene.ran == [0, 1]
+        scene.change(lambda m: m.update(evacuated=["a"]))
+        status, head, _, _ = await scene.ask("/o/x")
+        assert status == 503 and "retry-after" in head and scene.ran == [0, 1]
+        scene.change(lambda m: (m.pop("evacuated"), m["pools"]["p"]["servers"]["w1"].pop("leave")))
+        # If the worker leaves while the connection is being opened, nothing is written.
+        task = asyncio.create_task(scene.ask("/o/deep/x"))
+        while not any(scene.relay.connections.opened.values()):
             await asyncio.sleep(0.00005)
-        s.change(lambda m: m["pools"]["p"]["servers"].clear())
+        scene.change(lambda m: m["pools"]["p"]["servers"].clear())
         assert (await task)[0] in (200, 503)
 
     play({"w1": well, "w2": well}, main)
 
 
-def test_late_answers_and_refusals_are_told() -> None:
+def test_late_answers_and_rejections_are_logged() -> None:
     async def stalls(_w: Worker, _n: int, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(opening(head) + chunk(event(0)))
         await asyncio.sleep(0.25)
         writer.write(chunk(event(1)) + b"0\r\n\r\n")
 
-    async def main(s: Scene) -> None:
-        s.change(lambda m: m["routes"]["stream"].update(gap=0.3))
+    async def main(scene: Scene) -> None:
+        scene.change(lambda m: m["routes"]["stream"].update(gap=0.3))
         log_events.RECENT.clear()
-        assert (await s.ask("/s/x"))[0] == 200
+        assert (await scene.ask("/s/x"))[0] == 200
         assert not [e for e in log_events.RECENT if e[0] == 172]
-        s.change(lambda m: m["routes"]["stream"].update(gap=0.2))
-        assert (await s.ask("/s/x", x_tokens="715,80"))[0] == 200
-        told = [text for number, text in log_events.RECENT if number == 172]
-        assert len(told) == 1 and "pause=0.25" in told[0] and "tokens=715,80" in told[0]
-        s.change(lambda m: m["pools"]["p"]["servers"].clear())
+        scene.change(lambda m: m["routes"]["stream"].update(gap=0.2))
+        assert (await scene.ask("/s/x", x_tokens="715,80"))[0] == 200
+        log_lines = [text for number, text in log_events.RECENT if number == 172]
+        assert len(log_lines) == 1 and "pause=0.25" in log_lines[0] and "tokens=715,80" in log_lines[0]
+        scene.change(lambda m: m["pools"]["p"]["servers"].clear())
         for _ in range(5):
-            assert (await s.ask("/s/x"))[0] == 503
+            assert (await scene.ask("/s/x"))[0] == 503
         assert len([e for e in log_events.RECENT if e[0] == 173]) == 1
         await asyncio.sleep(1)
-        assert (await s.ask("/s/x"))[0] == 503
+        assert (await scene.ask("/s/x"))[0] == 503
         assert [e for e in log_events.RECENT if e[0] == 173][-1][1].endswith(": 5}")
 
     play({"w1": stalls}, main)
 
 
 def test_a_cold_worker_gets_its_share_and_no_more() -> None:
-    async def main(s: Scene) -> None:
-        s.change(lambda m: (m["pools"]["p"].update(cold_rate=2.0), m["pools"]["p"]["servers"]["w1"].update(cold=True)))
+    async def main(scene: Scene) -> None:
+        scene.change(
+            lambda m: (m["pools"]["p"].update(cold_rate=2.0), m["pools"]["p"]["servers"]["w1"].update(cold=True))
+        )
         for _ in range(100):
-            assert (await s.ask("/o/x"))[0] == 200
+            assert (await scene.ask("/o/x"))[0] == 200
             await asyncio.sleep(0.05)
-        assert 0 < s.ran[0] <= 1 + 0.7 * 2 * 6 and s.ran[1] == 100 - s.ran[0]
+        assert 0 < scene.ran[0] <= 1 + 0.7 * 2 * 6 and scene.ran[1] == 100 - scene.ran[0]
 
     play({"w1": well, "w2": well}, main)
 
 
 def test_bodies_heads_and_slow_clients_are_bounded() -> None:
-    async def main(s: Scene) -> None:
-        s.change(lambda m: m.update(limits={"body_bytes": 10}))
-        assert (await s.ask("/o/x", b"x" * 10))[0] == 200
-        assert (await s.ask("/o/x", b"x" * 11))[0] == 413
-        assert (await s.ask("/o/x", x_long="y" * 400))[0] == 431
-        assert (await s.ask("/o/x", x_long="y" * 4000))[0] == 431
+    async def main(scene: Scene) -> None:
+        scene.change(lambda m: m.update(limits={"body_bytes": 10}))
+        assert (await scene.ask("/o/x", b"x" * 10))[0] == 200
+        assert (await scene.ask("/o/x", b"x" * 11))[0] == 413
+        assert (await scene.ask("/o/x", x_long="y" * 400))[0] == 431
+        assert (await scene.ask("/o/x", x_long="y" * 4000))[0] == 431
         reader, writer = await asyncio.open_connection("127.0.0.1", 2)
         writer.write(b"POST /o/x HTTP/1.1\r\nhost")
         assert (await read_answer(reader))[0] == 408
@@ -710,74 +720,77 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", 2)
             writer.write(chunked + chunk(b"x" * size) + b"0\r\n\r\n")
             assert (await read_answer(reader))[0] == status
-        assert s.ran == [2]
-        assert s.workers[0].seen[1].endswith(b"\r\n\r\nxxx") and word(s.workers[0].seen[1], "content-length") == "3"
+        assert scene.ran == [2]
+        assert (
+            scene.workers[0].seen[1].endswith(b"\r\n\r\nxxx")
+            and word(scene.workers[0].seen[1], "content-length") == "3"
+        )
 
     play({"w1": well}, main, HeadLimits(300, 0.5, 1.0))
 
 
-def test_one_that_leaves_says_so_on_its_answers() -> None:
-    async def main(s: Scene) -> None:
-        assert "connection" not in (await s.ask("/o/x"))[1]
-        s.relay.leaving = True
-        assert (await s.ask("/o/x"))[1]["connection"] == "close"
-        assert (await s.ask("/none"))[1]["connection"] == "close"
+def test_a_leaving_edge_sends_connection_close_with_its_answers() -> None:
+    async def main(scene: Scene) -> None:
+        assert "connection" not in (await scene.ask("/o/x"))[1]
+        scene.relay.leaving = True
+        assert (await scene.ask("/o/x"))[1]["connection"] == "close"
+        assert (await scene.ask("/none"))[1]["connection"] == "close"
 
     play({"w1": well}, main)
 
 
-def test_readiness_is_told_at_any_path_that_ends_so() -> None:
+def test_readiness_is_reported_at_any_path_that_ends_with_ready() -> None:
     async def world(loop: SimLoop) -> list[int]:
-        here = loop.add(Host("e", ("127.0.0.1",), "a"))
-        good = [True]
-        task = loop.create_task(serve_ready("127.0.0.1:3", lambda: good[0]), context=here.context())
+        edge_host = loop.add(Host("e", ("127.0.0.1",), "a"))
+        is_ready = [True]
+        task = loop.create_task(serve_ready("127.0.0.1:3", lambda: is_ready[0]), context=edge_host.context())
         await asyncio.sleep(0.01)
 
         async def ask(path: str) -> int:
             reader, writer = await asyncio.open_connection("127.0.0.1", 3)
             writer.write(f"GET {path} HTTP/1.1\r\nhost: x\r\n\r\n".encode())
-            got = (await read_answer(reader))[0]
+            status = (await read_answer(reader))[0]
             writer.close()
-            return got
+            return status
 
         async def main() -> list[int]:
-            out = [await ask("/-/ready"), await ask("/ready"), await ask("/other")]
-            good[0] = False
-            return [*out, await ask("/-/ready")]
+            statuses = [await ask("/-/ready"), await ask("/ready"), await ask("/other")]
+            is_ready[0] = False
+            return [*statuses, await ask("/-/ready")]
 
-        got = await loop.create_task(main(), context=here.context())
+        result = await loop.create_task(main(), context=edge_host.context())
         task.cancel()
-        return got
+        return result
 
     assert run_sim(world) == [200, 200, 404, 503]
 
 
 def test_the_data_plane_of_an_announced_fleet_relays() -> None:
     async def world(loop: SimLoop) -> None:
-        here = loop.add(Host("e", ("127.0.0.1",), "a"))
+        edge_host = loop.add(Host("e", ("127.0.0.1",), "a"))
         settings = Settings(
             "e", "a", "127.0.0.1:1", "127.0.0.1:2", ("127.0.0.8:1",), ("edge",), announce=True, ready="127.0.0.1:3",
             bounds=Bounds(grace=8.0),
         )  # fmt: skip
         worker = Worker("w1", well)
-        there = loop.add(Host("w1", ("127.0.1.1",), "a"))
-        await loop.create_task(asyncio.start_server(worker.take, "127.0.1.1", 9), context=there.context())  # type: ignore[arg-type]
+        worker_host = loop.add(Host("w1", ("127.0.1.1",), "a"))
+        await loop.create_task(asyncio.start_server(worker.take, "127.0.1.1", 9), context=worker_host.context())  # type: ignore[arg-type]
         data = DataPlane(settings, Environment())
         data.configuration_view.accept(1, manifest(["w1"]))
-        task = loop.create_task(data.run(), context=here.context())
+        task = loop.create_task(data.run(), context=edge_host.context())
 
         async def ask(path: str, port: int = 2) -> tuple[int, Head, bytes, bool]:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(f"GET {path} HTTP/1.1\r\nhost: shop.example\r\nx-call-id: c1\r\n\r\n".encode())
-            got = await read_answer(reader)
+            response = await read_answer(reader)
             writer.close()
-            return got
+            return response
 
         async def main() -> None:
             await asyncio.sleep(0.1)
             assert (await ask("/i/x"))[0] == 503 and (await ask("/x/ready", 3))[0] == 503
             data.configuration_view.fresh = True
-            # Control doesn't know this process yet, so the others don't count it.
+            # Control doesn't know this process yet, so the other edges don't count it.
             assert (await ask("/i/x"))[0] == 503 and (await ask("/x/ready", 3))[0] == 503
             known = manifest(["w1"])
             known["machines"]["e"]["born"] = data.incarnation
@@ -786,29 +799,29 @@
             assert (await ask("/health"))[0] == 200 and (await ask("/none"))[0] == 404
             data.stop.set()
             await asyncio.sleep(0.1)
-            # Not ready at once, but it goes on serving until nobody passes new connections on.
+            # It reports at once that it isn't ready, but goes on serving until no new connections are sent to it.
             assert (await ask("/x/ready", 3))[0] == 503
             await asyncio.sleep(2.0)
-            got = await ask("/i/x")
-            assert got[0] == 200 and got[1]["connection"] == "close"
+            response = await ask("/i/x")
+            assert response[0] == 200 and response[1]["connection"] == "close"
             await asyncio.wait_for(task, 6)
 
-        await loop.create_task(main(), context=here.context())
+        await loop.create_task(main(), context=edge_host.context())
 
     run_sim(world)
 
 
 @pytest.mark.parametrize("known", [False, True], ids=["no configuration", "not fresh"])
-def test_an_edge_told_to_end_before_it_is_ready_sends_clients_elsewhere(known: bool) -> None:
+def test_an_edge_that_is_stopped_before_it_is_ready_answers_503(known: bool) -> None:
     async def world(loop: SimLoop) -> None:
-        here = loop.add(Host("e", ("127.0.0.1",), "a"))
+        edge_host = loop.add(Host("e", ("127.0.0.1",), "a"))
         settings = Settings(
             "e", "a", "127.0.0.1:1", "127.0.0.1:2", ("127.0.0.8:1",), ("edge",), announce=True, bounds=Bounds(grace=8.0)
         )
         data = DataPlane(settings, Environment())
         if known:
             data.configuration_view.accept(1, manifest(["w1"]))
-        task = loop.create_task(data.run(), context=here.context())
+        task = loop.create_task(data.run(), context=edge_host.context())
 
         async def main() -> None:
             await asyncio.sleep(0.1)
@@ -821,42 +834,42 @@
             assert status == 503 and "retry-after" in heads
             await asyncio.wait_for(task, 6)
 
-        await loop.create_task(main(), context=here.context())
+        await loop.create_task(main(), context=edge_host.context())
 
     run_sim(world)
 
 
-def test_a_stream_is_taken_up_elsewhere_when_its_worker_goes_dark_and_not_when_it_only_stalls() -> None:
+def test_a_stream_continues_elsewhere_if_its_worker_dies_silently_but_not_if_it_only_stalls() -> None:
     async def long(_w: Worker, _n: int, head: bytes, writer: asyncio.StreamWriter) -> None:
         at = int(word(head, "last-event-id") or -1) + 1
         writer.write(opening(head))
         for n in range(at, 20):
             writer.write(chunk(event(n)))
-            # One long pause, as while a long prompt is read.
+            # One long pause, as while a worker processes a long prompt.
             await asyncio.sleep(0.5 if n == 3 else 0.05)
         writer.write(b"0\r\n\r\n")
 
     for dark in (True, False):
 
-        async def main(s: Scene, dark: bool = dark) -> None:
-            s.change(lambda m: m["routes"]["resume"].update(gap=0.3))
-            tasks = [asyncio.create_task(s.ask("/r/x", x_call_id=f"c{i}")) for i in range(8)]
+        async def main(scene: Scene, dark: bool = dark) -> None:
+            scene.change(lambda m: m["routes"]["resume"].update(gap=0.3))
+            tasks = [asyncio.create_task(scene.ask("/r/x", x_call_id=f"c{i}")) for i in range(8)]
             await asyncio.sleep(0.7)
             if dark:
-                s.loop.kill(s.hosts[0], silent=True)
-            began = s.loop.clock
+                scene.loop.kill(scene.hosts[0], silent=True)
+            began = scene.loop.clock
             for task in tasks:
                 status, _, body, whole = await task
                 assert (status, body, whole) == (200, b"".join(map(event, range(20))), True)
-            assert s.loop.clock - began < 1.5
-            first, second = s.ran
+            assert scene.loop.clock - began < 1.5
+            first, second = scene.ran
             assert first + second == 8 + (first if dark else 0) and 0 < first < 8
             if dark:
-                # It is left alone for a while; then one at a time is tried there.
-                before = s.loop.clock
+                # The dead worker is avoided for a while; then one request at a time is tried there.
+                before = scene.loop.clock
                 for _ in range(10):
-                    assert (await s.ask("/i/x"))[0] == 200
-                assert s.loop.clock - before < 0.5
+                    assert (await scene.ask("/i/x"))[0] == 200
+                assert scene.loop.clock - before < 0.5
 
         async def both(w: Worker, n: int, head: bytes, writer: asyncio.StreamWriter) -> None:
             await (long if b"/r/" in head else well)(w, n, head, writer)
@@ -864,17 +877,17 @@
         play({"w1": both, "w2": both}, main)
 
 
-def test_one_that_hears_nobody_gives_up_nothing_for_it() -> None:
+def test_an_edge_cut_off_from_all_workers_gives_up_no_exchange() -> None:
     async def slow(_w: Worker, _n: int, head: bytes, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(0.6)
         writer.write(reply(head))
 
-    async def main(s: Scene) -> None:
-        task = asyncio.create_task(s.ask("/i/x"))
+    async def main(scene: Scene) -> None:
+        task = asyncio.create_task(scene.ask("/i/x"))
         await asyncio.sleep(0.1)
-        s.loop.net.cuts |= {pair for host in s.hosts for pair in (("e", host.name), (host.name, "e"))}
+        scene.loop.net.cuts |= {pair for host in scene.hosts for pair in (("e", host.name), (host.name, "e"))}
         await asyncio.sleep(0.6)
-        s.loop.net.cuts.clear()
-        assert (await task)[0] == 200 and sum(s.ran) == 1
+        scene.loop.net.cuts.clear()
+        assert (await task)[0] == 200 and sum(scene.ran) == 1
 
     play({"w1": slow, "w2": slow}, main)
--- a/tests/gateway/test_response_check.py
+++ b/tests/gateway/test_response_check.py
@@ -1,4 +1,4 @@
-"""What the head of a worker's answer proves."""
+"""Tests what the head of a worker's answer proves."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("status", sorted(NOT_RUN_STATUSES - {421}))
-def test_a_refusal_needs_the_word_that_it_did_not_run(status: int) -> None:
+def test_a_rejection_needs_the_header_that_it_did_not_run(status: int) -> None:
     assert proof(status, NOT_RUN) is Proof.NOT_RUN and proof(status) is Proof.NONE
 
 
--- a/tests/gateway/test_upstream_connection.py
+++ b/tests/gateway/test_upstream_connection.py
@@ -1,4 +1,4 @@
-"""Requests to stand-in workers on the simulated loop: what is proved about each, and which connections are kept."""
+"""Tests requests to simulated workers on the simulated loop: what is proved about each, and which connections are kept."""
 
 from __future__ import annotations
 
@@ -10,11 +10,13 @@
 from postpass.runtime.errors import FaultError
 from sim.loop import Host, SimLoop, run_sim
 
-Play = Callable[[int, int, bytes, asyncio.StreamWriter], Awaitable[None]]  # connection, request on it, head
+Play = Callable[
+    [int, int, bytes, asyncio.StreamWriter], Awaitable[None]
+]  # number of the connection, number of the request on it, head, writer
 
 
 class Worker:
-    """Plays an answer to each request; counts connections and requests."""
+    """A simulated worker: answers each request by `play`, counts connections, and stores the heads of requests."""
 
     def __init__(self, play: Play) -> None:
         self.play = play
@@ -26,37 +28,39 @@
 
     async def take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
-        mine = self.connections
+        own_number = self.connections
         count = 0
         try:
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
                 count += 1
                 self.heads.append(head)
-                await self.play(mine, count, head, writer)
+                await self.play(own_number, count, head, writer)
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
 
 
 def run(play: Play, main: Callable[[ConnectionPool, SimLoop, Worker], Awaitable[Any]]) -> Any:
     async def world(loop: SimLoop) -> Any:
-        there, here = loop.add(Host("w", ("w",), "a")), loop.add(Host("e", ("e",), "a"))
+        worker_host, edge_host = loop.add(Host("w", ("w",), "a")), loop.add(Host("e", ("e",), "a"))
         worker = Worker(play)
-        await loop.create_task(worker.serve(), context=there.context())
-        return await loop.create_task(main(ConnectionPool(), loop, worker), context=here.context())  # type: ignore[arg-type]
+        await loop.create_task(worker.serve(), context=worker_host.context())
+        return await loop.create_task(main(ConnectionPool(), loop, worker), context=edge_host.context())  # type: ignore[arg-type]
 
     return run_sim(world)
 
 
-async def ask(links: ConnectionPool, gate: str = "", limit: float = 5.0, method: str = "GET", addr: str = "w:1") -> Any:
-    """The body; else the fault's step, and whether it is proved that no byte left."""
+async def ask(
+    pool: ConnectionPool, objection: str = "", limit: float = 5.0, method: str = "GET", addr: str = "w:1"
+) -> Any:
+    """Sends a request. Returns status and body, or the fault's step and whether it is proved that no byte was sent."""
     try:
-        ex = await links.request(
-            addr, method, b"/a%2fb?x", [(b"host", b"h")], b"", admission_check=lambda: gate, limit=limit
+        exchange = await pool.request(
+            addr, method, b"/a%2fb?x", [(b"host", b"h")], b"", admission_check=lambda: objection, limit=limit
         )
-        return ex.status, await ex.read()
-    except FaultError as bad:
-        return bad.fault.step, bad.fault.unsent
+        return exchange.status, await exchange.read()
+    except FaultError as error:
+        return error.fault.step, error.fault.unsent
 
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -67,26 +71,26 @@
 
 
 def test_one_connection_serves_many_requests_and_the_target_stays_raw() -> None:
-    async def main(links: ConnectionPool, _loop: SimLoop, worker: Worker) -> None:
+    async def main(pool: ConnectionPool, _loop: SimLoop, worker: Worker) -> None:
         for _ in range(5):
-            assert await ask(links) == (200, b"ok")
-        assert worker.connections == 1 and links.connections_opened == 1 and links.requests_sent == 5
+            assert await ask(pool) == (200, b"ok")
+        assert worker.connections == 1 and pool.connections_opened == 1 and pool.requests_sent == 5
         assert worker.heads[0] == b"GET /a%2fb?x HTTP/1.1\r\nhost: h\r\n\r\n"
-        assert links.busy("w:1") == 0
-        await asyncio.gather(*(ask(links) for _ in range(3)))
+        assert pool.busy("w:1") == 0
+        await asyncio.gather(*(ask(pool) for _ in range(3)))
         assert worker.connections == 3
 
     run(well, main)
 
 
-def test_refused_and_gated_requests_left_no_byte() -> None:
-    async def main(links: ConnectionPool, _loop: SimLoop, worker: Worker) -> None:
-        assert await ask(links, addr="w:2") == ("connect", True)
-        assert await ask(links, addr="nobody:2") == ("connect", True)
-        assert links.opened == {} and links.idle == {}
-        assert await ask(links, gate="it leaves") == ("gate", True)
+def test_without_a_connection_or_admission_no_byte_is_sent() -> None:
+    async def main(pool: ConnectionPool, _loop: SimLoop, worker: Worker) -> None:
+        assert await ask(pool, addr="w:2") == ("connect", True)
+        assert await ask(pool, addr="nobody:2") == ("connect", True)
+        assert pool.opened == {} and pool.idle == {}
+        assert await ask(pool, objection="it leaves") == ("gate", True)
         # The connection that was opened for it is kept.
-        assert await ask(links) == (200, b"ok") and worker.connections == 1 and len(worker.heads) == 1
+        assert await ask(pool) == (200, b"ok") and worker.connections == 1 and len(worker.heads) == 1
 
     run(well, main)
 
@@ -96,17 +100,17 @@
         await asyncio.sleep(1)
         writer.write(OK)
 
-    async def main(links: ConnectionPool, _loop: SimLoop, worker: Worker) -> None:
-        def go() -> Any:
-            return links.request("w:1", "GET", b"/", [], b"", admission_check=lambda: "", limit=5, max_connections=2)
+    async def main(pool: ConnectionPool, _loop: SimLoop, worker: Worker) -> None:
+        def send_request() -> Any:
+            return pool.request("w:1", "GET", b"/", [], b"", admission_check=lambda: "", limit=5, max_connections=2)
 
-        got = await asyncio.gather(go(), go(), go(), return_exceptions=True)
-        assert [isinstance(g, FaultError) and g.fault.unsent for g in got] == [False, False, True]
+        results = await asyncio.gather(send_request(), send_request(), send_request(), return_exceptions=True)
+        assert [isinstance(g, FaultError) and g.fault.unsent for g in results] == [False, False, True]
 
     run(slow, main)
 
 
-def test_cut_answers_raise_and_never_look_whole() -> None:
+def test_cut_answers_raise_and_never_look_complete() -> None:
     parts = [
         b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
@@ -122,11 +126,11 @@
         await asyncio.sleep(0.1)
         writer.close()
 
-    async def main(links: ConnectionPool, _loop: SimLoop, worker: Worker) -> None:
-        got = [await ask(links) for _ in parts]
-        # One without a length has no end that could be told from a cut: it is none from its head on.
-        assert got == [("body", False)] * 2 + [("head", False)] * 4 + [("body", False)]
-        assert links.opened == {} and worker.connections == len(parts)
+    async def main(pool: ConnectionPool, _loop: SimLoop, worker: Worker) -> None:
+        results = [await ask(pool) for _ in parts]
+        # Without a length, the end of an answer can't be told from a cut, so it is rejected by its head.
+        assert results == [("body", False)] * 2 + [("head", False)] * 4 + [("body", False)]
+        assert pool.opened == {} and worker.connections == len(parts)
 
     run(play, main)
 
@@ -140,20 +144,20 @@
         await asyncio.sleep(0.5)
         writer.close()
 
-    async def main(links: ConnectionPool, loop: SimLoop, _worker: Worker) -> None:
-        ex = await links.request("w:1", "GET", b"/", [], b"", admission_check=lambda: "", limit=5)
+    async def main(pool: ConnectionPool, loop: SimLoop, _worker: Worker) -> None:
+        exchange = await pool.request("w:1", "GET", b"/", [], b"", admission_check=lambda: "", limit=5)
         seen = []
         try:
-            async for piece in ex.chunks():
+            async for piece in exchange.chunks():
                 seen.append((piece, round(loop.clock, 1)))
-        except FaultError as bad:
-            seen.append((bad.fault.step.encode(), round(loop.clock, 1)))
+        except FaultError as error:
+            seen.append((error.fault.step.encode(), round(loop.clock, 1)))
         assert seen == [(b"one", 0.5), (b"two", 1.0), (b"body", 1.5)]
 
     run(play, main)
 
 
-def test_surplus_bytes_close_the_connection_and_belong_to_nobody() -> None:
+def test_surplus_bytes_close_the_connection_and_are_discarded() -> None:
     async def play(c: int, _n: int, _head: bytes, writer: asyncio.StreamWriter) -> None:
         if c == 1:
             writer.write(OK + b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate")
@@ -166,56 +170,56 @@
         else:
             writer.write(OK)
 
-    async def main(links: ConnectionPool, _loop: SimLoop, worker: Worker) -> None:
+    async def main(pool: ConnectionPool, _loop: SimLoop, worker: Worker) -> None:
         for n in range(1, 4):
-            assert await ask(links) == (200, b"ok") and worker.connections == n
+            assert await ask(pool) == (200, b"ok") and worker.connections == n
             await asyncio.sleep(0.3)
-        assert await ask(links) == (200, b"ok") and worker.connections == 4
-        assert await ask(links) == (200, b"ok") and worker.connections == 4
+        assert await ask(pool) == (200, b"ok") and worker.connections == 4
+        assert await ask(pool) == (200, b"ok") and worker.connections == 4
 
     run(play, main)
 
 
-def test_connections_are_not_used_past_what_the_worker_says() -> None:
+def test_idle_connections_are_not_used_longer_than_the_worker_allows() -> None:
     async def play(c: int, _n: int, _head: bytes, writer: asyncio.StreamWriter) -> None:
         more = {1: b"Keep-Alive: timeout=4\r\n", 2: b"Connection: close\r\n"}.get(c, b"")
         writer.write(b"HTTP/1.1 200 OK\r\n" + more + b"Content-Length: 2\r\n\r\nok")
 
-    async def main(links: ConnectionPool, _loop: SimLoop, worker: Worker) -> None:
+    async def main(pool: ConnectionPool, _loop: SimLoop, worker: Worker) -> None:
         used = []
         for pause in (0, 2.5, 3.5, 0.1, 0.1, 0.6):
             await asyncio.sleep(pause)
-            assert await ask(links) == (200, b"ok")
+            assert await ask(pool) == (200, b"ok")
             used.append(worker.connections)
         assert used == [1, 1, 2, 3, 3, 4]
 
     run(play, main)
 
 
-def test_a_kept_connection_that_breaks_is_no_proof() -> None:
+def test_a_reused_connection_that_breaks_does_not_prove_that_nothing_was_sent() -> None:
     async def play(_c: int, n: int, _head: bytes, writer: asyncio.StreamWriter) -> None:
         if n == 2:
             writer.close()
         else:
             writer.write(OK)
 
-    async def main(links: ConnectionPool, _loop: SimLoop, _worker: Worker) -> None:
-        assert await ask(links) == (200, b"ok")
-        assert await ask(links) == ("head", False)
+    async def main(pool: ConnectionPool, _loop: SimLoop, _worker: Worker) -> None:
+        assert await ask(pool) == (200, b"ok")
+        assert await ask(pool) == ("head", False)
 
     run(play, main)
 
 
-def test_silence_ends_at_the_limit_and_a_reader_that_leaves_breaks_off() -> None:
+def test_a_silent_exchange_ends_at_the_limit_and_closing_one_aborts_it() -> None:
     async def play(_c: int, _n: int, _head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
 
-    async def main(links: ConnectionPool, loop: SimLoop, _worker: Worker) -> None:
-        assert await ask(links, limit=2.0) == ("body", False) and round(loop.clock, 1) == 2.0
-        ex = await links.request("w:1", "GET", b"/", [], b"", admission_check=lambda: "", limit=5)
-        ex.close()
-        assert links.opened == {} and await ex.next_chunk() == b"half"
-        task = asyncio.create_task(ask(links))
+    async def main(pool: ConnectionPool, loop: SimLoop, _worker: Worker) -> None:
+        assert await ask(pool, limit=2.0) == ("body", False) and round(loop.clock, 1) == 2.0
+        exchange = await pool.request("w:1", "GET", b"/", [], b"", admission_check=lambda: "", limit=5)
+        exchange.close()
+        assert pool.opened == {} and await exchange.next_chunk() == b"half"
+        task = asyncio.create_task(ask(pool))
         await asyncio.sleep(1)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
@@ -223,7 +227,7 @@
     run(play, main)
 
 
-def test_a_slow_reader_holds_the_worker_up() -> None:
+def test_a_slow_reader_pauses_the_worker() -> None:
     size = 3 << 20
 
     async def play(_c: int, _n: int, _head: bytes, writer: asyncio.StreamWriter) -> None:
@@ -232,12 +236,12 @@
             writer.write(b"x" * 4096)
             await writer.drain()
 
-    async def main(links: ConnectionPool, _loop: SimLoop, _worker: Worker) -> None:
-        ex = await links.request("w:1", "GET", b"/", [], b"", admission_check=lambda: "", limit=50)
+    async def main(pool: ConnectionPool, _loop: SimLoop, _worker: Worker) -> None:
+        exchange = await pool.request("w:1", "GET", b"/", [], b"", admission_check=lambda: "", limit=50)
         await asyncio.sleep(5)
-        assert ex._buffered_bytes < 1 << 20
-        assert len(await ex.read()) == size
-        assert await ask(links, limit=50) != ("head", False)
+        assert exchange._buffered_bytes < 1 << 20
+        assert len(await exchange.read()) == size
+        assert await ask(pool, limit=50) != ("head", False)
 
     run(play, main)
 
@@ -251,74 +255,74 @@
         else:
             writer.write(b"HTTP/1.1 100 Continue\r\nx: y\r\n\r\n" + OK)
 
-    async def main(links: ConnectionPool, _loop: SimLoop, _worker: Worker) -> None:
-        assert await ask(links) == (200, b"ok")
-        assert await ask(links, method="HEAD") == (200, b"")
-        assert await ask(links, method="PUT") == ("head", False)
-        ex = await links.request("w:1", "GET", b"/", [], b"", admission_check=lambda: "", limit=5)
-        assert ex.headers == [(b"content-length", b"2")]
+    async def main(pool: ConnectionPool, _loop: SimLoop, _worker: Worker) -> None:
+        assert await ask(pool) == (200, b"ok")
+        assert await ask(pool, method="HEAD") == (200, b"")
+        assert await ask(pool, method="PUT") == ("head", False)
+        exchange = await pool.request("w:1", "GET", b"/", [], b"", admission_check=lambda: "", limit=5)
+        assert exchange.headers == [(b"content-length", b"2")]
 
     run(play, main)
 
 
 def test_an_answer_to_another_request_closes_its_connection() -> None:
     async def play(c: int, _n: int, _head: bytes, writer: asyncio.StreamWriter) -> None:
-        mine = b"one" if c > 1 else b"two"
-        writer.write(b"HTTP/1.1 200 OK\r\nX-Id: " + mine + b"\r\nContent-Length: 2\r\n\r\nok" * c)
+        answer_id = b"one" if c > 1 else b"two"
+        writer.write(b"HTTP/1.1 200 OK\r\nX-Id: " + answer_id + b"\r\nContent-Length: 2\r\n\r\nok" * c)
 
-    async def main(links: ConnectionPool, _loop: SimLoop, worker: Worker) -> None:
+    async def main(pool: ConnectionPool, _loop: SimLoop, worker: Worker) -> None:
         for n in (1, 2):
             try:
-                ex = await links.request(
+                exchange = await pool.request(
                     "w:1", "GET", b"/", [], b"", admission_check=lambda: "", limit=5, expect=(b"x-id", b"one")
                 )
-                assert n == 2 and ex.status == 200 and links.idle == {}
-            except FaultError as bad:
-                assert n == 1 and not bad.fault.unsent and links.opened == {}
+                assert n == 2 and exchange.status == 200 and pool.idle == {}
+            except FaultError as error:
+                assert n == 1 and not error.fault.unsent and pool.opened == {}
         assert worker.connections == 2
 
     run(play, main)
 
 
-def test_a_connection_is_given_up_after_some_times_what_one_usually_takes() -> None:
-    async def main(links: ConnectionPool, loop: SimLoop, _worker: Worker) -> None:
-        async def took() -> float:
+def test_connecting_is_abandoned_after_a_multiple_of_the_usual_time() -> None:
+    async def main(pool: ConnectionPool, loop: SimLoop, _worker: Worker) -> None:
+        async def seconds_to_fail() -> float:
             began = loop.clock
-            assert await ask(links, addr="gone:1") == ("connect", True)
+            assert await ask(pool, addr="gone:1") == ("connect", True)
             return loop.clock - began
 
         loop.kill(loop.add(Host("gone", ("gone",), "a")), silent=True)
-        assert abs(await took() - links.connect) < 0.01
-        assert await ask(links) == (200, b"ok")
-        assert 0.03 < await took() < 0.05
-        # Far workers, or a slow machine: what is usual there counts.
+        assert abs(await seconds_to_fail() - pool.connect) < 0.01
+        assert await ask(pool) == (200, b"ok")
+        assert 0.03 < await seconds_to_fail() < 0.05
+        # With distant workers or a slow machine, the usual time there applies.
         loop.net.near = 0.01
-        for link in list(links.opened["w:1"]):
+        for link in list(pool.opened["w:1"]):
             link.drop()
-        assert await ask(links) == (200, b"ok")
-        assert 0.15 < await took() < 0.25
+        assert await ask(pool) == (200, b"ok")
+        assert 0.15 < await seconds_to_fail() < 0.25
 
     run(well, main)
 
 
 def test_connections_are_closed_in_the_order_in_which_they_were_opened() -> None:
-    """Not in that of their addresses in memory, which differs from run to run."""
+    """The order must not depend on the connections' addresses in memory, which differ from run to run."""
 
     async def silent(_c: int, _n: int, _head: bytes, _writer: asyncio.StreamWriter) -> None:
         return None
 
-    async def main(links: ConnectionPool, _loop: SimLoop, _worker: Worker) -> None:
+    async def main(pool: ConnectionPool, _loop: SimLoop, _worker: Worker) -> None:
         closed: list[int] = []
 
         async def one(number: int) -> None:
-            assert await ask(links) == ("close", False)
+            assert await ask(pool) == ("close", False)
             closed.append(number)
 
-        others = [object() for _ in range(1000)]  # holes between them are where connections may come to stand
+        others = [object() for _ in range(1000)]  # the gaps between them are places in memory for connections
         del others[::3]
         tasks = [asyncio.create_task(one(number)) for number in range(40)]
         await asyncio.sleep(0.5)
-        links.close()
+        pool.close()
         await asyncio.gather(*tasks)
         assert closed == list(range(40))
 
--- a/tests/gateway/test_worker_health.py
+++ b/tests/gateway/test_worker_health.py
@@ -1,11 +1,11 @@
-"""What an edge remembers of a worker by its own requests."""
+"""Tests what an edge records about a worker from its own requests."""
 
 from __future__ import annotations
 
 from postpass.gateway.worker_health import MIN_AVOID_SECONDS, MIN_SILENT_AVOID_SECONDS, WorkerHealth
 
 
-def test_the_last_outcome_is_told_for_a_while_and_then_forgotten() -> None:
+def test_the_last_outcome_is_reported_for_a_while_and_then_forgotten() -> None:
     health = WorkerHealth()
     assert health.outcome(5.0, 1.0) == (0, 0)
     health.record_answer(5.0, 0.02)
--- a/tests/gateway/test_worker_load.py
+++ b/tests/gateway/test_worker_load.py
@@ -14,8 +14,8 @@
 
 def test_quotas_add_up_to_the_bound() -> None:
     for total in range(1, 40):
-        for many in range(1, 12):
-            assert sum(share_of(total, r + 5, many) for r in range(many)) == total
+        for shares in range(1, 12):
+            assert sum(share_of(total, r + 5, shares) for r in range(shares)) == total
 
 
 def test_a_report_goes_between_daemons_by_the_keys_that_older_releases_read() -> None:
@@ -27,7 +27,7 @@
     assert report_from_json(raw) == report
 
 
-def test_a_fresh_worker_has_little_room_and_a_barred_one_none() -> None:
+def test_a_starting_worker_has_few_usable_slots_and_a_barred_one_none() -> None:
     from tests.support.sample_configuration import small_configuration
 
     async def run() -> None:
