--- a/postpass/gateway/connection_pool.py
+++ b/postpass/gateway/connection_pool.py
@@ -80,11 +80,11 @@
         self.connections_opened += 1
         loop = asyncio.get_running_loop()
         started_at = loop.time()
-        connect_timeout = self.connect
+        attempt_timeout = self.connect
         if self.usual_seconds:
-            connect_timeout = min(self.connect, max(MIN_CONNECT_TIMEOUT, self.usual_seconds * CONNECT_TIMEOUT_FACTOR))
+            attempt_timeout = min(self.connect, max(MIN_CONNECT_TIMEOUT, self.usual_seconds * CONNECT_TIMEOUT_FACTOR))
         try:
-            async with asyncio.timeout(min(limit, connect_timeout)):
+            async with asyncio.timeout(min(limit, attempt_timeout)):
                 await loop.create_connection(lambda: connection, host, port)
             self.usual_seconds = max(loop.time() - started_at, self.usual_seconds * USUAL_DECAY)
         except (OSError, TimeoutError) as error:
--- a/postpass/gateway/relay.py
+++ b/postpass/gateway/relay.py
@@ -37,9 +37,8 @@
 from postpass.runtime.log_events import Event
 from postpass.tenants.rate_limit import RateLimit
 
-JobHandler = Callable[
-    [str, Route, str, Scope, Receive, Send], Awaitable[None]
-]  # handles a request of a job route: route name, route, tenant's name, and the ASGI arguments
+# Handles a request of a job route. Parameters: the route's name, the route, the tenant's name, the ASGI arguments.
+JobHandler = Callable[[str, Route, str, Scope, Receive, Send], Awaitable[None]]
 
 MAX_REFUSAL_BYTES = 64 << 10  # of a rejection's body that are read, so that its connection can be kept
 DEADLINE_SLACK = 0.2  # seconds after the deadline in which the worker's own answer about it may arrive
@@ -71,7 +70,7 @@
         self.names = HeaderNames(dialect)
         self.fallback: ASGIApp = self.not_found  # serves requests that match no route
         self.connections = ConnectionPool(connect=settings.bounds.leave / 8, silence=settings.bounds.leave * 1.5)
-        self.leaving = False
+        self.leaving = False  # set when this edge is about to shut down
         self.unready: Callable[[], str] = lambda: ""  # returns why this edge can't serve clients yet; empty if it can
         self.job_handler: JobHandler | None = None
         self.clients = ClientKeys(configuration_view)
