--- a/postpass/daemon/data_plane.py
+++ b/postpass/daemon/data_plane.py
@@ -18,12 +18,12 @@
 from postpass.daemon.process import HTTP_PROTOCOL, Daemon, Task
 from postpass.gateway.connection_pool import ConnectionPool
 from postpass.gateway.gateway import Gateway
-from postpass.gateway.http_server import HeadLimits, limited_protocol, serve_ready
+from postpass.gateway.http_server import ConnectionLimits, limited_protocol, serve_ready
 from postpass.gateway.load_exchange import LoadExchange
 from postpass.gateway.relay import Relay
 from postpass.gateway.worker_load import WorkerLoad
 from postpass.replication.store import Store
-from postpass.routing.load_picture import LoadReport, summed
+from postpass.routing.load_picture import LoadReport, sum_reports
 from postpass.rpc.codec import RELEASE, Body, PeerResponse
 from postpass.rpc.peer_links import PeerLinks
 from postpass.runtime.environment import Environment
@@ -141,7 +141,7 @@
         """What this process has at each worker."""
         edge = self.relay.workers.own_use() if self.relay is not None else {}
         scheduler = self.scheduler.own_use() if self.scheduler is not None else {}
-        return summed([edge, scheduler]) if edge and scheduler else edge or scheduler
+        return sum_reports([edge, scheduler]) if edge and scheduler else edge or scheduler
 
     def others_of_edge(self) -> LoadReport | None:
         """What there is at the workers besides what the edge of this process has; None if that is not known."""
@@ -149,7 +149,7 @@
         if exchange is None or not exchange.is_fresh:
             return None
         scheduler = self.scheduler.own_use() if self.scheduler is not None else {}
-        return summed([exchange.others, scheduler]) if scheduler else exchange.others
+        return sum_reports([exchange.others, scheduler]) if scheduler else exchange.others
 
     def others_of_scheduler(self) -> LoadReport | None:
         """What there is at the workers besides what the scheduler of this process has; None if that is not known."""
@@ -157,7 +157,7 @@
         if exchange is None or not exchange.is_fresh:
             return None
         edge = self.relay.workers.own_use() if self.relay is not None else {}
-        return summed([exchange.others, edge]) if edge else exchange.others
+        return sum_reports([exchange.others, edge]) if edge else exchange.others
 
     def handlers(self) -> dict[str, Any]:
         """The verbs of peers that the duties answer."""
@@ -196,7 +196,7 @@
         """Names of jobs of a partition that this edge has lately told a client to be accepted."""
         if self.edge is None or self.configuration_view.manifest is None:
             return []
-        return self.edge.remembered_jobs(part)
+        return self.edge.recently_accepted_jobs(part)
 
     def ready(self) -> str:
         """Empty if ready to serve; else what is lacking."""
@@ -231,12 +231,12 @@
             return HTTP_PROTOCOL
         return limited_protocol(self.head_limits, self.settings.bounds.recover / 2)
 
-    def head_limits(self) -> HeadLimits:
+    def head_limits(self) -> ConnectionLimits:
         """The limits on request heads now: those of the configuration, or the defaults while there is none."""
         configuration = self.configuration_view.manifest
         if configuration is None:
-            return HeadLimits(LIMITS["head_bytes"], LIMITS["head_ms"] / 1000, LIMITS["idle_ms"] / 1000)
-        return HeadLimits(
+            return ConnectionLimits(LIMITS["head_bytes"], LIMITS["head_ms"] / 1000, LIMITS["idle_ms"] / 1000)
+        return ConnectionLimits(
             limit(configuration, "head_bytes"),
             limit(configuration, "head_ms") / 1000,
             limit(configuration, "idle_ms") / 1000,
--- a/postpass/gateway/load_exchange.py
+++ b/postpass/gateway/load_exchange.py
@@ -24,13 +24,13 @@
     ReportTable,
     TimedReport,
     WorkerUse,
+    choose_hubs,
     exchange_interval,
-    hub_order,
-    hubs,
+    preferred_hubs,
     report_as_json,
     report_from_json,
-    summed,
-    without,
+    subtract_report,
+    sum_reports,
 )
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.rpc.peer_links import PeerLinks
@@ -109,8 +109,8 @@
             if "edge" in machine["duties"] and not machine.get("gone"):
                 by_zone.setdefault(machine["area"], []).append(name)
         self.interval = exchange_interval(self.settings.bounds.exchange, by_zone)
-        self.preferred_hubs = hub_order(self.settings.name, self.settings.zone, by_zone)
-        self.all_hubs = hubs(by_zone)
+        self.preferred_hubs = preferred_hubs(self.settings.name, self.settings.zone, by_zone)
+        self.all_hubs = choose_hubs(by_zone)
 
     def _forget_stale(self) -> None:
         oldest = now() - self.interval * STALE_INTERVALS
@@ -134,10 +134,10 @@
         """Updates `others` from its members' reports, and exchanges sums with the other hubs that haven't sent theirs
         recently."""
         current_time = now()
-        self._set_picture(summed([self.members.total, self.hub_sums.total]))
+        self._set_picture(sum_reports([self.members.total, self.hub_sums.total]))
         for name in self.all_hubs:
             last_sum = self.hub_sums.reports.get(name)
-            is_recent = last_sum is not None and current_time - last_sum.at < self.interval
+            is_recent = last_sum is not None and current_time - last_sum.received_at < self.interval
             if (
                 name == self.settings.name
                 or name in self.pending_requests
@@ -169,7 +169,7 @@
         own = dict(self.own_use())
         response = await self._send_request(name, {"by": self.settings.name, "use": report_as_json(own)})
         if response is not None:
-            self._set_picture(without(report_from_json(response["use"]), own))
+            self._set_picture(subtract_report(report_from_json(response["use"]), own))
 
     async def _exchange_with(self, name: str) -> None:
         own = report_as_json(self._members_sum())
@@ -179,7 +179,7 @@
 
     def _members_sum(self) -> dict[str, WorkerUse]:
         """Returns what this process and its members have in progress."""
-        return summed([self.own_use(), self.members.total])
+        return sum_reports([self.own_use(), self.members.total])
 
     def _set_picture(self, others: dict[str, WorkerUse]) -> None:
         self.others, self.received_at = others, now()
@@ -195,7 +195,7 @@
         table.replace(body["by"], TimedReport(now(), report_from_json(body["use"])))
         if body.get("hub"):
             return Ok({"use": report_as_json(self._members_sum())})
-        return Ok({"use": report_as_json(summed([self._members_sum(), self.hub_sums.total]))})
+        return Ok({"use": report_as_json(sum_reports([self._members_sum(), self.hub_sums.total]))})
 
     def close(self) -> None:
         """Cancels the pending requests, because the process is about to end."""
--- a/postpass/gateway/relayed_request.py
+++ b/postpass/gateway/relayed_request.py
@@ -12,7 +12,7 @@
 from postpass.gateway.event_stream import EventStream
 from postpass.gateway.http_headers import HeaderNames, Headers, end_to_end, header, parse_number
 from postpass.routing.live_choice import Choice
-from postpass.routing.prefixes import NO_PREFIX, Prefix, prefix_of
+from postpass.routing.prefixes import NO_PREFIX, Prefix, parse_prefix
 
 NOT_YET = -1.0  # stands for a time that isn't known yet
 PATIENCE = 1 / 3  # share of the target, or of the longest allowed pause, after which a silent worker is probed
@@ -108,7 +108,7 @@
         worker_headers.append((names.urgency, b"%d" % min(max(client.rank_on(route), 0), MAX_URGENCY)))
     if client.tenant:
         worker_headers.append((names.tenant, client.tenant.encode()))
-    prefix = prefix_of(header(headers, names.prompt) or b"") if route["tokens"] else NO_PREFIX
+    prefix = parse_prefix(header(headers, names.prompt) or b"") if route["tokens"] else NO_PREFIX
     request = RelayedRequest(
         route_name, route, scope["method"], target, worker_headers, body, header(headers, names.request_id), prefix, started_at, deadline,
         send, client, header(headers, names.tokens) or b"",
--- a/postpass/gateway/worker_health.py
+++ b/postpass/gateway/worker_health.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from postpass.routing.cold_workers import Bucket
+from postpass.routing.cold_workers import TokenBucket
 
 FULL_SECONDS = 0.05  # for so long a worker that rejected a request is tried only after all others
 MIN_AVOID_SECONDS, MAX_AVOID_SECONDS = 0.1, 1.0  # after a broken connection; doubles with each
@@ -24,7 +24,9 @@
     avoid_until: float = -1.0  # until then the worker is chosen only if no other is left
     full_until: float = -1.0  # until then the worker counts as full
     lag: float = 0.0  # smoothed seconds until the head of an answer comes
-    bucket: Bucket = Bucket(0.0, 0.0)  # token bucket of the requests that may be sent while the worker is cold
+    bucket: TokenBucket = TokenBucket(
+        0.0, 0.0
+    )  # token bucket of the requests that may be sent while the worker is cold
 
     def record_answer(self, now: float, lag: float) -> None:
         """Records that the head of a proper answer came after `lag` seconds."""
--- a/postpass/gateway/worker_selection.py
+++ b/postpass/gateway/worker_selection.py
@@ -11,7 +11,7 @@
 from postpass.gateway.relayed_request import RelayedRequest
 from postpass.gateway.route_table import RouteTable, route_table_of
 from postpass.gateway.worker_health import WorkerHealth
-from postpass.routing.cold_workers import Bucket, cold_edges, cold_share
+from postpass.routing.cold_workers import TokenBucket, cold_edges, cold_rate_per_edge
 from postpass.routing.live_choice import (
     EdgeView,
     Prompt,
@@ -67,7 +67,7 @@
         """Returns the health of a worker. A worker that is new here may get one request at once, even if it is cold."""
         worker_health = self.health_by_worker.get(name)
         if worker_health is None:
-            worker_health = self.health_by_worker[name] = WorkerHealth(bucket=Bucket(1.0, now()))
+            worker_health = self.health_by_worker[name] = WorkerHealth(bucket=TokenBucket(1.0, now()))
         return worker_health
 
     def barred(self, configuration: Configuration, server: Server) -> bool:
@@ -83,7 +83,7 @@
         if rate <= 0:
             return UNLIMITED_RATE
         permitted_edges = cold_edges(name, self.edges, rate)
-        return cold_share(rate, len(permitted_edges)) if self.settings.name in permitted_edges else None
+        return cold_rate_per_edge(rate, len(permitted_edges)) if self.settings.name in permitted_edges else None
 
     def own_use(self) -> LoadReport:
         """Returns the load that this edge puts on each worker, and how its recent attempts at them ended."""
