--- a/postpass/batch/capacity.py
+++ b/postpass/batch/capacity.py
@@ -15,7 +15,7 @@
 from postpass.batch.leased_items import LeasedItem, LeasedItems
 from postpass.configuration.configuration import Class, Configuration
 from postpass.configuration.settings import Settings
-from postpass.gateway.worker_load import WorkerLoad, share_of
+from postpass.gateway.worker_load import WorkerLoad, integer_share
 from postpass.routing.item_choice import ItemWorker, free_item_slots
 from postpass.routing.item_order import usual_seconds
 from postpass.routing.load_picture import IDLE, LoadReport
@@ -63,7 +63,9 @@
         servers = configuration["pools"][class_config["pool"]]["servers"]
         stale_after_s = self.settings.bounds.probe * PROBES_UNTIL_STALE
         names = [
-            name for name in sorted(servers) if not self.worker_load.barred(class_config["pool"], name, stale_after_s)
+            name
+            for name in sorted(servers)
+            if not self.worker_load.barred_reason(class_config["pool"], name, stale_after_s)
         ]
         own_slots = math.floor(class_config["share"] * sum(servers[name]["slots"] for name in names))
         may_borrow = self.borrows and any(
@@ -71,7 +73,7 @@
         )
         slots_by_worker = {}
         for i, name in enumerate(names):
-            share = share_of(own_slots, i, len(names))
+            share = integer_share(own_slots, i, len(names))
             free = self.slots_at(class_config, name, servers[name]["slots"], share)
             slots_by_worker[name] = free if may_borrow else min(free, share)
         return slots_by_worker
--- a/postpass/batch/item_run.py
+++ b/postpass/batch/item_run.py
@@ -139,7 +139,7 @@
     def prompt_admission_check(self, item: LeasedItem, pool: str) -> str:
         """Returns why an item of a class may not be sent; empty if it may. Called right before its bytes are sent."""
         stale_after_s = self.settings.bounds.probe * PROBES_UNTIL_STALE
-        return self.lease_admission_check(item) or self.worker_load.barred(pool, item.worker, stale_after_s)
+        return self.lease_admission_check(item) or self.worker_load.barred_reason(pool, item.worker, stale_after_s)
 
     async def run_prompt(self, configuration: Configuration, pool: str, item: LeasedItem) -> None:
         """Runs an item of a class at `item.worker`.
@@ -155,7 +155,7 @@
             run_end = RunEnd.NOT_RUN if not_run(error.fault) else RunEnd.BROKEN
             result = ItemResult(ItemStatus.FAILED, str(error.fault))
             if error.fault.unsent:
-                worker_state.unusable = worker_state.unusable or error.fault.why
+                worker_state.unusable_reason = worker_state.unusable_reason or error.fault.why
         except asyncio.CancelledError:
             item.task = None
             raise
--- a/postpass/daemon/data_plane.py
+++ b/postpass/daemon/data_plane.py
@@ -133,9 +133,9 @@
             self.relay.workers.others_load = self.others_of_edge
         if self.scheduler is not None:
             self.scheduler.route_capacity.live_load = self.others_of_scheduler
-            exchange.updated = self.scheduler.on_load_update
+            exchange.on_update = self.scheduler.on_load_update
             if self.relay is None:
-                exchange.wanted = lambda: self.scheduler is not None and self.scheduler.active
+                exchange.is_needed = lambda: self.scheduler is not None and self.scheduler.active
 
     def own_use(self) -> LoadReport:
         """What this process has at each worker."""
--- a/postpass/daemon/data_plane_status.py
+++ b/postpass/daemon/data_plane_status.py
@@ -88,7 +88,7 @@
     """What an edge knows of each worker, by pool and name."""
     return {
         f"{pool}/{name}": {
-            "barred": edge.worker_load.barred(pool, name, edge.admission.report_max_age),
+            "barred": edge.worker_load.barred_reason(pool, name, edge.admission.report_max_age),
             "mine": worker.in_flight.total(),
             "weights": worker.report.weights if worker.report else "",
             "running": worker.report.running if worker.report else 0,
--- a/postpass/gateway/admission_control.py
+++ b/postpass/gateway/admission_control.py
@@ -62,7 +62,7 @@
 
     def exclusion_reason(self, pool: str, worker: str) -> str:
         """Returns why a worker may get no new requests; empty if it may."""
-        return self.worker_load.barred(pool, worker, self.report_max_age)
+        return self.worker_load.barred_reason(pool, worker, self.report_max_age)
 
     # --- shares
     def quota(self, class_name: str) -> int:
@@ -161,7 +161,7 @@
     async def dispatch_loop(self) -> None:
         """Dispatches each time new reports of the workers have been read. Runs until cancelled."""
         while True:
-            freed = self.worker_load.freed
+            freed = self.worker_load.polled
             await freed.wait()
             self.dispatch()
 
--- a/postpass/gateway/answer_delivery.py
+++ b/postpass/gateway/answer_delivery.py
@@ -61,8 +61,8 @@
                 data = b"".join([*buffered, data])
                 buffered.clear()
                 read_ahead = 0
-            if not request.begun and (data or ended or events is None):
-                await self.begin(request, exchange, events is not None)
+            if not request.answer_begun and (data or ended or events is None):
+                await self.send_head(request, exchange, events is not None)
             if ended:
                 request.attempt_log = request.attempt_log.mark(AttemptState.DONE)
                 request.record_piece(now())
@@ -81,10 +81,10 @@
         run_count = sum(s not in (AttemptState.UNSENT, AttemptState.REJECTED) for s in states)
         if may_repeat and run_count < route["tries"]:
             raise FaultError(Fault("repeat", exchange.addr, f"it answered {status}"))
-        if request.begun and status != 200:
+        if request.answer_begun and status != 200:
             raise FaultError(Fault("repeat", exchange.addr, f"it answered {status} in place of the rest"))
 
-    async def begin(self, request: RelayedRequest, exchange: Exchange, joined: bool) -> None:
+    async def send_head(self, request: RelayedRequest, exchange: Exchange, joined: bool) -> None:
         """Sends the head of the answer.
 
         `joined`: its body may be joined from several runs, so its length isn't known.
@@ -94,6 +94,6 @@
         headers = end_to_end(exchange.headers, excluded)
         if self.is_leaving():
             headers.append((b"connection", b"close"))
-        request.begun = True
+        request.answer_begun = True
         self.first_byte_seconds.labels(request.route_name).observe(now() - request.started_at)
         await request.send({"type": "http.response.start", "status": exchange.status, "headers": headers})
--- a/postpass/gateway/attempts.py
+++ b/postpass/gateway/attempts.py
@@ -10,7 +10,7 @@
 from enum import Enum, StrEnum, auto
 
 MAX_WORKERS_TRIED = 6  # per relayed request, including workers that did not accept it
-CUT = "cut"  # prefix of an attempt's reason if it broke after part of the answer was sent to the client
+CUT_PREFIX = "cut"  # prefix of an attempt's reason if it broke after part of the answer was sent to the client
 
 
 class AttemptState(StrEnum):
@@ -38,10 +38,10 @@
     REFUSE_KEY = "401"  # as REJECT, because the key of its client was withdrawn
 
 
-class KeyStanding(Enum):
+class KeyStatus(Enum):
     """Whether the key of a client is still valid, compared to when its request arrived."""
 
-    HELD = auto()  # the key still belongs to the same tenant
+    VALID = auto()  # the key still belongs to the same tenant
     WITHDRAWN = auto()  # the key belongs to no tenant any more
     CHANGED = (
         auto()
@@ -96,7 +96,7 @@
     def reached_client(self) -> bool:
         """Whether a piece of an answer was sent to the client."""
         return any(
-            a.state is AttemptState.FIRST or (a.state is AttemptState.BROKEN and a.why.startswith(CUT))
+            a.state is AttemptState.FIRST or (a.state is AttemptState.BROKEN and a.why.startswith(CUT_PREFIX))
             for a in self.attempts
         )
 
@@ -166,24 +166,24 @@
     *,
     repeatable: bool,
     resumable: bool,
-    begun: bool,
+    answer_begun: bool,
     now: float,
     search_until: float,
     deadline: float,
     max_runs: int,
-    standing: KeyStanding = KeyStanding.HELD,
+    key_status: KeyStatus = KeyStatus.VALID,
 ) -> Decision:
     """Returns the next action for a relayed request.
 
     Parameters: `repeatable`: it may run more than once; `resumable`: another worker can continue the answer where the
-    last one stopped; `begun`: a part of an answer was sent to the client; `search_until`: until when other workers are
+    last one stopped; `answer_begun`: a part of an answer was sent to the client; `search_until`: until when other workers are
     tried as long as none has accepted it; `deadline`: when it must have ended (like `now` and `search_until` in seconds
-    of the loop's clock); `max_runs`: how many workers may have started to process it; `standing`: whether the key of
+    of the loop's clock); `max_runs`: how many workers may have started to process it; `key_status`: whether the key of
     its client is still valid.
     """
     last = attempt_log.last
-    if standing is not KeyStanding.HELD and (last is None or last.state is not AttemptState.DONE):
-        return _without_key(attempt_log, standing)
+    if key_status is not KeyStatus.VALID and (last is None or last.state is not AttemptState.DONE):
+        return _without_key(attempt_log, key_status)
     if last is None:
         return _first_attempt(now, deadline)
     if last.state is AttemptState.DONE:
@@ -195,21 +195,21 @@
             attempt_count >= MAX_WORKERS_TRIED or (now >= search_until and attempt_count >= 2) or now >= deadline
         )
         return Decision(Action.REJECT, f"no worker took it: {last.why}") if search_exhausted else Decision(Action.SEND)
-    if begun and not resumable:
+    if answer_begun and not resumable:
         return Decision(Action.ERROR, last.why)
     if not repeatable or run_count >= max_runs or attempt_count >= MAX_WORKERS_TRIED + max_runs or now >= deadline:
         return Decision(Action.ERROR, last.why)
     return Decision(Action.SEND)
 
 
-def _without_key(attempt_log: AttemptLog, standing: KeyStanding) -> Decision:
-    """Returns how a request ends that must not be sent any more, because the standing of its key has changed.
+def _without_key(attempt_log: AttemptLog, key_status: KeyStatus) -> Decision:
+    """Returns how a request ends that must not be sent any more, because the status of its key has changed.
 
     If its key now belongs to another client, the client may send it again, to be authenticated anew.
     """
     if not attempt_log.never_ran:
         return Decision(Action.ERROR, "its client's key has changed")
-    action = Action.REFUSE_KEY if standing is KeyStanding.WITHDRAWN else Action.REJECT
+    action = Action.REFUSE_KEY if key_status is KeyStatus.WITHDRAWN else Action.REJECT
     return Decision(action, "its client's key has changed")
 
 
--- a/postpass/gateway/client_identity.py
+++ b/postpass/gateway/client_identity.py
@@ -11,7 +11,7 @@
 from postpass.configuration.configuration import Route, Tenant
 from postpass.configuration.tenant_keys import key_digest
 from postpass.feed.configuration_view import ConfigurationView
-from postpass.gateway.attempts import KeyStanding
+from postpass.gateway.attempts import KeyStatus
 from postpass.gateway.http_headers import AUTHORIZATION, Headers
 
 BEARER_SCHEME = b"bearer"
@@ -127,15 +127,15 @@
         self.identities[key] = identity
         return Ok(identity)
 
-    def standing(self, route: Route, client: ClientIdentity) -> KeyStanding:
+    def standing(self, route: Route, client: ClientIdentity) -> KeyStatus:
         """Returns whether a client that was authenticated would still be authenticated now, with the same identity."""
         self.refresh()
         if self.tenants is None or route.get("public"):
             expected = WITHOUT_TENANTS if self.tenants is None else PUBLIC
-            return KeyStanding.HELD if client == expected else KeyStanding.CHANGED
+            return KeyStatus.VALID if client == expected else KeyStatus.CHANGED
         if not client.digest:
-            return KeyStanding.CHANGED
+            return KeyStatus.CHANGED
         tenant = self.tenant_by_digest.get(client.digest)
         if tenant is None:
-            return KeyStanding.WITHDRAWN
-        return KeyStanding.HELD if tenant == client.tenant else KeyStanding.CHANGED
+            return KeyStatus.WITHDRAWN
+        return KeyStatus.VALID if tenant == client.tenant else KeyStatus.CHANGED
--- a/postpass/gateway/connection_pool.py
+++ b/postpass/gateway/connection_pool.py
@@ -23,8 +23,8 @@
     to an address that is open or being opened, including idle ones, the newest last.
     """
 
-    connect: float = 0.5  # seconds after which an attempt to connect is abandoned
-    silence: float = 3.0  # seconds after which a peer that doesn't acknowledge data counts as dead
+    connect_timeout: float = 0.5  # seconds after which an attempt to connect is abandoned
+    silence_timeout: float = 3.0  # seconds after which a peer that doesn't acknowledge data counts as dead
     idle: dict[str, list[UpstreamConnection]] = field(default_factory=dict)
     opened: dict[str, list[UpstreamConnection]] = field(default_factory=dict)
     connections_opened: int = 0  # since the start
@@ -68,7 +68,7 @@
             connection.drop()
         return None
 
-    def busy(self, addr: str) -> int:
+    def busy_count(self, addr: str) -> int:
         """Returns how many connections to an address have an exchange or are being opened."""
         return len(self.opened.get(addr, ())) - len(self.idle.get(addr, ()))
 
@@ -80,9 +80,11 @@
         self.connections_opened += 1
         loop = asyncio.get_running_loop()
         started_at = loop.time()
-        attempt_timeout = self.connect
+        attempt_timeout = self.connect_timeout
         if self.usual_seconds:
-            attempt_timeout = min(self.connect, max(MIN_CONNECT_TIMEOUT, self.usual_seconds * CONNECT_TIMEOUT_FACTOR))
+            attempt_timeout = min(
+                self.connect_timeout, max(MIN_CONNECT_TIMEOUT, self.usual_seconds * CONNECT_TIMEOUT_FACTOR)
+            )
         try:
             async with asyncio.timeout(min(limit, attempt_timeout)):
                 await loop.create_connection(lambda: connection, host, port)
@@ -193,7 +195,7 @@
         """
         loop = asyncio.get_running_loop()
         try:
-            connection = await self.open(addr, self.connect)
+            connection = await self.open(addr, self.connect_timeout)
             connection.usable_until = 0.0
             self.put(connection)
             self.probe_passed_at[addr] = loop.time()
--- a/postpass/gateway/http_server.py
+++ b/postpass/gateway/http_server.py
@@ -10,7 +10,7 @@
 
 from uvicorn.protocols.http.httptools_impl import HttpToolsProtocol
 
-from postpass.gateway.upstream_connection import tune
+from postpass.gateway.upstream_connection import configure_socket
 
 READY_RESPONSE = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n"
 UNREADY_RESPONSE = b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\nretry-after: 1\r\n\r\n"
@@ -66,7 +66,7 @@
         super().connection_made(transport)  # type: ignore[arg-type]
         sock = transport.get_extra_info("socket")
         if sock is not None:
-            tune(sock, self.peer_timeout_s)
+            configure_socket(sock, self.peer_timeout_s)
         self._start_head_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
--- a/postpass/gateway/live_requests.py
+++ b/postpass/gateway/live_requests.py
@@ -14,7 +14,7 @@
 from starlette.types import Receive, Scope, Send
 
 from postpass.configuration.configuration import Class
-from postpass.gateway.attempts import CUT, Action, AttemptLog, AttemptState, Decision, next_live_attempt
+from postpass.gateway.attempts import CUT_PREFIX, Action, AttemptLog, AttemptState, Decision, next_live_attempt
 from postpass.gateway.client_connection import ClientConnection
 from postpass.gateway.edge_state import EdgeState
 from postpass.gateway.http_errors import fault_response
@@ -225,7 +225,7 @@
             sent = last_attempt is not None and last_attempt.state in (AttemptState.SENT, AttemptState.FIRST)
             state = AttemptState.BROKEN if sent else AttemptState.UNSENT
             request.attempt_log = request.attempt_log.mark(
-                state, (f"{CUT}: " if request.pieces_sent else "") + fault.why
+                state, (f"{CUT_PREFIX}: " if request.pieces_sent else "") + fault.why
             )
         finally:
             edge.admission.release(class_name, pool, worker)
@@ -261,7 +261,7 @@
         """
         request.last_fault = fault
         if request.pieces_sent:
-            state, why = AttemptState.BROKEN, f"{CUT}: {fault.why}"
+            state, why = AttemptState.BROKEN, f"{CUT_PREFIX}: {fault.why}"
         elif fault.unsent:
             state, why = AttemptState.UNSENT, fault.why
         elif fault.hint == REJECTED_HINT:
@@ -270,7 +270,7 @@
             state, why = AttemptState.BROKEN, fault.why
         request.attempt_log = request.attempt_log.mark(state, why)
         if not fault.hint:
-            worker_state.unusable = worker_state.unusable or (fault.why if fault.unsent else "")
+            worker_state.unusable_reason = worker_state.unusable_reason or (fault.why if fault.unsent else "")
 
     # --- the end of the response
     async def _finish(self, request: LiveRequest, decision: Decision) -> None:
--- a/postpass/gateway/load_exchange.py
+++ b/postpass/gateway/load_exchange.py
@@ -47,7 +47,7 @@
     """What the other edges and schedulers have in progress at the workers, as far as reported.
 
     Owner: the data plane's process. Invariant: `others` contains nothing of this process. `own_use` returns the load that
-    this process puts on each worker; `updated` is called whenever `others` changes. A daemon that receives reports of
+    this process puts on each worker; `on_update` is called whenever `others` changes. A daemon that receives reports of
     members acts as their hub, whichever daemon it is.
     """
 
@@ -55,8 +55,8 @@
     configuration_view: ConfigurationView
     peer_links: PeerLinks
     own_use: Callable[[], LoadReport]
-    updated: Callable[[], None] = lambda: None
-    wanted: Callable[[], bool] = lambda: True  # whether this process has any load to report or any worker to choose
+    on_update: Callable[[], None] = lambda: None
+    is_needed: Callable[[], bool] = lambda: True  # whether this process has any load to report or any worker to choose
     others: dict[str, WorkerUse] = field(default_factory=dict)  # by worker
     received_at: float = -1e9  # when `others` was received, in seconds of the loop's clock
     interval: float = 1.0  # seconds between two reports
@@ -91,7 +91,7 @@
             # Each daemon has its own phase, so that not all messages arrive at the same time.
             await asyncio.sleep(self.interval * (0.9 + 0.2 * phase))
             self._forget_stale()
-            if not self.preferred_hubs or not self.wanted():
+            if not self.preferred_hubs or not self.is_needed():
                 continue
             if self.members.reports or self.preferred_hubs[0] == self.settings.name:
                 self._exchange_as_hub()
@@ -183,7 +183,7 @@
 
     def _set_picture(self, others: dict[str, WorkerUse]) -> None:
         self.others, self.received_at = others, now()
-        self.updated()
+        self.on_update()
 
     # --- requests to a hub
     async def on_report(self, body: Body) -> PeerResponse:
--- a/postpass/gateway/proxied_routes.py
+++ b/postpass/gateway/proxied_routes.py
@@ -215,7 +215,7 @@
             raise ConnectionError(str(fault)) from error
         unsent = isinstance(error, aiohttp.ClientConnectorError)
         if unsent:
-            edge.worker_load.state_of(request.request_class["pool"], worker).unusable = "refused"
+            edge.worker_load.state_of(request.request_class["pool"], worker).unusable_reason = "refused"
         return Outcome.RETRY if request.repeatable or unsent else Outcome.FAILED
 
 
--- a/postpass/gateway/relay.py
+++ b/postpass/gateway/relay.py
@@ -16,7 +16,7 @@
 from postpass.configuration.settings import Settings
 from postpass.feed.configuration_view import ConfigurationView
 from postpass.gateway.answer_delivery import AnswerDelivery
-from postpass.gateway.attempts import Action, AttemptState, Decision, KeyStanding, next_relayed_attempt
+from postpass.gateway.attempts import Action, AttemptState, Decision, KeyStatus, next_relayed_attempt
 from postpass.gateway.body_reader import BodyRefusal, read_body
 from postpass.gateway.client_identity import CHALLENGE, ClientIdentity, ClientKeys, KeyRefusal
 from postpass.gateway.connection_pool import ConnectionPool
@@ -69,7 +69,9 @@
         self.settings, self.environment, self.configuration_view = settings, environment, configuration_view
         self.names = HeaderNames(dialect)
         self.fallback: ASGIApp = self.not_found  # serves requests that match no route
-        self.connections = ConnectionPool(connect=settings.bounds.leave / 8, silence=settings.bounds.leave * 1.5)
+        self.connections = ConnectionPool(
+            connect_timeout=settings.bounds.leave / 8, silence_timeout=settings.bounds.leave * 1.5
+        )
         self.leaving = False  # set when this edge is about to shut down
         self.unready: Callable[[], str] = lambda: ""  # returns why this edge can't serve clients yet; empty if it can
         self.job_handler: JobHandler | None = None
@@ -139,7 +141,7 @@
         else:
             await self.relay(route_name, route, client, scope, receive, send)
 
-    def job_client(self, scope: Scope) -> Result[ClientIdentity, KeyRefusal]:
+    def authenticate_job_client(self, scope: Scope) -> Result[ClientIdentity, KeyRefusal]:
         """Returns the client of a request about a job, or why its key is refused.
 
         Such a request identifies its route by the host alone.
@@ -261,7 +263,7 @@
         log_events.emit(
             Event.PROXY_BROKEN, self.settings.name, route=request.route_name, worker=worker, why=decision.why
         )
-        if not request.begun:
+        if not request.answer_begun:
             await self.answer(request.send, 504 if now() >= request.deadline else 502)
         # Otherwise nothing more is sent, and the server closes the connection in the middle of the answer.
 
@@ -281,10 +283,10 @@
         route = request.route
         search_until = request.started_at + route["target"] * WORKER_SEARCH_SHARE
         while True:
-            key_standing = KeyStanding.HELD if request.begun else self.clients.standing(route, request.client)
+            key_status = KeyStatus.VALID if request.answer_begun else self.clients.standing(route, request.client)
             decision = next_relayed_attempt(
-                request.attempt_log, repeatable=request.repeatable, resumable=request.can_resume, begun=request.begun,
-                now=now(), search_until=search_until, deadline=request.deadline, max_runs=max(1, route["tries"]), standing=key_standing,
+                request.attempt_log, repeatable=request.repeatable, resumable=request.can_resume, answer_begun=request.answer_begun,
+                now=now(), search_until=search_until, deadline=request.deadline, max_runs=max(1, route["tries"]), key_status=key_status,
             )  # fmt: skip
             if decision.action is not Action.SEND:
                 return decision
@@ -335,7 +337,7 @@
     def _check_admission(self, request: RelayedRequest, pool_name: str, worker_name: str, addr: str) -> str:
         """Returns why the request must not be sent now, or an empty string if it may. Called right before the first byte is
         sent."""
-        if not request.begun and self.clients.standing(request.route, request.client) is not KeyStanding.HELD:
+        if not request.answer_begun and self.clients.standing(request.route, request.client) is not KeyStatus.VALID:
             return "its client's key has changed"
         return self.workers.check_admission(request, pool_name, worker_name, addr)
 
--- a/postpass/gateway/relayed_request.py
+++ b/postpass/gateway/relayed_request.py
@@ -23,7 +23,7 @@
 class RelayedRequest:
     """One relayed request in progress. Owner: the task of `Relay.relay`.
 
-    Invariant: `begun` is set once any part of an answer was sent to the client; if the answer is then cut off, only
+    Invariant: `answer_begun` is set once any part of an answer was sent to the client; if the answer is then cut off, only
     complete events of a run that continues it exactly are sent after it. Times are seconds of the loop's clock.
     """
 
@@ -41,7 +41,7 @@
     client: ClientIdentity
     tokens: bytes = b""  # the client's header: number of tokens of the prompt, and the maximum of the answer
     attempt_log: AttemptLog = field(default_factory=AttemptLog)
-    begun: bool = False  # a part of an answer was sent to the client
+    answer_begun: bool = False  # a part of an answer was sent to the client
     client_gone: bool = False  # the client has disconnected
     events: EventStream | None = None
     first_piece_delay: float = NOT_YET  # seconds until the first piece of an answer was sent
@@ -124,7 +124,7 @@
         *request.headers, (names.want_worker, worker.encode()),
         (names.deadline_ms, b"%d" % max(1, int(seconds_left * 1000))),
     ]  # fmt: skip
-    if request.begun and request.events is not None and request.events.last_id is not None:
+    if request.answer_begun and request.events is not None and request.events.last_id is not None:
         headers = [h for h in headers if h[0] != names.last_event]
         headers.append((names.last_event, b"%d" % request.events.last_id))
     return headers
--- a/postpass/gateway/upstream_connection.py
+++ b/postpass/gateway/upstream_connection.py
@@ -31,7 +31,7 @@
 KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout\s*=\s*\"?(\d+)")
 
 
-def carries(headers: Headers, name: bytes, value: bytes) -> bool:
+def has_only_value(headers: Headers, name: bytes, value: bytes) -> bool:
     """Returns whether `value` is the only value of a header.
 
     Empty values are ignored, so an empty `value` means that the header must be missing. Two different values never
@@ -45,14 +45,14 @@
     return any(n == b"content-length" or (n == b"transfer-encoding" and b"chunked" in v.lower()) for n, v in headers)
 
 
-def tune(sock: socket.socket, silence: float) -> None:
-    """Sets the socket's options so that a dead or unreachable peer is noticed after about `silence` seconds, also while
+def configure_socket(sock: socket.socket, silence_timeout: float) -> None:
+    """Sets the socket's options so that a dead or unreachable peer is noticed after about `silence_timeout` seconds, also while
     nothing is written."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    probe_interval = max(1, round(silence / 3))
+    probe_interval = max(1, round(silence_timeout / 3))
     for name, value in (
-        ("TCP_USER_TIMEOUT", int(silence * 1000)),
+        ("TCP_USER_TIMEOUT", int(silence_timeout * 1000)),
         ("TCP_KEEPIDLE", probe_interval),
         ("TCP_KEEPINTVL", probe_interval),
         ("TCP_KEEPCNT", 2),
@@ -76,7 +76,7 @@
 class Pool(Protocol):
     """The interface of the pool that a connection belongs to."""
 
-    silence: float
+    silence_timeout: float
     last_received: float
 
     def put(self, connection: UpstreamConnection) -> None:
@@ -223,7 +223,7 @@
         self.transport = transport
         sock = transport.get_extra_info("socket")
         if sock is not None:
-            tune(sock, self.pool.silence)
+            configure_socket(sock, self.pool.silence_timeout)
 
     def data_received(self, data: bytes) -> None:
         """Called by the event loop: parses what the worker sent, and ends the exchange at its end or on an error."""
@@ -287,7 +287,7 @@
         for name, value in exchange.headers:
             if name == b"keep-alive" and (timeout_match := KEEP_ALIVE_TIMEOUT.search(value)):
                 self.idle_seconds = int(timeout_match[1]) * (1 - IDLE_MARGIN)
-        if self.expect is not None and not carries(exchange.headers, *self.expect):
+        if self.expect is not None and not has_only_value(exchange.headers, *self.expect):
             # The answer to this request may still follow; the connection is not used again.
             self.answers_other_request = True
             return
--- a/postpass/gateway/worker_load.py
+++ b/postpass/gateway/worker_load.py
@@ -60,23 +60,23 @@
 
     report: Report | None = None
     polled_at: float = NEVER
-    unusable: str = "not polled yet"  # why it gets no new requests, by its own state; empty if it may
+    unusable_reason: str = "not polled yet"  # why it gets no new requests, by its own state; empty if it may
     failures: int = 0  # polls that failed since the last successful one
     in_flight: Counter[str] = field(default_factory=Counter)
     in_flight_at_poll: int = 0  # requests of this process in progress there at the last poll
     peak_use: float = 0.0  # decaying peak of recent live use, which sets the reserve of batch classes
-    logged: str = ""  # the last logged value of `unusable`
+    logged: str = ""  # the last logged value of `unusable_reason`
     broken_at: float = NEVER  # when a connection to it last broke; it may have been restarted since
 
     def note_report(self, new_report: Report, wanted_weights: str) -> None:
         """Stores a worker's report. `wanted_weights`: the model that it should serve; empty if it may serve any."""
         mismatch = wanted_weights and new_report.weights != wanted_weights
-        self.unusable = f"weights {new_report.weights}, want {wanted_weights}" if mismatch else ""
+        self.unusable_reason = f"weights {new_report.weights}, want {wanted_weights}" if mismatch else ""
         self.report = new_report
         self.peak_use = max(float(new_report.running + new_report.waiting), self.peak_use * PEAK_DECAY)
 
 
-def share_of(total: int, position: int, shares: int) -> int:
+def integer_share(total: int, position: int, shares: int) -> int:
     """Returns one of the `shares` into which `total` is split, so that they add up to it exactly; 0 shares: all of it."""
     return total // shares + (1 if position % shares < total % shares else 0) if shares else total
 
@@ -99,14 +99,14 @@
     placed by the edge as live traffic.
     """
 
-    who: str  # this process's name
+    own_name: str  # this process's name
     environment: Environment
     configuration_view: ConfigurationView
     session: aiohttp.ClientSession
     isolated_after: float = 1e18  # seconds without contact to other daemons after which this process may place nothing
     peer_links: PeerLinks | None = None  # None: nothing is copied from other edges
     workers: dict[WorkerId, WorkerState] = field(default_factory=dict)
-    freed: asyncio.Event = field(default_factory=asyncio.Event)  # set and replaced whenever a worker was polled
+    polled: asyncio.Event = field(default_factory=asyncio.Event)  # set and replaced whenever a worker was polled
 
     @property
     def configuration(self) -> Configuration:
@@ -123,28 +123,28 @@
         return state
 
     def signal(self) -> None:
-        """Wakes all tasks that wait for `freed`."""
-        self.freed.set()
-        self.freed = asyncio.Event()
+        """Wakes all tasks that wait for `polled`."""
+        self.polled.set()
+        self.polled = asyncio.Event()
 
     # --- polling
     def polling_edges(self) -> list[str]:
         """Returns the edges of this zone that poll the workers; with few edges, each of them polls for itself."""
         configuration = self.configuration_view.manifest
         if configuration is None or self.peer_links is None:
-            return [self.who]
+            return [self.own_name]
         edges = self.configuration_view.duty("edge")
-        if len(edges) <= MAX_POLLING_EDGES or self.who not in edges:
-            return [self.who]
+        if len(edges) <= MAX_POLLING_EDGES or self.own_name not in edges:
+            return [self.own_name]
         machines = configuration["machines"]
-        zone = machines[self.who]["area"]
+        zone = machines[self.own_name]["area"]
         return [n for n in edges if machines[n]["area"] == zone][:POLLING_EDGES_PER_ZONE]
 
     def as_json(self) -> list[dict[str, Any]]:
         """Returns the states of all workers as other edges copy them."""
         return [
             {
-                "pool": worker.pool, "name": worker.name, "why": state.unusable, "old": round(now() - state.polled_at, 3),
+                "pool": worker.pool, "name": worker.name, "why": state.unusable_reason, "old": round(now() - state.polled_at, 3),
                 "seen": report_as_json(state.report) if state.report else None, "peak": state.peak_use,
             }
             for worker, state in self.workers.items()
@@ -166,7 +166,7 @@
                 state = self.state_of(row["pool"], row["name"])
                 polled_at = requested_at - row["old"]
                 if polled_at > state.polled_at:
-                    state.polled_at, state.unusable, state.peak_use = polled_at, row["why"], row["peak"]
+                    state.polled_at, state.unusable_reason, state.peak_use = polled_at, row["why"], row["peak"]
                     state.report = report_from_json(row["seen"]) if row["seen"] else None
                     state.in_flight_at_poll = state.in_flight.total()
             self.signal()
@@ -194,7 +194,7 @@
                     w for w, s in self.workers.items() if w not in wanted and not s.in_flight.total()
                 ]:
                     del self.workers[removed_worker]
-                copied = self.who not in self.polling_edges() and await self.copy_from_peer(interval)
+                copied = self.own_name not in self.polling_edges() and await self.copy_from_peer(interval)
                 if not copied:
                     for worker, server in wanted.items():
                         if worker not in polls or polls[worker].done():
@@ -231,7 +231,10 @@
             if writer is not None:
                 writer.close()
         if writer is not None:
-            state.broken_at, state.unusable = now(), state.unusable or "its connection ended; it is asked anew"
+            state.broken_at, state.unusable_reason = (
+                now(),
+                state.unusable_reason or "its connection ended; it is asked anew",
+            )
             await self._poll(configuration, worker, server, limit)
 
     async def _poll(self, configuration: Configuration, worker: WorkerId, server: Server, limit: float) -> None:
@@ -247,15 +250,19 @@
                 )
             else:
                 await self._check_health(server["url"], limit)
-                state.unusable = ""
+                state.unusable_reason = ""
             state.polled_at, state.failures, state.in_flight_at_poll = requested_at, 0, state.in_flight.total()
         except (FaultError, aiohttp.ClientError, OSError, TimeoutError) as error:
             state.failures += 1
-            state.unusable = str(error) or repr(error)
-        if state.unusable != state.logged:
-            state.logged = state.unusable
+            state.unusable_reason = str(error) or repr(error)
+        if state.unusable_reason != state.logged:
+            state.logged = state.unusable_reason
             log_events.emit(
-                Event.WORKER_STATE_CHANGED, self.who, pool=worker.pool, server=worker.name, state=state.unusable or "up"
+                Event.WORKER_STATE_CHANGED,
+                self.own_name,
+                pool=worker.pool,
+                server=worker.name,
+                state=state.unusable_reason or "up",
             )
         self.signal()
 
@@ -266,7 +273,7 @@
                 raise FaultError(Fault("health", url, f"status {response.status}"))
 
     # --- how much may be placed on workers
-    def barred(self, pool: str, name: str, max_age: float) -> str:
+    def barred_reason(self, pool: str, name: str, max_age: float) -> str:
         """Returns why a worker gets no new requests, or an empty string if it may. `max_age`: seconds for which a poll is
         valid."""
         configuration = self.configuration_view.manifest
@@ -280,8 +287,8 @@
         if server["area"] in configuration.get("evacuated", []):
             return f"area {server['area']} is evacuated"
         state = self.state_of(pool, name)
-        if state.unusable:
-            return state.unusable
+        if state.unusable_reason:
+            return state.unusable_reason
         if now() - state.polled_at > max_age:
             return "not heard of lately"
         if state.report is not None and state.report.cache > MAX_CACHE_USE:
@@ -313,4 +320,4 @@
         # is left out while another has two more than it.
         servers = self.configuration["pools"][pool]["servers"]
         offset = sum(math.ceil(s["slots"] * OVERCOMMIT) % edges for n, s in servers.items() if n < name)
-        return share_of(total, (rank - offset) % edges, edges)
+        return integer_share(total, (rank - offset) % edges, edges)
--- a/postpass/gateway/worker_selection.py
+++ b/postpass/gateway/worker_selection.py
@@ -51,9 +51,9 @@
         """Applies the configuration in force if it is a new revision."""
         configuration = self.configuration_view.manifest
         if configuration is not None and self.revision != self.configuration_view.revision:
-            self.learn(configuration)
+            self.apply_configuration(configuration)
 
-    def learn(self, configuration: Configuration) -> None:
+    def apply_configuration(self, configuration: Configuration) -> None:
         """Applies a new revision of the configuration: derives routes, edges and senders, and forgets removed workers."""
         self.table, self.revision = route_table_of(configuration), self.configuration_view.revision
         machines = {n: m for n, m in configuration["machines"].items() if not m.get("gone")}
@@ -70,7 +70,7 @@
             worker_health = self.health_by_worker[name] = WorkerHealth(bucket=TokenBucket(1.0, now()))
         return worker_health
 
-    def barred(self, configuration: Configuration, server: Server) -> bool:
+    def is_barred(self, configuration: Configuration, server: Server) -> bool:
         """Returns whether a worker gets no new requests, because it is leaving or its zone is evacuated."""
         return bool(server.get("leave")) or server["area"] in configuration.get("evacuated", ())
 
@@ -101,7 +101,7 @@
         candidates: list[WorkerCandidate] = []
         current_time = now()
         for name, server in pool["servers"].items():
-            if name in tried or self.barred(configuration, server):
+            if name in tried or self.is_barred(configuration, server):
                 continue
             health = self.health(name)
             if server.get("cold"):
@@ -129,14 +129,14 @@
             if pool_name not in configuration["pools"]:
                 continue
             candidates = self.candidates(configuration, configuration["pools"][pool_name], tried, others or {})
-            view = EdgeView(len(self.edges), self.usual_tokens(pool_name, prompt.tokens))
+            view = EdgeView(len(self.edges), self.update_usual_tokens(pool_name, prompt.tokens))
             choice = choose_worker(candidates, prompt, view, self.environment.chance, options)
             if choice is not None:
                 request.choice = choice
                 return pool_name, choice.worker
         return None
 
-    def usual_tokens(self, pool: str, tokens: int) -> float:
+    def update_usual_tokens(self, pool: str, tokens: int) -> float:
         """Adds a prompt to the smoothed number of tokens per prompt of a pool, and returns the new value."""
         usual = self.usual_tokens_by_pool.get(pool, float(tokens))
         usual += (tokens - usual) * PROMPT_WEIGHT
@@ -155,7 +155,7 @@
         if route is None or all(s["pool"] != pool_name or s["weight"] <= 0 for s in route["split"]):
             return "the route no longer goes there"
         server = configuration["pools"].get(pool_name, {"servers": {}})["servers"].get(worker_name)  # type: ignore[typeddict-item]
-        if server is None or self.barred(configuration, server) or server["url"] != "http://" + addr:
+        if server is None or self.is_barred(configuration, server) or server["url"] != "http://" + addr:
             return "it is leaving"
         if server.get("cold"):
             rate = self.cold_rate(configuration["pools"][pool_name], worker_name)
--- a/sim/broken.py
+++ b/sim/broken.py
@@ -112,13 +112,13 @@
 
 
 def leaving_is_ignored(mp: pytest.MonkeyPatch) -> None:
-    plain = WorkerLoad.barred
+    plain = WorkerLoad.barred_reason
 
-    def barred(self: WorkerLoad, pool: str, name: str, max_age: float) -> str:
+    def barred_reason(self: WorkerLoad, pool: str, name: str, max_age: float) -> str:
         why = plain(self, pool, name, max_age)
         return "" if why == "leaving" or "evacuated" in why else why
 
-    mp.setattr(WorkerLoad, "barred", barred)
+    mp.setattr(WorkerLoad, "barred_reason", barred_reason)
 
 
 def deaf_to_news(mp: pytest.MonkeyPatch) -> None:
--- a/tests/gateway/test_answers_broken.py
+++ b/tests/gateway/test_answers_broken.py
@@ -37,7 +37,7 @@
 
 # --- responses to clients
 def skip_id_comparison(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream_connection, "carries", lambda *_: True)
+    monkeypatch.setattr(upstream_connection, "has_only_value", lambda *_: True)
 
 
 def repeat_any_request(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -91,13 +91,13 @@
 
 
 def hide_failures(monkeypatch: pytest.MonkeyPatch) -> None:
-    original = AnswerDelivery.begin
+    original = AnswerDelivery.send_head
 
-    async def begin(self: AnswerDelivery, request: Any, exchange: Exchange, joined: bool) -> None:
+    async def send_head(self: AnswerDelivery, request: Any, exchange: Exchange, joined: bool) -> None:
         exchange.status = 200 if exchange.status == 422 else exchange.status
         await original(self, request, exchange, joined)
 
-    monkeypatch.setattr(AnswerDelivery, "begin", begin)
+    monkeypatch.setattr(AnswerDelivery, "send_head", send_head)
 
 
 def omit_retry_after(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/gateway/test_attempts.py
+++ b/tests/gateway/test_attempts.py
@@ -38,13 +38,13 @@
 
 
 def relayed_action(
-    attempt_log: AttemptLog, repeatable: bool, begun: bool = False, resumable: bool = False, now: float = 0.0
+    attempt_log: AttemptLog, repeatable: bool, answer_begun: bool = False, resumable: bool = False, now: float = 0.0
 ) -> str:
     return next_relayed_attempt(
         attempt_log,
         repeatable=repeatable,
         resumable=resumable,
-        begun=begun,
+        answer_begun=answer_begun,
         now=now,
         search_until=1.0,
         deadline=10.0,
@@ -73,6 +73,9 @@
 
 
 def test_an_answer_under_way_goes_on_elsewhere_only_if_it_can_be_resumed() -> None:
-    assert relayed_action(attempt_log_of(("broken", "")), True, begun=True) == "error"
-    assert relayed_action(attempt_log_of(("broken", "")), True, begun=True, resumable=True) == "send"
-    assert relayed_action(attempt_log_of(("broken", ""), ("broken", "")), True, begun=True, resumable=True) == "error"
+    assert relayed_action(attempt_log_of(("broken", "")), True, answer_begun=True) == "error"
+    assert relayed_action(attempt_log_of(("broken", "")), True, answer_begun=True, resumable=True) == "send"
+    assert (
+        relayed_action(attempt_log_of(("broken", ""), ("broken", "")), True, answer_begun=True, resumable=True)
+        == "error"
+    )
--- a/tests/gateway/test_client_identity.py
+++ b/tests/gateway/test_client_identity.py
@@ -11,10 +11,10 @@
 from postpass.configuration.configuration import Route
 from postpass.configuration.tenant_keys import key_digest
 from postpass.feed.configuration_view import ConfigurationView
-from postpass.gateway.attempts import KeyStanding
+from postpass.gateway.attempts import KeyStatus
 from postpass.gateway.client_identity import PUBLIC, WITHOUT_TENANTS, ClientKeys, KeyRefusal, presented_key
 from postpass.gateway.http_headers import Headers
-from tests.gateway.test_relay import manifest, route
+from tests.gateway.test_relay import relay_configuration, route
 
 KEYED_ROUTE: Route = route("idem", "/i/")
 PUBLIC_ROUTE: Route = route("idem", "/p/", public=True)
@@ -36,7 +36,7 @@
 
 
 def apply_tenants(view: ConfigurationView, tenants: dict[str, Any] | None) -> None:
-    configuration: Any = view.manifest or manifest(["w"])
+    configuration: Any = view.manifest or relay_configuration(["w"])
     configuration = {key: value for key, value in configuration.items() if key != "tenants"}
     if tenants is not None:
         configuration["tenants"] = tenants
@@ -144,22 +144,22 @@
     def test_a_key_is_held_withdrawn_or_another_tenants(self) -> None:
         keys, view = client_keys({"t1": tenant("k1", "k2"), "t2": tenant()})
         client = keys.authenticate(KEYED_ROUTE, bearer_header("k1")).unwrap()
-        assert keys.standing(KEYED_ROUTE, client) is KeyStanding.HELD
+        assert keys.standing(KEYED_ROUTE, client) is KeyStatus.VALID
         apply_tenants(view, {"t1": tenant("k2"), "t2": tenant()})
-        assert keys.standing(KEYED_ROUTE, client) is KeyStanding.WITHDRAWN
+        assert keys.standing(KEYED_ROUTE, client) is KeyStatus.WITHDRAWN
         apply_tenants(view, {"t1": tenant("k2"), "t2": tenant("k1")})
-        assert keys.standing(KEYED_ROUTE, client) is KeyStanding.CHANGED
+        assert keys.standing(KEYED_ROUTE, client) is KeyStatus.CHANGED
         apply_tenants(view, {"t1": tenant("k1", rank=3)})
-        assert keys.standing(KEYED_ROUTE, client) is KeyStanding.HELD
+        assert keys.standing(KEYED_ROUTE, client) is KeyStatus.VALID
         apply_tenants(view, None)
-        assert keys.standing(KEYED_ROUTE, client) is KeyStanding.CHANGED
+        assert keys.standing(KEYED_ROUTE, client) is KeyStatus.CHANGED
 
     def test_what_needed_no_key_may_need_one_now(self) -> None:
         keys, view = client_keys(None)
         client = keys.authenticate(KEYED_ROUTE, []).unwrap()
-        assert keys.standing(KEYED_ROUTE, client) is KeyStanding.HELD
+        assert keys.standing(KEYED_ROUTE, client) is KeyStatus.VALID
         apply_tenants(view, {"t1": tenant("k1")})
-        assert keys.standing(KEYED_ROUTE, client) is KeyStanding.CHANGED
+        assert keys.standing(KEYED_ROUTE, client) is KeyStatus.CHANGED
         public = keys.authenticate(PUBLIC_ROUTE, []).unwrap()
-        assert keys.standing(PUBLIC_ROUTE, public) is KeyStanding.HELD
-        assert keys.standing(KEYED_ROUTE, public) is KeyStanding.CHANGED
+        assert keys.standing(PUBLIC_ROUTE, public) is KeyStatus.VALID
+        assert keys.standing(KEYED_ROUTE, public) is KeyStatus.CHANGED
--- a/tests/gateway/test_load_exchange.py
+++ b/tests/gateway/test_load_exchange.py
@@ -131,7 +131,7 @@
 def test_a_daemon_that_has_nothing_to_report_or_decide_sends_nothing() -> None:
     fleet = Fleet(2, 1)
     for exchange in fleet.exchanges.values():
-        exchange.wanted = lambda: False
+        exchange.is_needed = lambda: False
 
     async def main(_loop: SimLoop) -> None:
         await fleet.run_all(2.0)
--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -49,20 +49,25 @@
             pass
 
 
-def word(head: bytes, name: str) -> str:
+def header_value(head: bytes, name: str) -> str:
     found = re.search(rb"\r\n" + name.encode() + rb": ([^\r]*)", head)
     return found[1].decode() if found else ""
 
 
 def reply(head: bytes, body: bytes = b"ok", status: str = "200 OK", *more: str, seal: bool = True) -> bytes:
-    lines = [f"HTTP/1.1 {status}", f"X-Call-Id: {word(head, 'x-call-id')}", f"Content-Length: {len(body)}", *more]
+    lines = [
+        f"HTTP/1.1 {status}",
+        f"X-Call-Id: {header_value(head, 'x-call-id')}",
+        f"Content-Length: {len(body)}",
+        *more,
+    ]
     lines += ["X-Seal: s1"] if seal else []
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
-def opening(head: bytes) -> bytes:
+def stream_head(head: bytes) -> bytes:
     return (
-        f"HTTP/1.1 200 OK\r\nX-Call-Id: {word(head, 'x-call-id')}\r\nX-Seal: s1\r\n"
+        f"HTTP/1.1 200 OK\r\nX-Call-Id: {header_value(head, 'x-call-id')}\r\nX-Seal: s1\r\n"
         "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
     ).encode()
 
@@ -75,7 +80,7 @@
     return b"id: %d\ndata: t%d\n\n" % (n, n)
 
 
-async def well(_w: Worker, _n: int, head: bytes, writer: asyncio.StreamWriter) -> None:
+async def answer_ok(_w: Worker, _n: int, head: bytes, writer: asyncio.StreamWriter) -> None:
     writer.write(reply(head))
 
 
@@ -88,7 +93,7 @@
     return base | more  # type: ignore[no-any-return]
 
 
-def manifest(names: list[str]) -> Configuration:
+def relay_configuration(names: list[str]) -> Configuration:
     configuration: Configuration = {
         "name": "x", "areas": ["a"], "parts": 1, "copies": 1, "classes": {}, "ways": {}, "announced": True,
         "machines": {"e": {"area": "a", "peer": "127.0.0.1:1", "http": "127.0.0.1:2", "duties": ["edge"]}},
@@ -181,7 +186,7 @@
             )  # type: ignore[arg-type]
         settings = Settings("e", "a", "127.0.0.1:1", "127.0.0.1:2", ("127.0.0.1:1",), ("edge",), announce=True)
         configuration_view = ConfigurationView("e")
-        assert configuration_view.accept(1, manifest(list(plays)))
+        assert configuration_view.accept(1, relay_configuration(list(plays)))
         relay = Relay(settings, Environment(), configuration_view, Dialect(), CollectorRegistry())
         bound = limits or ConnectionLimits(16384, 5.0, 15.0)
         stop = asyncio.Event()
@@ -212,15 +217,15 @@
         assert response[1]["x-seal"] == "s1" and response[1]["x-call-id"] == "c1"
         seen = scene.workers[0].seen[0]
         assert seen.startswith(b"POST /i/a%2Fb//c?x=%20&&y HTTP/1.1\r\n") and seen.endswith(b"\r\n\r\n\x00body")
-        assert word(seen, "host") == "shop.example:80" and word(seen, "x-other") == "1"
-        assert word(seen, "x-want-worker") == "w1" and 850 < int(word(seen, "x-deadline-ms")) <= 900
-        assert not word(seen, "te") and not word(seen, "x-hop") and not word(seen, "connection")
+        assert header_value(seen, "host") == "shop.example:80" and header_value(seen, "x-other") == "1"
+        assert header_value(seen, "x-want-worker") == "w1" and 850 < int(header_value(seen, "x-deadline-ms")) <= 900
+        assert not header_value(seen, "te") and not header_value(seen, "x-hop") and not header_value(seen, "connection")
         await scene.ask("/i/?", method="GET")
         assert scene.workers[0].seen[1].startswith(b"GET /i/? HTTP/1.1\r\n")
-        assert 4900 < int(word(scene.workers[0].seen[1], "x-deadline-ms")) <= 5000
+        assert 4900 < int(header_value(scene.workers[0].seen[1], "x-deadline-ms")) <= 5000
         assert len(scene.workers[0].writers) == 1
 
-    play({"w1": well}, main)
+    play({"w1": answer_ok}, main)
 
 
 def test_an_unmatched_request_gets_404_and_an_unready_edge_answers_503() -> None:
@@ -241,7 +246,7 @@
         assert (await scene.ask("/i/x"))[0] == 404
         assert scene.ran == [0]
 
-    play({"w1": well}, main)
+    play({"w1": answer_ok}, main)
 
 
 def refusing(status: str, *more: str) -> Play:
@@ -263,7 +268,7 @@
                 assert (await scene.ask(path))[0] == 200
             assert scene.ran[2] == 4
 
-        play({"w1": refusing(status, *more), "w2": refusing(status, *more), "w3": well}, main)
+        play({"w1": refusing(status, *more), "w2": refusing(status, *more), "w3": answer_ok}, main)
 
 
 @pytest.mark.parametrize("wanted", [True, False])
@@ -287,7 +292,7 @@
             assert (await scene.ask("/o/x"))[0] == 200
         assert scene.relay.workers.health_by_worker["w1"].failures <= 2
 
-    play({"w1": well, "w2": well}, main)
+    play({"w1": answer_ok, "w2": answer_ok}, main)
 
 
 def test_a_request_that_no_worker_takes_is_rejected_at_once_with_a_retry_delay() -> None:
@@ -351,7 +356,7 @@
         assert scene.ran[1] == 4
 
     for answer_play in (cut, stalls):
-        play({"w1": answer_play, "w2": well}, main)
+        play({"w1": answer_play, "w2": answer_ok}, main)
 
 
 def test_a_workers_408_is_a_refusal_like_the_others() -> None:
@@ -494,7 +499,7 @@
             await asyncio.sleep(2)
 
     for answer_play in (cut, refusing("500 Oops"), refusing("200 OK"), refusing("503 Full")):
-        play({"w1": answer_play, "w2": well}, main)
+        play({"w1": answer_play, "w2": answer_ok}, main)
 
 
 def test_a_workers_own_failure_is_passed_on_when_nothing_is_left_to_try() -> None:
@@ -518,7 +523,7 @@
         await asyncio.sleep(scene.relay.settings.bounds.exchange * OUTCOME_INTERVALS * 2)
         assert scene.relay.workers.own_use() == {}
 
-    play({"w1": refusing("500 Oops"), "w2": well}, main)
+    play({"w1": refusing("500 Oops"), "w2": answer_ok}, main)
 
 
 def test_an_answer_to_another_request_is_not_passed_on() -> None:
@@ -535,7 +540,7 @@
 
 def test_events_leave_at_once_and_a_cut_stream_never_looks_whole() -> None:
     async def stream(_w: Worker, _n: int, head: bytes, writer: asyncio.StreamWriter) -> None:
-        writer.write(opening(head))
+        writer.write(stream_head(head))
         for n in range(3):
             await asyncio.sleep(0.5)
             writer.write(chunk(event(n)))
@@ -561,13 +566,13 @@
 
 def test_a_resumable_stream_goes_on_at_another_worker_inside_one_answer() -> None:
     async def broken(_w: Worker, _n: int, head: bytes, writer: asyncio.StreamWriter) -> None:
-        writer.write(opening(head) + chunk(event(0) + event(1) + event(2)[:4]))
+        writer.write(stream_head(head) + chunk(event(0) + event(1) + event(2)[:4]))
         await asyncio.sleep(0.1)
         writer.close()
 
     async def rest(_w: Worker, _n: int, head: bytes, writer: asyncio.StreamWriter) -> None:
-        at = int(word(head, "last-event-id") or -1) + 1
-        writer.write(opening(head).replace(b"s1", b"s2"))
+        at = int(header_value(head, "last-event-id") or -1) + 1
+        writer.write(stream_head(head).replace(b"s1", b"s2"))
         for n in range(at, 5):
             writer.write(chunk(event(n)))
         writer.write(b"0\r\n\r\n")
@@ -580,8 +585,8 @@
         status, head, body, whole = await task
         assert (status, head["x-seal"], body, whole) == (200, "s1", b"".join(map(event, range(5))), True)
         assert (
-            word(scene.workers[1].seen[0], "last-event-id") == "1"
-            and word(scene.workers[1].seen[0], "x-urgency") == "1"
+            header_value(scene.workers[1].seen[0], "last-event-id") == "1"
+            and header_value(scene.workers[1].seen[0], "x-urgency") == "1"
         )
 
     play({"w1": broken, "w2": rest}, main)
@@ -589,7 +594,7 @@
 
 def test_a_run_that_starts_at_another_event_is_not_joined() -> None:
     async def broken(_w: Worker, _n: int, head: bytes, writer: asyncio.StreamWriter) -> None:
-        writer.write(opening(head) + chunk(event(0) + event(1)))
+        writer.write(stream_head(head) + chunk(event(0) + event(1)))
         await asyncio.sleep(0.1)
         writer.close()
 
@@ -602,12 +607,12 @@
 
 def test_before_its_first_event_a_resumable_stream_is_simply_asked_for_again() -> None:
     async def empty(_w: Worker, _n: int, head: bytes, writer: asyncio.StreamWriter) -> None:
-        writer.write(opening(head) + chunk(b"id: 0\nda"))
+        writer.write(stream_head(head) + chunk(b"id: 0\nda"))
         await asyncio.sleep(0.1)
         writer.close()
 
     async def whole(_w: Worker, _n: int, head: bytes, writer: asyncio.StreamWriter) -> None:
-        writer.write(opening(head).replace(b"s1", b"s2") + chunk(event(0)) + b"0\r\n\r\n")
+        writer.write(stream_head(head).replace(b"s1", b"s2") + chunk(event(0)) + b"0\r\n\r\n")
 
     async def main(scene: Scene) -> None:
         for _ in range(4):
@@ -627,10 +632,10 @@
         _, writer = await asyncio.open_connection("127.0.0.1", 2)
         writer.write(b"POST /o/x HTTP/1.1\r\nhost: shop.example\r\nx-call-id: c1\r\ncontent-length: 0\r\n\r\n")
         await asyncio.sleep(0.2)
-        assert scene.ran == [1] and scene.relay.connections.busy("127.0.1.1:9") == 1
+        assert scene.ran == [1] and scene.relay.connections.busy_count("127.0.1.1:9") == 1
         writer.close()
         await asyncio.sleep(0.2)
-        assert scene.relay.connections.busy("127.0.1.1:9") == 0
+        assert scene.relay.connections.busy_count("127.0.1.1:9") == 0
 
     play({"w1": slow}, main)
 
@@ -662,12 +667,12 @@
         scene.change(lambda m: m["pools"]["p"]["servers"].clear())
         assert (await task)[0] in (200, 503)
 
-    play({"w1": well, "w2": well}, main)
+    play({"w1": answer_ok, "w2": answer_ok}, main)
 
 
 def test_late_answers_and_rejections_are_logged() -> None:
     async def stalls(_w: Worker, _n: int, head: bytes, writer: asyncio.StreamWriter) -> None:
-        writer.write(opening(head) + chunk(event(0)))
+        writer.write(stream_head(head) + chunk(event(0)))
         await asyncio.sleep(0.25)
         writer.write(chunk(event(1)) + b"0\r\n\r\n")
 
@@ -701,7 +706,7 @@
             await asyncio.sleep(0.05)
         assert 0 < scene.ran[0] <= 1 + 0.7 * 2 * 6 and scene.ran[1] == 100 - scene.ran[0]
 
-    play({"w1": well, "w2": well}, main)
+    play({"w1": answer_ok, "w2": answer_ok}, main)
 
 
 def test_bodies_heads_and_slow_clients_are_bounded() -> None:
@@ -725,10 +730,10 @@
         assert scene.ran == [2]
         assert (
             scene.workers[0].seen[1].endswith(b"\r\n\r\nxxx")
-            and word(scene.workers[0].seen[1], "content-length") == "3"
+            and header_value(scene.workers[0].seen[1], "content-length") == "3"
         )
 
-    play({"w1": well}, main, ConnectionLimits(300, 0.5, 1.0))
+    play({"w1": answer_ok}, main, ConnectionLimits(300, 0.5, 1.0))
 
 
 def test_a_leaving_edge_sends_connection_close_with_its_answers() -> None:
@@ -738,7 +743,7 @@
         assert (await scene.ask("/o/x"))[1]["connection"] == "close"
         assert (await scene.ask("/none"))[1]["connection"] == "close"
 
-    play({"w1": well}, main)
+    play({"w1": answer_ok}, main)
 
 
 def test_readiness_is_reported_at_any_path_that_ends_with_ready() -> None:
@@ -774,11 +779,11 @@
             "e", "a", "127.0.0.1:1", "127.0.0.1:2", ("127.0.0.8:1",), ("edge",), announce=True, ready="127.0.0.1:3",
             bounds=Bounds(grace=8.0),
         )  # fmt: skip
-        worker = Worker("w1", well)
+        worker = Worker("w1", answer_ok)
         worker_host = loop.add(Host("w1", ("127.0.1.1",), "a"))
         await loop.create_task(asyncio.start_server(worker.take, "127.0.1.1", 9), context=worker_host.context())  # type: ignore[arg-type]
         data = DataPlane(settings, Environment())
-        data.configuration_view.accept(1, manifest(["w1"]))
+        data.configuration_view.accept(1, relay_configuration(["w1"]))
         task = loop.create_task(data.run(), context=edge_host.context())
 
         async def ask(path: str, port: int = 2) -> tuple[int, Head, bytes, bool]:
@@ -794,7 +799,7 @@
             data.configuration_view.fresh = True
             # Control doesn't know this process yet, so the other edges don't count it.
             assert (await ask("/i/x"))[0] == 503 and (await ask("/x/ready", 3))[0] == 503
-            known = manifest(["w1"])
+            known = relay_configuration(["w1"])
             known["machines"]["e"]["born"] = data.incarnation
             data.configuration_view.accept(2, known)
             assert (await ask("/i/x"))[0] == 200 and (await ask("/x/ready", 3))[0] == 200
@@ -822,7 +827,7 @@
         )
         data = DataPlane(settings, Environment())
         if known:
-            data.configuration_view.accept(1, manifest(["w1"]))
+            data.configuration_view.accept(1, relay_configuration(["w1"]))
         task = loop.create_task(data.run(), context=edge_host.context())
 
         async def main() -> None:
@@ -843,8 +848,8 @@
 
 def test_a_stream_continues_elsewhere_if_its_worker_dies_silently_but_not_if_it_only_stalls() -> None:
     async def long(_w: Worker, _n: int, head: bytes, writer: asyncio.StreamWriter) -> None:
-        at = int(word(head, "last-event-id") or -1) + 1
-        writer.write(opening(head))
+        at = int(header_value(head, "last-event-id") or -1) + 1
+        writer.write(stream_head(head))
         for n in range(at, 20):
             writer.write(chunk(event(n)))
             # One long pause, as while a worker processes a long prompt.
@@ -874,7 +879,7 @@
                 assert scene.loop.clock - before < 0.5
 
         async def both(w: Worker, n: int, head: bytes, writer: asyncio.StreamWriter) -> None:
-            await (long if b"/r/" in head else well)(w, n, head, writer)
+            await (long if b"/r/" in head else answer_ok)(w, n, head, writer)
 
         play({"w1": both, "w2": both}, main)
 
--- a/tests/gateway/test_relay_keys.py
+++ b/tests/gateway/test_relay_keys.py
@@ -18,14 +18,14 @@
     Play,
     Scene,
     Worker,
+    answer_ok,
     chunk,
     event,
-    opening,
+    header_value,
     play,
     read_answer,
     route,
-    well,
-    word,
+    stream_head,
 )
 
 
@@ -45,7 +45,7 @@
         scene.change(lambda configuration: configuration["routes"].update(open=route("once", "/p/", public=True)))
         return await main(scene)
 
-    return play(plays or {"w1": well}, with_tenants)
+    return play(plays or {"w1": answer_ok}, with_tenants)
 
 
 def received_heads(scene: Scene) -> list[bytes]:
@@ -140,7 +140,7 @@
                 and values(received_heads(scene)[0], "x-tenant") == []
             )
 
-        play({"w1": well}, main)
+        play({"w1": answer_ok}, main)
 
     def test_is_forwarded_as_its_tenants_name_whatever_name_the_client_gives(self) -> None:
         async def main(scene: Scene) -> None:
@@ -174,7 +174,7 @@
             assert (await connection.ask(key("k4")))[0] == 401
             scene.change(tenants(t1=tenant("k1", "k4"), t2=tenant("k2", "k3")))
             assert [(await connection.ask(key(name)))[0] for name in ("k4", "k2", "k1")] == [200] * 3
-            assert [word(head, "x-tenant") for head in received_heads(scene)] == ["t1", "t2", "t1"]
+            assert [header_value(head, "x-tenant") for head in received_heads(scene)] == ["t1", "t2", "t1"]
 
         play_with(main)
 
@@ -216,13 +216,13 @@
 
     def test_that_takes_a_key_away_lets_a_response_that_has_begun_complete(self) -> None:
         async def broken(_w: Worker, _n: int, head: bytes, writer: asyncio.StreamWriter) -> None:
-            writer.write(opening(head) + chunk(event(0) + event(1)))
+            writer.write(stream_head(head) + chunk(event(0) + event(1)))
             await asyncio.sleep(0.1)
             writer.close()
 
         async def rest(_w: Worker, _n: int, head: bytes, writer: asyncio.StreamWriter) -> None:
-            first_event = int(word(head, "last-event-id") or -1) + 1
-            writer.write(opening(head) + b"".join(chunk(event(n)) for n in range(first_event, 5)) + b"0\r\n\r\n")
+            first_event = int(header_value(head, "last-event-id") or -1) + 1
+            writer.write(stream_head(head) + b"".join(chunk(event(n)) for n in range(first_event, 5)) + b"0\r\n\r\n")
 
         async def main(scene: Scene) -> None:
             scene.change(lambda configuration: configuration["pools"]["p"]["servers"]["w2"].update(leave=True))
@@ -301,7 +301,7 @@
         if b" /o/" in head:
             writer.close()
         else:
-            await well(worker, number, head, writer)
+            await answer_ok(worker, number, head, writer)
 
     async def main(scene: Scene) -> None:
         for key_name in ("k1-secret", "unknown-secret", "k1-secret x"):
--- a/tests/gateway/test_upstream_connection.py
+++ b/tests/gateway/test_upstream_connection.py
@@ -76,7 +76,7 @@
             assert await ask(pool) == (200, b"ok")
         assert worker.connections == 1 and pool.connections_opened == 1 and pool.requests_sent == 5
         assert worker.heads[0] == b"GET /a%2fb?x HTTP/1.1\r\nhost: h\r\n\r\n"
-        assert pool.busy("w:1") == 0
+        assert pool.busy_count("w:1") == 0
         await asyncio.gather(*(ask(pool) for _ in range(3)))
         assert worker.connections == 3
 
@@ -292,7 +292,7 @@
             return loop.clock - began
 
         loop.kill(loop.add(Host("gone", ("gone",), "a")), silent=True)
-        assert abs(await seconds_to_fail() - pool.connect) < 0.01
+        assert abs(await seconds_to_fail() - pool.connect_timeout) < 0.01
         assert await ask(pool) == (200, b"ok")
         assert 0.03 < await seconds_to_fail() < 0.05
         # With distant workers or a slow machine, the usual time there applies.
--- a/tests/gateway/test_worker_load.py
+++ b/tests/gateway/test_worker_load.py
@@ -7,7 +7,14 @@
 import aiohttp
 
 from postpass.feed.configuration_view import ConfigurationView
-from postpass.gateway.worker_load import WorkerId, WorkerLoad, WorkerState, report_as_json, report_from_json, share_of
+from postpass.gateway.worker_load import (
+    WorkerId,
+    WorkerLoad,
+    WorkerState,
+    integer_share,
+    report_as_json,
+    report_from_json,
+)
 from postpass.runtime.environment import Environment, now
 from postpass.worker_api.openai import Report
 
@@ -15,7 +22,7 @@
 def test_quotas_add_up_to_the_bound() -> None:
     for total in range(1, 40):
         for shares in range(1, 12):
-            assert sum(share_of(total, r + 5, shares) for r in range(shares)) == total
+            assert sum(integer_share(total, r + 5, shares) for r in range(shares)) == total
 
 
 def test_a_report_goes_between_daemons_by_the_keys_that_older_releases_read() -> None:
@@ -39,9 +46,9 @@
         configuration_view.accept(1, configuration)
         async with aiohttp.ClientSession() as session:
             load = WorkerLoad("e1", Environment(wall=lambda: clock[0]), configuration_view, session)
-            assert load.barred("gpu", "w1", 2.0) == "not polled yet"
+            assert load.barred_reason("gpu", "w1", 2.0) == "not polled yet"
             load.workers[WorkerId("gpu", "w1")] = WorkerState(Report(0, 0, 0.0, 1000.0, "m", "1"), now(), "")
-            assert load.barred("gpu", "w1", 2.0) == "" and load.usable_slots("gpu", "w1") == 1
+            assert load.barred_reason("gpu", "w1", 2.0) == "" and load.usable_slots("gpu", "w1") == 1
             assert sum(load.quota("gpu", "w1", r, 8) for r in range(8)) == 1
             clock[0] = 1005.0
             assert sum(load.quota("gpu", "w1", r, 8) for r in range(8)) == 4
@@ -68,6 +75,6 @@
                     },
                 },
             )
-            assert load.barred("gpu", "w1", 2.0) == "area a is evacuated"
+            assert load.barred_reason("gpu", "w1", 2.0) == "area a is evacuated"
 
     asyncio.run(run())
--- a/tests/platform/test_job_keys.py
+++ b/tests/platform/test_job_keys.py
@@ -31,7 +31,7 @@
         self.fleet = fleet
         edge = api.edge
         self.relay = Relay(edge.settings, edge.environment, edge.configuration_view, Dialect(), CollectorRegistry())
-        pages = module("clients").JobRoutes(api, self.relay.job_client)
+        pages = module("clients").JobRoutes(api, self.relay.authenticate_job_client)
         edge.extra_routes = pages.paths()
         self.relay.job_handler, self.relay.fallback = pages.post, Starlette(routes=edge.routes())
         self.view = edge.configuration_view
--- a/tests/sim/test_broken_variants.py
+++ b/tests/sim/test_broken_variants.py
@@ -170,7 +170,7 @@
 
 # --- leaving in order
 def bars_nobody(mp: pytest.MonkeyPatch) -> None:
-    mp.setattr(WorkerSelection, "barred", lambda *_: False)
+    mp.setattr(WorkerSelection, "is_barred", lambda *_: False)
 
 
 def leaves_at_once(mp: pytest.MonkeyPatch) -> None:
@@ -222,19 +222,19 @@
             )
 
     mp.setattr(ControlPlane, "open", opened)
-    mp.setattr(WorkerSelection, "barred", lambda self, configuration, server: bool(server.get("leave")))
+    mp.setattr(WorkerSelection, "is_barred", lambda self, configuration, server: bool(server.get("leave")))
 
 
 # --- configuration
 def keeps_the_first_routes(mp: pytest.MonkeyPatch) -> None:
-    plain = WorkerSelection.learn
+    plain = WorkerSelection.apply_configuration
 
-    def learn(self: WorkerSelection, configuration: Any) -> None:
+    def apply_configuration(self: WorkerSelection, configuration: Any) -> None:
         table = self.table
         plain(self, configuration)
         self.table = table if table.hosts else self.table
 
-    mp.setattr(WorkerSelection, "learn", learn)
+    mp.setattr(WorkerSelection, "apply_configuration", apply_configuration)
     mp.setattr(WorkerSelection, "check_admission", lambda *_: "")
 
 
@@ -317,7 +317,7 @@
 
     async def run(self: Relay, request: Any) -> None:
         await plain(self, request)
-        if request.begun and request.attempt_log.last.state != "done":
+        if request.answer_begun and request.attempt_log.last.state != "done":
             await request.send({"type": "http.response.body", "body": b""})
 
     mp.setattr(Relay, "run", run)
--- a/tests/support/answers.py
+++ b/tests/support/answers.py
@@ -25,7 +25,7 @@
 from postpass.runtime.environment import Environment, serve_http
 from sim.http1 import Broken, Garbled, Head, Stream
 from sim.loop import Host, SimLoop, run_sim
-from tests.gateway.test_relay import manifest
+from tests.gateway.test_relay import relay_configuration
 
 NAMES = Dialect()
 PROMISES = (408, 421, 429, 503)
@@ -477,7 +477,7 @@
 
 @functools.cache
 def configuration(workers: tuple[str, ...]) -> Configuration:
-    return manifest(list(workers))
+    return relay_configuration(list(workers))
 
 
 async def start_edge(loop: SimLoop, ip: str, workers: tuple[str, ...], seed: int) -> asyncio.Task[None]:
