--- a/postpass/gateway/client_identity.py
+++ b/postpass/gateway/client_identity.py
@@ -11,7 +11,7 @@
 from postpass.configuration.configuration import Route, Tenant
 from postpass.configuration.tenant_keys import key_digest
 from postpass.feed.configuration_view import ConfigurationView
-from postpass.gateway.attempts import KeyStanding
+from postpass.gateway.attempts import KeyStatus
 from postpass.gateway.http_headers import AUTHORIZATION, Headers
 
 BEARER_SCHEME = b"bearer"
@@ -127,19 +127,19 @@
         self.identities[key] = identity
         return Ok(identity)
 
-    def standing(self, route: Route, client: ClientIdentity) -> KeyStanding:
+    def standing(self, route: Route, client: ClientIdentity) -> KeyStatus:
         """Returns what has become of the key of an authenticated client.
 
-        `HELD`: the client would be authenticated now with the same identity; `WITHDRAWN`: no tenant has its key any more;
+        `VALID`: the client would be authenticated now with the same identity; `WITHDRAWN`: no tenant has its key any more;
         `CHANGED`: its identity would be another, or it would need a key although it presented none.
         """
         self.refresh()
         if self.tenants is None or route.get("public"):
             expected = WITHOUT_TENANTS if self.tenants is None else PUBLIC
-            return KeyStanding.HELD if client == expected else KeyStanding.CHANGED
+            return KeyStatus.VALID if client == expected else KeyStatus.CHANGED
         if not client.digest:
-            return KeyStanding.CHANGED
+            return KeyStatus.CHANGED
         tenant = self.tenant_by_digest.get(client.digest)
         if tenant is None:
-            return KeyStanding.WITHDRAWN
-        return KeyStanding.HELD if tenant == client.tenant else KeyStanding.CHANGED
+            return KeyStatus.WITHDRAWN
+        return KeyStatus.VALID if tenant == client.tenant else KeyStatus.CHANGED
