--- a/postpass/gateway/client_identity.py
+++ b/postpass/gateway/client_identity.py
@@ -127,7 +127,7 @@
         self.identities[key] = identity
         return Ok(identity)
 
-    def standing(self, route: Route, client: ClientIdentity) -> KeyStatus:
+    def key_status(self, route: Route, client: ClientIdentity) -> KeyStatus:
         """Returns what has become of the key of an authenticated client.
 
         `VALID`: the client would be authenticated now with the same identity; `WITHDRAWN`: no tenant has its key any more;
--- a/postpass/gateway/relay.py
+++ b/postpass/gateway/relay.py
@@ -283,7 +283,7 @@
         route = request.route
         search_until = request.started_at + route["target"] * WORKER_SEARCH_SHARE
         while True:
-            key_status = KeyStatus.VALID if request.answer_begun else self.clients.standing(route, request.client)
+            key_status = KeyStatus.VALID if request.answer_begun else self.clients.key_status(route, request.client)
             decision = next_relayed_attempt(
                 request.attempt_log, repeatable=request.repeatable, resumable=request.can_resume, answer_begun=request.answer_begun,
                 now=now(), search_until=search_until, deadline=request.deadline, max_runs=max(1, route["tries"]), key_status=key_status,
@@ -337,7 +337,7 @@
     def _check_admission(self, request: RelayedRequest, pool_name: str, worker_name: str, addr: str) -> str:
         """Returns why the request must not be sent now, or an empty string if it may. Called right before the first byte is
         sent."""
-        if not request.answer_begun and self.clients.standing(request.route, request.client) is not KeyStatus.VALID:
+        if not request.answer_begun and self.clients.key_status(request.route, request.client) is not KeyStatus.VALID:
             return "its client's key has changed"
         return self.workers.check_admission(request, pool_name, worker_name, addr)
 
--- a/tests/gateway/test_client_identity.py
+++ b/tests/gateway/test_client_identity.py
@@ -140,26 +140,26 @@
         assert keys.authenticate_for_job([], []) == Ok(WITHOUT_TENANTS)
 
 
-class Test_standing:
+class Test_key_status:
     def test_a_key_is_held_withdrawn_or_another_tenants(self) -> None:
         keys, view = client_keys({"t1": tenant("k1", "k2"), "t2": tenant()})
         client = keys.authenticate(KEYED_ROUTE, bearer_header("k1")).unwrap()
-        assert keys.standing(KEYED_ROUTE, client) is KeyStatus.VALID
+        assert keys.key_status(KEYED_ROUTE, client) is KeyStatus.VALID
         apply_tenants(view, {"t1": tenant("k2"), "t2": tenant()})
-        assert keys.standing(KEYED_ROUTE, client) is KeyStatus.WITHDRAWN
+        assert keys.key_status(KEYED_ROUTE, client) is KeyStatus.WITHDRAWN
         apply_tenants(view, {"t1": tenant("k2"), "t2": tenant("k1")})
-        assert keys.standing(KEYED_ROUTE, client) is KeyStatus.CHANGED
+        assert keys.key_status(KEYED_ROUTE, client) is KeyStatus.CHANGED
         apply_tenants(view, {"t1": tenant("k1", rank=3)})
-        assert keys.standing(KEYED_ROUTE, client) is KeyStatus.VALID
+        assert keys.key_status(KEYED_ROUTE, client) is KeyStatus.VALID
         apply_tenants(view, None)
-        assert keys.standing(KEYED_ROUTE, client) is KeyStatus.CHANGED
+        assert keys.key_status(KEYED_ROUTE, client) is KeyStatus.CHANGED
 
     def test_what_needed_no_key_may_need_one_now(self) -> None:
         keys, view = client_keys(None)
         client = keys.authenticate(KEYED_ROUTE, []).unwrap()
-        assert keys.standing(KEYED_ROUTE, client) is KeyStatus.VALID
+        assert keys.key_status(KEYED_ROUTE, client) is KeyStatus.VALID
         apply_tenants(view, {"t1": tenant("k1")})
-        assert keys.standing(KEYED_ROUTE, client) is KeyStatus.CHANGED
+        assert keys.key_status(KEYED_ROUTE, client) is KeyStatus.CHANGED
         public = keys.authenticate(PUBLIC_ROUTE, []).unwrap()
-        assert keys.standing(PUBLIC_ROUTE, public) is KeyStatus.VALID
-        assert keys.standing(KEYED_ROUTE, public) is KeyStatus.CHANGED
+        assert keys.key_status(PUBLIC_ROUTE, public) is KeyStatus.VALID
+        assert keys.key_status(KEYED_ROUTE, public) is KeyStatus.CHANGED
