--- a/sim/day_actions.py
+++ b/sim/day_actions.py
@@ -1,5 +1,7 @@
-"""Faults and planned work of announced fleets: each verb is a function of the fleet, its words, for how many seconds it
-lasts, and how to do something later."""
+"""Faults and planned work of announced fleets, by verb.
+
+The function of a verb takes the fleet, the words after the verb, the duration in seconds (0 if none is given), and a function
+that schedules something for later."""
 
 from __future__ import annotations
 
@@ -19,26 +21,28 @@
 
 
 def verb(*names: str) -> Callable[[DayAction], DayAction]:
-    """Names a function as the action of verbs."""
+    """Returns a decorator that registers a function as the action of some verbs."""
 
-    def add(made: DayAction) -> DayAction:
-        DAY_ACTIONS.update(dict.fromkeys(names, made))
-        return made
+    def add(function: DayAction) -> DayAction:
+        DAY_ACTIONS.update(dict.fromkeys(names, function))
+        return function
 
     return add
 
 
 def spawn(fleet: AnnouncedFleet, coro: Coroutine[Any, Any, Any]) -> None:
-    """Starts a coroutine outside all machines."""
+    """Runs a coroutine as a task of no machine."""
     fleet.out(coro)
 
 
-def bring_down(fleet: AnnouncedFleet, how: Callable[[str], None], args: list[str], span: float, later: Later) -> None:
-    """Brings machines or workers down, and starts them again after the span if there is one."""
-    # All are picked before the first falls: roles move at once.
+def bring_down(
+    fleet: AnnouncedFleet, stop_machine: Callable[[str], None], args: list[str], span: float, later: Later
+) -> None:
+    """Brings machines or workers down, and starts them again after `span` seconds unless that is 0."""
+    # All are picked before the first one goes down, since roles move to other machines at once.
     names = list(dict.fromkeys(name for word in args if (name := fleet.pick(word))))
     for name in names:
-        how(name)
+        stop_machine(name)
         if span:
             later(span, partial(fleet.start, name))
 
@@ -51,7 +55,7 @@
 
 @verb("power")
 def power(fleet: AnnouncedFleet, args: list[str], span: float, later: Later) -> None:
-    """power WHO... [for S]: the machines lose power, and what was not synced."""
+    """power WHO... [for S]: the machines lose power, and with it all data that was not synced."""
     bring_down(fleet, fleet.power, args, span, later)
 
 
@@ -63,14 +67,14 @@
 
 @verb("term")
 def term(fleet: AnnouncedFleet, args: list[str], span: float, later: Later) -> None:
-    """SIGTERM; started again once it has ended, `for` seconds later."""
+    """term WHO... [for S]: SIGTERM; S seconds after the process has ended it is started again."""
     for name in [fleet.pick(word) for word in args]:
         fleet.term(name)
         start_again(fleet, name, span or 1.0)
 
 
 def start_again(fleet: AnnouncedFleet, name: str, pause: float) -> None:
-    """Starts a machine so many seconds after its process has ended."""
+    """Starts a machine `pause` seconds after its process has ended."""
     box, host = fleet.boxes[name], fleet.boxes[name].host
 
     async def wait() -> None:
@@ -87,13 +91,13 @@
     """roll CLASS GAP [COUNT]: SIGTERM to machines of a class one after the other, each started again."""
     names = [m.name for m in fleet.of(args[0])]
     gap = float(args[1])
-    for i, name in enumerate(names[: int(args[2])] if len(args) > 2 else names):
-        later(i * gap, partial(term, fleet, [name], 0.5, later))
+    for index, name in enumerate(names[: int(args[2])] if len(args) > 2 else names):
+        later(index * gap, partial(term, fleet, [name], 0.5, later))
 
 
 @verb("freeze")
 def freeze(fleet: AnnouncedFleet, args: list[str], span: float, later: Later) -> None:
-    """freeze WHO... for S: the processes stand still."""
+    """freeze WHO... for S: the processes are suspended."""
     for name in [fleet.pick(word) for word in args]:
         fleet.freeze(name)
         later(span, partial(fleet.thaw, name))
@@ -101,37 +105,40 @@
 
 @verb("cut")
 def cut(fleet: AnnouncedFleet, args: list[str], span: float, later: Later) -> None:
-    """cut WHO FROM: from a class of machines, `counted` (all with disks), `daemons`, or one machine; silent."""
+    """cut WHO FROM: cuts the links to a class of machines, to `counted` (all with disks), `daemons`, or one machine.
+
+    Messages are dropped and neither side sees an error.
+    """
     cut_off(fleet, args, span, later, one_way=False)
 
 
 @verb("cutone")
 def cut_one_way(fleet: AnnouncedFleet, args: list[str], span: float, later: Later) -> None:
-    """cutone WHO FROM: as `cut`, but messages come through the other way."""
+    """cutone WHO FROM: as `cut`, but messages in the opposite direction still arrive."""
     cut_off(fleet, args, span, later, one_way=True)
 
 
 def cut_off(fleet: AnnouncedFleet, args: list[str], span: float, later: Later, one_way: bool) -> None:
-    """Cuts a machine off from others, and joins it to them again after the span."""
-    name, what = fleet.pick(args[0]), args[1]
+    """Cuts a machine off from others, and restores the links after `span` seconds."""
+    name, target = fleet.pick(args[0]), args[1]
     groups = {"counted": ("store", "core"), "daemons": ("edge", "store", "core")}
-    kinds = groups.get(what, (what,))
-    others = [m.name for m in fleet.machines.values() if m.kind in kinds] or [fleet.pick(what)]
+    kinds = groups.get(target, (target,))
+    others = [m.name for m in fleet.machines.values() if m.kind in kinds] or [fleet.pick(target)]
     fleet.cut_off(name, others, True, one_way)
     later(span, partial(fleet.cut_off, name, others, False, one_way))
 
 
 @verb("zone")
-def zone_lost(fleet: AnnouncedFleet, args: list[str], span: float, later: Later) -> None:
-    """zone power | kill | freeze | cut N: all machines and workers of a zone; a cut parts it from the other zones."""
-    how, zone = args[0], fleet.zones[int(args[1])]
+def lose_zone(fleet: AnnouncedFleet, args: list[str], span: float, later: Later) -> None:
+    """zone power | kill | freeze | cut N: strikes all machines and workers of a zone; `cut` isolates it from the other zones."""
+    fault_name, zone = args[0], fleet.zones[int(args[1])]
     names = [n for n, b in fleet.boxes.items() if b.zone == zone and b.up]
-    if how != "cut":
+    if fault_name != "cut":
         for name in names:
-            if how == "freeze" and name in fleet.machines:
+            if fault_name == "freeze" and name in fleet.machines:
                 freeze(fleet, [name], span, later)
-            elif how != "freeze":
-                fleet.kill(name, silent=True) if name in fleet.workers else getattr(fleet, how)(name)
+            elif fault_name != "freeze":
+                fleet.kill(name, silent=True) if name in fleet.workers else getattr(fleet, fault_name)(name)
                 later(span, partial(fleet.start, name))
         return
     others = [n for n, b in fleet.boxes.items() if b.zone != zone]
@@ -149,13 +156,13 @@
 
 @verb("add")
 def add(fleet: AnnouncedFleet, args: list[str], span: float, later: Later) -> None:
-    """add CLASS ZONE: a spare machine, empty."""
+    """add CLASS ZONE: adds and starts a machine with an empty disk."""
     fleet.start(fleet.add_machine(args[0], fleet.zones[int(args[1])]).name)
 
 
 @verb("replace")
-def replaced(fleet: AnnouncedFleet, args: list[str], span: float, later: Later) -> None:
-    """replace WHO [for S]: it is gone for good; an empty one comes S seconds later at another address."""
+def replace_machine(fleet: AnnouncedFleet, args: list[str], span: float, later: Later) -> None:
+    """replace WHO [for S]: removes it for good; S seconds later an empty machine starts at another address."""
     old = fleet.machines[fleet.pick(args[0])]
     fleet.remove(old.name)
     later(span or 1.0, lambda: fleet.start(fleet.add_machine(old.kind, old.zone).name))
@@ -163,42 +170,45 @@
 
 @verb("retire")
 def retire(fleet: AnnouncedFleet, args: list[str], span: float, later: Later) -> None:
-    """retire STORE for S [then VERB WHO...]: emptied within S; once it is, it is removed with its disk, and others struck."""
+    """retire STORE for S [then VERB WHO...]: moves its data away within S seconds.
+
+    Once that is done, the store is removed with its disk, and the fault VERB strikes others.
+    """
     name = fleet.pick(args[0])
-    rest = args[1:]
+    follow_up = args[1:]
 
     async def run() -> None:
-        got = await fleet.operator.retire(name, span)
-        if got == "done":
+        result = await fleet.operator.retire(name, span)
+        if result == "done":
             fleet.remove(name)
-            if rest:
-                DAY_ACTIONS[rest[1]](fleet, rest[2:], 2.0, later)
+            if follow_up:
+                DAY_ACTIONS[follow_up[1]](fleet, follow_up[2:], 2.0, later)
 
     spawn(fleet, run())
 
 
 @verb("seeds")
 def seeds(fleet: AnnouncedFleet, args: list[str], span: float, later: Later) -> None:
-    """The settings name other machines that serve control."""
-    every = [f"{m.ip}:8146" for m in reversed(fleet.of("core"))]
-    fleet.seeds = every[:3]
+    """seeds: the settings files name other control machines as seeds from now on."""
+    control_addresses = [f"{m.ip}:8146" for m in reversed(fleet.of("core"))]
+    fleet.seeds = control_addresses[:3]
 
 
 @verb("release")
 def release(fleet: AnnouncedFleet, args: list[str], span: float, later: Later) -> None:
-    """release SERVICE GAP: its workers are replaced one after the other."""
+    """release SERVICE GAP: replaces its workers one by one, GAP seconds apart."""
     spawn(fleet, fleet.replace_workers(args[0], float(args[1])))
 
 
 @verb("crash")
 def crash(fleet: AnnouncedFleet, args: list[str], span: float, later: Later) -> None:
-    """crash WORKER... [for S]: resets its connections; a new life starts S seconds later."""
+    """crash WORKER... [for S]: ends it and resets its connections; a new instance starts S seconds later."""
     bring_down(fleet, fleet.kill, args, span, later)
 
 
 @verb("dark")
 def dark(fleet: AnnouncedFleet, args: list[str], span: float, later: Later) -> None:
-    """dark WORKER... [for S]: silent at once."""
+    """dark WORKER... [for S]: it stops without closing its connections, as after a loss of power."""
     for name in [fleet.pick(word) for word in args]:
         fleet.kill(name, silent=True)
         if span:
@@ -207,7 +217,7 @@
 
 @verb("reuse")
 def reuse(fleet: AnnouncedFleet, args: list[str], span: float, later: Later) -> None:
-    """reuse WORKER SERVICE: it is lost, and `reuseS` later its address belongs to a worker of another service."""
+    """reuse WORKER SERVICE: it is lost, and `reuseS` seconds later a worker of another service has its address."""
     name = fleet.pick(args[0])
     fleet.kill(name)
     later(fleet.limits["reuseS"], partial(fleet.start_worker, name, args[1]))
@@ -215,7 +225,8 @@
 
 @verb("fault")
 def fault(fleet: AnnouncedFleet, args: list[str], span: float, later: Later) -> None:
-    """fault WORKER WORD SHARE for S: cut, lost, junk, surplus, extra, grey, hang, full, sick, dropidle."""
+    """fault WORKER WORD SHARE for S: a share of its answers has a fault: cut, lost, junk, surplus, extra, grey, hang, full,
+    sick or dropidle."""
     worker = fleet.workers[fleet.pick(args[0])]
     worker.fault[args[1]] = float(args[2]) if len(args) > 2 else 1.0
     later(span, lambda: worker.fault.pop(args[1], None))
@@ -223,7 +234,7 @@
 
 @verb("cool")
 def cool(fleet: AnnouncedFleet, args: list[str], span: float, later: Later) -> None:
-    """cool WORKER for S: it becomes cold again."""
+    """cool WORKER for S: it is cold again, and warm S seconds later."""
     for name in [fleet.pick(word) for word in args]:
         fleet.workers[name].warm_at = fleet.loop.clock + span
         fleet.log({"ev": "cooled", "worker": fleet.workers[name].id})
@@ -231,44 +242,44 @@
 
 @verb("change")
 def change(fleet: AnnouncedFleet, args: list[str], span: float, later: Later) -> None:
-    """change timeout | route | move | weights | drop | keys: one change of the configuration."""
+    """change timeout | route | move | weights | drop | keys: makes one change of the configuration."""
 
     async def run() -> None:
-        op, kinds = fleet.operator, fleet.kinds
+        operator, kinds = fleet.operator, fleet.kinds
         if args[0] == "timeout":
-            await op.retime()
+            await operator.retime()
         elif args[0] == "route":
-            name = await op.add_route("r-view")
+            name = await operator.add_route("r-view")
             if not name:
                 return
-            route = next(r for r in op.config["routes"] if r["name"] == name)
+            route = next(r for r in operator.config["routes"] if r["name"] == name)
             kinds[name] = replace(kinds["view"], word=name, route=route)
             fleet.rates[name] = fleet.rates.get("view") or 2.0
-            fleet.clients.extra(name, fleet.rates[name])
+            fleet.clients.add_traffic(name, fleet.rates[name])
         elif args[0] == "move":
-            await op.move("r-view", "app" if args[1:] == ["back"] else "app2")
+            await operator.move("r-view", "app" if args[1:] == ["back"] else "app2")
         elif args[0] == "keys":
-            await op.rekey()
+            await operator.rekey()
         elif args[0] == "weights":
-            await op.split("r-view", {"app": 50, "app2": 50})
+            await operator.split("r-view", {"app": 50, "app2": 50})
         elif args[0] == "drop":
-            late = [r["name"] for r in op.config["routes"] if r["name"].startswith("r-late")]
-            if late:
-                kinds.pop(late[0], None)
-                await op.drop_route(late[0])
+            late_routes = [r["name"] for r in operator.config["routes"] if r["name"].startswith("r-late")]
+            if late_routes:
+                kinds.pop(late_routes[0], None)
+                await operator.drop_route(late_routes[0])
 
     spawn(fleet, run())
 
 
 @verb("race")
 def race(fleet: AnnouncedFleet, args: list[str], span: float, later: Later) -> None:
-    """race: two operators make a change at once."""
+    """race: two operators make a change at the same time."""
     spawn(fleet, fleet.operator.race())
 
 
 @verb("invalid")
 def invalid(fleet: AnnouncedFleet, args: list[str], span: float, later: Later) -> None:
-    """invalid WHAT: a configuration that must be refused."""
+    """invalid WHAT: sends a configuration that must be refused."""
     spawn(fleet, fleet.operator.invalid(args[0]))
 
 
@@ -283,40 +294,44 @@
 
 @verb("burst")
 def burst(fleet: AnnouncedFleet, args: list[str], span: float, later: Later) -> None:
-    """burst X for S: X times the traffic."""
-    fleet.jump = float(args[0])
-    later(span, lambda: setattr(fleet, "jump", 1.0))
+    """burst X for S: multiplies the traffic by X."""
+    fleet.traffic_factor = float(args[0])
+    later(span, lambda: setattr(fleet, "traffic_factor", 1.0))
 
 
 @verb("closing")
 def closing(fleet: AnnouncedFleet, args: list[str], span: float, later: Later) -> None:
-    """closing power_off_all | kill_all | wipe_after_ack for S: right after one more change was acknowledged."""
-    how = args[0]
+    """closing power_off_all | kill_all | wipe_after_ack [dark] for S: strikes right after one more change was acknowledged.
+
+    `wipe_after_ack` wipes as many machines as may be lost at once, first the one that acknowledged the change unless it is an
+    edge, which has no disk; with `dark`, all other machines with disks lose power too. S seconds later those that were struck start again.
+    """
+    fault_name = args[0]
 
     async def run() -> None:
         await fleet.operator.retime()
-        fleet.closing = fleet.loop.clock
+        fleet.closing_at = fleet.loop.clock
         names = [m.name for m in fleet.machines.values() if m.gone > fleet.loop.clock]
-        if how == "wipe_after_ack":
-            first = fleet.operator.acked_by
-            counted = [n for n in names if fleet.machines[n].kind != "edge" and n != first]
-            wiped = ([first] if fleet.machines[first].kind != "edge" else []) + random.Random(fleet.seed).sample(
-                counted, fleet.sizes.lost
-            )
+        if fault_name == "wipe_after_ack":
+            acknowledging_machine = fleet.operator.acked_by
+            with_disk = [n for n in names if fleet.machines[n].kind != "edge" and n != acknowledging_machine]
+            wiped = (
+                [acknowledging_machine] if fleet.machines[acknowledging_machine].kind != "edge" else []
+            ) + random.Random(fleet.seed).sample(with_disk, fleet.sizes.lost)
             wiped = wiped[: fleet.sizes.lost]
-            rest = (
+            powered_off = (
                 [n for n in names if n not in wiped and fleet.machines[n].kind != "edge"]
                 if args[1:] == ["dark"]
                 else []
             )
             for name in wiped:
                 fleet.wipe(name)
-            for name in rest:
+            for name in powered_off:
                 fleet.power(name)
-            names = wiped + rest
+            names = wiped + powered_off
         else:
             for name in names:
-                (fleet.power if how == "power_off_all" else fleet.kill)(name)
+                (fleet.power if fault_name == "power_off_all" else fleet.kill)(name)
         for name in names:
             later(span or 1.0, partial(fleet.start, name))
 
@@ -327,15 +342,15 @@
 
 
 def perform_in_day(fleet: AnnouncedFleet, name: str, words: Sequence[str], later: Later) -> None:
-    """Causes one fault or planned work; `for S` among its words says for how many seconds.
+    """Causes one fault or planned work; `for S` among its words sets the duration in seconds.
 
-    Nothing happens if a fault strikes at a role that nobody holds now.
+    Nothing happens if the fault is to strike a role that no machine has now.
     """
     args, span = list(words), 0.0
     if "for" in args:
-        spot = args.index("for")
-        span = float(args[spot + 1])
-        args = args[:spot] + args[spot + 2 :]
+        position = args.index("for")
+        span = float(args[position + 1])
+        args = args[:position] + args[position + 2 :]
     if name in STRIKES and not fleet.pick(args[0]):
-        return  # nobody holds that role now
+        return  # no machine has that role now
     DAY_ACTIONS[name](fleet, args, span, later)
--- a/sim/day_plan.py
+++ b/sim/day_plan.py
@@ -1,4 +1,4 @@
-"""What the text files of announced fleets say besides faults and expectations.
+"""The lines of the scenario files of announced fleets other than faults and expectations.
 
 announced edges 4 stores 4 cores 4 zones 4 lost 1   the fleet; also zones_lost, models, plains, slots, cold (rate), tenants
 clients view 12 order 4 ask 20 review 2 lots 0.5x10 requests a second by kind; lots a second, of so many items
@@ -23,61 +23,61 @@
 
 @dataclass
 class Plan:
-    """What a text file says of an announced fleet, besides faults and expectations."""
+    """The fleet, its load and its settings, as a scenario file of an announced fleet gives them."""
 
     sizes: Sizes = field(default_factory=Sizes)
     rates: dict[str, float] = field(default_factory=lambda: {"view": 6.0, "order": 3.0, "ask": 8.0, "review": 1.0})
-    lots: tuple[float, int] = (0.0, 0)
-    lead: float = 12.0
+    lots: tuple[float, int] = (0.0, 0)  # jobs a second, and their mean number of items
+    lead: float = 12.0  # seconds from the first start to the traffic
     bounds: dict[str, float] = field(default_factory=dict)
-    late: dict[str, float] = field(default_factory=dict)  # machines that start later than the others
+    late: dict[str, float] = field(default_factory=dict)  # by machine: seconds by which its first start is delayed
 
 
 class NotUnderstoodError(ValueError):
-    """A line has words that it can't have."""
+    """A line of a scenario has words that are not valid there."""
 
 
 def pairs(words: list[str]) -> dict[str, str]:
-    """Words and the values after them.
+    """Returns the values in a list that alternates words and values, by word.
 
     Raises:
         NotUnderstoodError: the last word has no value.
     """
     if len(words) % 2:
-        raise NotUnderstoodError("want pairs of a word and a value")
+        raise NotUnderstoodError("each word must be followed by a value")
     return dict(zip(words[::2], words[1::2], strict=True))
 
 
 def known_pairs(words: list[str], known: frozenset[str]) -> dict[str, str]:
-    """Pairs of which each word is known.
+    """Returns the values by word, as `pairs` does, where only some words are allowed.
 
     Raises:
-        NotUnderstoodError: one is not.
+        NotUnderstoodError: another word occurs, or the last word has no value.
     """
-    found = pairs(words)
-    if not found.keys() <= known:
-        raise NotUnderstoodError(f"not known: {sorted(found.keys() - known)}")
-    return found
+    values = pairs(words)
+    if not values.keys() <= known:
+        raise NotUnderstoodError(f"unknown words: {sorted(values.keys() - known)}")
+    return values
 
 
 def numbers(words: list[str]) -> dict[str, float]:
-    """Pairs of a word and a number."""
+    """Returns the numbers in a list that alternates words and numbers, by word."""
     return {word: float(value) for word, value in pairs(words).items()}
 
 
 def read_sizes(plan: Plan, words: list[str]) -> None:
     """announced CLASS COUNT..."""
-    found = known_pairs(words, SIZES)
-    sizes: dict[str, Any] = {word: float(text) if word == "cold" else int(text) for word, text in found.items()}
+    counts = known_pairs(words, SIZES)
+    sizes: dict[str, Any] = {word: float(text) if word == "cold" else int(text) for word, text in counts.items()}
     plan.sizes = replace(plan.sizes, **sizes)
 
 
 def read_clients(plan: Plan, words: list[str]) -> None:
     """clients KIND RATE... lots RATExITEMS"""
-    found = known_pairs(words, KINDS)
-    rate, _, size = found.pop("lots", "0x0").partition("x")
+    rates = known_pairs(words, KINDS)
+    rate, _, size = rates.pop("lots", "0x0").partition("x")
     plan.lots = (float(rate), int(size))
-    plan.rates = {word: float(text) for word, text in found.items()}
+    plan.rates = {word: float(text) for word, text in rates.items()}
 
 
 def read_lead(plan: Plan, words: list[str]) -> None:
@@ -105,7 +105,10 @@
 
 
 def read_line(plan: Plan, head: str, words: list[str]) -> bool:
-    """Takes one line of a scenario that only announced fleets have; False if it isn't one, or isn't understood."""
+    """Reads a line that only scenarios of announced fleets have into the plan.
+
+    Returns False if `head` begins no such line, or if the line is not valid.
+    """
     if head not in READERS:
         return False
     try:
--- a/sim/day_statistics.py
+++ b/sim/day_statistics.py
@@ -1,4 +1,4 @@
-"""The figures of a day of an announced fleet."""
+"""Statistics of a day (a simulated run) of an announced fleet."""
 
 from __future__ import annotations
 
@@ -9,31 +9,31 @@
 from sim.check import Event
 from sim.run_statistics import Figures, counts
 
-NOT_FOUNDED_S = 99.0  # the time of a founding that did not come
+NOT_FOUNDED_S = 99.0  # reported if the first configuration was never accepted
 
 
-def late_streams(events: list[Event], most: float) -> float:
-    """The share of streams of which an event came to its client later than `most` seconds after its worker made it."""
-    made = {str(event["run"]): (event["from"], event["made"]) for event in events if event["ev"] == "ended" and "made" in event}  # fmt: skip
+def late_streams(events: list[Event], limit_s: float) -> float:
+    """Returns the share of streams with an event that reached its client later than `limit_s` after the worker made it."""
+    production = {str(event["run"]): (event["from"], event["made"]) for event in events if event["ev"] == "ended" and "made" in event}  # fmt: skip
     streams = [event["events"] for event in events if event["ev"] == "answer" and event["events"]]
-    return share(any(delay_of(piece, made) > most for piece in stream) for stream in streams)
+    return share(any(delay_of(piece, production) > limit_s for piece in stream) for stream in streams)
 
 
-def delay_of(piece: tuple[int, str, float], made: dict[str, tuple[int, list[float]]]) -> float:
-    """The seconds from when an event was made until its client had it; 0 if it isn't known when it was made.
+def delay_of(piece: tuple[int, str, float], production: dict[str, tuple[int, list[float]]]) -> float:
+    """Returns the seconds from when a worker made an event until its client had it; 0 if the former time is unknown.
 
     Args:
         piece: number, data and time of an event.
-        made: per run, after which event it began, and when it made each that followed.
+        production: by run, the number of the event after which it began, and the times at which it made those that followed.
     """
     number, data, received = piece
-    first, times = made.get(data.rpartition(".")[2], (0, []))
-    place = number - first - 1
-    return received - times[place] if 0 <= place < len(times) else 0.0
+    first, times = production.get(data.rpartition(".")[2], (0, []))
+    index = number - first - 1
+    return received - times[index] if 0 <= index < len(times) else 0.0
 
 
 def request_figures(events: list[Event]) -> Figures:
-    """How live requests went, all together and by kind."""
+    """Returns statistics of live requests, overall and by kind."""
     served = [event for event in events if event["ev"] == "served"]
     figures: Figures = {"asked": len(served), "served": share(event["good"] for event in served)}
     for kind in sorted({event["word"] for event in served}):
@@ -47,15 +47,15 @@
     return figures | counts("answers", (event["status"] for event in events if event["ev"] == "answer"))
 
 
-def share(good: Iterable[bool]) -> float:
-    """The share of what is true; 0 if there is nothing."""
-    found = list(good)
-    return sum(found) / len(found) if found else 0.0
+def share(conditions: Iterable[bool]) -> float:
+    """Returns the share of conditions that are true; 0 if there are none."""
+    values = list(conditions)
+    return sum(values) / len(values) if values else 0.0
 
 
 def job_figures(events: list[Event], item_ids: set[str]) -> Figures:
-    """How jobs and their items went."""
-    told = [event for event in events if event["ev"] == "lot_told"]
+    """Returns statistics of jobs and their items."""
+    submitted = [event for event in events if event["ev"] == "lot_told"]
     states = {
         (event["lot"], row["id"]): row["state"]
         for event in events
@@ -63,15 +63,15 @@
         for row in event["results"]
     }
     return {
-        **counts("lots", (event["status"] for event in told)),
-        "lots_kept": len({event["lot"] for event in told if event["status"] == 202}),
+        **counts("lots", (event["status"] for event in submitted)),
+        "lots_kept": len({event["lot"] for event in submitted if event["status"] == 202}),
         **counts("items", states.values()),
         "items_runs": sum(event["ev"] == "ran" and event["id"] in item_ids for event in events),
     }
 
 
 def work_figures(events: list[Event]) -> Figures:
-    """How the founding, changes of the configuration and planned work went."""
+    """Returns statistics of the first configuration, later changes and planned work."""
     founded = [event for event in events if event["ev"] == "founded"]
     return {
         **counts("changed", (event["status"] for event in events if event["ev"] == "changed")),
@@ -85,7 +85,7 @@
 
 
 def day_figures(fleet: AnnouncedFleet) -> Figures:
-    """All figures of a day."""
+    """Returns all statistics of a day."""
     events = fleet.events
     return {
         **{f"event_{number}": count for number, count in log_events.COUNTS.items()},
--- a/sim/faults.py
+++ b/sim/faults.py
@@ -1,6 +1,7 @@
 """Faults of machines, links, disks and workers that scenarios cause, by verb.
 
-Each takes the fleet, the words after the verb, for how many seconds it lasts, and what does something later.
+Each function takes the fleet, the words after the verb, the duration in seconds (0 if none is given), and a function that
+schedules something for later.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 def power(fleet: SimFleet, words: list[str], span: float, later: Later) -> None:
-    """power WHO...: the machine loses power, and what was not synced."""
+    """power WHO...: the machine loses power, and with it all data that was not synced."""
     bring_down(fleet, fleet.power, words, span, later)
 
 
@@ -33,11 +34,13 @@
     bring_down(fleet, fleet.wipe, words, span, later)
 
 
-def bring_down(fleet: SimFleet, how: Callable[[str], None], words: list[str], span: float, later: Later) -> None:
-    """Brings machines down, and starts them again after the span if there is one."""
-    names = [fleet.pick(word) for word in words]  # all before the first falls: roles move at once
+def bring_down(
+    fleet: SimFleet, stop_machine: Callable[[str], None], words: list[str], span: float, later: Later
+) -> None:
+    """Brings machines down, and starts them again after `span` seconds unless that is 0."""
+    names = [fleet.pick(word) for word in words]  # all before the first goes down, since roles move at once
     for name in names:
-        how(name)
+        stop_machine(name)
         if span:
             later(span, partial(fleet.start, name))
 
@@ -51,11 +54,11 @@
 
 
 def zone(fleet: SimFleet, words: list[str], span: float, later: Later) -> None:
-    """area power|wipe|kill WHO: all machines, workers and back ends of the zone that WHO is in."""
-    how: Callable[[str], None] = getattr(fleet, words[0])
-    lost = fleet.boxes[fleet.pick(words[1])].zone
-    for name in [name for name, box in fleet.boxes.items() if box.zone == lost and box.up]:
-        how(name)
+    """area power|wipe|kill WHO: strikes all machines, workers and back ends of the zone of WHO."""
+    stop_machine: Callable[[str], None] = getattr(fleet, words[0])
+    zone_name = fleet.boxes[fleet.pick(words[1])].zone
+    for name in [name for name, box in fleet.boxes.items() if box.zone == zone_name and box.up]:
+        stop_machine(name)
         later(span, partial(fleet.start, name))
 
 
@@ -65,41 +68,41 @@
 
 
 def freeze(fleet: SimFleet, words: list[str], span: float, later: Later) -> None:
-    """freeze WHO: the process stands still."""
+    """freeze WHO: the process is suspended."""
     name = fleet.pick(words[0])
     fleet.freeze(name)
     later(span, partial(fleet.thaw, name))
 
 
 def isolate(fleet: SimFleet, words: list[str], span: float, later: Later) -> None:
-    """isolate WHO: cut off from all others."""
+    """isolate WHO: the machine is cut off from all others."""
     name = fleet.pick(words[0])
     fleet.isolate(name)
     later(span, partial(fleet.isolate, name, False))
 
 
 def cut(fleet: SimFleet, words: list[str], span: float, later: Later) -> None:
-    """cut WHO OTHER: the links between a machine and another one or a class, both ways."""
-    one, others = cut_ends(fleet, words)
-    cut_links(fleet, [link for other in others for link in ((one, other), (other, one))], span, later)
+    """cut WHO OTHER: cuts the links between a machine and another one or a class, both ways."""
+    machine, others = cut_ends(fleet, words)
+    cut_links(fleet, [link for other in others for link in ((machine, other), (other, machine))], span, later)
 
 
 def cut_one_way(fleet: SimFleet, words: list[str], span: float, later: Later) -> None:
-    """cutone WHO OTHER: the links from a machine to another one or a class."""
-    one, others = cut_ends(fleet, words)
-    cut_links(fleet, [(one, other) for other in others], span, later)
+    """cutone WHO OTHER: cuts the links from a machine to another one or a class, in that direction only."""
+    machine, others = cut_ends(fleet, words)
+    cut_links(fleet, [(machine, other) for other in others], span, later)
 
 
 def cut_ends(fleet: SimFleet, words: list[str]) -> tuple[str, list[str]]:
-    """A machine, and those that it is to be cut off from."""
-    one, other = fleet.pick(words[0]), words[1]
+    """Returns a machine, and those that it is to be cut off from."""
+    machine, other = fleet.pick(words[0]), words[1]
     if other not in CLASSES:
-        return one, [name for name in [fleet.pick(other)] if name != one]
-    return one, [name for name in fleet.configuration["machines"] if name[0] in CLASSES[other] and name != one]
+        return machine, [name for name in [fleet.pick(other)] if name != machine]
+    return machine, [name for name in fleet.configuration["machines"] if name[0] in CLASSES[other] and name != machine]
 
 
 def cut_links(fleet: SimFleet, links: list[tuple[str, str]], span: float, later: Later) -> None:
-    """Cuts links, and heals them after the span."""
+    """Cuts links, and restores them after `span` seconds."""
     for source, target in links:
         fleet.cut(source, target)
 
@@ -111,14 +114,14 @@
 
 
 def slow(fleet: SimFleet, words: list[str], span: float, later: Later) -> None:
-    """slow WHO S: all its messages take S seconds more."""
+    """slow WHO S: all messages of the machine take S seconds longer."""
     name = fleet.pick(words[0])
     fleet.loop.net.slow[name] = float(words[1])
     later(span, lambda: fleet.loop.net.slow.update({name: 0.0}))
 
 
 def disk_of(fleet: SimFleet, word: str) -> tuple[str, SimDisk]:
-    """A machine and its disk."""
+    """Returns the name and the disk of a machine."""
     box = fleet.boxes[fleet.pick(word)]
     assert box.disk is not None, f"{box.name} has no disk"
     return box.name, box.disk
@@ -147,7 +150,7 @@
 
 
 def damage(fleet: SimFleet, words: list[str], span: float, later: Later) -> None:
-    """damage WHO PREFIX: its last file of such a name is damaged after a third of its bytes."""
+    """damage WHO PREFIX: its last file whose name begins with PREFIX is damaged from a third of its bytes on."""
     name, disk = disk_of(fleet, words[0])
     fleet.kill(name)
     file = next(file for file in reversed(disk.names()) if file.startswith(words[1]))
@@ -156,7 +159,7 @@
 
 
 def spoil(fleet: SimFleet, words: list[str], span: float, later: Later) -> None:
-    """spoil WHO N: the last N bytes of its log, synced and acknowledged, don't read back any more."""
+    """spoil WHO N: the last N bytes of its log, though synced and acknowledged, can no longer be read back."""
     name, disk = disk_of(fleet, words[0])
     size = int(words[1])
     fleet.kill(name)
@@ -166,14 +169,14 @@
 
 
 def worker_fault(fleet: SimFleet, words: list[str], span: float, later: Later) -> None:
-    """fault WORKER WHAT: what the stand-in worker does wrong."""
+    """fault WORKER WHAT: the simulated worker has the fault WHAT."""
     worker = fleet.boxes[words[0]].thing
     worker.fault = words[1]
     later(span, lambda: setattr(worker, "fault", ""))
 
 
 def version(fleet: SimFleet, words: list[str], span: float, later: Later) -> None:
-    """version WHO RELEASE: the machine, and all that start after it, run that release."""
+    """version WHO RELEASE: restarts the machine with a release, which all later starts of machines use too."""
     name = fleet.pick(words[0])
     fleet.release = words[1]
     fleet.kill(name)
--- a/sim/run_statistics.py
+++ b/sim/run_statistics.py
@@ -1,4 +1,4 @@
-"""The figures of a run that scenarios expect something of, and that reports tell."""
+"""Statistics of a run, which scenarios set expectations on and reports list."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 Figures = dict[str, float]
 
 
-def rank(values: list[float], part: float) -> float:
-    """The value at that part of the sorted values; 0 if there are none."""
-    return sorted(values)[min(len(values) - 1, int(len(values) * part))] if values else 0.0
+def rank(values: list[float], fraction: float) -> float:
+    """Returns the quantile of values at a fraction from 0 to 1; 0 if there are none."""
+    return sorted(values)[min(len(values) - 1, int(len(values) * fraction))] if values else 0.0
 
 
 def counts(prefix: str, names: Iterable[object]) -> Figures:
-    """How often each name stands there, as figures with a prefix."""
+    """Returns how often each name occurs, under the name with a prefix."""
     return {f"{prefix}_{name}": count for name, count in Counter(names).items()}
 
 
 def longest_gap(began: float, times: list[float]) -> float:
-    """The longest time, in seconds, between a start and times that follow it, or between two of those."""
-    spots = [began, *times]
-    return max((later - earlier for earlier, later in zip(spots, spots[1:], strict=False)), default=0.0)
+    """Returns the longest time, in seconds, from a start to the first of some sorted times, or between two successive ones."""
+    moments = [began, *times]
+    return max((later - earlier for earlier, later in zip(moments, moments[1:], strict=False)), default=0.0)
 
 
 def latest_after_end(events: list[Event]) -> float:
-    """The longest time after a job was ended at which one of its items was still taken by a worker."""
+    """Returns the longest time from the cancellation of a job until a worker still took one of its items."""
     ended = {event["id"]: event["t"] for event in events if event["ev"] == "ended" and event["state"] == "ended"}
     return max(
         (
@@ -46,20 +46,20 @@
 
 
 def latest_after_mark(events: list[Event], mark: str, undone: str, key: str, taken_key: str) -> float:
-    """The longest time after a server left or a zone was evacuated at which it still took work.
+    """Returns the longest time from when a server left or a zone was evacuated until it still took work.
 
     Args:
-        events: of the run.
-        mark: the kind of the event that says so.
-        undone: the kind of the event that takes it back.
-        key: what both of them name, `server` or `area`.
-        taken_key: under which an event `took` names that.
+        events: all events of the run.
+        mark: the kind of the event that records this.
+        undone: the kind of the event that reverses it.
+        key: the key of the server's or zone's name in both, `server` or `area`.
+        taken_key: the key of that name in events `took`.
     """
     latest = 0.0
     for marked in (event for event in events if event["ev"] == mark):
         name, since = marked[key], marked["t"]
-        backs = (e["t"] for e in events if e["ev"] == undone and e[key] == name and e["t"] > since)
-        until = min(backs, default=NEVER)
+        reversals = (e["t"] for e in events if e["ev"] == undone and e[key] == name and e["t"] > since)
+        until = min(reversals, default=NEVER)
         for event in events:
             if event["ev"] == "took" and event[taken_key] == name and since < event["t"] < until:
                 latest = max(latest, event["t"] - since)
@@ -67,7 +67,10 @@
 
 
 def latest_old_version(events: list[Event]) -> float:
-    """The longest time after an answer at which a daemon that it did not name was seen with an older version."""
+    """Returns the longest time from the answer to a change until a daemon was still seen with an older version.
+
+    Daemons that the answer named as unconfirmed do not count.
+    """
     accepted = [
         (event["t"], event["edition"], event["waits"])
         for event in events
@@ -86,18 +89,18 @@
 
 
 def lateness(events: list[Event]) -> Figures:
-    """The latest moments at which what was ended, left or replaced was still seen, after the answer."""
-    found = {
+    """Returns for how long after the answer ended jobs, servers that left, evacuated zones and old versions were still seen."""
+    seconds_late = {
         "late_end": latest_after_end(events),
         "late_leave": latest_after_mark(events, "leave", "stay", "server", "worker"),
         "late_evacuate": latest_after_mark(events, "evacuated", "return", "area", "area"),
         "late_edition": latest_old_version(events),
     }
-    return {name: max(seconds, 0.0) for name, seconds in found.items()}
+    return {name: max(seconds, 0.0) for name, seconds in seconds_late.items()}
 
 
 def request_figures(events: list[Event], began: float) -> Figures:
-    """How live requests and views went."""
+    """Returns statistics of live requests and views."""
     requests = [event for event in events if event["ev"] == "call"]
     views = [event["end"] for event in events if event["ev"] == "view"]
     done = [event for event in requests if event["end"] == "done"]
@@ -115,7 +118,7 @@
 
 
 def job_figures(events: list[Event], began: float) -> Figures:
-    """How jobs went."""
+    """Returns statistics of jobs."""
     submitted = [event for event in events if event["ev"] == "lot"]
     accepted = [event for event in submitted if event["answer"] == "kept"]
     missing = [event for event in events if event["ev"] == "missing"]
@@ -137,18 +140,18 @@
 
 
 def change_figures(events: list[Event]) -> Figures:
-    """How changes of the configuration went."""
+    """Returns statistics of changes of the configuration."""
     answers = [event["answer"] for event in events if event["ev"] == "applied"]
     taken = sum(answer in ACCEPTED for answer in answers)
     return {**counts("applied", answers), "applied_taken": taken}
 
 
 def store_figures(fleet: SimFleet) -> Figures:
-    """What the stores hold when the run ends."""
+    """Returns statistics of what the stores hold at the end of the run."""
     configuration = fleet.configuration
     partitions = [(store, partition) for _, store in fleet.stores() for partition in store.partitions.values()]
     owned = [(store, partition) for store, partition in partitions if partition.owning]
-    full = {
+    fully_replicated = {
         partition.id: set(store.configuration_view.order(partition.id)) == set(partition.view.members)
         and len(partition.view.members) == configuration["copies"]
         for store, partition in owned
@@ -158,16 +161,16 @@
         "lots_held": sum(len(partition.view.jobs) for _, partition in owned),
         "log_bytes": max(sizes, default=0),
         "copies": min(fleet.copies, default=0),
-        "full_crews": float(len(full) == configuration["parts"] and all(full.values())),
+        "full_crews": float(len(fully_replicated) == configuration["parts"] and all(fully_replicated.values())),
         "losses": max((partition.view.losses for _, partition in partitions), default=0),
     }
 
 
 def run_figures(fleet: SimFleet, began: float) -> Figures:
-    """All figures of a run.
+    """Returns all statistics of a run.
 
     Args:
-        fleet: after the run.
+        fleet: the fleet after the run.
         began: when the load began, in seconds of simulated time.
     """
     events = fleet.events
