--- a/sim/deferred.py
+++ b/sim/deferred.py
@@ -1,4 +1,4 @@
-"""Doing something later in simulated time, outside all machines."""
+"""Schedules functions at a later simulated time, outside all machines."""
 
 from __future__ import annotations
 
@@ -11,9 +11,12 @@
 
 
 def later_on(loop: SimLoop) -> Later:
-    """What calls a function after so many seconds, in the context of no machine."""
+    """Returns a function that calls another one after a number of simulated seconds.
 
-    def later(wait: float, then: Callable[[], object]) -> None:
-        loop.call_later(wait, then, context=contextvars.Context())
+    The call runs in the context of no machine, so that it is made even if the current machine is killed or frozen.
+    """
+
+    def later(delay: float, action: Callable[[], object]) -> None:
+        loop.call_later(delay, action, context=contextvars.Context())
 
     return later
--- a/sim/http1.py
+++ b/sim/http1.py
@@ -1,6 +1,6 @@
-"""A small HTTP/1.1 for the stand-ins, byte by byte, so that they see and send exactly what they mean to.
+"""A small HTTP/1.1 implementation for the simulated clients and workers, which controls every byte sent and received.
 
-It shares nothing with the product, which reads by library: what one side gets wrong the other must notice.
+It shares no code with the product, which parses with a library, so that each side notices the errors of the other.
 """
 
 from __future__ import annotations
@@ -9,20 +9,20 @@
 from collections.abc import AsyncIterator
 from dataclasses import dataclass, field
 
-LIMIT = 8 << 20
+READ_LIMIT_BYTES = 8 << 20
 
 
 class Garbled(Exception):
-    """Bytes that are no message of the protocol."""
+    """The received bytes are not a valid HTTP message."""
 
 
 class Broken(Exception):
-    """The connection ended before the message did."""
+    """The connection failed, or it ended before the message was complete."""
 
 
 @dataclass
 class Head:
-    """The first line of a message and its headers, names in lower case."""
+    """The first line of a message, split into its three parts, and its headers by name in lower case."""
 
     line: tuple[str, str, str]
     headers: dict[str, str]
@@ -33,12 +33,16 @@
 
     @property
     def keeps(self) -> bool:
+        """Returns whether the connection stays open after the message."""
         return "close" not in self.headers.get("connection", "").lower()
 
 
 @dataclass(eq=False)
 class Stream:
-    """One connection. Invariant: nothing is read past the end of a message; what is left over stays in the reader."""
+    """One connection.
+
+    Invariant: nothing is read past the end of a message; later bytes stay in the reader.
+    """
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -46,68 +50,81 @@
 
     @classmethod
     async def open(cls, addr: str, limit: float = 1.0) -> Stream:
+        """Connects within `limit` seconds; raises `Broken` if that fails."""
         host, _, port = addr.rpartition(":")
         try:
-            reader, writer = await asyncio.wait_for(asyncio.open_connection(host, int(port), limit=LIMIT), limit)
-        except (OSError, TimeoutError) as bad:
-            raise Broken(f"no connection: {bad}") from bad
+            reader, writer = await asyncio.wait_for(
+                asyncio.open_connection(host, int(port), limit=READ_LIMIT_BYTES), limit
+            )
+        except (OSError, TimeoutError) as error:
+            raise Broken(f"no connection: {error}") from error
         return cls(reader, writer)
 
     @property
     def peer(self) -> str:
-        name = self.writer.get_extra_info("peername")
-        return str(name[0]) if name else ""
+        """Returns the IP address of the other side, or an empty string."""
+        address = self.writer.get_extra_info("peername")
+        return str(address[0]) if address else ""
 
     def send(self, data: bytes) -> None:
         self.writer.write(data)
 
     async def flush(self) -> None:
+        """Waits until the send buffer has drained; raises `Broken` if the connection failed."""
         try:
             await self.writer.drain()
-        except (OSError, ConnectionError) as bad:
-            raise Broken(repr(bad)) from bad
+        except (OSError, ConnectionError) as error:
+            raise Broken(repr(error)) from error
 
     def close(self) -> None:
         self.writer.close()
 
     def reset(self) -> None:
+        """Aborts the connection."""
         self.writer.transport.abort()
 
     async def _line(self) -> bytes:
+        """Reads a line with its line end. Raises `Broken` or `Garbled`."""
         try:
             return await self.reader.readuntil(b"\r\n")
-        except asyncio.IncompleteReadError as bad:
-            raise Broken(f"ended after {bad.partial[:40]!r}") from bad
-        except (OSError, ConnectionError) as bad:
-            raise Broken(repr(bad)) from bad
-        except asyncio.LimitOverrunError as bad:
-            raise Garbled("a line without end") from bad
+        except asyncio.IncompleteReadError as error:
+            raise Broken(f"ended after {error.partial[:40]!r}") from error
+        except (OSError, ConnectionError) as error:
+            raise Broken(repr(error)) from error
+        except asyncio.LimitOverrunError as error:
+            raise Garbled("the line is too long") from error
 
     async def _exactly(self, size: int) -> bytes:
+        """Reads `size` bytes; raises `Broken` if the connection ends earlier."""
         try:
             return await self.reader.readexactly(size)
-        except asyncio.IncompleteReadError as bad:
-            raise Broken(f"ended {size - len(bad.partial)} bytes early") from bad
-        except (OSError, ConnectionError) as bad:
-            raise Broken(repr(bad)) from bad
+        except asyncio.IncompleteReadError as error:
+            raise Broken(f"ended {size - len(error.partial)} bytes early") from error
+        except (OSError, ConnectionError) as error:
+            raise Broken(repr(error)) from error
 
     async def head(self, answer: bool) -> Head:
+        """Reads the head of a response if `answer` is set, else of a request. Raises `Broken` or `Garbled`."""
         first = (await self._line()).decode("latin-1").rstrip("\r\n")
-        one, _, rest = first.partition(" ")
-        two, _, three = rest.partition(" ")
-        proper = one == "HTTP/1.1" and two.isdigit() and len(two) == 3 if answer else three == "HTTP/1.1"
-        if not proper:
-            raise Garbled(f"{first!r:.60}")
+        first_word, _, rest = first.partition(" ")
+        second_word, _, third_word = rest.partition(" ")
+        is_valid = (
+            first_word == "HTTP/1.1" and second_word.isdigit() and len(second_word) == 3
+            if answer
+            else third_word == "HTTP/1.1"
+        )
+        if not is_valid:
+            raise Garbled(f"invalid first line: {first!r:.60}")
         headers: dict[str, str] = {}
         while (line := await self._line()) != b"\r\n":
-            name, mark, val = line.decode("latin-1").partition(":")
-            if not mark or name != name.strip():
-                raise Garbled(f"a header {line!r:.60}")
-            headers[name.lower()] = val.strip()
-        return Head((one, two, three), headers)
+            name, colon, value = line.decode("latin-1").partition(":")
+            if not colon or name != name.strip():
+                raise Garbled(f"invalid header: {line!r:.60}")
+            headers[name.lower()] = value.strip()
+        return Head((first_word, second_word, third_word), headers)
 
     async def pieces(self, head: Head, answer: bool) -> AsyncIterator[bytes]:
-        """The body in the pieces it comes in; raises `Broken` if it ends early."""
+        """Yields the body: each chunk of a chunked one, any other as a whole. Raises `Broken` if it ends early, or `Garbled`."""
         if answer and (head.status in (204, 304) or head.status < 200):
             return
         if "chunked" in head.headers.get("transfer-encoding", "").lower():
@@ -115,29 +132,37 @@
                 line = (await self._line()).split(b";")[0].strip()
                 try:
                     size = int(line, 16)
-                except ValueError as bad:
-                    raise Garbled(f"a chunk of {line!r:.40}") from bad
+                except ValueError as error:
+                    raise Garbled(f"invalid chunk size: {line!r:.40}") from error
                 if size == 0:
                     while await self._line() != b"\r\n":
                         pass
                     return
                 data = await self._exactly(size)
                 if await self._exactly(2) != b"\r\n":
-                    raise Garbled("a chunk without end")
+                    raise Garbled("no line end after the chunk")
                 yield data
         elif "content-length" in head.headers:
-            left = int(head.headers["content-length"])
-            if left:
-                yield await self._exactly(left)
+            remaining = int(head.headers["content-length"])
+            if remaining:
+                yield await self._exactly(remaining)
         elif answer:
-            raise Garbled("an answer without a length")
+            raise Garbled("the response has no length")
 
     async def body(self, head: Head, answer: bool) -> bytes:
+        """Reads the body of a response if `answer` is set, else of a request. Raises `Broken` or `Garbled`."""
         return b"".join([piece async for piece in self.pieces(head, answer)])
 
 
 def message(first: str, headers: dict[str, str], body: bytes | None = b"", chunked: bool = False) -> bytes:
-    """A whole message; with `body` None only its head, for what follows in chunks."""
+    """Returns the bytes of a message.
+
+    Args:
+        first: the first line.
+        headers: all headers but those that give the length.
+        body: the body; None for the head alone, after which the caller sends chunks.
+        chunked: whether the body is sent in two chunks rather than with a length.
+    """
     lines = [first, *(f"{k}: {v}" for k, v in headers.items())]
     if body is None or chunked:
         lines.append("Transfer-Encoding: chunked")
@@ -147,12 +172,13 @@
     if body is None:
         return head
     if chunked:
-        half = len(body) // 2
-        return head + b"".join(chunk(p) for p in (body[:half], body[half:]) if p) + b"0\r\n\r\n"
+        middle = len(body) // 2
+        return head + b"".join(chunk(p) for p in (body[:middle], body[middle:]) if p) + b"0\r\n\r\n"
     return head + body
 
 
 def chunk(data: bytes) -> bytes:
+    """Returns a chunk of the chunked transfer encoding."""
     return b"%x\r\n" % len(data) + data + b"\r\n"
 
 
@@ -162,13 +188,19 @@
 
 
 def answer(status: int, headers: dict[str, str] | None = None, body: bytes | None = b"") -> bytes:
+    """Returns the bytes of a response; with `body` None only its head, see `message`."""
     return message(f"HTTP/1.1 {status} {REASONS.get(status, 'Other')}", headers or {}, body)
 
 
 async def call(
     addr: str, method: str, path: str, headers: dict[str, str] | None = None, body: bytes = b"", limit: float = 1.0
 ) -> tuple[Head, bytes]:
-    """One request on a connection of its own. Raises `Broken` or `Garbled`; silence longer than `limit` is `Broken`."""
+    """Sends one request on a connection of its own; returns the head and the body of the response.
+
+    Raises:
+        Broken: the connection failed or ended early, or no complete response came within `limit` seconds.
+        Garbled: the response is not valid HTTP.
+    """
     stream = await Stream.open(addr, limit)
     try:
         async with asyncio.timeout(limit):
@@ -178,7 +210,7 @@
             await stream.flush()
             head = await stream.head(True)
             return head, await stream.body(head, True)
-    except TimeoutError as bad:
-        raise Broken("silence") from bad
+    except TimeoutError as error:
+        raise Broken("silence") from error
     finally:
         stream.close()
--- a/sim/loop.py
+++ b/sim/loop.py
@@ -1,7 +1,7 @@
-"""A seeded event loop with virtual time and a network of its own.
+"""A seeded event loop with virtual time and a simulated network.
 
-Each simulated machine is a `Host`; every task and callback carries its host in a context variable, so
-that a host can be killed (its callbacks are never run again) or frozen (they wait, time goes on).
+Each run of a process on a simulated machine is a `Host`. Every task and callback carries its host in a context variable,
+so that a host can be killed (its callbacks are never run again) or frozen (its callbacks are deferred while time goes on).
 """
 
 from __future__ import annotations
@@ -25,33 +25,64 @@
 
 
 class Gone(BaseException):
-    """Raised into a process that is dead already, should it touch its disk before its callback ends."""
+    """Is raised in a process that was killed during its current callback, when that touches its disk or the network."""
 
 
 HOST: contextvars.ContextVar[Host | None] = contextvars.ContextVar("host", default=None)
-WINDOW = 256 << 10  # bytes under way on one connection before its writer must wait
+WINDOW_BYTES = 256 << 10  # bytes in flight on one connection above which its writer is paused
 
 
 @dataclass(eq=False)
 class Host:
-    """Invariant: a dead host never runs again; its successor on the same machine is a new Host."""
+    """One run of a process on a simulated machine.
+
+    Invariant: a dead host never runs again; when its machine starts a process again, that is a new `Host`.
+
+    Attributes:
+        name: of the machine.
+        ips: its IP addresses.
+        zone: the zone that it stands in; messages within a zone are faster.
+        dead: whether it was killed.
+        frozen: whether its callbacks are deferred.
+        silent: whether it died of a power loss, so that its peers get no reset.
+        deferred_callbacks: those that became due while it was frozen.
+        pipes: its ends of connections.
+    """
 
     name: str
     ips: tuple[str, ...]
     zone: str
     dead: bool = False
     frozen: bool = False
-    silent: bool = False  # lost power: its peers are told nothing
-    parked: deque[events.Handle] = field(default_factory=deque)
+    silent: bool = False
+    deferred_callbacks: deque[events.Handle] = field(default_factory=deque)
     pipes: list[Pipe] = field(default_factory=list)
 
     def context(self) -> contextvars.Context:
+        """Returns a copy of the current context in which this is the current host."""
         ctx = contextvars.copy_context()
         ctx.run(HOST.set, self)
         return ctx
 
 
 class SimLoop(asyncio.BaseEventLoop):
+    """The event loop of a simulation.
+
+    Attributes:
+        clock: the virtual time in seconds.
+        chance: the source of randomness of the network.
+        ready: callbacks to run now.
+        heap: timers as (time, number, handle); the number keeps timers of equal times in order.
+        count: the number of timers so far.
+        ran: the number of callbacks that were run.
+        servers: listening servers by address.
+        hosts: the current host of each IP address.
+        net: delays and cuts of the network.
+        tasks: all tasks, kept so that the tasks of dead hosts are not garbage-collected, which would close them.
+        errors: unexpected exceptions reported to the loop.
+        points: is notified of the points that the run passes, see sim.points.
+    """
+
     def __init__(self, seed: int = 0) -> None:
         super().__init__()
         self.clock = 0.0
@@ -61,30 +92,30 @@
         self.count = 0
         self.ran = 0
         self.servers: dict[tuple[str, int], SimServer] = {}
-        self.hosts: dict[str, Host] = {}  # by IP
+        self.hosts: dict[str, Host] = {}
         self.net = Net()
-        self.tasks: list[asyncio.Task[Any]] = []  # kept, so that a dead host's tasks are never closed
+        self.tasks: list[asyncio.Task[Any]] = []
         self.set_task_factory(self._make_task)  # type: ignore[arg-type]
-        self.set_exception_handler(self._seen)
+        self.set_exception_handler(self._on_exception)
         self.errors: list[str] = []
-        self.points: Any = None  # told of what the run passes, see sim.points
+        self.points: Any = None
 
-    def _seen(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        bad = context.get("exception")
+    def _on_exception(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        exception = context.get("exception")
         text = str(context.get("message"))
-        if not isinstance(bad, (ConnectionError, asyncio.CancelledError, Gone)):
-            self.errors.append(f"{text}: {bad!r}")
+        if not isinstance(exception, (ConnectionError, asyncio.CancelledError, Gone)):
+            self.errors.append(f"{text}: {exception!r}")
 
     def unretrieved(self) -> list[str]:
-        """Tasks that ended with an error which nobody has looked at."""
+        """Returns a line for each task that ended with an exception which nobody has retrieved."""
         return [
-            f"a task's error was never looked at: {t.get_coro()}: {t._exception!r}"  # type: ignore[attr-defined]
+            f"a task's exception was never retrieved: {t.get_coro()}: {t._exception!r}"  # type: ignore[attr-defined]
             for t in self.tasks
             if t.done() and t._log_traceback and not isinstance(t._exception, Gone)  # type: ignore[attr-defined]
         ]
 
-    def _make_task(self, loop: Any, coro: Any, **more: Any) -> asyncio.Task[Any]:
-        task: asyncio.Task[Any] = asyncio.Task(coro, loop=loop, **more)
+    def _make_task(self, loop: Any, coro: Any, **options: Any) -> asyncio.Task[Any]:
+        task: asyncio.Task[Any] = asyncio.Task(coro, loop=loop, **options)
         self.tasks.append(task)
         if len(self.tasks) > 20000:
             self.tasks = [t for t in self.tasks if not t.done()]
@@ -124,7 +155,7 @@
             while self.heap and self.heap[0][2].cancelled():
                 heapq.heappop(self.heap)
             if not self.heap:
-                raise RuntimeError("the simulated world stands still: nothing is ready, nothing is timed")
+                raise RuntimeError("deadlock in the simulation: no callback is ready and no timer is set")
             self.clock = max(self.clock, self.heap[0][0])
         while self.heap and self.heap[0][0] <= self.clock:
             self.ready.append(heapq.heappop(self.heap)[2])
@@ -137,18 +168,19 @@
             if host is not None and host.dead:
                 continue
             if host is not None and host.frozen:
-                host.parked.append(handle)
+                host.deferred_callbacks.append(handle)
                 continue
             self.ran += 1
             handle._run()
 
     # --- hosts
     def add(self, host: Host) -> Host:
+        """Makes this the current host of its IP addresses, and returns it."""
         self.hosts.update(dict.fromkeys(host.ips, host))
         return host
 
     def kill(self, host: Host, silent: bool = False) -> None:
-        """The process ends at once. Its peers see resets, unless the power went."""
+        """Ends the process at once. Its peers see connection resets, unless `silent` (a power loss) is set."""
         host.dead, host.silent = True, silent
         for key in [k for k, s in self.servers.items() if s.host is host]:
             del self.servers[key]
@@ -156,17 +188,19 @@
             pipe.host_died(silent)
 
     def freeze(self, host: Host) -> None:
+        """Stops a host as SIGSTOP does: its callbacks are deferred."""
         host.frozen = True
 
     def thaw(self, host: Host) -> None:
+        """Lets a frozen host go on; the deferred callbacks become ready in their order."""
         host.frozen = False
-        self.ready.extend(host.parked)
-        host.parked.clear()
+        self.ready.extend(host.deferred_callbacks)
+        host.deferred_callbacks.clear()
 
     # --- network
-    async def create_server(self, protocol_factory: Any, host: Any = None, port: Any = None, **more: Any) -> Any:
+    async def create_server(self, protocol_factory: Any, host: Any = None, port: Any = None, **options: Any) -> Any:
         owner = HOST.get()
-        assert owner is not None, "servers belong to hosts"
+        assert owner is not None, "a server is created by a host"
         if owner.dead:
             raise Gone
         if (host, port) in self.servers:
@@ -175,39 +209,50 @@
         self.servers[(host, port)] = server
         return server
 
-    async def create_connection(self, protocol_factory: Any, host: Any = None, port: Any = None, **more: Any) -> Any:
-        me = HOST.get()
-        assert me is not None, "connections belong to hosts"
-        if me.dead:
+    async def create_connection(self, protocol_factory: Any, host: Any = None, port: Any = None, **options: Any) -> Any:
+        client_host = HOST.get()
+        assert client_host is not None, "a connection is created by a host"
+        if client_host.dead:
             raise Gone
-        started = self.clock
+        began_at = self.clock
         while True:
-            there = self.hosts.get(host)
-            if there is not None and not self.net.cut(me, there) and not self.net.cut(there, me):
-                await asyncio.sleep(self.net.delay(self.chance, me, there) * 2)
-                if there.dead and not there.silent:
+            target_host = self.hosts.get(host)
+            if (
+                target_host is not None
+                and not self.net.cut(client_host, target_host)
+                and not self.net.cut(target_host, client_host)
+            ):
+                await asyncio.sleep(self.net.delay(self.chance, client_host, target_host) * 2)
+                if target_host.dead and not target_host.silent:
                     raise ConnectionRefusedError(111, f"{host}:{port} refused")
                 server = self.servers.get((host, port))
-                if not there.dead and server is None:
+                if not target_host.dead and server is None:
                     raise ConnectionRefusedError(111, f"{host}:{port} refused")
                 if server is not None and not server.host.dead:
                     break
-            if self.clock - started > 20:
+            if self.clock - began_at > 20:
                 raise TimeoutError(110, f"{host}:{port} timed out")
             await asyncio.sleep(0.1)
-        near = protocol_factory()
-        far = server.factory()
-        mine = Pipe(self, me, server.host, near, (me.ips[0], 40000 + self.count % 20000), (host, port))
-        their = Pipe(self, server.host, me, far, (host, port), mine.name)
-        mine.other, their.other = their, mine
-        me.pipes.append(mine)
-        server.host.pipes.append(their)
-        for side in (me, server.host):
-            if len(side.pipes) > 64:
-                side.pipes[:] = [p for p in side.pipes if not p.lost]
-        self.call_soon(far.connection_made, their, context=their.ctx)
-        near.connection_made(mine)
-        return mine, near
+        client_protocol = protocol_factory()
+        server_protocol = server.factory()
+        client_pipe = Pipe(
+            self,
+            client_host,
+            server.host,
+            client_protocol,
+            (client_host.ips[0], 40000 + self.count % 20000),
+            (host, port),
+        )
+        server_pipe = Pipe(self, server.host, client_host, server_protocol, (host, port), client_pipe.name)
+        client_pipe.other, server_pipe.other = server_pipe, client_pipe
+        client_host.pipes.append(client_pipe)
+        server.host.pipes.append(server_pipe)
+        for host_side in (client_host, server.host):
+            if len(host_side.pipes) > 64:
+                host_side.pipes[:] = [p for p in host_side.pipes if not p.lost]
+        self.call_soon(server_protocol.connection_made, server_pipe, context=server_pipe.ctx)
+        client_protocol.connection_made(client_pipe)
+        return client_pipe, client_protocol
 
 
 class SimServer(asyncio.AbstractServer):
@@ -232,51 +277,80 @@
 
 @dataclass
 class Net:
-    """Delays between areas, and cuts. A cut holds bytes back as TCP would; it loses none."""
+    """Delays and cuts of the network. A cut delays bytes, which TCP would retransmit; it loses none.
+
+    Attributes:
+        near: the base delay within a zone, in seconds.
+        far: the base delay between zones, in seconds.
+        jitter: the largest random addition to a delay, as a fraction of it.
+        cuts: names of hosts whose messages do not pass, as (from, to): one direction each.
+        slow: extra delay in seconds of all messages from and to a host, by its name.
+    """
 
     near: float = 0.0001
     far: float = 0.0005
     jitter: float = 0.5
-    cuts: set[tuple[str, str]] = field(default_factory=set)  # (from host, to host), one way
-    slow: dict[str, float] = field(default_factory=dict)  # extra delay of a host's links
+    cuts: set[tuple[str, str]] = field(default_factory=set)
+    slow: dict[str, float] = field(default_factory=dict)
 
-    def cut(self, one: Host, two: Host) -> bool:
-        return (one.name, two.name) in self.cuts
+    def cut(self, sender: Host, receiver: Host) -> bool:
+        """Returns whether messages in this direction do not pass."""
+        return (sender.name, receiver.name) in self.cuts
 
-    def delay(self, chance: random.Random, one: Host, two: Host) -> float:
-        base = self.near if one.zone == two.zone else self.far
-        more = self.slow.get(one.name, 0.0) + self.slow.get(two.name, 0.0)
-        return (base + more) * (1 + self.jitter * chance.random())
+    def delay(self, chance: random.Random, sender: Host, receiver: Host) -> float:
+        """Draws the delay of a message, in seconds."""
+        base = self.near if sender.zone == receiver.zone else self.far
+        extra = self.slow.get(sender.name, 0.0) + self.slow.get(receiver.name, 0.0)
+        return (base + extra) * (1 + self.jitter * chance.random())
 
 
 class Pipe(asyncio.Transport):
-    """One end of a connection. Invariant: bytes reach the other end in order or not at all."""
+    """One end of a connection.
+
+    Invariant: bytes reach the other end in order or not at all.
+
+    Attributes:
+        host: the host at this end.
+        peer_host: the host at the other end.
+        other: the other end.
+        in_flight: data sent that has not been delivered; None marks the end of the stream.
+        size: the number of bytes sent that the peer has not read.
+        writing_paused: whether this end's protocol was told to pause writing.
+        reading_paused: whether this end's protocol asked to pause reading.
+        received: data delivered to this end that its protocol has not read.
+        closing: whether this end was closed.
+        lost: whether the protocol was told that the connection ended, or the host at this end died.
+        last_arrival: when the data sent last arrives; later data does not overtake it.
+        blocked_since: since when a cut or a dead peer has blocked delivery; 0 if nothing blocks it.
+        retry_delay: the time between tries to deliver while it is blocked, in seconds; 0 if nothing blocks it.
+        arrived_count: how many elements of `in_flight` are due for delivery.
+    """
 
-    def __init__(self, loop: SimLoop, host: Host, there: Host, protocol: Any, name: Any, peer: Any) -> None:
+    def __init__(self, loop: SimLoop, host: Host, peer_host: Host, protocol: Any, name: Any, peer: Any) -> None:
         super().__init__({"peername": peer, "sockname": name})
-        self.loop, self.host, self.there, self.protocol = loop, host, there, protocol
+        self.loop, self.host, self.peer_host, self.protocol = loop, host, peer_host, protocol
         self.name = name
         self.other: Pipe
         self.ctx = host.context()
-        self.way: deque[bytes | None] = deque()  # under way to the other end; None is the end
+        self.in_flight: deque[bytes | None] = deque()
         self.size = 0
-        self.paused = False  # our writer
-        self.held = False  # our reader
-        self.inbox: deque[bytes | None] = deque()
+        self.writing_paused = False
+        self.reading_paused = False
+        self.received: deque[bytes | None] = deque()
         self.closing = False
         self.lost = False
-        self.last = 0.0
-        self.stuck_since = 0.0
-        self.wait = 0.0
-        self.due = 0
+        self.last_arrival = 0.0
+        self.blocked_since = 0.0
+        self.retry_delay = 0.0
+        self.arrived_count = 0
 
-    # what protocols call
+    # methods of asyncio.Transport, called by protocols
     def write(self, data: Any) -> None:
         if self.closing or self.lost or not data:
             return
         if self.host.frozen:
-            # Stopped in the midst of a callback: what it was about to hand to the kernel it hands over on waking.
-            self.host.parked.append(events.Handle(self.write, (data,), self.loop, self.ctx))
+            # The host was frozen in the middle of a callback: the write reaches the kernel only once the host goes on.
+            self.host.deferred_callbacks.append(events.Handle(self.write, (data,), self.loop, self.ctx))
             return
         self._send(bytes(data))
 
@@ -297,19 +371,19 @@
 
     def close(self) -> None:
         if self.host.frozen:
-            self.host.parked.append(events.Handle(self.close, (), self.loop, self.ctx))
+            self.host.deferred_callbacks.append(events.Handle(self.close, (), self.loop, self.ctx))
             return
         if not self.closing and not self.lost:
             self.closing = True
             self._send(None)
-            self.loop.call_soon(self._lose, None, context=self.ctx)
+            self.loop.call_soon(self._end, None, context=self.ctx)
 
     def abort(self) -> None:
         if not self.lost:
             self.closing = True
-            self.way.clear()
+            self.in_flight.clear()
             self._send(None)
-            self.loop.call_soon(self._lose, None, context=self.ctx)
+            self.loop.call_soon(self._end, None, context=self.ctx)
 
     def set_protocol(self, protocol: Any) -> None:
         self.protocol = protocol
@@ -318,108 +392,122 @@
         return self.protocol
 
     def pause_reading(self) -> None:
-        self.held = True
+        self.reading_paused = True
 
     def resume_reading(self) -> None:
-        if self.held:
-            self.held = False
+        if self.reading_paused:
+            self.reading_paused = False
             self.loop.call_soon(self._read, context=self.ctx)
 
     def is_reading(self) -> bool:
-        return not self.held
+        return not self.reading_paused
 
-    # the wire
+    # the network
     def _send(self, data: bytes | None) -> None:
-        self.way.append(data)
+        """Puts data, or the end of the stream (None), on its way to the other end."""
+        self.in_flight.append(data)
         self.size += len(data or b"")
-        if self.size > WINDOW and not self.paused and not self.closing:
-            self.paused = True
+        if self.size > WINDOW_BYTES and not self.writing_paused and not self.closing:
+            self.writing_paused = True
             self.protocol.pause_writing()
-        when = max(self.last, self.loop.clock + self.loop.net.delay(self.loop.chance, self.host, self.there))
-        self.last = when
+        when = max(
+            self.last_arrival, self.loop.clock + self.loop.net.delay(self.loop.chance, self.host, self.peer_host)
+        )
+        self.last_arrival = when
         self.loop.call_at(when, self._arrive, context=contextvars.Context())
 
     def _arrive(self) -> None:
-        self.due += 1
-        if not self.wait:
+        self.arrived_count += 1
+        if not self.retry_delay:
             self._flush()
 
     def _flush(self) -> None:
-        """Delivers whatever is due, or, behind a cut, tries again after twice as long each time, as TCP does."""
-        while self.due and self.way:
-            gone = self.there.dead and self.there.silent
-            if gone and self.loop.hosts[self.there.ips[0]] is not self.there:
-                # The machine is up again and knows nothing of this connection.
-                self.loop.call_soon(self._lose, ConnectionResetError(104, "reset"), context=self.ctx)
+        """Delivers the data that is due; while that is blocked, retries with a doubling delay, as TCP does.
+
+        The delay grows from 0.2 s to 8 s; after 30 s the connection times out.
+        """
+        while self.arrived_count and self.in_flight:
+            peer_unreachable = self.peer_host.dead and self.peer_host.silent
+            if peer_unreachable and self.loop.hosts[self.peer_host.ips[0]] is not self.peer_host:
+                # The machine has restarted and does not know this connection, so it answers with a reset.
+                self.loop.call_soon(self._end, ConnectionResetError(104, "reset"), context=self.ctx)
                 return
-            if gone or self.loop.net.cut(self.host, self.there):
-                self.stuck_since = self.stuck_since or self.loop.clock
-                if self.loop.clock - self.stuck_since > 30:
-                    self.loop.call_soon(self._lose, TimeoutError(110, "no answer"), context=self.ctx)
+            if peer_unreachable or self.loop.net.cut(self.host, self.peer_host):
+                self.blocked_since = self.blocked_since or self.loop.clock
+                if self.loop.clock - self.blocked_since > 30:
+                    self.loop.call_soon(self._end, TimeoutError(110, "no answer"), context=self.ctx)
                 elif not self.lost:
-                    self.wait = min(max(self.wait * 2, 0.2), 8.0)
-                    self.loop.call_later(self.wait, self._flush, context=contextvars.Context())
+                    self.retry_delay = min(max(self.retry_delay * 2, 0.2), 8.0)
+                    self.loop.call_later(self.retry_delay, self._flush, context=contextvars.Context())
                 return
-            self.stuck_since = self.wait = 0.0
-            self.due -= 1
-            data = self.way.popleft()
-            if self.other.lost or self.there.dead:
+            self.blocked_since = self.retry_delay = 0.0
+            self.arrived_count -= 1
+            data = self.in_flight.popleft()
+            if self.other.lost or self.peer_host.dead:
                 return
-            self.other.inbox.append(data)
+            self.other.received.append(data)
             self.loop.call_soon(self.other._read, context=self.other.ctx)
 
     def _read(self) -> None:
-        while self.inbox and not self.held and not self.lost:
-            data = self.inbox.popleft()
+        """Passes the received data to the protocol until that pauses reading."""
+        while self.received and not self.reading_paused and not self.lost:
+            data = self.received.popleft()
             if data is None:
-                keep = False
+                stays_open = False
                 if not self.closing:
-                    keep = bool(self.protocol.eof_received())
-                if not keep:
+                    stays_open = bool(self.protocol.eof_received())
+                if not stays_open:
                     self.closing = True
-                    self._lose(None)
+                    self._end(None)
                 return
-            self.other._taken(len(data))
+            self.other._on_peer_read(len(data))
             self.protocol.data_received(data)
 
-    def _taken(self, size: int) -> None:
+    def _on_peer_read(self, size: int) -> None:
+        """Frees `size` bytes of the window; resumes writing once less than half of it is in use."""
         self.size -= size
-        if self.paused and self.size < WINDOW // 2:
-            self.paused = False
+        if self.writing_paused and self.size < WINDOW_BYTES // 2:
+            self.writing_paused = False
             self.loop.call_soon(self._resume, context=self.ctx)
 
     def _resume(self) -> None:
         if not self.lost:
             self.protocol.resume_writing()
 
-    def _lose(self, why: Exception | None) -> None:
+    def _end(self, error: Exception | None) -> None:
+        """Tells the protocol, once, that the connection ended."""
         if not self.lost:
             self.lost = True
             self.closing = True
-            self.protocol.connection_lost(why)
+            self.protocol.connection_lost(error)
 
     def host_died(self, silent: bool) -> None:
-        """Our host died: what it had handed to its kernel may still arrive, then a reset (if not silent)."""
+        """Ends the connection since the host at this end died.
+
+        Unless the death is silent, data that the host had passed to its kernel may still arrive, and a reset follows.
+        """
         if self.lost:
             return
         self.lost = True
         if silent:
-            self.way.clear()
+            self.in_flight.clear()
             return
         other = self.other
         self.loop.call_later(0.002, self._reset, other, context=contextvars.Context())
 
     def _reset(self, other: Pipe) -> None:
-        if self.loop.net.cut(self.host, self.there):
+        """Delivers the reset to the other end, as soon as no cut is in the way."""
+        if self.loop.net.cut(self.host, self.peer_host):
             self.loop.call_later(0.05, self._reset, other, context=contextvars.Context())
             return
-        self.loop.call_soon(other._lose, ConnectionResetError(104, "peer died"), context=other.ctx)
+        self.loop.call_soon(other._end, ConnectionResetError(104, "peer died"), context=other.ctx)
 
 
 def run_sim(main: Callable[[SimLoop], Any], seed: int = 0) -> Any:
+    """Runs a coroutine function on a new simulated loop and returns its result."""
     loop = SimLoop(seed)
-    old = asyncio.events._get_running_loop()
-    assert old is None
+    running_loop = asyncio.events._get_running_loop()
+    assert running_loop is None
     asyncio.set_event_loop(loop)
     with virtual_time_in_libraries(loop):
         try:
@@ -427,26 +515,26 @@
         finally:
             asyncio.set_event_loop(None)
             loop._closed = True  # type: ignore[attr-defined]
-            bury(loop)
+            close_remaining_tasks(loop)
 
 
 @contextlib.contextmanager
 def virtual_time_in_libraries(loop: SimLoop) -> Iterator[None]:
-    """Gives the loop's time to libraries that would read the process clock, for as long as its run lasts.
+    """Makes libraries that read the process clock read the loop's time, within the context.
 
-    aiohttp's connection pool measures by `time.monotonic` for how long a connection has been idle. Under that clock
-    a run that the machine was slow to play closed connections which the same run had used again when it was quick.
+    aiohttp's connection pool measures by `time.monotonic` for how long a connection has been idle. With the process
+    clock, a run on a slow machine closed connections which the same run on a fast machine used again.
     """
     with mock.patch.object(aiohttp.connector, "monotonic", loop.time):
         yield
 
 
-def bury(loop: SimLoop) -> None:
-    """The world is over: closes what is left of its coroutines, whose last lines have nowhere to run."""
-    hook, sys.unraisablehook = sys.unraisablehook, lambda _: None
-    noise = warnings.catch_warnings()
-    noise.__enter__()
-    # Tasks of hosts that died before their first step are no mistake here.
+def close_remaining_tasks(loop: SimLoop) -> None:
+    """Closes the coroutines that are left after a run, without reports of what their clean-up code raises or lacks."""
+    original_hook, sys.unraisablehook = sys.unraisablehook, lambda _: None
+    warning_filter = warnings.catch_warnings()
+    warning_filter.__enter__()
+    # A host may die before the first step of one of its tasks: that is not an error here.
     warnings.filterwarnings("ignore", message="coroutine .* was never awaited", category=RuntimeWarning)
     try:
         for task in loop.tasks:
@@ -461,5 +549,5 @@
         loop.heap.clear()
         gc.collect()
     finally:
-        noise.__exit__(None, None, None)
-        sys.unraisablehook = hook
+        warning_filter.__exit__(None, None, None)
+        sys.unraisablehook = original_hook
--- a/sim/plugged.py
+++ b/sim/plugged.py
@@ -1,3 +1,4 @@
-"""Plug-ins in a whole fleet: the example package is used; a missing one is refused; a broken one harms no call."""
+"""Plug-ins in a simulated fleet, see the tests: the example package is used, a configuration that names a missing plug-in is
+refused, and a plug-in that raises makes no request fail."""
 
 from __future__ import annotations
--- a/sim/points.py
+++ b/sim/points.py
@@ -1,17 +1,18 @@
-"""Named points that a run passes: what is synced, sent, taken, answered, logged, and seen from outside.
+"""Named points that a run passes: syncs, messages sent and handled, logged events, and what is seen from outside.
 
-A fault can be caused right at a point (`when` in a scenario), or at each point in turn (`sim.crash`). The product
-carries no code for it: its journal of numbered events, its links and the simulated disk are tapped here.
+A fault can be caused exactly at a point (`when` in a scenario), or at each point in turn (`sim.crash`). The product
+contains no code for this: this module patches its log of numbered events, its connections between processes and its
+requests to workers; the simulated disk reports its syncs.
 
-| point | is met |
+| point | is passed |
 |---|---|
-| `E120` … | as a numbered event of the journal is logged |
-| `sends.VERB`, `takes.VERB`, `answers.VERB`, `hears.VERB` | by a message between own processes: before its bytes go, as its handler begins, before the answer's bytes go, as the answer is here |
-| `starts.FILE`, `synced.FILE` | by a file of a disk: before a sync, and right after it held (`log`, `snap`, `state`, `epochs`, `identity`) |
-| `places`, `gate.open`, `gate.shut` | by a call or item about to go to a worker: before the connection, after the last check |
-| `took`, `piece.K` | at a worker, as it takes a call, and as its piece K is about to leave |
-| `kept`, `shed`, `unknown`, `ended`, `paged`, `applied.CODE` | as a caller or operator has the answer |
-| `reach`, `evac`, `lot.CODE`, `changed.CODE` | in an announced fleet: at a worker, and as a client or the operator has the answer |
+| `E120` … | when the event of this number is logged |
+| `sends.VERB`, `takes.VERB`, `answers.VERB`, `hears.VERB` | by a message between processes of the product: before its bytes are sent, when its handler begins, before the bytes of the response are sent, when the response has arrived |
+| `starts.FILE`, `synced.FILE` | by a file of a disk: before a sync, and right after it succeeded (`log`, `snap`, `state`, `epochs`, `identity`) |
+| `places`, `gate.open`, `gate.shut` | by a request or item about to be sent to a worker: before the connection is made, and after the last check, which allowed it (`gate.open`) or refused it (`gate.shut`) |
+| `took`, `piece.K` | at a worker, when it accepts a request, and when piece K of its answer is about to be sent |
+| `kept`, `shed`, `unknown`, `ended`, `paged`, `applied.CODE` | when a client or an operator has received the answer |
+| `reach`, `evac`, `lot.CODE`, `changed.CODE` | in an announced fleet: at a worker, and when a client or the operator has received the answer |
 """
 
 from __future__ import annotations
@@ -31,16 +32,16 @@
 
 VERBS = frozenset(codec.IDL.Peer.thrift_services)
 FILES = frozenset({"log", "snap", "state", "epochs", "identity"})
-OTHERS = frozenset(
+PLAIN_NAMES = frozenset(
     {"places", "gate.open", "gate.shut", "took", "kept", "shed", "unknown", "ended", "paged", "reach", "evac"}
 )
 
 
 def known(name: str) -> bool:
-    """Is this the name of a point that a run can pass?"""
+    """Returns whether this is the name of a point that a run can pass."""
     head, _, rest = name.partition(".")
     return (
-        name in OTHERS
+        name in PLAIN_NAMES
         or (head in ("sends", "takes", "answers", "hears") and rest in VERBS)
         or (head in ("starts", "synced") and rest in FILES)
         or (head in ("piece", "applied", "lot", "changed") and rest.isdigit())
@@ -50,7 +51,10 @@
 
 @dataclass(frozen=True)
 class Point:
-    """Invariant: `number` grows by one with every point passed in a run, so that a seed and it name one moment."""
+    """A point as it was passed, with the names of the host that passed it and of its peer.
+
+    Invariant: `number` grows by one with every point passed in a run, so that a seed and a number identify one moment.
+    """
 
     number: int
     name: str
@@ -60,96 +64,112 @@
 
 @dataclass(eq=False)
 class Points:
-    """Invariant: a watcher is called in the very callback that passes the point, before it goes on."""
+    """Counts the points of a run and notifies its watchers.
+
+    Invariant: a watcher is called within the callback of the event loop that passes the point, before that goes on.
+
+    Attributes:
+        count: the number of points passed so far.
+        seen: how often each point was passed, by name.
+        watchers: are called with each point.
+        notifying: whether watchers are being called; points passed meanwhile are not counted.
+    """
 
     count: int = 0
     seen: Counter[str] = field(default_factory=Counter)
     watchers: list[Callable[[Point], None]] = field(default_factory=list)
-    busy: bool = False
+    notifying: bool = False
 
     def hit(self, name: str, host: str, peer: str = "") -> None:
-        if self.busy:
+        """Counts a point and calls the watchers."""
+        if self.notifying:
             return
         self.count += 1
         self.seen[name] += 1
         if self.watchers:
-            self.busy = True  # what a fault itself passes is no point of the run
+            self.notifying = True  # points that a fault itself passes do not count as points of the run
             try:
                 point = Point(self.count, name, host, peer)
                 for watcher in list(self.watchers):
                     watcher(point)
             finally:
-                self.busy = False
+                self.notifying = False
 
 
 def hit(name: str, peer: str = "") -> None:
-    """Tells the running simulated world, if there is one, of a point that the current host passes."""
+    """Reports to the running simulation, if there is one, a point that the current host passes.
+
+    Args:
+        name: of the point.
+        peer: the address of the other side, if there is one.
+    """
     try:
         loop = asyncio.get_running_loop()
     except RuntimeError:
         return
     host = HOST.get()
     if isinstance(loop, SimLoop) and loop.points is not None and host is not None and not host.dead:
-        there = loop.hosts.get(peer.rpartition(":")[0]) if peer else None
-        loop.points.hit(name, host.name, there.name if there is not None else "")
+        peer_host = loop.hosts.get(peer.rpartition(":")[0]) if peer else None
+        loop.points.hit(name, host.name, peer_host.name if peer_host is not None else "")
 
 
-def _tap() -> None:
-    put, request, answer, emit, plain = (
+def _patch_product() -> None:
+    """Replaces functions of the product by ones that report points before and after they do the same."""
+    original_put, original_request, original_respond, original_emit, original_complete = (
         connection.Link.put,
         connection.Link.request,
         peer_server.PeerServer._respond,
         log_events.emit,
         openai.complete,
     )
-    init = peer_server.PeerServer.__init__
+    original_init = peer_server.PeerServer.__init__
 
     def tapped_put(self: connection.Link, name: str, *arguments: Any) -> int:
         hit(f"sends.{name}", self.address)
-        return put(self, name, *arguments)
+        return original_put(self, name, *arguments)
 
     async def tapped_request(self: connection.Link, name: str, body: Any, limit: float) -> Any:
-        got = await request(self, name, body, limit)
-        if got.is_ok():
+        response = await original_request(self, name, body, limit)
+        if response.is_ok():
             hit(f"hears.{name}", self.address)
-        return got
+        return response
 
     async def tapped_respond(
         self: peer_server.PeerServer, name: str, sequence: int, argument: Any, writer: Any
     ) -> None:
         hit(f"takes.{name}")
-        await answer(self, name, sequence, argument, writer)
+        await original_respond(self, name, sequence, argument, writer)
 
     def tapped_emit(number: int, process: str, /, **details: object) -> None:
-        emit(number, process, **details)
+        original_emit(number, process, **details)
         hit(f"E{number}")
 
-    def tapped_init(self: peer_server.PeerServer, *args: Any, **more: Any) -> None:
-        init(self, *args, **more)
+    def tapped_init(self: peer_server.PeerServer, *args: Any, **options: Any) -> None:
+        original_init(self, *args, **options)
 
-        def around(name: str, handler: peer_server.Handler) -> peer_server.Handler:
-            async def run(val: Any) -> Any:
+        def with_points(name: str, handler: peer_server.Handler) -> peer_server.Handler:
+            async def run_handler(message: Any) -> Any:
                 if codec.is_oneway(name):
                     hit(f"takes.{name}")
-                    return await handler(val)
-                got = await handler(val)
+                    return await handler(message)
+                response = await handler(message)
                 hit(f"answers.{name}")
-                return got
+                return response
 
-            return run
+            return run_handler
 
-        self.handlers = {n: around(n, h) for n, h in self.handlers.items()}
+        self.handlers = {n: with_points(n, h) for n, h in self.handlers.items()}
 
     def tapped_complete(session: Any, url: str, model: str, prompt: Any, gate: Any, *rest: Any) -> Any:
-        there = url.removeprefix("http://")
+        worker = url.removeprefix("http://")
 
-        def asked() -> str:
-            why: str = gate()
-            hit("gate.shut" if why else "gate.open", there)
-            return why
+        def checked_gate() -> str:
+            refusal: str = gate()
+            hit("gate.shut" if refusal else "gate.open", worker)
+            return refusal
 
-        hit("places", there)
-        return plain(session, url, model, prompt, asked, *rest)
+        hit("places", worker)
+        return original_complete(session, url, model, prompt, checked_gate, *rest)
 
     connection.Link.put, connection.Link.request = tapped_put, tapped_request  # type: ignore[method-assign]
     peer_server.PeerServer._respond = tapped_respond  # type: ignore[method-assign]
@@ -159,4 +179,4 @@
         setattr(module, "complete", tapped_complete)  # noqa: B010
 
 
-_tap()
+_patch_product()
--- a/sim/values.py
+++ b/sim/values.py
@@ -1,4 +1,4 @@
-"""Values as they are written in scenarios and in changes of the configuration."""
+"""Parses values as they are written in scenarios and in changes of the configuration."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def parse_value(text: str) -> Any:
-    """A boolean, none, a list in brackets, a number, or else text, in which `~` stands for a space."""
+    """Returns the boolean, None, list in brackets or number that a text denotes, or else the text with `~` as a space."""
     if text in ("true", "false"):
         return text == "true"
     if text in ("none", "null"):
--- a/tests/sim/test_loop.py
+++ b/tests/sim/test_loop.py
@@ -13,12 +13,12 @@
         seen: list[tuple[str, float]] = []
         hosts = [loop.add(Host(n, (n,), "a")) for n in ("x", "y", "z")]
 
-        async def tick(name: str) -> None:
+        async def sleep_and_record(name: str) -> None:
             await asyncio.sleep(1)
             seen.append((name, loop.clock))
 
         for host in hosts:
-            loop.create_task(tick(host.name), context=host.context())
+            loop.create_task(sleep_and_record(host.name), context=host.context())
         loop.freeze(hosts[0])
         loop.kill(hosts[1])
         await asyncio.sleep(5)
@@ -26,23 +26,23 @@
         await asyncio.sleep(3)
         return seen
 
-    # The frozen host had not even begun: it wakes at 5 and sleeps its second from there.
+    # The task of the frozen host had not begun: it begins when the host is thawed at 5 s, and sleeps for 1 s from then.
     assert run_sim(main) == [("z", 1.0), ("x", 6.0)]
 
 
 def test_bytes_cross_in_order_after_a_cut_and_resets_follow_a_kill() -> None:
     async def main(loop: SimLoop) -> list[Any]:
-        one, two = (loop.add(Host(n, (n,), n)) for n in ("x", "y"))
+        sender_host, receiver_host = (loop.add(Host(n, (n,), n)) for n in ("x", "y"))
         seen: list[Any] = []
 
         async def serve() -> None:
-            async def take(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
+            async def handle_connection(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
                 while data := await reader.read(100):
                     seen.append((data, round(loop.clock)))
 
-            await asyncio.start_server(take, "y", 1)
+            await asyncio.start_server(handle_connection, "y", 1)
 
-        async def call() -> None:
+        async def send_and_read() -> None:
             reader, writer = await asyncio.open_connection("y", 1)
             writer.write(b"one")
             await asyncio.sleep(1)
@@ -51,14 +51,14 @@
             await asyncio.sleep(2)
             loop.net.cuts.clear()
             await asyncio.sleep(2)
-            loop.kill(two)
+            loop.kill(receiver_host)
             try:
                 seen.append(await reader.read(1))
             except ConnectionResetError:
                 seen.append("reset")
 
-        await loop.create_task(serve(), context=two.context())
-        await loop.create_task(call(), context=one.context())
+        await loop.create_task(serve(), context=receiver_host.context())
+        await loop.create_task(send_and_read(), context=sender_host.context())
         return seen
 
-    assert run_sim(main) == [(b"one", 0), (b"two", 4), "reset"]  # sent again 0.2 + 0.4 + 0.8 + 1.6 s later
+    assert run_sim(main) == [(b"one", 0), (b"two", 4), "reset"]  # retransmitted 0.2 + 0.4 + 0.8 + 1.6 s later
--- a/tests/sim/test_plugged.py
+++ b/tests/sim/test_plugged.py
@@ -16,7 +16,7 @@
 from sim.scenario import parse
 
 
-def test_the_example_places_near_and_a_missing_plug_in_is_refused() -> None:
+def test_the_example_places_requests_in_the_own_zone_and_a_missing_plug_in_is_refused() -> None:
     async def check(world: SimFleet, say: Say) -> None:
         configuration = changed(
             changed(world.configuration, "classes.ask.place", "near"), "classes.ask.prefix", "all-shared"
@@ -25,16 +25,16 @@
         await asyncio.sleep(1)
         for i in range(6):
             await say("POST", "/v1/calls", {"class": "ask", "own": f"ask:{i} x", "shared": ["p"]}, to="e2")
-        assert {e["worker"] for e in world.events if e["ev"] == "took"} == {"w2"}, "e2 stands in area b, as w2 does"
-        got = await say(
+        assert {e["worker"] for e in world.events if e["ev"] == "took"} == {"w2"}, "e2 is in zone b, as w2 is"
+        response = await say(
             "PUT", "/v1/manifest", changed(configuration, "classes.ask.place", "nowhere"), {"if-match": '"2"'}, to="c1"
         )
-        assert got[0] == 400 and "no plug-in 'nowhere' is installed" in got[1]["flaws"][0]
+        assert response[0] == 400 and "no plug-in 'nowhere' is installed" in response[1]["flaws"][0]
 
     with_fleet(check)
 
 
-def test_a_plug_in_that_raises_harms_no_call(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_plug_in_that_raises_makes_no_request_fail(monkeypatch: pytest.MonkeyPatch) -> None:
     def broken(kind: str, name: str) -> Any:
         def run(*_: Any) -> str:
             raise RuntimeError("a plug-in with a fault")
@@ -42,9 +42,9 @@
         return run
 
     monkeypatch.setattr(plugins, "find", broken)
-    s = parse(
+    scenario = parse(
         "set classes.ask.place=near classes.ask.prefix=all-shared\nload ask=6\nrun 6\nexpect calls_share == 1", "plug"
     )
-    r = play(s, 1)
-    assert judge(s, r) == []
+    report = play(scenario, 1)
+    assert judge(scenario, report) == []
     assert log_events.COUNTS[154] > 10
