--- a/sim/crash.py
+++ b/sim/crash.py
@@ -1,8 +1,8 @@
-"""Crash points: one short run is recorded, then played again once for each point that it passed, with power loss,
-freeze or disk loss of the very process that passed it.
+"""Crash points: a short run is recorded, then played again once for each point that it passed, with a power loss, a
+freeze or a disk loss of the process that passed the point.
 
-python -m sim.crash                                  # a spread sample of each programme
-python -m sim.crash --every 1 --programmes apply     # every point of one
+python -m sim.crash                                  # an evenly spread sample of each programme
+python -m sim.crash --every 1 --programmes apply     # every point of one programme
 python -m sim.crash --every 1 --out docs/reports/crash.md
 """
 
@@ -22,16 +22,27 @@
 from sim.runner import judge, play
 from sim.scenario import Scenario, parse
 
-# What beats all the time whether or not anything happens; each is met thousands of times by other runs.
-NOISE = {f"{way}.{verb}" for way in ("sends", "takes", "answers", "hears") for verb in ("shuffle", "follow", "floor")}
-# A process with a disk may lose power, freeze, or lose the disk; one without ends or freezes.
+# Points of periodic messages, which are sent whether or not anything happens; other runs pass each thousands of times.
+PERIODIC_POINTS = {
+    f"{step}.{verb}" for step in ("sends", "takes", "answers", "hears") for verb in ("shuffle", "follow", "floor")
+}
+# The faults by the first letter of the host's name (store, control machine, edge): a process with a disk may lose power,
+# freeze or lose the disk; one without a disk may be killed or freeze.
 FAULTS = {"s": ("power", "freeze", "wipe"), "c": ("power", "freeze", "wipe"), "e": ("kill", "freeze")}
-SPAN = {"power": "1.5", "wipe": "1.5", "kill": "1", "freeze": "4"}
+# After how many seconds the process is started again or thawed, as written in a scenario.
+FAULT_DURATIONS = {"power": "1.5", "wipe": "1.5", "kill": "1", "freeze": "4"}
 
 
 @dataclass(frozen=True)
 class Programme:
-    """What is recorded. Invariant: faults strike between `start` and `end`, in the hosts whose names begin as told."""
+    """A scenario whose run is recorded, and the points at which faults strike.
+
+    Attributes:
+        text: the scenario.
+        start: when the first fault may strike, in seconds after the load began.
+        end: when the last fault may strike, in seconds after the load began.
+        hosts: the first letters of the names of the hosts that faults may strike.
+    """
 
     text: str
     start: float
@@ -55,24 +66,24 @@
 
 
 def record(name: str, seed: int) -> list[Point]:
-    """The points that a programme passes, in the window and at the hosts that it is about."""
+    """Returns the points that a run of a programme passes between its `start` and `end`, at its hosts."""
     programme = PROGRAMMES[name]
     return [
         point
-        for time, point in trace(parse(programme.text, name), seed)
+        for time, point in record_points(parse(programme.text, name), seed)
         if programme.start <= time <= programme.end and point.host[0] in programme.hosts
     ]
 
 
-def trace(scenario: Scenario, seed: int) -> list[tuple[float, Point]]:
-    """All points that a run passes but those that come all the time, with their times in seconds."""
+def record_points(scenario: Scenario, seed: int) -> list[tuple[float, Point]]:
+    """Returns all points that a run passes, except the periodic ones, with their times in seconds."""
     passed: list[tuple[float, Point]] = []
-    play(scenario, seed, spy=lambda time, point: passed.append((time, point)))
-    return [(time, point) for time, point in passed if point.name not in NOISE]
+    play(scenario, seed, observer=lambda time, point: passed.append((time, point)))
+    return [(time, point) for time, point in passed if point.name not in PERIODIC_POINTS]
 
 
 @dataclass(frozen=True)
-class Job:
+class CrashTrial:
     """One fault at one point of a programme's run."""
 
     programme: str
@@ -81,82 +92,86 @@
     fault: str
 
 
-def jobs(name: str, seed: int, every: int) -> list[Job]:
-    """Each fault at each point, or at every n-th of each kind, so that none is left out."""
+def crash_trials(name: str, seed: int, every: int) -> list[CrashTrial]:
+    """Returns a trial for each fault at every n-th point of each kind, so that every kind of point has trials."""
     groups: dict[tuple[str, str], list[Point]] = defaultdict(list)
     for point in record(name, seed):
         groups[(point.name, point.host[0])].append(point)
     return [
-        Job(name, seed, point, fault)
+        CrashTrial(name, seed, point, fault)
         for (_, kind), points in sorted(groups.items())
         for fault in FAULTS[kind]
         for point in points[::every]
     ]
 
 
-def strike(job: Job) -> tuple[Job, list[str]]:
-    """Plays a run again with its fault, and says what is wrong with it."""
-    scenario = parse(PROGRAMMES[job.programme].text, job.programme)
+def strike(trial: CrashTrial) -> tuple[CrashTrial, list[str]]:
+    """Plays a run again with its fault; returns the trial and what is wrong with the run."""
+    scenario = parse(PROGRAMMES[trial.programme].text, trial.programme)
     try:
-        report = play(scenario, job.seed, strike=(job.point, job.fault, SPAN[job.fault]))
-    except Exception as bad:
-        return job, [f"the run itself failed: {bad!r}"]
-    return job, judge(replace(scenario, expect=[]), report)
+        report = play(scenario, trial.seed, strike=(trial.point, trial.fault, FAULT_DURATIONS[trial.fault]))
+    except Exception as error:
+        return trial, [f"the run itself failed: {error!r}"]
+    return trial, judge(replace(scenario, expect=[]), report)
 
 
-def listed(names: str | Sequence[str]) -> list[str]:
-    """Names with commas between them, which the command line hands over as one string or as several."""
+def split_names(names: str | Sequence[str]) -> list[str]:
+    """Returns the names of a comma-separated list, which the command line passes as one string or as several."""
     return [name for name in (names.split(",") if isinstance(names, str) else names) if name]
 
 
 @dataclass(frozen=True)
-class Row:
-    """What the strikes at a programme's points showed."""
+class ProgrammeResult:
+    """The results of the trials of one programme."""
 
     name: str
     points: int
-    kinds: int  # of points, by name and class of machine
+    kinds: int  # the number of kinds of points: by name and kind of machine
     faults: Counter[str]
     failed: int
 
     def __str__(self) -> str:
-        struck = ", ".join(f"{count} {fault}" for fault, count in sorted(self.faults.items()))
-        return f"| {self.name} | {self.points} | {self.kinds} | {self.faults.total()} ({struck}) | {self.failed} |"
+        fault_counts = ", ".join(f"{count} {fault}" for fault, count in sorted(self.faults.items()))
+        return (
+            f"| {self.name} | {self.points} | {self.kinds} | {self.faults.total()} ({fault_counts}) | {self.failed} |"
+        )
 
 
-def strike_programme(pool: Pool, name: str, seed: int, every: int, most: int) -> Row:
-    """Strikes at the points of one programme, and prints which runs failed."""
+def strike_programme(pool: Pool, name: str, seed: int, every: int, most: int) -> ProgrammeResult:
+    """Plays the trials of one programme, at most `most` of them if it is not 0, and prints which of them failed."""
     points = record(name, seed)
-    todo = jobs(name, seed, every)
-    if most and len(todo) > most:
-        todo = [todo[i * len(todo) // most] for i in range(most)]
+    trials = crash_trials(name, seed, every)
+    if most and len(trials) > most:
+        trials = [trials[i * len(trials) // most] for i in range(most)]
     faults: Counter[str] = Counter()
     failed = 0
-    for job, flaws in pool.imap_unordered(strike, todo, chunksize=4):
-        faults[job.fault] += 1
+    for trial, flaws in pool.imap_unordered(strike, trials, chunksize=4):
+        faults[trial.fault] += 1
         if flaws:
             failed += 1
-            show_failure(job, flaws)
-    return Row(name, len(points), len({(point.name, point.host[0]) for point in points}), faults, failed)
+            print_failure(trial, flaws)
+    return ProgrammeResult(name, len(points), len({(point.name, point.host[0]) for point in points}), faults, failed)
 
 
-def show_failure(job: Job, flaws: list[str]) -> None:
+def print_failure(trial: CrashTrial, flaws: list[str]) -> None:
     """Prints what is wrong with a run."""
-    point = job.point
-    print(f"FAILED {job.programme} seed {job.seed} {job.fault} of {point.host} at point {point.number} {point.name}")
+    point = trial.point
+    print(
+        f"FAILED {trial.programme} seed {trial.seed} {trial.fault} of {point.host} at point {point.number} {point.name}"
+    )
     for flaw in flaws[:4]:
         print("      ", flaw[:240])
     sys.stdout.flush()
 
 
-def page(command: str, rows: list[Row]) -> str:
-    """The report of all strikes.
+def format_report(command: str, results: list[ProgrammeResult]) -> str:
+    """Returns the report on all trials, in Markdown.
 
     Args:
-        command: that made it.
-        rows: one for each programme.
+        command: the command that made it.
+        results: one for each programme.
     """
-    total, failed = sum(row.faults.total() for row in rows), sum(row.failed for row in rows)
+    total, failed = sum(result.faults.total() for result in results), sum(result.failed for result in results)
     return (
         "# Crash points, enumerated\n\n"
         f"Made by `{command}`. A short run of a small fleet (two partitions, four stores, four control machines, two\n"
@@ -165,7 +180,7 @@
         "processes that the programme is about. The process comes back 1 to 1.5 s later, or wakes after 4 s. Every\n"
         "run is held against all checks of what must never happen, and every kept lot must come to its end.\n\n"
         "| programme | points passed | kinds | strikes | runs with a breach |\n|---|---|---|---|---|\n"
-        + "\n".join(map(str, rows))
+        + "\n".join(map(str, results))
         + f"\n\n{total} strikes, {failed} with a breach.\n"
     )
 
@@ -173,28 +188,28 @@
 def crash(
     every: int = 40, seed: int = 1, jobs_: int = 8, programmes: str | Sequence[str] = "", most: int = 0, out: str = ""
 ) -> int:
-    """Strikes at the points of each programme; exit 1 if anything happened that must never happen.
+    """Plays each programme again with faults at its points; exits with 1 if any run is found faulty.
 
     Args:
-      every: strike at every n-th point of each kind; 1 for all.
+      every: a fault strikes at every n-th point of each kind; 1 for all.
       seed: the seed of the recorded run.
-      jobs_: how many runs at a time.
+      jobs_: how many runs are played at a time.
       programmes: names with commas between them; all if left out.
-      most: at the most so many strikes a programme, spread; 0 for all.
-      out: a file for the report.
+      most: the largest number of trials of a programme, evenly spread over its points; 0 for all.
+      out: a file to write the report to.
     """
-    rows = []
+    results = []
     with multiprocessing.Pool(jobs_, maxtasksperchild=50) as pool:
-        for name in listed(programmes) or list(PROGRAMMES):
-            rows.append(strike_programme(pool, name, seed, every, most))
-            print(rows[-1], flush=True)
-    failed = sum(row.failed for row in rows)
-    print(f"{sum(row.faults.total() for row in rows)} strikes, {failed} failed")
+        for name in split_names(programmes) or list(PROGRAMMES):
+            results.append(strike_programme(pool, name, seed, every, most))
+            print(results[-1], flush=True)
+    failed = sum(result.failed for result in results)
+    print(f"{sum(result.faults.total() for result in results)} strikes, {failed} failed")
     if out:
         command = f"python -m sim.crash --every {every} --seed {seed}" + (f" --most {most}" if most else "")
-        Path(out).write_text(page(command, rows))
+        Path(out).write_text(format_report(command, results))
     return 1 if failed else 0
 
 
 if __name__ == "__main__":
-    sys.exit(fire.Fire(crash, serialize=lambda got: None if isinstance(got, int) else got))
+    sys.exit(fire.Fire(crash, serialize=lambda result: None if isinstance(result, int) else result))
--- a/sim/points.py
+++ b/sim/points.py
@@ -37,7 +37,7 @@
 )
 
 
-def known(name: str) -> bool:
+def is_known_point(name: str) -> bool:
     """Returns whether this is the name of a point that a run can pass."""
     head, _, rest = name.partition(".")
     return (
--- a/sim/replay.py
+++ b/sim/replay.py
@@ -1,13 +1,13 @@
 """Replays: a recorded run is played again in the same process, and must pass the same points at the same times.
 
-Everything else of the simulator rests on it: a fault at the N-th point of a run, a seed that names a failure. What
-could tell a run that it isn't the first in its process is disturbed on purpose: the process clock, the garbage
-collector, the addresses of objects, and what ran before.
+The rest of the simulator depends on this: a fault at the N-th point of a run, and a seed that reproduces a failure.
+Everything by which a run could differ from an earlier one in its process is disturbed on purpose: the process clock,
+the garbage collector, the addresses of objects, and what ran before.
 
 python -m sim.replay --runs 40                          # each programme of sim.crash, under each disturbance
 python -m sim.replay --runs 40 --programmes takeover --disturbances clock
 python -m sim.replay --runs 4 --scenarios calm,owner-power
-python -m sim.replay --scenarios calm --record_to FILE  # what a run passes, as text, to compare runs of two folders
+python -m sim.replay --scenarios calm --record_to FILE  # a run's points and events as text, to compare runs of two folders
 """
 
 from __future__ import annotations
@@ -27,18 +27,21 @@
 
 import fire
 
-from sim.crash import PROGRAMMES, listed
+from sim.crash import PROGRAMMES, split_names
 from sim.points import Point
 from sim.runner import play
 from sim.scenario import FOLDER, Scenario, parse
 
 PROCESS_CLOCKS: tuple[Callable[[], float], ...] = (time.time, time.monotonic, time.perf_counter)
-SECONDS_A_READING = 0.05  # by which a disturbed process clock goes on each time that it is read
+SECONDS_A_READING = 0.05  # by which a disturbed process clock advances each time that it is read
 
 
 @dataclass(frozen=True)
 class Recording:
-    """What a run passed. Invariant: two runs of one scenario under one seed have equal recordings."""
+    """The points of a run with their times, its events, and the number of its callbacks.
+
+    Invariant: two runs of one scenario under one seed have equal recordings.
+    """
 
     points: tuple[tuple[float, Point], ...]
     events: tuple[dict[str, Any], ...]
@@ -47,7 +50,7 @@
 
 @dataclass(frozen=True)
 class Divergence:
-    """Where a replay first differs from its recording."""
+    """The first difference between a recording and its replay."""
 
     place: str
     recorded: object
@@ -58,43 +61,43 @@
 
 
 def record(scenario: Scenario, seed: int) -> Recording:
-    """Plays a scenario and writes down all that it passes."""
+    """Plays a scenario and returns its recording."""
     points: list[tuple[float, Point]] = []
-    report = play(scenario, seed, spy=lambda age, point: points.append((age, point)))
+    report = play(scenario, seed, observer=lambda age, point: points.append((age, point)))
     assert report.fleet is not None
     return Recording(tuple(points), tuple(report.events), report.fleet.loop.ran)
 
 
-def written(recording: Recording) -> str:
-    """A recording as text: a line for each point and each event, and at last the number of callbacks."""
+def format_recording(recording: Recording) -> str:
+    """Returns a recording as text: a line for each point, one for each event, and one with the number of callbacks."""
     points = [json.dumps([at, str(point)]) for at, point in recording.points]
     events = [json.dumps(event, default=str) for event in recording.events]
     return "\n".join([*points, *events, f"{recording.callbacks} callbacks", ""])
 
 
 def compare(recorded: Recording, replayed: Recording) -> Divergence | None:
-    """The first difference of two recordings, if there is one."""
-    for kind, was, now in (
+    """Returns the first difference of two recordings, or None if they are equal."""
+    for kind, recorded_items, replayed_items in (
         ("point", recorded.points, replayed.points),
         ("event", recorded.events, replayed.events),
     ):
-        for number, (one, two) in enumerate(zip(was, now, strict=False)):
-            if one != two:
-                return Divergence(f"{kind} {number}", one, two)
-        if len(was) != len(now):
-            return Divergence(f"number of {kind}s", len(was), len(now))
+        for number, (recorded_item, replayed_item) in enumerate(zip(recorded_items, replayed_items, strict=False)):
+            if recorded_item != replayed_item:
+                return Divergence(f"{kind} {number}", recorded_item, replayed_item)
+        if len(recorded_items) != len(replayed_items):
+            return Divergence(f"number of {kind}s", len(recorded_items), len(replayed_items))
     if recorded.callbacks != replayed.callbacks:
         return Divergence("number of callbacks", recorded.callbacks, replayed.callbacks)
     return None
 
 
 @contextmanager
-def another_process_clock(_seed: int) -> Iterator[None]:
-    """The process clock goes on with each reading, as on a machine that is too busy to let the run go on."""
+def disturbed_process_clock(_seed: int) -> Iterator[None]:
+    """Advances the process clock with each reading, as on a machine so busy that the run hardly proceeds."""
     started = time.time()
     readings = 0
 
-    def read() -> float:
+    def read_clock() -> float:
         nonlocal readings
         readings += 1
         return started + readings * SECONDS_A_READING
@@ -103,58 +106,64 @@
         for module in list(sys.modules.values()):
             for name, value in list(vars(module).items()):
                 if any(value is clock for clock in PROCESS_CLOCKS):
-                    patches.enter_context(mock.patch.object(module, name, read))
+                    patches.enter_context(mock.patch.object(module, name, read_clock))
         yield
 
 
 @contextmanager
-def another_collector(seed: int) -> Iterator[None]:
-    """The garbage collector runs at other moments, or not at all."""
-    before = gc.get_threshold()
+def disturbed_garbage_collector(seed: int) -> Iterator[None]:
+    """Makes the garbage collector run at other moments, or not at all."""
+    thresholds = gc.get_threshold()
     gc.set_threshold(*random.Random(seed).choice([(0, 10, 10), (50, 2, 2), (300, 10, 2), (5000, 10, 10)]))
     try:
         yield
     finally:
-        gc.set_threshold(*before)
+        gc.set_threshold(*thresholds)
 
 
 @contextmanager
-def other_addresses(seed: int) -> Iterator[None]:
-    """New objects land at other addresses, and so stand in another order in sets of objects without a hash."""
+def disturbed_addresses(seed: int) -> Iterator[None]:
+    """Makes new objects get other addresses.
+
+    Sets of objects that hash by their address are then iterated in another order.
+    """
     chance = random.Random(seed)
     scattered = [bytearray(chance.randrange(1, 512)) for _ in range(40_000)]
     chance.shuffle(scattered)
-    del scattered[::2]  # leaves holes between those that stay
+    del scattered[::2]  # leaves free gaps between the objects that stay
     yield
     scattered.clear()
 
 
 @contextmanager
-def another_programme_before(seed: int) -> Iterator[None]:
-    """Another run has left its marks in whatever is global to the process."""
+def preceded_by_another_run(seed: int) -> Iterator[None]:
+    """Plays another run first, which changes state that is global to the process."""
     name = random.Random(seed).choice(list(PROGRAMMES))
     play(parse(PROGRAMMES[name].text, name), seed)
     yield
 
 
 DISTURBANCES: dict[str, Callable[[int], AbstractContextManager[None]]] = {
-    "clock": another_process_clock,
-    "collector": another_collector,
-    "addresses": other_addresses,
-    "before": another_programme_before,
+    "clock": disturbed_process_clock,
+    "collector": disturbed_garbage_collector,
+    "addresses": disturbed_addresses,
+    "before": preceded_by_another_run,
 }
 
 
 def replay(scenario: Scenario, seed: int, disturbance: str, runs: int) -> list[Divergence]:
-    """The divergences of as many replays of one recording, each under the disturbance with another seed."""
+    """Records a run and replays it `runs` times under a disturbance, each time with another seed of the disturbance.
+
+    Returns the divergences found.
+    """
     recorded = record(scenario, seed)
-    found: list[Divergence] = []
+    divergences: list[Divergence] = []
     for number in range(runs):
         with DISTURBANCES[disturbance](number):
             divergence = compare(recorded, record(scenario, seed))
         if divergence is not None:
-            found.append(divergence)
-    return found
+            divergences.append(divergence)
+    return divergences
 
 
 def main(
@@ -171,26 +180,28 @@
       runs: replays of each under each disturbance.
       programmes: programmes of sim.crash with commas between them; all if neither these nor scenarios are named.
       scenarios: names of files in sim/scenarios, without .txt.
-      disturbances: which of them, with commas between them.
+      disturbances: the names of the disturbances, with commas between them.
       seed: the seed of the recorded runs.
       record_to: a file to write the recordings to, instead of replaying them; to compare runs of other folders.
     """
-    names = listed(programmes) or ([] if scenarios else list(PROGRAMMES))
-    chosen = [parse(PROGRAMMES[name].text, name) for name in names]
-    chosen += [parse((FOLDER / f"{name}.txt").read_text(), name) for name in listed(scenarios)]
+    names = split_names(programmes) or ([] if scenarios else list(PROGRAMMES))
+    selected = [parse(PROGRAMMES[name].text, name) for name in names]
+    selected += [parse((FOLDER / f"{name}.txt").read_text(), name) for name in split_names(scenarios)]
     if record_to:
-        Path(record_to).write_text("".join(written(record(scenario, seed)) for scenario in chosen))
+        Path(record_to).write_text("".join(format_recording(record(scenario, seed)) for scenario in selected))
         return 0
-    bad = 0
-    for scenario in chosen:
-        for disturbance in listed(disturbances):
-            found = replay(scenario, seed, disturbance, runs)
-            bad += len(found)
-            print(f"{scenario.name} under another {disturbance}: {runs} replays, {len(found)} diverged", flush=True)
-            for divergence in found[:1]:
+    divergence_count = 0
+    for scenario in selected:
+        for disturbance in split_names(disturbances):
+            divergences = replay(scenario, seed, disturbance, runs)
+            divergence_count += len(divergences)
+            print(
+                f"{scenario.name} under another {disturbance}: {runs} replays, {len(divergences)} diverged", flush=True
+            )
+            for divergence in divergences[:1]:
                 print(f"    {divergence}"[:400], flush=True)
-    return 1 if bad else 0
+    return 1 if divergence_count else 0
 
 
 if __name__ == "__main__":
-    sys.exit(fire.Fire(main, serialize=lambda got: None if isinstance(got, int) else got))
+    sys.exit(fire.Fire(main, serialize=lambda result: None if isinstance(result, int) else result))
--- a/sim/runner.py
+++ b/sim/runner.py
@@ -1,4 +1,4 @@
-"""Runs scenarios on simulated time, and judges what was seen.
+"""Runs scenarios in simulated time, and checks their results.
 
 python -m sim.runner sim/scenarios/owner-power.txt [--seed 5]
 python -m sim.runner --all
@@ -32,22 +32,24 @@
 from sim.run_statistics import Figures, run_figures
 from sim.scenario import Act, Scenario, When, load_of, load_options, parse, scenarios
 
-Spy = Callable[[float, Point], None]  # told of each point with its time, in seconds after the load began
-Strike = tuple[Point, str, str]  # a point of a recorded run, and the fault that meets its host there for how long
-Make = Callable[[Any], None]  # lays settings of the simulator on each new daemon
-FLAWS_SHOWN = 3  # of each check, and of errors
+# Is called with the time, in seconds after the load began, and the point.
+PointObserver = Callable[[float, Point], None]
+# A point of a recorded run, the verb of the fault of its host at this point, and the duration of the fault in seconds.
+Strike = tuple[Point, str, str]
+Make = Callable[[Any], None]  # changes each new daemon before it starts
+FLAWS_SHOWN = 3  # at most, of each check, and of the errors
 
 
 @dataclass(eq=False)
 class Report:
-    """What a run showed.
+    """The result of a run.
 
     Attributes:
-        breaches: what breaks each check.
-        stats: the figures that a scenario can expect something of.
-        errors: what failed in the run itself, such as exceptions that nobody took.
+        breaches: the violations found, by the name of the check.
+        stats: the figures that a scenario can set expectations for.
+        errors: failures of the run itself, such as exceptions that nobody handled.
         events: what clients, workers and operators recorded.
-        fleet: after the run.
+        fleet: the fleet as it was after the run.
     """
 
     breaches: dict[str, list[str]]
@@ -59,13 +61,15 @@
 
 @dataclass(eq=False)
 class Triggers:
-    """Causes what a scenario says `when` its points are passed.
+    """Causes the faults that a scenario wants `when` certain points are passed.
 
     Attributes:
-        scenario: whose triggers they are.
-        fleet: whose points are watched.
+        scenario: the scenario with the triggers.
+        fleet: the fleet whose points are watched.
         began: when the load began, in seconds of simulated time.
         cause: causes a fault or operation at once.
+        waiting: the triggers whose faults were not caused yet.
+        passed: the number of matching points so far, by the line of the trigger.
     """
 
     scenario: Scenario
@@ -75,14 +79,14 @@
 
     def __post_init__(self) -> None:
         self.waiting = list(self.scenario.whens)
-        self.passed: Counter[int] = Counter()  # points that fit, by the line of the trigger
+        self.passed: Counter[int] = Counter()
         if self.waiting:
-            self.fleet.points.watchers.append(self.look)
+            self.fleet.points.watchers.append(self.on_point)
 
-    def look(self, point: Point) -> None:
-        """Is called as a point is passed."""
+    def on_point(self, point: Point) -> None:
+        """Counts a point that was passed, and causes the faults that wait for it."""
         for when in [when for when in self.waiting if when.event == point.name]:
-            if not self.fits(when, point):
+            if not self.matches(when, point):
                 continue
             self.passed[when.line] += 1
             if self.passed[when.line] == when.nth:
@@ -90,15 +94,15 @@
                 self.fleet.here = (point.host, point.peer)
                 self.cause(when.act)
 
-    def fits(self, when: When, point: Point) -> bool:
-        """Does a point of the right name come in time and at the right machine?"""
+    def matches(self, when: When, point: Point) -> bool:
+        """Returns whether a point of the right name was passed in the time span and at the machine of a trigger."""
         age = self.fleet.loop.clock - self.began
         if age < when.start or age > when.start + when.limit:
             return False
         return not when.who or self.fleet.pick(when.who) == point.host
 
     def errors(self) -> list[str]:
-        """Those that had to come and did not."""
+        """Returns an error for each trigger that had to cause its fault and did not."""
         return [
             f"{self.scenario.name}:{when.line}: {when.event} never came so that its fault was caused"
             for when in self.waiting
@@ -114,7 +118,7 @@
 
 
 def run_errors(loop: SimLoop) -> list[str]:
-    """What failed in the run itself."""
+    """Returns the failures of the run itself."""
     return loop.errors + loop.unretrieved()
 
 
@@ -122,14 +126,14 @@
     """Runs a scenario of an announced fleet.
 
     Args:
-        scenario: has a plan.
-        seed: of all that is drawn by chance.
-        options: of `run_day`.
+        scenario: a scenario with a plan.
+        seed: the seed of all random choices.
+        options: further arguments of `run_day`.
     """
-    # Counts are of the process: what an earlier run left would be taken for this run's.
+    # The counts belong to the process: without this, events of an earlier run would be counted for this one.
     log_events.COUNTS.clear()
-    got: Report = run_sim(lambda loop: run_announced(loop, scenario, seed, options), seed)
-    return got
+    report: Report = run_sim(lambda loop: run_announced(loop, scenario, seed, options), seed)
+    return report
 
 
 async def run_announced(loop: SimLoop, scenario: Scenario, seed: int, options: dict[str, Any]) -> Report:
@@ -145,36 +149,45 @@
         triggers.append(Triggers(scenario, fleet, began, cause))
         await cause_in_time(loop, began, scenario.acts, cause)
 
-    fleet, found = await run_day(
+    fleet, breaches_found = await run_day(
         loop, scenario.plan, seed, scenario.run, scenario.settle, script, disk=scenario.disk, **options
     )
     errors = run_errors(loop) + [error for each in triggers for error in each.errors()]
-    return Report(found, day_figures(fleet), errors, fleet.events, fleet)
+    return Report(breaches_found, day_figures(fleet), errors, fleet.events, fleet)
 
 
 def play(
-    scenario: Scenario, seed: int, make: Make | None = None, spy: Spy | None = None, strike: Strike | None = None
+    scenario: Scenario,
+    seed: int,
+    make: Make | None = None,
+    observer: PointObserver | None = None,
+    strike: Strike | None = None,
 ) -> Report:
-    """Runs one scenario under one seed, on simulated time.
+    """Runs one scenario under one seed, in simulated time.
 
     Args:
-        scenario: what is run.
-        seed: of all that is drawn by chance.
-        make: lays settings of the simulator on each new daemon.
-        spy: is told of each point with its time.
-        strike: a point of such a run, and the fault that is to meet its host there.
+        scenario: the scenario to run.
+        seed: the seed of all random choices.
+        make: changes each new daemon before it starts.
+        observer: is called with each point and its time.
+        strike: a point of an earlier run of this scenario and seed, and the fault to cause when it is passed again.
     """
     log_events.COUNTS.clear()
-    # Faults are caused on purpose here; what matters of them is in the history and in the events.
+    # Faults are caused on purpose here, so log lines about them are noise; the history and the events show their effects.
     logging.disable(logging.CRITICAL)
     if scenario.plan is not None:
         return play_day(scenario, seed, make=make)
-    got: Report = run_sim(lambda loop: run_listed(loop, scenario, seed, make, spy, strike), seed)
-    return got
+    report: Report = run_sim(lambda loop: run_listed(loop, scenario, seed, make, observer, strike), seed)
+    return report
 
 
 async def run_listed(
-    loop: SimLoop, scenario: Scenario, seed: int, make: Make | None, spy: Spy | None, strike: Strike | None
+    loop: SimLoop,
+    scenario: Scenario,
+    seed: int,
+    make: Make | None,
+    observer: PointObserver | None,
+    strike: Strike | None,
 ) -> Report:
     """Runs a scenario of a fleet that its configuration lists, on its simulated loop."""
     deployment = DEPLOYMENTS.get(scenario.deployment)
@@ -182,7 +195,7 @@
         loop.net.far = deployment.delay / 1000
     configuration = first_configuration(scenario)
     fleet = SimFleet(loop, configuration, seed, tune=scenario.tune, make=make, disk_cap=scenario.disk)
-    await fleet.found()
+    await fleet.breaches_found()
     began = loop.clock
     later = later_on(loop)
 
@@ -190,7 +203,7 @@
         perform(fleet, act.verb, act.args, later)
 
     triggers = Triggers(scenario, fleet, began, cause)
-    struck = watch_points(fleet, began, cause, spy, strike)
+    struck = watch_points(fleet, began, cause, observer, strike)
     faults = loop.create_task(cause_in_time(loop, began, scenario.acts, cause))
     load = fleet.out(run_clients(scenario, fleet))
     await asyncio.wait([load])
@@ -198,15 +211,15 @@
     await faults
     await fleet.out(fleet.read_back())
     bounds = Bounds(ramp=configuration["ramp"], retention=configuration["retention"])
-    found = breaches(History(fleet.events, bounds, scenario.excused))
+    breaches_found = breaches(History(fleet.events, bounds, scenario.excused))
     errors = run_errors(loop) + triggers.errors()
     if strike is not None and struck != [strike[0]]:
         errors.append(f"the run did not pass {strike[0]} again, but {struck}")
-    return Report(found, run_figures(fleet, began), errors, fleet.events, fleet)
+    return Report(breaches_found, run_figures(fleet, began), errors, fleet.events, fleet)
 
 
 def first_configuration(scenario: Scenario) -> dict[str, Any]:
-    """The configuration that a scenario starts from."""
+    """Returns the configuration that a scenario starts from."""
     deployment = DEPLOYMENTS.get(scenario.deployment)
     configuration = copy.deepcopy(deployment.manifest) if deployment else manifest(**scenario.fleet)
     for path, value in scenario.set:
@@ -215,25 +228,28 @@
 
 
 def watch_points(
-    fleet: SimFleet, began: float, cause: Callable[[Act], None], spy: Spy | None, strike: Strike | None
+    fleet: SimFleet, began: float, cause: Callable[[Act], None], observer: PointObserver | None, strike: Strike | None
 ) -> list[Point]:
-    """Tells the spy of each point, and strikes at the given one; returns the points at which it struck."""
+    """Calls the observer with each point, and causes the fault of `strike` at its point.
+
+    Returns a list to which the points are added at which the fault is caused.
+    """
     struck: list[Point] = []
 
-    def look(point: Point) -> None:
-        if spy is not None:
-            spy(fleet.loop.clock - began, point)
+    def on_point(point: Point) -> None:
+        if observer is not None:
+            observer(fleet.loop.clock - began, point)
         if strike is not None and point.number == strike[0].number:
             struck.append(point)
             cause(Act(0.0, strike[1], (point.host, "for", strike[2])))
 
-    if spy is not None or strike is not None:
-        fleet.points.watchers.append(look)
+    if observer is not None or strike is not None:
+        fleet.points.watchers.append(on_point)
     return struck
 
 
 async def run_clients(scenario: Scenario, fleet: SimFleet) -> None:
-    """Sends the load, and then reads every job until it has ended."""
+    """Sends the load, and then reads every job until it has ended or `settle` seconds have passed."""
     deployment = DEPLOYMENTS.get(scenario.deployment)
     async with fleet.session() as session:
         load = replace(deployment.load, **load_options(scenario.load)) if deployment else load_of(scenario.load)
@@ -243,14 +259,14 @@
 
 
 def judge(scenario: Scenario, report: Report) -> list[str]:
-    """What is wrong with a run: breaches of checks, expectations that don't hold, and errors; empty if nothing is."""
+    """Returns what is wrong with a run: breaches of checks, expectations that don't hold, and errors."""
     flaws = [f"{name}: {breach}" for name, found in report.breaches.items() for breach in found[:FLAWS_SHOWN]]
     flaws += [flaw for expectation in scenario.expect for flaw in expectation.flaws(report.stats)]
     return flaws + [f"error: {error}" for error in report.errors[:FLAWS_SHOWN]]
 
 
-def show(scenario: Scenario, seed: int, report: Report, flaws: list[str], options: Iterable[str]) -> None:
-    """Prints a run's result; `--stats` adds its figures, `--events` its last numbered log events."""
+def print_result(scenario: Scenario, seed: int, report: Report, flaws: list[str], options: Iterable[str]) -> None:
+    """Prints a run's result; the option `--stats` adds its figures, `--events` its last numbered log events."""
     print(f"{'FAILED' if flaws else 'ok':6} {scenario.name} seed={seed}")
     for flaw in flaws:
         print("      ", flaw)
@@ -263,17 +279,17 @@
 
 
 def main(argv: list[str]) -> int:
-    """Runs the scenarios whose files are named, or all with `--all`; 1 if any run shows a flaw."""
+    """Runs the scenarios whose files are named, or all with `--all`; returns 1 if any run shows a flaw, else 0."""
     names = [word for word in argv if not word.startswith("--") and not word.isdigit()]
     seeds = [int(argv[i + 1]) for i, word in enumerate(argv) if word == "--seed"]
-    chosen = scenarios() if "--all" in argv else [parse(Path(name).read_text(), Path(name).stem) for name in names]
+    selected = scenarios() if "--all" in argv else [parse(Path(name).read_text(), Path(name).stem) for name in names]
     failed = False
-    for scenario in chosen:
+    for scenario in selected:
         for seed in seeds or scenario.seeds:
             report = play(scenario, seed)
             flaws = judge(scenario, report)
             failed = failed or bool(flaws)
-            show(scenario, seed, report, flaws, argv)
+            print_result(scenario, seed, report, flaws, argv)
     return 1 if failed else 0
 
 
--- a/sim/scenario.py
+++ b/sim/scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios: small text files that say fleet, load, faults at times, and what must hold."""
+"""Scenarios: small text files that state a fleet, its load, faults with their times, and what must hold of the run."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from sim.day_actions import DAY_ACTIONS
 from sim.day_plan import Plan
 from sim.day_plan import read_line as read_plan_line
-from sim.points import known
+from sim.points import is_known_point
 from sim.values import parse_value
 
 FOLDER = Path(__file__).parent / "scenarios"
@@ -40,8 +40,11 @@
 
 @dataclass(frozen=True)
 class When:
-    """A fault right at a point: `when EVENT[@WHO] [N] [from T] [within D] VERB …` is caused as the N-th such point
-    from T on is passed, which has to come by T + D; with `maybe` in place of `when` it may also not come."""
+    """A fault exactly at a point, written as `when EVENT[@WHO] [N] [from T] [within D] VERB …`.
+
+    It is caused when the N-th such point from T on is passed, which must happen by T + D, in seconds after the load began.
+    With `maybe` in place of `when` the point need not be passed.
+    """
 
     line: int
     event: str
@@ -55,41 +58,44 @@
 
 @dataclass(frozen=True)
 class Expectation:
-    """A figure of the run, a comparison out of COMPARISONS, and what the figure is held to."""
+    """A figure of the run, a comparison out of COMPARISONS, and the number that the figure is compared with."""
 
     figure: str
     comparison: str
     bound: float
 
     def flaws(self, figures: Mapping[str, float]) -> list[str]:
-        """What does not hold of a run's figures; one that is not there counts as 0."""
-        seen = figures.get(self.figure, 0)
-        if COMPARISONS[self.comparison](seen, self.bound):
+        """Returns a text if the expectation does not hold of a run's figures; a missing figure counts as 0."""
+        value = figures.get(self.figure, 0)
+        if COMPARISONS[self.comparison](value, self.bound):
             return []
-        return [f"expected {self.figure} {self.comparison} {self.bound:g}, saw {seen:g}"]
+        return [f"expected {self.figure} {self.comparison} {self.bound:g}, saw {value:g}"]
 
 
 @dataclass(eq=False)
 class Scenario:
-    """Invariant: what is not understood is refused with file and line, never skipped.
+    """A scenario as it was read from its file.
+
+    Invariant: a line that is not understood is refused with the file and the line number, never skipped.
 
     Attributes:
-        name: of the file.
-        why: its comments.
-        fleet: the arguments of `bench.plan.manifest`.
-        load: the rates of requests and jobs, and options of the load, as they are written.
-        set: changes of the configuration before the fleet is started: paths and values.
+        name: the name of the file.
+        why: the comments of the file.
+        fleet: the arguments of `bench.plan.manifest`, which makes the configuration.
+        load: the rates of requests and jobs, and options of the load, as texts.
+        set: changes of the configuration before the fleet is started, as paths and values.
         tune: settings of the daemons.
         disk: the capacity of each disk, in bytes.
-        run: for how many seconds there is load.
-        settle: how many seconds jobs have afterwards to come to their end.
-        seeds: under which it is run.
-        acts: what is caused at its time.
-        whens: what is caused at a point of the run.
+        run: the duration of the load in seconds.
+        settle: how many seconds jobs have after the load to end.
+        seeds: the seeds under which it is run.
+        acts: faults and operations at given times.
+        whens: faults and operations at points of the run.
         expect: what must hold of the run's figures.
-        excused: more is lost than is tolerated.
-        plan: of an announced fleet, if it is one.
-        deployment: the name of one of the brief's, whole: its machines, servers, clients and delays.
+        excused: whether more is lost than is tolerated, so that acknowledged state may be missing.
+        plan: the plan of an announced fleet; None for a fleet that its configuration lists.
+        deployment: the name of one of the deployments in `bench.deploy`, with its machines, servers, clients and delays;
+            empty if there is none.
     """
 
     name: str
@@ -110,38 +116,39 @@
     deployment: str = ""
 
 
-def pairs_of(words: list[str]) -> dict[str, str]:
-    """Words of the form KEY=TEXT."""
+def parse_texts(words: list[str]) -> dict[str, str]:
+    """Returns the texts by key of words of the form KEY=TEXT."""
     return dict(word.split("=", 1) for word in words if "=" in word)
 
 
-def values_of(words: list[str]) -> dict[str, Any]:
-    """Words of the form KEY=VALUE."""
-    return {key: parse_value(text) for key, text in pairs_of(words).items()}
+def parse_values(words: list[str]) -> dict[str, Any]:
+    """Returns the values by key of words of the form KEY=VALUE."""
+    return {key: parse_value(text) for key, text in parse_texts(words).items()}
 
 
-# Each takes the words after the head of a line into the scenario; False if it does not understand them.
+# Each of these functions reads one kind of line. It adds the words after the first to the scenario, and returns False if it
+# does not understand them. Its docstring is the form of the line.
 def read_fleet(scenario: Scenario, words: list[str], line: int) -> bool:
     """fleet KEY=VALUE..."""
-    scenario.fleet = values_of(words)
+    scenario.fleet = parse_values(words)
     return True
 
 
 def read_load(scenario: Scenario, words: list[str], line: int) -> bool:
     """load KIND=RATE... JOBS=RATExITEMS... OPTION=VALUE..."""
-    scenario.load = pairs_of(words)
+    scenario.load = parse_texts(words)
     return True
 
 
 def read_set(scenario: Scenario, words: list[str], line: int) -> bool:
     """set PATH=VALUE..."""
-    scenario.set += values_of(words).items()
+    scenario.set += parse_values(words).items()
     return True
 
 
 def read_tune(scenario: Scenario, words: list[str], line: int) -> bool:
     """tune SETTING=VALUE..."""
-    scenario.tune = values_of(words)
+    scenario.tune = parse_values(words)
     return True
 
 
@@ -201,7 +208,7 @@
 
 
 def read_maybe(scenario: Scenario, words: list[str], line: int) -> bool:
-    """maybe EVENT... VERB WORD...: as `when`, but need not come."""
+    """maybe EVENT... VERB WORD...: as `when`, but the point need not be passed."""
     if not read_when(scenario, words, line):
         return False
     scenario.whens[-1] = replace(scenario.whens[-1], needed=False)
@@ -235,7 +242,7 @@
 
 
 def parse_when(words: list[str], line: int) -> When | None:
-    """The words after `when`, or None if they are not understood."""
+    """Returns the trigger that the words after `when` describe, or None if they are not understood."""
     event, _, who = words[0].partition("@")
     rest = words[1:]
     nth = int(rest.pop(0)) if rest and rest[0].isdigit() else 1
@@ -246,13 +253,13 @@
         else:
             limit = float(rest[1])
         rest = rest[2:]
-    if not rest or rest[0] not in ACTIONS.keys() | DAY_ACTIONS.keys() or not known(event) or nth < 1:
+    if not rest or rest[0] not in ACTIONS.keys() | DAY_ACTIONS.keys() or not is_known_point(event) or nth < 1:
         return None
     return When(line, event, who, nth, start, limit or NO_LIMIT_S, Act(0.0, rest[0], tuple(rest[1:])))
 
 
 def read_line(scenario: Scenario, head: str, words: list[str], line: int) -> bool:
-    """Takes one line into the scenario; False if it is not understood."""
+    """Adds one line to the scenario; returns False if the line is not understood."""
     if head in READERS:
         return READERS[head](scenario, words, line)
     if head == "announced" and scenario.plan is None:
@@ -261,10 +268,10 @@
 
 
 def parse(text: str, name: str) -> Scenario:
-    """Reads a scenario.
+    """Returns the scenario that a text describes.
 
     Raises:
-        ValueError: a line is not understood; it is named with its number.
+        ValueError: a line is not understood; the message has its number.
     """
     scenario = Scenario(name)
     for number, line in enumerate(map(str.strip, text.splitlines()), 1):
@@ -278,12 +285,12 @@
 
 
 def scenarios() -> list[Scenario]:
-    """All scenarios of fleets that are listed in a configuration."""
+    """Returns all scenarios of fleets whose machines are listed in their configuration."""
     return [parse(path.read_text(), path.stem) for path in sorted(FOLDER.glob("*.txt"))]
 
 
 def load_of(text: dict[str, str]) -> Load:
-    """The load that a scenario describes: jobs as RATExITEMS, plain and live requests as rates, and options."""
+    """Returns the load that a scenario describes: jobs as RATExITEMS, plain and live requests as rates, and options."""
     live, plain, jobs = {}, {}, {}
     for key, value in text.items():
         if key in LOAD_OPTIONS:
@@ -299,5 +306,5 @@
 
 
 def load_options(text: dict[str, str]) -> dict[str, Any]:
-    """The options of a load among its words."""
+    """Returns the options among the words of a load."""
     return {key: float(value) for key, value in text.items() if key in LOAD_OPTIONS}
--- a/sim/sweep.py
+++ b/sim/sweep.py
@@ -1,6 +1,6 @@
-"""Random schedules of faults under many seeds, held against the history checker.
+"""Plays random schedules of faults under many seeds, and checks each run with the history checker.
 
-python -m sim.sweep --runs 200 --first 1 --jobs 8      # prints what failed, and how to run it again
+python -m sim.sweep --runs 200 --first 1 --jobs 8      # prints which seeds failed, and what was wrong
 python -m sim.sweep --announced 100 --jobs 4           # days of announced fleets, of many sizes
 python -m sim.sweep --announced 1 --first 17 --show    # such a day as a scenario
 """
@@ -23,8 +23,8 @@
 from sim.runner import Report, judge, play, play_day
 from sim.scenario import Act, Scenario, parse
 
-SPAN = 26.0  # seconds in which faults strike
-PAUSE_S = 9.0  # in which a lost disk or zone is made good, before the next is lost
+FAULT_SPAN_S = 26.0  # the span in which faults strike, in seconds
+PAUSE_S = 9.0  # the time to restore the copies of a lost disk or zone, before the next is lost
 STORES = ("s1", "s2", "s3", "s4")
 WORKERS = ("w1", "w2")
 WORKER_FAULTS = ("cut:3", "cut:1", "garble:2", "repeat:2", "swap:1", "skip:2", "end:2", "endless:2", "refuse", "sick")
@@ -32,15 +32,15 @@
 
 @dataclass(frozen=True)
 class DrawnFleet:
-    """What faults can name: the class of live requests, the data planes, and the source of chance."""
+    """What faults refer to: the source of randomness, the class of live requests, and the names of the edges."""
 
     chance: random.Random
     live: str
     edges: tuple[str, ...]
 
 
-def loss(fleet: DrawnFleet, at: float) -> list[Act]:
-    """What takes a disk or a zone away, or a process with a disk."""
+def draw_loss(fleet: DrawnFleet, at: float) -> list[Act]:
+    """Draws a fault that takes away a disk, a zone, or a process with a disk."""
     chance = fleet.chance
     verb = chance.choice(["kill", "power", "wipe", "freeze", "isolate", "area", "failsync", "fill", "damage", "term"])
     who = chance.choice(["owner:0", "owner:1", "busiest", "mirror:2", "s3", "primary", "backup", "witness"])
@@ -56,58 +56,58 @@
     return [Act(at, verb, (who, "for", f"{chance.uniform(0.3, 5):.2f}"))]
 
 
-# What may overlap with a loss. Each is drawn from the fleet, and lasts as long as the words say.
-def frozen_edge(fleet: DrawnFleet, at: float, lasting: tuple[str, str]) -> Act:
-    """A data plane stands still."""
-    return Act(at, "freeze", (fleet.chance.choice(["sched", *fleet.edges]), *lasting))
+# Faults and operations that may overlap with a loss. `duration` is the pair of words that end such a line: `for SECONDS`.
+def frozen_edge(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> Act:
+    """Freezes a data plane."""
+    return Act(at, "freeze", (fleet.chance.choice(["sched", *fleet.edges]), *duration))
 
 
-def restarted_edge(fleet: DrawnFleet, at: float, lasting: tuple[str, str]) -> Act:
-    """A data plane ends and is started again."""
-    return Act(at, fleet.chance.choice(["kill", "term"]), (fleet.chance.choice(["sched", *fleet.edges]), *lasting))
+def restarted_edge(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> Act:
+    """Ends a data plane, which is then started again."""
+    return Act(at, fleet.chance.choice(["kill", "term"]), (fleet.chance.choice(["sched", *fleet.edges]), *duration))
 
 
-def cut_link(fleet: DrawnFleet, at: float, lasting: tuple[str, str]) -> Act:
-    """A link is cut, both ways or one way."""
-    one, two = fleet.chance.sample(["s1", "s2", "s3", "s4", "c1", "c2", "e1", "sched"], 2)
-    return Act(at, fleet.chance.choice(["cut", "cutone"]), (one, two, *lasting))
+def cut_link(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> Act:
+    """Cuts a link in both directions or in one."""
+    first_machine, second_machine = fleet.chance.sample(["s1", "s2", "s3", "s4", "c1", "c2", "e1", "sched"], 2)
+    return Act(at, fleet.chance.choice(["cut", "cutone"]), (first_machine, second_machine, *duration))
 
 
-def slow_machine(fleet: DrawnFleet, at: float, lasting: tuple[str, str]) -> Act:
-    """The messages of a machine are late."""
-    return Act(at, "slow", (fleet.chance.choice(["s1", "s2", "c1", "e1", "w1"]), "0.05", *lasting))
+def slow_machine(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> Act:
+    """Delays the messages of a machine."""
+    return Act(at, "slow", (fleet.chance.choice(["s1", "s2", "c1", "e1", "w1"]), "0.05", *duration))
 
 
-def slow_disk(fleet: DrawnFleet, at: float, lasting: tuple[str, str]) -> Act:
-    """The syncs of a disk are late."""
-    return Act(at, "stall", (fleet.chance.choice(["s1", "s2", "s3", "c2"]), "0.2", *lasting))
+def slow_disk(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> Act:
+    """Delays the syncs of a disk."""
+    return Act(at, "stall", (fleet.chance.choice(["s1", "s2", "s3", "c2"]), "0.2", *duration))
 
 
-def faulty_worker(fleet: DrawnFleet, at: float, lasting: tuple[str, str]) -> Act:
-    """A worker answers wrongly."""
+def faulty_worker(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> Act:
+    """Makes a worker answer wrongly."""
     fault = fleet.chance.choice(WORKER_FAULTS)
-    return Act(at, "fault", (fleet.chance.choice(WORKERS), fault, *lasting))
+    return Act(at, "fault", (fleet.chance.choice(WORKERS), fault, *duration))
 
 
-def racing_operators(fleet: DrawnFleet, at: float, lasting: tuple[str, str]) -> Act:
-    """Two operators make a change at once."""
+def racing_operators(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> Act:
+    """Makes two operators change the configuration at the same time."""
     return Act(at, "race", (f"classes.{fleet.live}.deadline=14", f"classes.{fleet.live}.deadline=13"))
 
 
-def change(fleet: DrawnFleet, at: float, lasting: tuple[str, str]) -> Act:
-    """A change of the configuration."""
+def change(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> Act:
+    """Changes the configuration."""
     changes = ["evacuated=[b]", "evacuated=[]", "pools.gpu.servers.w2.leave=true", "pools.gpu.servers.w2.leave=none",
                f"classes.{fleet.live}.deadline=12"]  # fmt: skip
     return Act(at, "apply", (fleet.chance.choice(changes),))
 
 
-def killed_worker(fleet: DrawnFleet, at: float, lasting: tuple[str, str]) -> Act:
-    """A worker or back end ends."""
-    return Act(at, "kill", (fleet.chance.choice([*WORKERS, "p1"]), *lasting))
+def killed_worker(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> Act:
+    """Kills a worker or back end."""
+    return Act(at, "kill", (fleet.chance.choice([*WORKERS, "p1"]), *duration))
 
 
-def more_routes(fleet: DrawnFleet, at: float, lasting: tuple[str, str]) -> Act:
-    """Many routes are added."""
+def more_routes(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> Act:
+    """Adds many routes."""
     return Act(at, "routes", ("20",))
 
 
@@ -117,16 +117,16 @@
 )  # fmt: skip
 
 
-def schedule(seed: int, deployment: str = "", span: float = SPAN) -> Scenario:
-    """A fleet, a load and some faults that stay within the tolerated losses: one disk or zone at a time.
+def schedule(seed: int, deployment: str = "", span: float = FAULT_SPAN_S) -> Scenario:
+    """Draws a fleet, a load and faults that stay within the tolerated losses: one disk or zone at a time.
 
-    What takes a disk or a zone away ends, and has PAUSE_S to be made good, before the next does. What merely slows,
-    cuts or freezes one machine may overlap with that, as on a bad day.
+    A fault that takes a disk or a zone away ends, and PAUSE_S pass in which copies are restored, before the next such
+    fault. Faults that only slow, cut or freeze one machine may overlap with it, as happens in practice.
 
     Args:
-        seed: names the schedule.
-        deployment: kompressorlab or couriers, whole; a small fleet if left out.
-        span: for how many seconds faults strike.
+        seed: determines the schedule.
+        deployment: kompressorlab or couriers, the complete deployment; a small fleet if left out.
+        span: the span in which faults strike, in seconds.
     """
     chance = random.Random(f"sweep-{seed}{deployment}")
     scenario = Scenario(f"sweep-{seed}", deployment=deployment)
@@ -138,13 +138,13 @@
     }
     at = 2.0
     while at < span:
-        scenario.acts += loss(fleet, at)
+        scenario.acts += draw_loss(fleet, at)
         at += PAUSE_S + chance.uniform(0, 4)
-    for _ in range(round(chance.randrange(2, 7) * span / SPAN)):
+    for _ in range(round(chance.randrange(2, 7) * span / FAULT_SPAN_S)):
         at = chance.uniform(1, span)
         draw = OVERLAPPING[chance.randrange(len(OVERLAPPING))]
-        lasting = ("for", f"{chance.uniform(0.2, 4):.2f}")
-        scenario.acts.append(draw(fleet, at, lasting))
+        duration = ("for", f"{chance.uniform(0.2, 4):.2f}")
+        scenario.acts.append(draw(fleet, at, duration))
     scenario.acts.sort(key=lambda act: act.at)
     return scenario
 
@@ -169,26 +169,26 @@
 
 def run(seed: int, deployment: str = "") -> Outcome:
     """Runs a random schedule."""
-    return judged(schedule(seed, deployment), seed, play)
+    return play_and_judge(schedule(seed, deployment), seed, play)
 
 
 def run_announced(seed: int) -> Outcome:
     """Runs a random day of an announced fleet."""
     logging.disable(logging.CRITICAL)
-    return judged(parse(random_day(seed), f"day-{seed}"), seed, play_day)
+    return play_and_judge(parse(random_day(seed), f"day-{seed}"), seed, play_day)
 
 
-def judged(scenario: Scenario, seed: int, play_one: Callable[[Scenario, int], Report]) -> Outcome:
-    """Runs a scenario; a run that raises is a flaw."""
+def play_and_judge(scenario: Scenario, seed: int, play_one: Callable[[Scenario, int], Report]) -> Outcome:
+    """Plays a scenario and returns what is wrong with the run; an exception that ends the run is a flaw."""
     try:
         report = play_one(scenario, seed)
-    except Exception as bad:
-        return seed, [f"the run itself failed: {bad!r}"], {}
+    except Exception as error:
+        return seed, [f"the run itself failed: {error!r}"], {}
     return seed, judge(scenario, report), report.stats
 
 
-def show_flaws(title: str, flaws: list[str], most: int, width: int) -> None:
-    """Prints the first flaws of a run."""
+def print_flaws(title: str, flaws: list[str], most: int, width: int) -> None:
+    """Prints the first `most` flaws of a run, each cut to `width` characters."""
     print(title)
     for flaw in flaws[:most]:
         print("      ", flaw[:width])
@@ -200,15 +200,15 @@
     if show:
         print(random_day(first), end="")
         return 0
-    failed, served, began = 0, [], time.monotonic()
+    failed, served_shares, began_at = 0, [], time.monotonic()
     with multiprocessing.Pool(jobs, maxtasksperchild=8) as pool:
         for seed, flaws, figures in pool.imap_unordered(run_announced, range(first, first + runs)):
-            served.append(figures.get("served", 0.0))
+            served_shares.append(figures.get("served", 0.0))
             if flaws:
                 failed += 1
-                show_flaws(f"FAILED day {seed}, served {served[-1]:.3f}", flaws, 8, 300)
-    print(f"{runs} days, {failed} failed; served at the least {min(served):.3f}, median {sorted(served)[len(served) // 2]:.3f}; "
-          f"{time.monotonic() - began:.0f} s")  # fmt: skip
+                print_flaws(f"FAILED day {seed}, served {served_shares[-1]:.3f}", flaws, 8, 300)
+    print(f"{runs} days, {failed} failed; served at the least {min(served_shares):.3f}, median {sorted(served_shares)[len(served_shares) // 2]:.3f}; "
+          f"{time.monotonic() - began_at:.0f} s")  # fmt: skip
     return 1 if failed else 0
 
 
@@ -223,15 +223,15 @@
 def sweep(
     runs: int = 100, first: int = 1, jobs: int = 8, show: bool = False, deployment: str = "", announced: int = 0
 ) -> int:
-    """Runs random schedules; exit 1 if any of them shows a breach.
+    """Runs random schedules; exits with 1 if any of them shows a breach.
 
     Args:
-      runs: how many.
+      runs: the number of schedules.
       first: the first seed.
-      jobs: how many at a time.
-      show: print the schedule of one seed instead.
-      deployment: kompressorlab or couriers, whole; small fleets of many kinds if left out.
-      announced: so many days of announced fleets instead.
+      jobs: how many are run at a time.
+      show: print the schedule of the first seed instead of running any.
+      deployment: kompressorlab or couriers, the complete deployment; small fleets of many kinds if left out.
+      announced: the number of days of announced fleets to run instead of schedules.
     """
     if announced:
         return sweep_announced(announced, first, jobs, show)
@@ -245,7 +245,7 @@
             gaps.append(figures.get("kept_gap", 0.0))
             if flaws:
                 failed += 1
-                show_flaws(f"FAILED seed {seed}", flaws, 6, 240)
+                print_flaws(f"FAILED seed {seed}", flaws, 6, 240)
     print(
         f"{runs} runs, {failed} failed; longest time without a lot kept: {max(gaps):.1f} s, median {sorted(gaps)[len(gaps) // 2]:.1f} s"
     )
@@ -253,4 +253,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(fire.Fire(sweep, serialize=lambda got: None if isinstance(got, int) else got))
+    sys.exit(fire.Fire(sweep, serialize=lambda result: None if isinstance(result, int) else result))
--- a/tests/sim/test_points.py
+++ b/tests/sim/test_points.py
@@ -2,12 +2,23 @@
 
 from __future__ import annotations
 
-from sim.points import Points, known
+from sim.points import Points, is_known_point
 
 
 def test_points_are_passed_in_order_and_unknown_names_are_recognized() -> None:
-    assert known("sends.carry") and known("E120") and known("synced.log") and known("piece.3") and known("applied.202")
-    assert not known("sends.nothing") and not known("E999") and not known("synced.x") and not known("kept.1")
+    assert (
+        is_known_point("sends.carry")
+        and is_known_point("E120")
+        and is_known_point("synced.log")
+        and is_known_point("piece.3")
+        and is_known_point("applied.202")
+    )
+    assert (
+        not is_known_point("sends.nothing")
+        and not is_known_point("E999")
+        and not is_known_point("synced.x")
+        and not is_known_point("kept.1")
+    )
     points = Points()
     passed: list[tuple[int, str]] = []
     points.watchers.append(lambda point: passed.append((point.number, point.name)))
--- a/tests/sim/test_promises.py
+++ b/tests/sim/test_promises.py
@@ -7,7 +7,7 @@
 from sim.broken import CASES, MORE
 from sim.check import CHECKS
 from sim.crash import PROGRAMMES
-from sim.points import known
+from sim.points import is_known_point
 from sim.promises import EVERY, NEVER, PAGE, ROOT, proof, variants
 from sim.scenario import FOLDER
 
@@ -18,7 +18,7 @@
     assert {w for r in EVERY for w in r.ways} == set(MORE)
     for r in EVERY:
         assert all((FOLDER / f"{n}.txt").exists() for n in r.runs), r
-        assert r.met and all(known(m) for m in r.met), r
+        assert r.met and all(is_known_point(m) for m in r.met), r
         assert all(c in PROGRAMMES for c in r.crash)
         for path, name in (t.split("::") for t in r.tests):
             assert f"def {name}(" in (ROOT / path).read_text(), name
--- a/tests/sim/test_replay.py
+++ b/tests/sim/test_replay.py
@@ -15,7 +15,7 @@
 
 from postpass.runtime.ordered_set import OrderedSet
 from sim import replay
-from sim.crash import PROGRAMMES, listed
+from sim.crash import PROGRAMMES, split_names
 from sim.fleet import SimConnector
 from sim.loop import Host, SimLoop, run_sim
 from sim.replay import DISTURBANCES, Divergence, Recording
@@ -42,7 +42,7 @@
 
 
 def recorded_in(folder: Path, scenario: str) -> bytes:
-    """What a run of a scenario passes that is played by a copy of the sources in a folder, in a process of its own."""
+    """Returns the recording of a scenario that a process of its own plays, from a copy of the sources in a folder."""
     for name in SOURCES:
         shutil.copytree(ROOT / name, folder / name, ignore=shutil.ignore_patterns("__pycache__"))
     target = folder / "recording"
@@ -52,13 +52,13 @@
 
 
 def test_copies_of_the_sources_in_two_folders_play_the_same_run(tmp_path: Path) -> None:
-    """Folders of other names, lengths and depths; the compiled files are made anew in each."""
+    """The folders differ in name, length and depth; each has compiled files of its own."""
     one, two = (recorded_in(tmp_path / folder, "announced/retire-then-wipe") for folder in FOLDERS)
     assert one.count(b"\n") > 1000
     assert one == two
 
 
-def test_an_ordered_set_is_walked_as_its_elements_came() -> None:
+def test_an_ordered_set_is_iterated_in_the_order_of_insertion() -> None:
     ordered = OrderedSet([3, 1, 2])
     ordered.discard(3)
     ordered.discard(9)
@@ -67,9 +67,9 @@
     assert list(ordered) == [1, 2, 3] and len(ordered) == 3 and 2 in ordered and 9 not in ordered
 
 
-def test_a_disturbed_process_clock_is_read_by_whoever_reads_one() -> None:
+def test_a_disturbed_process_clock_replaces_every_process_clock() -> None:
     before = time.monotonic
-    with replay.another_process_clock(0):
+    with replay.disturbed_process_clock(0):
         first = aiohttp.connector.monotonic()  # type: ignore[attr-defined]
         assert time.monotonic() == pytest.approx(first + replay.SECONDS_A_READING)
         assert time.time() == pytest.approx(first + 2 * replay.SECONDS_A_READING)
@@ -77,11 +77,14 @@
 
 
 def test_several_names_on_a_command_line_come_as_one_string_or_as_several() -> None:
-    assert listed("lots") == ["lots"] and listed("lots,apply") == listed(("lots", "apply")) == ["lots", "apply"]
-    assert listed("") == []
+    assert split_names("lots") == ["lots"] and split_names("lots,apply") == split_names(("lots", "apply")) == [
+        "lots",
+        "apply",
+    ]
+    assert split_names("") == []
 
 
-def test_the_first_difference_of_two_recordings_is_told() -> None:
+def test_the_first_difference_of_two_recordings_is_returned() -> None:
     one = Recording((), ({"ev": "call"},), 5)
     assert replay.compare(one, one) is None
     assert replay.compare(one, Recording((), ({"ev": "lot"},), 5)) == Divergence(
