--- a/bench/capacity/meter.py
+++ b/bench/capacity/meter.py
@@ -74,7 +74,7 @@
 
     def measured_send(pipe: Pipe, data: bytes | None) -> None:
         meter.sent[pipe.host.name] += len(data or b"")
-        meter.received[pipe.there.name] += len(data or b"")
+        meter.received[pipe.peer_host.name] += len(data or b"")
         send(pipe, data)
 
     def measured_encode(name: str, kind: int, sequence: int, record: Any) -> bytes:
--- a/sim/actions.py
+++ b/sim/actions.py
@@ -1,4 +1,4 @@
-"""The verbs of scenarios: faults, and what operators do."""
+"""The verbs of scenarios: faults, and operations of operators."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from sim.fleet import SimFleet
 
 ACTIONS: dict[str, Action] = FAULTS | CHANGES
-# Verbs whose first word is no machine and no role.
+# Verbs whose first word is neither a machine nor a role.
 WITHOUT_MACHINE = frozenset({"apply", "race", "routes", "read", "add", "area"})
 
 
 def perform(fleet: SimFleet, verb: str, arguments: Sequence[str], later: Later) -> None:
-    """Causes one fault or operation; `for S` at its end undoes it after S seconds.
+    """Causes a fault or operation; if its words end with `for S`, it is undone after S seconds.
 
-    Nothing happens if its first word is a role that nobody holds now.
+    Nothing happens if the first word is a role that no machine has at the moment.
     """
     words, span = list(arguments), 0.0
     if len(words) >= 2 and words[-2] == "for":
--- a/sim/ailing.py
+++ b/sim/ailing.py
@@ -1,4 +1,4 @@
-"""`pp doctor` and `pp status` on a live simulated fleet: each fault is caused, and must be found."""
+"""Faults of a simulated fleet, each with the findings that `postpassctl doctor` must report of it."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 Cause = Callable[[SimFleet], Awaitable[None]]
 
 
-async def look(world: SimFleet) -> tuple[set[str], list[str]]:
-    """What the doctor finds in two looks, and what is pending."""
-    where = [world.configuration["machines"][n]["http"] for n in world.controls()]
-    first = FleetStatus.from_json(await fleet_status_pages(where, "postpassctl"))
+async def run_doctor(world: SimFleet) -> tuple[set[str], list[str]]:
+    """Returns the codes of what the doctor finds in two status reports 0.5 s apart, and the pending operations."""
+    addresses = [world.configuration["machines"][n]["http"] for n in world.controls()]
+    first = FleetStatus.from_json(await fleet_status_pages(addresses, "postpassctl"))
     await asyncio.sleep(0.5)
-    second = FleetStatus.from_json(await fleet_status_pages(where, "postpassctl"))
+    second = FleetStatus.from_json(await fleet_status_pages(addresses, "postpassctl"))
     return {f.code for f in diagnose(first, second)}, pending(second)
 
 
@@ -33,7 +33,8 @@
     world.freeze("e2")
 
 
-async def old_edition(world: SimFleet) -> None:
+async def stale_configuration(world: SimFleet) -> None:
+    """Changes the configuration while e2 is cut off from all machines."""
     for name in world.configuration["machines"]:
         if name != "e2":
             world.cut("e2", name)
@@ -44,6 +45,7 @@
 
 
 async def wrong_weights(world: SimFleet) -> None:
+    """Restarts a worker with the weights of another model."""
     world.boxes["w1"].thing.weights = "model-0"
     world.boxes["w1"].thing.start += 1
     await asyncio.sleep(2)
@@ -56,18 +58,19 @@
 
 
 async def other_config(world: SimFleet) -> None:
+    """Changes the duties of a machine in the configuration, while its process runs with the old ones."""
     configuration = changed(world.configuration, "machines.e2.duties", ["edge"])
     await world.apply(configuration, 1)
     await asyncio.sleep(1)
 
 
 async def clashing_name(world: SimFleet) -> None:
-    """Another process is started under a name that is taken, at an address of its own."""
-    m = world.configuration["machines"]["e2"] | {"peer": "127.2.8.8:7000", "http": "127.2.8.8:8000"}
-    real = world.configuration
-    world.configuration = changed(real, "machines.double", m)
-    world.add_box("double", m)
-    world.configuration["machines"]["double"] = m
+    """Starts another process under a name that is already taken, at an address of its own."""
+    machine = world.configuration["machines"]["e2"] | {"peer": "127.2.8.8:7000", "http": "127.2.8.8:8000"}
+    original_configuration = world.configuration
+    world.configuration = changed(original_configuration, "machines.double", machine)
+    world.add_box("double", machine)
+    world.configuration["machines"]["double"] = machine
     box = world.boxes["double"]
     box.host = None
     from bench.plan import config
@@ -82,7 +85,7 @@
         await DataPlane(settings, world.world("double", None)).run()
 
     world.loop.create_task(boot(), context=host.context())
-    world.configuration = real
+    world.configuration = original_configuration
     await asyncio.sleep(6)
 
 
@@ -92,13 +95,15 @@
 
 
 async def other_version(world: SimFleet) -> None:
+    """Restarts a machine with another release of the software."""
     world.release = "0.9.9"
     world.kill("e2")
     world.start("e2")
     await asyncio.sleep(2)
 
 
-async def lost(world: SimFleet) -> None:
+async def data_lost(world: SimFleet) -> None:
+    """Wipes three stores at once, which is more than is tolerated, and starts them again."""
     for name in ("s1", "s2", "s3"):
         world.wipe(name)
     for name in ("s1", "s2", "s3"):
@@ -118,17 +123,18 @@
     await asyncio.sleep(6)
 
 
+# Each fault with the codes of the findings that it must lead to; none for the fleet without a fault.
 CASES: dict[str, tuple[Cause, set[str]]] = {
     "sound": (lambda world: asyncio.sleep(0), set()),
     "mirror killed": (mirror_killed, {"D02", "D07"}),
     "edge frozen": (edge_frozen, {"D02"}),
-    "old edition": (old_edition, {"D03"}),
+    "old edition": (stale_configuration, {"D03"}),
     "wrong weights": (wrong_weights, {"D12"}),
     "disk nearly full": (disk_nearly_full, {"D09"}),
     "other config": (other_config, {"D05"}),
     "clashing name": (clashing_name, {"D04"}),
     "no backup": (no_backup, {"D02", "D11"}),
     "other version": (other_version, {"D14"}),
-    "lost": (lost, {"D13"}),
+    "lost": (data_lost, {"D13"}),
     "owners gone": (owners_gone, {"D02", "D08"}),
 }
--- a/sim/broken.py
+++ b/sim/broken.py
@@ -1,5 +1,7 @@
-"""Deliberately broken variants of the product, one for each line of "What must never happen": each check of
-the history must catch its own in a simulated run. A check that can't fail would prove nothing."""
+"""Deliberately broken variants of the product, one for each line of "What must never happen".
+
+The check of that line must find a violation in a simulated run of the variant: a check that can't fail would prove nothing.
+"""
 
 from __future__ import annotations
 
@@ -27,151 +29,163 @@
 Patch = Callable[[pytest.MonkeyPatch], None]
 
 
-def kept_at_once(mp: pytest.MonkeyPatch) -> None:
-    """Calls a lot kept as soon as the owner has it in memory."""
-    mp.setattr(Partition, "reach", lambda self, text="": self.record_log.last)
+def acknowledges_unreplicated_jobs(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Acknowledges a job as kept as soon as the owner has it in memory."""
+    monkeypatch.setattr(Partition, "reach", lambda self, text="": self.record_log.last)
 
 
-def last_result_wins(mp: pytest.MonkeyPatch) -> None:
+def last_result_wins(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Records some results twice, and lets the later one replace the first."""
+
     def result(self: JobView, seq: int, body: dict[str, Any]) -> None:
-        lot = self.jobs.get(body["id"])
-        if lot is not None:
-            lot.results[body["item"]] = JobResult(seq, body["status"], body["output"])
-            lot.order.append(body["item"])
+        job = self.jobs.get(body["id"])
+        if job is not None:
+            job.results[body["item"]] = JobResult(seq, body["status"], body["output"])
+            job.order.append(body["item"])
 
-    mp.setattr(JobView, "fold_result", result)
-    plain = Leases.on_done
+    monkeypatch.setattr(JobView, "fold_result", result)
+    original = Leases.on_done
 
     async def done(self: Leases, body: dict[str, Any]) -> Any:
-        got = await plain(self, body)
-        part = self.table.partitions[body["part"]]
-        if part.owning and body["item"] % 3 == 0:
+        response = await original(self, body)
+        partition = self.table.partitions[body["part"]]
+        if partition.owning and body["item"] % 3 == 0:
             self.owner.append(
-                part, "result", {"id": body["id"], "item": body["item"], "status": "done", "output": body["output"]}
+                partition,
+                "result",
+                {"id": body["id"], "item": body["item"], "status": "done", "output": body["output"]},
             )
-        return got
+        return response
 
-    mp.setattr(Leases, "on_done", done)
+    monkeypatch.setattr(Leases, "on_done", done)
 
 
-def cut_is_an_end(mp: pytest.MonkeyPatch) -> None:
-    """Takes a stream that was cut for one that came to its end."""
-    plain = openai.complete
+def treats_cut_as_end(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Treats a stream that was cut off as a complete one."""
+    original = openai.complete
 
     async def complete(*args: Any) -> Any:
         try:
-            async for text in plain(*args):
+            async for text in original(*args):
                 yield text
-        except FaultError as bad:
-            if bad.fault.unsent:
+        except FaultError as error:
+            if error.fault.unsent:
                 raise
 
-    mp.setattr(live_requests, "complete", complete)
-    mp.setattr(item_run, "complete", complete)
+    monkeypatch.setattr(live_requests, "complete", complete)
+    monkeypatch.setattr(item_run, "complete", complete)
 
 
-def refuses_what_it_took(mp: pytest.MonkeyPatch) -> None:
-    plain = JobRecords.on_submit
+def refuses_accepted_jobs(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Answers that some jobs are refused after it has accepted them."""
+    original = JobRecords.on_submit
 
     async def submit(self: JobRecords, body: dict[str, Any]) -> Any:
-        got = await plain(self, body)
-        return Err(Fault("submit", "x", "no", REJECTED)) if body["lot"]["id"][-1] in "13579" else got
+        response = await original(self, body)
+        return Err(Fault("submit", "x", "no", REJECTED)) if body["lot"]["id"][-1] in "13579" else response
 
-    mp.setattr(JobRecords, "on_submit", submit)
+    monkeypatch.setattr(JobRecords, "on_submit", submit)
 
 
-def ending_is_forgotten(mp: pytest.MonkeyPatch) -> None:
-    mp.setattr(JobView, "fold_end", lambda self, seq, body: None)
+def forgets_ended_jobs(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Ignores that a client ended its job, and runs on."""
+    monkeypatch.setattr(JobView, "fold_end", lambda self, seq, body: None)
 
 
-def once_is_ignored(mp: pytest.MonkeyPatch) -> None:
-    plain = attempts.next_live_attempt
-    mp.setattr(live_requests, "next_live_attempt", lambda log, once, *rest: plain(log, False, *rest))
+def once_is_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Sends requests again that may run only once."""
+    original = attempts.next_live_attempt
+    monkeypatch.setattr(live_requests, "next_live_attempt", lambda log, once, *rest: original(log, False, *rest))
 
 
-def goes_on_elsewhere(mp: pytest.MonkeyPatch) -> None:
-    """Sends a call again after pieces of it have gone out, and splices the streams."""
-    plain = attempts.next_live_attempt
+def resends_begun_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Sends a request to another worker after pieces of its answer went to the client, and splices the two streams."""
+    original = attempts.next_live_attempt
 
-    def move(log: Any, *rest: Any) -> Decision:
-        got = plain(log, *rest)
-        return Decision(Action.SEND) if got.action is Action.ERROR and len(log.attempts) < 3 else got
+    def resend(log: Any, *rest: Any) -> Decision:
+        decision = original(log, *rest)
+        return Decision(Action.SEND) if decision.action is Action.ERROR and len(log.attempts) < 3 else decision
 
-    mp.setattr(live_requests, "next_live_attempt", move)
+    monkeypatch.setattr(live_requests, "next_live_attempt", resend)
 
 
-def mixes_up_prompts(mp: pytest.MonkeyPatch) -> None:
-    """Takes calls with the same shared parts for the same call."""
+def mixes_up_prompts(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Treats requests with the same shared parts as the same request."""
     seen: dict[tuple[str, ...], openai.Prompt] = {}
-    plain = openai.complete
+    original = openai.complete
 
     def complete(session: Any, url: str, model: str, prompt: openai.Prompt, *rest: Any) -> Any:
-        return plain(session, url, model, replace(seen.setdefault(prompt.shared, prompt), most=prompt.most), *rest)
+        return original(session, url, model, replace(seen.setdefault(prompt.shared, prompt), most=prompt.most), *rest)
 
-    mp.setattr(live_requests, "complete", complete)
+    monkeypatch.setattr(live_requests, "complete", complete)
 
 
-def leaving_is_ignored(mp: pytest.MonkeyPatch) -> None:
-    plain = WorkerLoad.barred_reason
+def leaving_is_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Sends work to workers that are leaving or in an evacuated zone."""
+    original = WorkerLoad.barred_reason
 
     def barred_reason(self: WorkerLoad, pool: str, name: str, max_age: float) -> str:
-        why = plain(self, pool, name, max_age)
-        return "" if why == "leaving" or "evacuated" in why else why
+        reason = original(self, pool, name, max_age)
+        return "" if reason == "leaving" or "evacuated" in reason else reason
 
-    mp.setattr(WorkerLoad, "barred_reason", barred_reason)
+    monkeypatch.setattr(WorkerLoad, "barred_reason", barred_reason)
 
 
-def deaf_to_news(mp: pytest.MonkeyPatch) -> None:
-    """An edge that asks for news only once, and a primary that answers without asking it."""
+def ignores_configuration_feed(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Edges fetch the configuration only once, and the primary acknowledges a change without waiting until it is in force."""
 
     async def wait_until_in_force(*_: Any) -> list[str]:
         return []
 
-    mp.setattr(ControlPlane, "wait_until_in_force", wait_until_in_force)
-    plain = Follower.fetch
+    monkeypatch.setattr(ControlPlane, "wait_until_in_force", wait_until_in_force)
+    original = Follower.fetch
 
     async def fetch(self: Follower, addr: str, limit: float = 0.0) -> None:
         if self.configuration_view.revision == 0 or not self.settings.name.startswith("e"):
-            await plain(self, addr, limit)
+            await original(self, addr, limit)
 
-    mp.setattr(Follower, "fetch", fetch)
+    monkeypatch.setattr(Follower, "fetch", fetch)
     sources = Follower.sources
-    mp.setattr(
+    monkeypatch.setattr(
         Follower,
         "sources",
         lambda self: [] if self.configuration_view.revision and self.settings.name == "e1" else sources(self),
     )
 
 
-def never_deaf(mp: pytest.MonkeyPatch) -> None:
-    """A daemon that goes on placing work though it hears nobody."""
-    mp.setattr(ConfigurationView, "last_contact", property(lambda self: 1e18, lambda self, at: None), raising=False)
+def never_loses_contact(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A daemon goes on placing work although it has lost contact with all others."""
+    monkeypatch.setattr(
+        ConfigurationView, "last_contact", property(lambda self: 1e18, lambda self, at: None), raising=False
+    )
 
 
-def last_writer_wins(mp: pytest.MonkeyPatch) -> None:
-    plain = ControlPlane.on_apply
+def last_writer_wins(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Applies a change that was refused as made from an old revision, on top of the current one."""
+    original = ControlPlane.on_apply
 
     async def apply(self: ControlPlane, body: dict[str, Any]) -> Any:
-        got = await plain(self, body)
-        if isinstance(got, Err) and got.unwrap_err().code == OLD:
-            return await plain(self, body | {"base": int(got.unwrap_err().hint)})
-        return got
+        response = await original(self, body)
+        if isinstance(response, Err) and response.unwrap_err().code == OLD:
+            return await original(self, body | {"base": int(response.unwrap_err().hint)})
+        return response
 
-    mp.setattr(ControlPlane, "on_apply", apply)
+    monkeypatch.setattr(ControlPlane, "on_apply", apply)
 
 
-def always_warm(mp: pytest.MonkeyPatch) -> None:
-    mp.setattr(WorkerLoad, "warm_part", lambda self, pool, name: 1.0)
+def ignores_warm_up(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Sends a newly started worker as many requests as a warm one."""
+    monkeypatch.setattr(WorkerLoad, "warm_part", lambda self, pool, name: 1.0)
 
 
-CUT_OFF = """
+EDGE_CUT_OFF = """
 fleet edges=3 workers=3
 load ask=9 view=6 lot=1x4
 run 14
 at 3 cut e1 daemons for 10
 at 4 apply pools.gpu.servers.w1.leave=true evacuated=[b]
 """
-CRASHES = """
+WORKER_CRASHES = """
 fleet edges=3 workers=3 slots=8
 load ask=16 lot=1x6 once=0.9
 run 20
@@ -184,23 +198,24 @@
 at 18 kill w3 for 2
 """
 
+# By the line whose check must catch it: the change to the product, and the scenario of the run.
 CASES: dict[str, tuple[Patch, str]] = {
-    "lost": (kept_at_once, "load lot=24x2\nrun 6\nsettle 10\nat 3 cut owner:0 stores for 1.2\nat 4.1 wipe owner:0 for 1"),
+    "lost": (acknowledges_unreplicated_jobs, "load lot=24x2\nrun 6\nsettle 10\nat 3 cut owner:0 stores for 1.2\nat 4.1 wipe owner:0 for 1"),
     "changed": (last_result_wins, "load lot=1x6\nrun 6\nsettle 10"),
-    "unwhole": (cut_is_an_end, "load lot=1x6\nrun 8\nsettle 10\nat 2 fault w1 cut:3 for 5"),
-    "refused_ran": (refuses_what_it_took, "load lot=1x6\nrun 8\nsettle 5"),
-    "ended_ran": (ending_is_forgotten, "fleet workers=1 slots=2\nload lot=1x60 ends=1\nrun 6\nsettle 1"),
+    "unwhole": (treats_cut_as_end, "load lot=1x6\nrun 8\nsettle 10\nat 2 fault w1 cut:3 for 5"),
+    "refused_ran": (refuses_accepted_jobs, "load lot=1x6\nrun 8\nsettle 5"),
+    "ended_ran": (forgets_ended_jobs, "fleet workers=1 slots=2\nload lot=1x60 ends=1\nrun 6\nsettle 1"),
     "twice": (once_is_ignored, "load ask=8 once=0.9\nrun 8\nat 2 fault w1 cut:1 for 3"),
-    "spliced": (goes_on_elsewhere, CRASHES),
+    "spliced": (resends_begun_answer, WORKER_CRASHES),
     "wrong_caller": (mixes_up_prompts, "load ask=5\nrun 4"),
     "leaving": (leaving_is_ignored, "load ask=6\nrun 12\nat 2 apply pools.gpu.servers.w1.leave=true"),
-    "stale": (deaf_to_news, "load ask=1\nrun 8\nat 2 apply classes.ask.deadline=14"),
+    "stale": (ignores_configuration_feed, "load ask=1\nrun 8\nat 2 apply classes.ask.deadline=14"),
     "both_won": (last_writer_wins, "load ask=1\nrun 4\nat 2 race classes.ask.deadline=14 classes.ask.deadline=13"),
-    "flooded": (always_warm, "fleet edges=3 workers=2 slots=8\nset ramp=8\nload ask=60\nrun 8\nat 3 kill w1 for 1"),
+    "flooded": (ignores_warm_up, "fleet edges=3 workers=2 slots=8\nset ramp=8\nload ask=60\nrun 8\nat 3 kill w1 for 1"),
 }  # fmt: skip
 
 
-# More ways to break a line, each with a run of its own.
-MORE: dict[str, tuple[str, Patch, str]] = {
-    "never deaf": ("leaving", never_deaf, CUT_OFF),
+# Further broken variants by name: the line whose check must catch it, the change to the product, and the scenario of the run.
+FURTHER_CASES: dict[str, tuple[str, Patch, str]] = {
+    "never deaf": ("leaving", never_loses_contact, EDGE_CUT_OFF),
 }
--- a/sim/disk.py
+++ b/sim/disk.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from sim.loop import HOST, Gone
+from sim.loop import HOST, HostDead
 
 
 @dataclass
@@ -35,16 +35,16 @@
     tap: Callable[[str], None] = lambda _: None
 
     def _alive(self) -> None:
-        """Raises `Gone` if the current host is dead."""
+        """Raises `HostDead` if the current host is dead."""
         host = HOST.get()
         if host is not None and host.dead:
-            raise Gone
+            raise HostDead
 
     def _notify(self, event: str, name: str) -> None:
         """Reports an event of a file under the part of its name before the first hyphen.
 
         Raises:
-            Gone: the host is dead; the reported event may have been what killed it.
+            HostDead: the host is dead; the reported event may have been what killed it.
         """
         self.tap(f"{event}.{name.partition('-')[0]}")
         self._alive()
--- a/sim/interface.py
+++ b/sim/interface.py
@@ -1,4 +1,4 @@
-"""The callers' interface under bad input and odd timing, against a whole simulated fleet."""
+"""Helpers and inputs to test the clients' HTTP interface with bad input and unusual timing, on a complete simulated fleet."""
 
 from __future__ import annotations
 
@@ -10,11 +10,14 @@
 from sim.fleet import SimFleet
 from sim.loop import SimLoop, run_sim
 
-Say = Callable[..., Awaitable[tuple[int, Any, Any]]]
+SendRequest = Callable[..., Awaitable[tuple[int, Any, Any]]]
 
 
-def with_fleet(check: Callable[[SimFleet, Say], Awaitable[None]], **fleet: Any) -> None:
-    """Founds a fleet and runs `check` as a caller from outside."""
+def with_fleet(check: Callable[[SimFleet, SendRequest], Awaitable[None]], **fleet: Any) -> None:
+    """Starts a simulated fleet and runs `check` outside its machines, with a function that sends an HTTP request to a machine.
+
+    Fails if the run left errors. `fleet` are the arguments of `bench.plan.manifest`.
+    """
 
     async def main(loop: SimLoop) -> None:
         world = SimFleet(loop, manifest(**fleet), 1)
@@ -23,16 +26,16 @@
         async def outside() -> None:
             async with world.session() as session:
 
-                async def say(
-                    method: str, path: str, body: Any = None, heads: Any = None, to: str = "e1"
+                async def send(
+                    method: str, path: str, body: Any = None, headers: Any = None, to: str = "e1"
                 ) -> tuple[int, Any, Any]:
                     url = f"http://{world.configuration['machines'][to]['http']}{path}"
                     data = body if isinstance(body, (bytes, type(None))) else json.dumps(body).encode()
-                    async with session.request(method, url, data=data, headers=heads) as got:
-                        text = (await got.read()).decode()
-                        return got.status, json.loads(text) if text.startswith("{") else text, got.headers
+                    async with session.request(method, url, data=data, headers=headers) as response:
+                        text = (await response.read()).decode()
+                        return response.status, json.loads(text) if text.startswith("{") else text, response.headers
 
-                await check(world, say)
+                await check(world, send)
 
         await world.out(outside())
         assert loop.errors + loop.unretrieved() == []
@@ -40,15 +43,18 @@
     run_sim(main, 1)
 
 
-def taken(world: SimFleet) -> int:
+def count_taken_requests(world: SimFleet) -> int:
+    """Returns the number of requests that workers have accepted."""
     return sum(e["ev"] == "took" for e in world.events)
 
 
-def lasts(world: SimFleet) -> int:
+def sum_last_record_numbers(world: SimFleet) -> int:
+    """Returns the sum of the last record numbers of all owned partitions, which grows with every new record."""
     return sum(p.record_log.last for _, s in world.stores() for p in s.partitions.values() if p.owning)
 
 
 LOT = {"class": "lot", "items": ["a", "b"], "within": 30}
+# Invalid bodies, each with the status of the response and a part of its reason.
 BAD_LOTS: list[tuple[Any, int, str]] = [
     (b"{", 400, "not JSON"),
     (b"[" * 100000, 400, "not JSON"),
--- a/sim/linearizability.py
+++ b/sim/linearizability.py
@@ -1,8 +1,9 @@
-"""Checks that the operators' history over the configuration is linearizable, after Wing and Gong with memoization.
+"""Checks that the history of the operators' changes and reads of the configuration is linearizable.
 
-The configuration is one register with compare-and-set: an order names the version that it builds on and the version that
-it makes. An order that was taken is remembered, so that a resend of it is acknowledged and changes nothing. An attempt
-without a clear answer may take effect at any time after it began, or never. The module shares no code with the product.
+The algorithm is that of Wing and Gong, with memoization. The configuration is one register with compare-and-set: an order
+names the version that it builds on and the version that it makes. An order that was accepted is remembered, so that a
+resend of it is acknowledged and changes nothing. An attempt without a clear answer may take effect at any time after it
+began, or never. The module shares no code with the product.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class Outcome(enum.Enum):
-    """What an attempt was answered."""
+    """The answer to an attempt: accepted, refused, or none that is clear."""
 
     TAKEN = "taken"
     REFUSED = "refused"
@@ -37,7 +38,7 @@
 
 @dataclass(frozen=True)
 class Attempt:
-    """One send of an order. `ended` says nothing where the outcome is unknown."""
+    """One sending of an order. `ended` has no meaning if the outcome is unknown."""
 
     order: Order
     began: float
@@ -67,22 +68,23 @@
 
 @dataclass(frozen=True)
 class Register:
-    """The configuration in force, and the requests that were ever taken."""
+    """The state of the model: the configuration in force, and all requests that were accepted so far."""
 
     version: int = 0
     content: str = ""
     taken: frozenset[str] = frozenset()
 
     def takes(self, order: Order) -> bool:
-        """Whether an order that was not taken before takes effect now."""
-        fits = order.base == self.version < order.version
-        return fits and order.valid and order.request not in self.taken
+        """Returns whether an order takes effect in this state; one that was accepted before does not."""
+        builds_on_current = order.base == self.version < order.version
+        return builds_on_current and order.valid and order.request not in self.taken
 
     def after(self, order: Order) -> Register:
+        """Returns the state after an order took effect."""
         return Register(order.version, order.content, self.taken | {order.request})
 
     def allows_unchanged(self, operation: Operation) -> bool:
-        """Whether the operation may have had its answer here without a change of the register."""
+        """Returns whether the operation may get its answer in this state without a change of the register."""
         if isinstance(operation, Read):
             return (operation.version, operation.content) == (self.version, self.content)
         if operation.outcome is Outcome.TAKEN:
@@ -92,8 +94,14 @@
 
 @dataclass(frozen=True)
 class Verdict:
-    """Where `linearizable` is false, `stuck` is an operation that no order of the history explains, and `register` what
-    was in force when the search that got furthest met it."""
+    """The result of a search.
+
+    Attributes:
+        linearizable: whether an order of the operations was found that explains every answer.
+        states: the number of states that were visited.
+        stuck: if there is no such order, the operation at which the search that got furthest failed.
+        register: the state of the register at that operation.
+    """
 
     linearizable: bool
     states: int
@@ -107,22 +115,29 @@
 
 
 class Undecided(Exception):
-    """The search was given up at `MAX_STATES`."""
+    """The search was given up since it visited more than `MAX_STATES` states."""
 
 
 @dataclass(frozen=True)
 class Progress:
-    """A state of the search. Every answered operation before `first` is linearized, and those in `beyond` after it."""
+    """A state of the search.
+
+    Attributes:
+        first: the index of the first answered operation that is not linearized.
+        beyond: the indexes of those after `first` that are linearized.
+        register: the state of the register.
+    """
 
     first: int
     beyond: frozenset[int]
     register: Register
 
     def done(self) -> int:
+        """Returns the number of answered operations that are linearized."""
         return self.first + len(self.beyond)
 
     def without(self, index: int) -> Progress:
-        """The state after the operation at `index` was linearized."""
+        """Returns the state after the answered operation at `index` was linearized."""
         first, beyond = self.first, self.beyond | {index}
         while first in beyond:
             beyond -= {first}
@@ -132,14 +147,22 @@
 
 @dataclass(eq=False)
 class Search:
-    """The search over one history. Invariant: `answered` is sorted by the begin of its operations."""
+    """The search over one history.
+
+    Invariant: `answered` is sorted by the times at which its operations began.
+
+    Attributes:
+        answered: the operations with a clear answer.
+        unknown: the attempts without a clear answer, by the version that they build on.
+        visited: the states of the search so far.
+    """
 
     answered: list[Operation]
-    unknown: dict[int, list[Attempt]]  # by the version they build on
+    unknown: dict[int, list[Attempt]]
     visited: set[Progress] = field(default_factory=set)
 
     def enabled(self, progress: Progress) -> tuple[list[int], float]:
-        """The operations that may come next, and the time by which the next one must have come."""
+        """Returns the indexes of the operations that may come next, and the time by which the next one must take effect."""
         indexes: list[int] = []
         limit = float("inf")
         for index in range(progress.first, len(self.answered)):
@@ -151,8 +174,8 @@
                 limit = min(limit, operation.ended)
         return [i for i in indexes if self.answered[i].began <= limit], limit
 
-    def settle(self, progress: Progress) -> Progress:
-        """Linearizes all that may come next and changes nothing: to do that as early as possible rules nothing out."""
+    def linearize_unchanged(self, progress: Progress) -> Progress:
+        """Linearizes all operations that may come next and change nothing, as early as possible, which excludes no solution."""
         while True:
             indexes, _ = self.enabled(progress)
             index = next((i for i in indexes if progress.register.allows_unchanged(self.answered[i])), None)
@@ -161,7 +184,10 @@
             progress = progress.without(index)
 
     def successors(self, progress: Progress) -> Iterator[Progress]:
-        """Every state after one more order took effect; those of acknowledged orders come last."""
+        """Yields every state after one more order took effect.
+
+        Those of acknowledged orders come last, so that the search, which takes from the end of its stack, tries them first.
+        """
         register = progress.register
         indexes, limit = self.enabled(progress)
         for attempt in self.unknown[register.version]:
@@ -177,15 +203,16 @@
                 yield replace(progress.without(index), register=register.after(operation.order))
 
     def stuck(self, progress: Progress) -> Operation:
-        """The operation that must come next and can't."""
+        """Returns the operation that must come next and can't: the one that ended first."""
         indexes, _ = self.enabled(progress)
         return min((self.answered[i] for i in indexes), key=lambda operation: operation.ended)
 
     def run(self, initial: Register) -> Verdict:
+        """Searches depth-first for an order of the operations that explains every answer. Raises `Undecided`."""
         furthest = Progress(0, frozenset(), initial)
         stack = [furthest]
         while stack:
-            progress = self.settle(stack.pop())
+            progress = self.linearize_unchanged(stack.pop())
             if progress in self.visited:
                 continue
             self.visited.add(progress)
@@ -200,7 +227,11 @@
 
 
 def check(history: Sequence[Operation], initial: Register = Register()) -> Verdict:  # noqa: B008
-    """Whether some order of the operations, each at a moment between its begin and its end, explains every answer."""
+    """Checks whether an order of the operations, each taking effect between its begin and its end, explains every answer.
+
+    Raises:
+        Undecided: the search took too many states.
+    """
     answered: list[Operation] = []
     unknown: dict[int, list[Attempt]] = defaultdict(list)
     for operation in sorted(history, key=lambda o: o.began):
--- a/sim/loop.py
+++ b/sim/loop.py
@@ -24,7 +24,7 @@
 import aiohttp.connector
 
 
-class Gone(BaseException):
+class HostDead(BaseException):
     """Is raised in a process that was killed during its current callback, when that touches its disk or the network."""
 
 
@@ -103,7 +103,7 @@
     def _on_exception(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         exception = context.get("exception")
         text = str(context.get("message"))
-        if not isinstance(exception, (ConnectionError, asyncio.CancelledError, Gone)):
+        if not isinstance(exception, (ConnectionError, asyncio.CancelledError, HostDead)):
             self.errors.append(f"{text}: {exception!r}")
 
     def unretrieved(self) -> list[str]:
@@ -111,7 +111,7 @@
         return [
             f"a task's exception was never retrieved: {t.get_coro()}: {t._exception!r}"  # type: ignore[attr-defined]
             for t in self.tasks
-            if t.done() and t._log_traceback and not isinstance(t._exception, Gone)  # type: ignore[attr-defined]
+            if t.done() and t._log_traceback and not isinstance(t._exception, HostDead)  # type: ignore[attr-defined]
         ]
 
     def _make_task(self, loop: Any, coro: Any, **options: Any) -> asyncio.Task[Any]:
@@ -202,7 +202,7 @@
         owner = HOST.get()
         assert owner is not None, "a server is created by a host"
         if owner.dead:
-            raise Gone
+            raise HostDead
         if (host, port) in self.servers:
             raise OSError(98, f"{host}:{port} is in use")
         server = SimServer(self, owner, protocol_factory, (host, port))
@@ -213,7 +213,7 @@
         client_host = HOST.get()
         assert client_host is not None, "a connection is created by a host"
         if client_host.dead:
-            raise Gone
+            raise HostDead
         began_at = self.clock
         while True:
             target_host = self.hosts.get(host)
--- a/sim/operators.py
+++ b/sim/operators.py
@@ -1,5 +1,8 @@
-"""The stand-in operator of an announced fleet: configurations whole and patched, races, invalid ones, evacuations,
-stores to be emptied, and reading back; each sent again as the platform's pages say."""
+"""The simulated operator of an announced fleet.
+
+It sends complete configurations, patches, concurrent changes, invalid configurations, evacuations and requests to empty a
+store, reads the configuration back, and retries each as the platform's documentation asks.
+"""
 
 from __future__ import annotations
 
@@ -21,30 +24,33 @@
 
 
 def patched(base: Settings, patch: Settings) -> Settings:
-    """What a patch makes of a configuration."""
-    out = copy.deepcopy(base)
-    out["version"] = patch["version"]
+    """Returns the configuration that a patch makes of another one."""
+    result = copy.deepcopy(base)
+    result["version"] = patch["version"]
     for part in LISTS:
-        gone = set(patch.get("remove", {}).get(part, []))
-        items = {i["name"]: i for i in out.get(part, []) if i["name"] not in gone}
+        removed = set(patch.get("remove", {}).get(part, []))
+        items = {i["name"]: i for i in result.get(part, []) if i["name"] not in removed}
         items |= {i["name"]: i for i in patch.get("upsert", {}).get(part, [])}
-        if part in out or items:
-            out[part] = list(items.values())
-    return out
+        if part in result or items:
+            result[part] = list(items.values())
+    return result
 
 
-def canonical(config: Settings) -> Settings:
-    """A configuration for comparing: the order of its lists says nothing."""
+def canonical_form(config: Settings) -> Settings:
+    """Returns a configuration in the form used to compare two: with its lists sorted, since their order has no meaning."""
     return {k: sorted(v, key=lambda i: str(i.get("name", ""))) if isinstance(v, list) else v for k, v in config.items()}
 
 
 def content_digest(config: Settings) -> str:
-    """Identifies a configuration, whatever the order of its keys and lists."""
-    return hashlib.sha256(json.dumps(canonical(config), sort_keys=True).encode()).hexdigest()[:12]
+    """Returns a digest of a configuration that does not depend on the order of its keys and lists."""
+    return hashlib.sha256(json.dumps(canonical_form(config), sort_keys=True).encode()).hexdigest()[:12]
 
 
 def request_digest(method: str, base: int, body: Any) -> str:
-    """Identifies a request. A whole configuration is the same whatever it builds on; a patch is not."""
+    """Returns a digest that identifies a request.
+
+    A complete configuration is the same request whatever version it builds on; a patch is not.
+    """
     text = body.decode("latin-1") if isinstance(body, bytes) else body
     named = json.dumps([method, base if method == "PATCH" else 0, text], sort_keys=True)
     return hashlib.sha256(named.encode()).hexdigest()[:12]
@@ -52,7 +58,20 @@
 
 @dataclass(eq=False)
 class Operator:
-    """`config` is the newest acknowledged configuration."""
+    """An operator and its log.
+
+    Attributes:
+        directory: returns the addresses that orders may be sent to.
+        whose: returns the name of the machine that has an IP address.
+        log: records an event.
+        now: returns the time in seconds.
+        chance: the source of randomness.
+        ack_s: the time in which the platform promises an answer; some orders are retried for a multiple of it.
+        contact_s: how long the operator tries to read the configuration back at the end of a day.
+        config: the newest acknowledged configuration.
+        sent: the number of configurations and patches sent.
+        acked_by: the machine that acknowledged last.
+    """
 
     directory: Callable[[], list[str]]
     whose: Callable[[str], str]
@@ -73,45 +92,58 @@
         self, method: str, path: str, body: Any = None, headers: dict[str, str] | None = None, start: int = -1, keep: float = 1e9,
         change: int = 0,
     ) -> tuple[int, bytes, bool, str]:  # fmt: skip
-        """One order, sent until it is answered for good: status, body, whether any try was unclear, who answered.
-        `change` is the number of a configuration order, whose attempts are logged."""
+        """Sends an order, and retries it at other addresses until it has a final answer.
+
+        Args:
+            method: of the request.
+            path: of the request.
+            body: bytes, or what is sent as JSON; None for an empty body.
+            headers: further headers.
+            start: the index of the first address to try; a random one if negative.
+            keep: after how many seconds no further attempt is made.
+            change: the number of a configuration order, whose attempts are logged; 0 for other orders.
+
+        Returns:
+            The status, the body, whether any attempt may have taken effect without a clear answer, and the machine that
+            answered.
+        """
         data = b"" if body is None else body if isinstance(body, bytes) else json.dumps(body).encode()
-        turn = start if start >= 0 else self.chance.randrange(64)
-        unclear, pause, rude, began = False, 0.1, 0, self.now()
+        address_index = start if start >= 0 else self.chance.randrange(64)
+        unclear, retry_delay, refusals, began_at = False, 0.1, 0, self.now()
         while True:
-            every = self.directory()
-            addr, where, sent = every[turn % len(every)], path, self.now()
-            status, got, by = 0, b"", ""
+            addresses = self.directory()
+            addr, target_path, sent = addresses[address_index % len(addresses)], path, self.now()
+            status, response_body, answered_by = 0, b"", ""
             for _ in range(3):
                 try:
                     limit = 1.0 + len(data) / 1e6
-                    more = {"Content-Type": "application/json"} | (headers or {})
-                    head, got = await call(addr, method, where, more, data, limit)
-                    status, by = head.status, self.whose(addr.rpartition(":")[0])
-                except (Broken, Garbled) as bad:
-                    unclear = unclear or "no connection" not in str(bad)
+                    request_headers = {"Content-Type": "application/json"} | (headers or {})
+                    head, response_body = await call(addr, method, target_path, request_headers, data, limit)
+                    status, answered_by = head.status, self.whose(addr.rpartition(":")[0])
+                except (Broken, Garbled) as error:
+                    unclear = unclear or "no connection" not in str(error)
                     status = 0
                     break
                 if status != 307 or "location" not in head.headers:
                     break
                 addr, _, rest = head.headers["location"].removeprefix("http://").partition("/")
-                where = "/" + rest
-            self.log({"ev": "told", "sent": self.sent, "method": method, "path": path, "status": status, "via": by,
-                      "why": got[:200].decode("latin-1")})  # fmt: skip
+                target_path = "/" + rest
+            self.log({"ev": "told", "sent": self.sent, "method": method, "path": path, "status": status, "via": answered_by,
+                      "why": response_body[:200].decode("latin-1")})  # fmt: skip
             if change:
-                self.log({"ev": "attempt", "change": change, "status": status, "via": by, "began": sent})
+                self.log({"ev": "attempt", "change": change, "status": status, "via": answered_by, "began": sent})
             if 200 <= status < 300 or status in (400, 409, 412, 413, 422):
-                return status, got, unclear, by
+                return status, response_body, unclear, answered_by
             if 400 <= status < 500 and status not in (408, 429):
-                rude += 1
-                if rude >= 3:
-                    return status, got, unclear, by
+                refusals += 1
+                if refusals >= 3:
+                    return status, response_body, unclear, answered_by
             unclear = unclear or status >= 500
-            if self.now() - began > keep:
-                return status, got, unclear, by
-            turn += 1
-            await asyncio.sleep(pause * (0.8 + 0.4 * self.chance.random()))
-            pause = min(pause * 1.6, 1.0)
+            if self.now() - began_at > keep:
+                return status, response_body, unclear, answered_by
+            address_index += 1
+            await asyncio.sleep(retry_delay * (0.8 + 0.4 * self.chance.random()))
+            retry_delay = min(retry_delay * 1.6, 1.0)
 
     async def change(
         self,
@@ -123,14 +155,27 @@
         start: int = -1,
         keep: float = 1e9,
     ) -> int:
-        """Sends one configuration or patch; `whole` is what it would make, None if it can't be read."""
+        """Sends a configuration or a patch.
+
+        Args:
+            method: PUT or PATCH.
+            body: the configuration or patch.
+            whole: the configuration that results from it; None if the body can't be parsed.
+            base: the version that it builds on.
+            valid: whether it should be accepted.
+            start: see `call`.
+            keep: see `call`.
+
+        Returns:
+            The status of the final answer, or of the last attempt.
+        """
         self.sent += 1
         number = self.sent
         began = self.now()
         self.log({"ev": "change", "change": number, "method": method, "base": base, "valid": valid,
-                  "request": request_digest(method, base, body), "version": whole["version"] if whole else 0, "config": canonical(whole) if whole else None})  # fmt: skip
-        got = await self.call(method, "/-/config", body, {"If-Match": str(base)}, start, keep, number)
-        status, text, unclear, by = got
+                  "request": request_digest(method, base, body), "version": whole["version"] if whole else 0, "config": canonical_form(whole) if whole else None})  # fmt: skip
+        response = await self.call(method, "/-/config", body, {"If-Match": str(base)}, start, keep, number)
+        status, text, unclear, by = response
         self.log({"ev": "changed", "change": number, "status": status, "unclear": unclear, "via": by, "began": began,
                   "why": text[:200].decode("latin-1")})  # fmt: skip
         if status == 200 and whole is not None:
@@ -139,18 +184,19 @@
                 self.config = whole
         return status
 
-    async def put(self, config: Settings, base: int, **more: Any) -> int:
-        return await self.change("PUT", config, config, base, **more)
+    async def put(self, config: Settings, base: int, **options: Any) -> int:
+        return await self.change("PUT", config, config, base, **options)
 
-    async def patch(self, patch: Settings, base: Settings | None = None, **more: Any) -> int:
+    async def patch(self, patch: Settings, base: Settings | None = None, **options: Any) -> int:
         base = base or self.config
-        return await self.change("PATCH", patch, patched(base, patch), base["version"], **more)
+        return await self.change("PATCH", patch, patched(base, patch), base["version"], **options)
 
     def step(self) -> int:
+        """Draws a version number a little above the current one."""
         return self.version + self.chance.randint(1, 4)
 
     async def retime(self) -> int:
-        """A change of a time-out: nothing that clients would notice."""
+        """Changes a timeout, which clients do not notice."""
         route = copy.deepcopy(
             self.chance.choice([r for r in self.config["routes"] if not r["name"].startswith("r-late")])
         )
@@ -158,7 +204,10 @@
         return await self.patch({"version": self.step(), "upsert": {"routes": [route]}})
 
     async def add_route(self, like: str, service: str = "") -> str:
-        """A new route like another one; clients find it in `config`. Empty if it lost against another change."""
+        """Adds a route like another one; clients find it in `config`.
+
+        Returns its name, or an empty string if the change was not accepted, as when it lost against another change.
+        """
         route = copy.deepcopy(next(r for r in self.config["routes"] if r["name"] == like))
         name = f"r-late{self.sent}"
         route |= {"name": name, "prefix": f"/late{self.sent}/"}
@@ -169,12 +218,14 @@
         return name if status == 200 else ""
 
     async def move(self, name: str, service: str) -> int:
+        """Sends all requests of a route to one service."""
         route = copy.deepcopy(next(r for r in self.config["routes"] if r["name"] == name))
         route.pop("split", None)
         route["service"] = service
         return await self.patch({"version": self.step(), "upsert": {"routes": [route]}})
 
     async def split(self, name: str, weights: dict[str, int]) -> int:
+        """Splits the requests of a route among services by weight."""
         route = copy.deepcopy(next(r for r in self.config["routes"] if r["name"] == name))
         route.pop("service", None)
         route["split"] = [{"service": s, "weight": w} for s, w in weights.items()]
@@ -184,18 +235,18 @@
         return await self.patch({"version": self.step(), "remove": {"routes": [name]}})
 
     async def rekey(self) -> int:
-        """One tenant's first key is taken away, and a new one is added."""
+        """Removes the first key of a random tenant, and adds a new one."""
         tenant = copy.deepcopy(self.chance.choice(self.config[TENANTS]))
         tenant["keys"] = [*tenant["keys"][1:], f"key{self.chance.randrange(1 << 48):012x}"]
         return await self.patch({"version": self.step(), "upsert": {TENANTS: [tenant]}})
 
     async def set_keys(self, name: str, keys: list[str]) -> int:
-        """A tenant has these keys from now on, and none of its older ones."""
+        """Replaces the keys of a tenant."""
         tenant = copy.deepcopy(next(t for t in self.config["tenants"] if t["name"] == name)) | {"keys": keys}
         return await self.patch({"version": self.step(), "upsert": {"tenants": [tenant]}})
 
     async def race(self) -> list[int]:
-        """Two changes on top of the same version, at once, at two daemons."""
+        """Sends two changes that build on the same version, at the same time, to two daemons; returns both statuses."""
         base = self.config
         jobs = []
         for i in range(2):
@@ -208,7 +259,7 @@
         return list(await asyncio.gather(*jobs))
 
     async def invalid(self, how: str) -> int:
-        """A configuration that must be refused."""
+        """Sends a configuration that must be refused, with an error of the kind `how`."""
         whole = copy.deepcopy(self.config) | {"version": self.step()}
         base = self.version
         route: Settings = whole["routes"][0]
@@ -240,6 +291,7 @@
         return await self.change("PUT", whole, whole, base, False, keep=self.ack_s)
 
     async def evacuate(self, zone: str, on: bool = True) -> int:
+        """Evacuates a zone, or ends its evacuation if `on` is false."""
         self.log({"ev": "evac_sent", "zone": zone, "on": on})
         status, _, unclear, by = await self.call("POST" if on else "DELETE", f"/-/evac/{zone}", keep=self.ack_s * 4)
         self.log({"ev": "evac", "zone": zone, "on": on, "status": status, "via": by, "unclear": unclear})
@@ -247,29 +299,32 @@
         return status
 
     async def retire(self, node: str, span: float) -> str:
-        """Asks for a store to be emptied and waits until it is; returns how that went."""
+        """Asks for a store to be emptied, and waits until it is.
+
+        Returns "done", or the status of the request if it was refused or the store was not empty after 2 * `span` seconds.
+        """
         status, _, _, by = await self.call("POST", f"/-/retire/{node}", {"overS": span}, keep=self.ack_s)
         self.log({"ev": "retire", "node": node, "status": status, "via": by})
-        until = self.now() + span * 2
-        while status in (200, 202, 409) and self.now() < until:
+        deadline = self.now() + span * 2
+        while status in (200, 202, 409) and self.now() < deadline:
             await asyncio.sleep(0.5)
-            got = await self.call("GET", f"/-/retire/{node}", keep=2.0)
-            state = json.loads(got[1]).get("state", "") if got[0] == 200 else ""
+            response = await self.call("GET", f"/-/retire/{node}", keep=2.0)
+            state = json.loads(response[1]).get("state", "") if response[0] == 200 else ""
             if state == "done":
                 self.log({"ev": "retired", "node": node})
                 return "done"
         return f"{status}"
 
     async def read_back(self) -> None:
-        """At the end of a day: reads the configuration back, again and again for as long as it takes to be in touch."""
-        until = self.now() + self.contact_s
-        while self.now() < until:
+        """Reads the configuration back repeatedly for `contact_s` seconds, at the end of a day."""
+        deadline = self.now() + self.contact_s
+        while self.now() < deadline:
             began = self.now()
             status, text, _, by = await self.call("GET", "/-/config", keep=self.contact_s)
             config = None
             if status == 200:
                 try:
-                    config = canonical(json.loads(text))
+                    config = canonical_form(json.loads(text))
                 except (ValueError, AttributeError):
                     pass
             self.log({"ev": "read_back", "status": status, "began": began, "via": by, "config": config})
--- a/sim/promises.py
+++ b/sim/promises.py
@@ -1,7 +1,7 @@
-"""What the users were promised, row by row: what keeps it, the runs that bring its failure about, the broken variant
-that its check catches, how often the dangerous moment was met, and the worst that was seen.
+"""The promises to the users, row by row: the mechanism that keeps each, the runs that provoke its failure, the broken variant
+that its check catches, how often the dangerous moment was passed, and the worst figure that was measured.
 
-python -m sim.promises        # makes the runs and writes docs/promises.md anew
+python -m sim.promises        # plays the runs and rewrites docs/promises.md
 """
 
 from __future__ import annotations
@@ -15,25 +15,36 @@
 from sim.runner import judge, play
 from sim.scenario import FOLDER, parse
 
-MOST = 2  # seeds of each scenario for the page; CI runs all that it lists
+SEEDS_PER_SCENARIO = 2  # how many seeds of each scenario are run for the page; CI runs all that the scenario lists
 ROOT = Path(__file__).parent.parent
 PAGE = ROOT / "docs" / "promises.md"
 
 
 @dataclass(frozen=True)
 class Row:
-    """Invariants: `runs` are scenarios; `tests` are files with a test in them as FILE::NAME; `met` are points whose
-    passing is the dangerous moment; `worst` is a figure of the runs, of which the highest counts."""
+    """One promise and its evidence.
+
+    Attributes:
+        line: the promise, as the page names it.
+        keeps: the mechanism that keeps it.
+        runs: names of scenarios whose runs bring the failure about.
+        met: names of points; a run that passes one of them goes through the dangerous moment.
+        worst: the name of a figure of the runs, of which the page shows the highest.
+        check: the name of the check in sim.check; its broken variant is in sim.broken.
+        ways: further broken variants, in sim.broken.
+        tests: tests that bring the failure about, as FILE::NAME.
+        crash: names of programmes of sim.crash.
+    """
 
     line: str
     keeps: str
     runs: tuple[str, ...]
     met: tuple[str, ...]
     worst: str = ""
-    check: str = ""  # of sim.check; its broken variant is in sim.broken
-    ways: tuple[str, ...] = ()  # further broken variants
+    check: str = ""
+    ways: tuple[str, ...] = ()
     tests: tuple[str, ...] = ()
-    crash: tuple[str, ...] = ()  # programmes of sim.crash
+    crash: tuple[str, ...] = ()
 
 
 NEVER = (
@@ -90,50 +101,59 @@
     Row("Manifest, 2 s", "asked of every daemon", ("apply-at-each-step", "edge-cut-from-control", "news-past-control"), ("applied.200",), "late_edition"),
     Row("Recover, 12 s", "detect 1.5 s, stagger 0.5 s", ("beyond-stores-wiped", "beyond-all-wiped", "beyond-control-wiped", "area-lost"), ("E125", "E133"), "kept_gap"),
 )  # fmt: skip
-PARTS = {"What must never happen": NEVER, "What fails": FAILS, "The bounds": BOUNDS}
-EVERY = tuple(r for rows in PARTS.values() for r in rows)
+SECTIONS = {"What must never happen": NEVER, "What fails": FAILS, "The bounds": BOUNDS}
+ALL_ROWS = tuple(row for rows in SECTIONS.values() for row in rows)
 
 
-def proof(r: Row) -> str:
-    """The runs that bring the failure about, by name."""
-    return ", ".join([*(f"`{n}`" for n in r.runs), *(f"`{t}`" for t in r.tests), *(f"crash `{c}`" for c in r.crash)])
+def proof(row: Row) -> str:
+    """Returns the names of the runs that provoke the failure of a promise, for the page."""
+    return ", ".join(
+        [*(f"`{n}`" for n in row.runs), *(f"`{t}`" for t in row.tests), *(f"crash `{c}`" for c in row.crash)]
+    )
 
 
-def variants(r: Row) -> str:
-    return ", ".join([*([f"`{r.check}`"] if r.check else []), *(f"`{w}`" for w in r.ways)]) or "-"
+def variants(row: Row) -> str:
+    """Returns the names of the broken variants that the check of a promise catches, for the page."""
+    return ", ".join([*([f"`{row.check}`"] if row.check else []), *(f"`{w}`" for w in row.ways)]) or "-"
 
 
-def one(job: tuple[str, int]) -> tuple[str, int, list[str], dict[str, float]]:
-    name, seed = job
-    s = parse((FOLDER / f"{name}.txt").read_text(), name)
-    r = play(s, seed)
-    return name, seed, judge(s, r), r.stats
+def play_run(name_and_seed: tuple[str, int]) -> tuple[str, int, list[str], dict[str, float]]:
+    """Plays a scenario under a seed; returns its name, the seed, what is wrong with the run, and its figures."""
+    name, seed = name_and_seed
+    scenario = parse((FOLDER / f"{name}.txt").read_text(), name)
+    report = play(scenario, seed)
+    return name, seed, judge(scenario, report), report.stats
 
 
-def page(got: Iterable[tuple[str, int, list[str], dict[str, float]]]) -> str:
-    seen = list(got)
-    out = [
+def format_page(results: Iterable[tuple[str, int, list[str], dict[str, float]]]) -> str:
+    """Returns the page, in Markdown, from what `play_run` returned for each run."""
+    all_results = list(results)
+    lines = [
         "# What was promised, and how it was proved", "",
         "Made by `python -m sim.promises`, from the runs named, under the first two seeds of each (CI runs all). *Met* counts how often",
         "the dangerous moment was passed in all of them together (`docs/testing.md` tells the names); *worst* is the highest",
         "figure that any of them showed. The broken variant of each check (`sim/broken.py`) is caught in CI. Crash points are in",
         "`docs/reports/crash.md`, real processes in `docs/reports/kompressorlab.md`, `couriers.md` and `wipe.md`.", "",
     ]  # fmt: skip
-    for title, rows in PARTS.items():
-        out += [
+    for title, rows in SECTIONS.items():
+        lines += [
             f"## {title}",
             "",
             "| line | kept by | brought about in | broken variant | met | worst | seeds | breaches |",
             "|---|---|---|---|---|---|---|---|",
         ]
-        for r in rows:
-            mine = [g for g in seen if g[0] in r.runs]
-            met = ", ".join(f"{m} {sum(g[3].get(f'point_{m}', 0) for g in mine):.0f}" for m in r.met)
-            worst = f"{r.worst} {max(g[3].get(r.worst, 0.0) for g in mine):.2f} s" if r.worst else "-"
-            bad = sum(bool(g[2]) for g in mine)
-            out.append(f"| {r.line} | {r.keeps} | {proof(r)} | {variants(r)} | {met} | {worst} | {len(mine)} | {bad} |")
-        out.append("")
-    out += [
+        for row in rows:
+            row_results = [g for g in all_results if g[0] in row.runs]
+            met = ", ".join(
+                f"{point} {sum(g[3].get(f'point_{point}', 0) for g in row_results):.0f}" for point in row.met
+            )
+            worst = f"{row.worst} {max(g[3].get(row.worst, 0.0) for g in row_results):.2f} s" if row.worst else "-"
+            failed_count = sum(bool(g[2]) for g in row_results)
+            lines.append(
+                f"| {row.line} | {row.keeps} | {proof(row)} | {variants(row)} | {met} | {worst} | {len(row_results)} | {failed_count} |"
+            )
+        lines.append("")
+    lines += [
         "## What can't be kept, and why", "",
         "- A process stopped between its last check of a lease and the kernel's taking the bytes sends them on waking. The window is a",
         "  few machine instructions; the interface of workers has no deadline that could close it.",
@@ -149,19 +169,20 @@
         "`kept_gap` is that of `beyond-not-by-a-cut`, where two of four stores are cut off on purpose and nothing may be kept.",
         "",
     ]  # fmt: skip
-    return "\n".join(out)
+    return "\n".join(lines)
 
 
 def main() -> int:
-    names = sorted({n for r in EVERY for n in r.runs})
-    todo = [(n, seed) for n in names for seed in parse((FOLDER / f"{n}.txt").read_text(), n).seeds[:MOST]]
+    """Plays all runs and writes the page; returns 1 if anything is wrong with any run."""
+    names = sorted({n for row in ALL_ROWS for n in row.runs})
+    runs = [(n, seed) for n in names for seed in parse((FOLDER / f"{n}.txt").read_text(), n).seeds[:SEEDS_PER_SCENARIO]]
     with multiprocessing.Pool(8, maxtasksperchild=8) as pool:
-        got = pool.map(one, todo, chunksize=1)
-    for name, seed, flaws, _ in got:
+        results = pool.map(play_run, runs, chunksize=1)
+    for name, seed, flaws, _ in results:
         for flaw in flaws[:3]:
             print(f"FAILED {name} seed {seed}: {flaw[:200]}")
-    PAGE.write_text(page(got))
-    return 1 if any(g[2] for g in got) else 0
+    PAGE.write_text(format_page(results))
+    return 1 if any(g[2] for g in results) else 0
 
 
 if __name__ == "__main__":
--- a/sim/runner.py
+++ b/sim/runner.py
@@ -30,7 +30,7 @@
 from sim.loop import SimLoop, run_sim
 from sim.points import Point
 from sim.run_statistics import Figures, run_figures
-from sim.scenario import Act, Scenario, When, load_of, load_options, parse, scenarios
+from sim.scenario import PointTrigger, Scenario, TimedAction, load_options, parse, parse_load, scenarios
 
 # Is called with the time, in seconds after the load began, and the point.
 PointObserver = Callable[[float, Point], None]
@@ -75,7 +75,7 @@
     scenario: Scenario
     fleet: SimFleet
     began: float
-    cause: Callable[[Act], None]
+    cause: Callable[[TimedAction], None]
 
     def __post_init__(self) -> None:
         self.waiting = list(self.scenario.whens)
@@ -94,7 +94,7 @@
                 self.fleet.here = (point.host, point.peer)
                 self.cause(when.act)
 
-    def matches(self, when: When, point: Point) -> bool:
+    def matches(self, when: PointTrigger, point: Point) -> bool:
         """Returns whether a point of the right name was passed in the time span and at the machine of a trigger."""
         age = self.fleet.loop.clock - self.began
         if age < when.start or age > when.start + when.limit:
@@ -110,7 +110,9 @@
         ]
 
 
-async def cause_in_time(loop: SimLoop, began: float, acts: Iterable[Act], cause: Callable[[Act], None]) -> None:
+async def cause_in_time(
+    loop: SimLoop, began: float, acts: Iterable[TimedAction], cause: Callable[[TimedAction], None]
+) -> None:
     """Causes faults and operations at their times after the load began."""
     for act in sorted(acts, key=lambda act: act.at):
         await asyncio.sleep(max(0.0, began + act.at - loop.clock))
@@ -142,7 +144,7 @@
     triggers: list[Triggers] = []
 
     async def script(fleet: AnnouncedFleet, later: Later) -> None:
-        def cause(act: Act) -> None:
+        def cause(act: TimedAction) -> None:
             perform_in_day(fleet, act.verb, act.args, later)
 
         began = loop.clock
@@ -195,11 +197,11 @@
         loop.net.far = deployment.delay / 1000
     configuration = first_configuration(scenario)
     fleet = SimFleet(loop, configuration, seed, tune=scenario.tune, make=make, disk_cap=scenario.disk)
-    await fleet.breaches_found()
+    await fleet.found()
     began = loop.clock
     later = later_on(loop)
 
-    def cause(act: Act) -> None:
+    def cause(act: TimedAction) -> None:
         perform(fleet, act.verb, act.args, later)
 
     triggers = Triggers(scenario, fleet, began, cause)
@@ -228,7 +230,11 @@
 
 
 def watch_points(
-    fleet: SimFleet, began: float, cause: Callable[[Act], None], observer: PointObserver | None, strike: Strike | None
+    fleet: SimFleet,
+    began: float,
+    cause: Callable[[TimedAction], None],
+    observer: PointObserver | None,
+    strike: Strike | None,
 ) -> list[Point]:
     """Calls the observer with each point, and causes the fault of `strike` at its point.
 
@@ -241,7 +247,7 @@
             observer(fleet.loop.clock - began, point)
         if strike is not None and point.number == strike[0].number:
             struck.append(point)
-            cause(Act(0.0, strike[1], (point.host, "for", strike[2])))
+            cause(TimedAction(0.0, strike[1], (point.host, "for", strike[2])))
 
     if observer is not None or strike is not None:
         fleet.points.watchers.append(on_point)
@@ -252,7 +258,7 @@
     """Sends the load, and then reads every job until it has ended or `settle` seconds have passed."""
     deployment = DEPLOYMENTS.get(scenario.deployment)
     async with fleet.session() as session:
-        load = replace(deployment.load, **load_options(scenario.load)) if deployment else load_of(scenario.load)
+        load = replace(deployment.load, **load_options(scenario.load)) if deployment else parse_load(scenario.load)
         clients = fleet.make_clients(load, session)
         await clients.run(scenario.run)
         await clients.audit(scenario.settle)
--- a/sim/scenario.py
+++ b/sim/scenario.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True)
-class Act:
+class TimedAction:
     """A fault or operation at a time, in seconds after the load began."""
 
     at: float
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True)
-class When:
+class PointTrigger:
     """A fault exactly at a point, written as `when EVENT[@WHO] [N] [from T] [within D] VERB …`.
 
     It is caused when the N-th such point from T on is passed, which must happen by T + D, in seconds after the load began.
@@ -52,7 +52,7 @@
     nth: int
     start: float
     limit: float
-    act: Act
+    act: TimedAction
     needed: bool = True
 
 
@@ -108,8 +108,8 @@
     run: float = 20.0
     settle: float = 40.0
     seeds: tuple[int, ...] = (1,)
-    acts: list[Act] = field(default_factory=list)
-    whens: list[When] = field(default_factory=list)
+    acts: list[TimedAction] = field(default_factory=list)
+    whens: list[PointTrigger] = field(default_factory=list)
     expect: list[Expectation] = field(default_factory=list)
     excused: bool = False
     plan: Plan | None = None
@@ -195,12 +195,12 @@
     verbs = ACTIONS.keys() if scenario.plan is None else DAY_ACTIONS.keys()
     if len(words) < 2 or words[1] not in verbs:
         return False
-    scenario.acts.append(Act(float(words[0]), words[1], tuple(words[2:])))
+    scenario.acts.append(TimedAction(float(words[0]), words[1], tuple(words[2:])))
     return True
 
 
 def read_when(scenario: Scenario, words: list[str], line: int) -> bool:
-    """when EVENT... VERB WORD..., see When."""
+    """when EVENT... VERB WORD..., see PointTrigger."""
     when = parse_when(words, line) if len(words) > 1 else None
     if when is not None:
         scenario.whens.append(when)
@@ -241,7 +241,7 @@
 }
 
 
-def parse_when(words: list[str], line: int) -> When | None:
+def parse_when(words: list[str], line: int) -> PointTrigger | None:
     """Returns the trigger that the words after `when` describe, or None if they are not understood."""
     event, _, who = words[0].partition("@")
     rest = words[1:]
@@ -255,7 +255,7 @@
         rest = rest[2:]
     if not rest or rest[0] not in ACTIONS.keys() | DAY_ACTIONS.keys() or not is_known_point(event) or nth < 1:
         return None
-    return When(line, event, who, nth, start, limit or NO_LIMIT_S, Act(0.0, rest[0], tuple(rest[1:])))
+    return PointTrigger(line, event, who, nth, start, limit or NO_LIMIT_S, TimedAction(0.0, rest[0], tuple(rest[1:])))
 
 
 def read_line(scenario: Scenario, head: str, words: list[str], line: int) -> bool:
@@ -289,7 +289,7 @@
     return [parse(path.read_text(), path.stem) for path in sorted(FOLDER.glob("*.txt"))]
 
 
-def load_of(text: dict[str, str]) -> Load:
+def parse_load(text: dict[str, str]) -> Load:
     """Returns the load that a scenario describes: jobs as RATExITEMS, plain and live requests as rates, and options."""
     live, plain, jobs = {}, {}, {}
     for key, value in text.items():
--- a/sim/sweep.py
+++ b/sim/sweep.py
@@ -21,7 +21,7 @@
 from sim.random_days import random_day
 from sim.run_statistics import Figures
 from sim.runner import Report, judge, play, play_day
-from sim.scenario import Act, Scenario, parse
+from sim.scenario import Scenario, TimedAction, parse
 
 FAULT_SPAN_S = 26.0  # the span in which faults strike, in seconds
 PAUSE_S = 9.0  # the time to restore the copies of a lost disk or zone, before the next is lost
@@ -39,76 +39,78 @@
     edges: tuple[str, ...]
 
 
-def draw_loss(fleet: DrawnFleet, at: float) -> list[Act]:
+def draw_loss(fleet: DrawnFleet, at: float) -> list[TimedAction]:
     """Draws a fault that takes away a disk, a zone, or a process with a disk."""
     chance = fleet.chance
     verb = chance.choice(["kill", "power", "wipe", "freeze", "isolate", "area", "failsync", "fill", "damage", "term"])
     who = chance.choice(["owner:0", "owner:1", "busiest", "mirror:2", "s3", "primary", "backup", "witness"])
     store = chance.choice(STORES)
     if verb == "area":
-        return [Act(at, "area", ("power", store, "for", "3"))]
+        return [TimedAction(at, "area", ("power", store, "for", "3"))]
     if verb == "failsync":
-        return [Act(at, "failsync", (store, "for", "1.5")), Act(at + 3, "start", (store,))]
+        return [TimedAction(at, "failsync", (store, "for", "1.5")), TimedAction(at + 3, "start", (store,))]
     if verb == "fill":
-        return [Act(at, "fill", (name, "6000", "for", "5")) for name in STORES]
+        return [TimedAction(at, "fill", (name, "6000", "for", "5")) for name in STORES]
     if verb == "damage":
-        return [Act(at, "damage", (store, "log-"))]
-    return [Act(at, verb, (who, "for", f"{chance.uniform(0.3, 5):.2f}"))]
+        return [TimedAction(at, "damage", (store, "log-"))]
+    return [TimedAction(at, verb, (who, "for", f"{chance.uniform(0.3, 5):.2f}"))]
 
 
 # Faults and operations that may overlap with a loss. `duration` is the pair of words that end such a line: `for SECONDS`.
-def frozen_edge(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> Act:
+def frozen_edge(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> TimedAction:
     """Freezes a data plane."""
-    return Act(at, "freeze", (fleet.chance.choice(["sched", *fleet.edges]), *duration))
+    return TimedAction(at, "freeze", (fleet.chance.choice(["sched", *fleet.edges]), *duration))
 
 
-def restarted_edge(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> Act:
+def restarted_edge(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> TimedAction:
     """Ends a data plane, which is then started again."""
-    return Act(at, fleet.chance.choice(["kill", "term"]), (fleet.chance.choice(["sched", *fleet.edges]), *duration))
+    return TimedAction(
+        at, fleet.chance.choice(["kill", "term"]), (fleet.chance.choice(["sched", *fleet.edges]), *duration)
+    )
 
 
-def cut_link(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> Act:
+def cut_link(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> TimedAction:
     """Cuts a link in both directions or in one."""
     first_machine, second_machine = fleet.chance.sample(["s1", "s2", "s3", "s4", "c1", "c2", "e1", "sched"], 2)
-    return Act(at, fleet.chance.choice(["cut", "cutone"]), (first_machine, second_machine, *duration))
+    return TimedAction(at, fleet.chance.choice(["cut", "cutone"]), (first_machine, second_machine, *duration))
 
 
-def slow_machine(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> Act:
+def slow_machine(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> TimedAction:
     """Delays the messages of a machine."""
-    return Act(at, "slow", (fleet.chance.choice(["s1", "s2", "c1", "e1", "w1"]), "0.05", *duration))
+    return TimedAction(at, "slow", (fleet.chance.choice(["s1", "s2", "c1", "e1", "w1"]), "0.05", *duration))
 
 
-def slow_disk(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> Act:
+def slow_disk(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> TimedAction:
     """Delays the syncs of a disk."""
-    return Act(at, "stall", (fleet.chance.choice(["s1", "s2", "s3", "c2"]), "0.2", *duration))
+    return TimedAction(at, "stall", (fleet.chance.choice(["s1", "s2", "s3", "c2"]), "0.2", *duration))
 
 
-def faulty_worker(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> Act:
+def faulty_worker(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> TimedAction:
     """Makes a worker answer wrongly."""
     fault = fleet.chance.choice(WORKER_FAULTS)
-    return Act(at, "fault", (fleet.chance.choice(WORKERS), fault, *duration))
+    return TimedAction(at, "fault", (fleet.chance.choice(WORKERS), fault, *duration))
 
 
-def racing_operators(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> Act:
+def racing_operators(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> TimedAction:
     """Makes two operators change the configuration at the same time."""
-    return Act(at, "race", (f"classes.{fleet.live}.deadline=14", f"classes.{fleet.live}.deadline=13"))
+    return TimedAction(at, "race", (f"classes.{fleet.live}.deadline=14", f"classes.{fleet.live}.deadline=13"))
 
 
-def change(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> Act:
+def change(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> TimedAction:
     """Changes the configuration."""
     changes = ["evacuated=[b]", "evacuated=[]", "pools.gpu.servers.w2.leave=true", "pools.gpu.servers.w2.leave=none",
                f"classes.{fleet.live}.deadline=12"]  # fmt: skip
-    return Act(at, "apply", (fleet.chance.choice(changes),))
+    return TimedAction(at, "apply", (fleet.chance.choice(changes),))
 
 
-def killed_worker(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> Act:
+def killed_worker(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> TimedAction:
     """Kills a worker or back end."""
-    return Act(at, "kill", (fleet.chance.choice([*WORKERS, "p1"]), *duration))
+    return TimedAction(at, "kill", (fleet.chance.choice([*WORKERS, "p1"]), *duration))
 
 
-def more_routes(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> Act:
+def more_routes(fleet: DrawnFleet, at: float, duration: tuple[str, str]) -> TimedAction:
     """Adds many routes."""
-    return Act(at, "routes", ("20",))
+    return TimedAction(at, "routes", ("20",))
 
 
 OVERLAPPING = (
--- a/tests/sim/test_ailing.py
+++ b/tests/sim/test_ailing.py
@@ -10,20 +10,20 @@
 from bench.plan import changed
 from postpass.cli import fleet_client
 from postpass.cli.fleet_client import CommandError, ExitCode
-from sim.ailing import CASES, control_gone, look
+from sim.ailing import CASES, control_gone, run_doctor
 from sim.fleet import SimConnector, SimFleet
-from sim.interface import Say, with_fleet
+from sim.interface import SendRequest, with_fleet
 
 
 @pytest.mark.parametrize("name", CASES)
 def test_the_doctor_finds_what_was_caused(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(fleet_client, "connector_factory", lambda: SimConnector(limit=0))
-    cause, want = CASES[name]
+    cause, expected = CASES[name]
 
-    async def check(world: SimFleet, say: Say) -> None:
+    async def check(world: SimFleet, send: SendRequest) -> None:
         await cause(world)
-        found, _ = await look(world)
-        assert found >= want if want else not found, found
+        found, _ = await run_doctor(world)
+        assert found >= expected if expected else not found, found
 
     with_fleet(check)
 
@@ -31,11 +31,11 @@
 def test_without_a_majority_of_control_the_manifest_cannot_be_read(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(fleet_client, "connector_factory", lambda: SimConnector(limit=0))
 
-    async def check(world: SimFleet, say: Say) -> None:
+    async def check(world: SimFleet, send: SendRequest) -> None:
         await control_gone(world)
-        with pytest.raises(CommandError) as seen:
-            await look(world)
-        assert seen.value.code == ExitCode.UNKNOWN
+        with pytest.raises(CommandError) as raised:
+            await run_doctor(world)
+        assert raised.value.code == ExitCode.UNKNOWN
 
     with_fleet(check)
 
@@ -43,20 +43,20 @@
 def test_operations_are_pending_until_they_are_complete(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(fleet_client, "connector_factory", lambda: SimConnector(limit=0))
 
-    async def check(world: SimFleet, say: Say) -> None:
+    async def check(world: SimFleet, send: SendRequest) -> None:
         configuration: dict[str, Any] = changed(world.configuration, "evacuated", ["b"])
-        m = {"area": "b", "peer": "127.2.7.7:7000", "http": "127.2.7.7:8000", "duties": ["store"]}
-        configuration = changed(changed(configuration, "machines.s5", m), "machines.s2.retire", True)
+        machine = {"area": "b", "peer": "127.2.7.7:7000", "http": "127.2.7.7:8000", "duties": ["store"]}
+        configuration = changed(changed(configuration, "machines.s5", machine), "machines.s2.retire", True)
         await world.apply(configuration, 1)
         await asyncio.sleep(2)
-        _, todo = await look(world)
-        # The one that should take the copies isn't running yet: nothing leaves s2, and it says so.
-        assert todo[0] == "retire s2: pending, still a member of partitions [0, 1, 2, 3]"
+        _, pending = await run_doctor(world)
+        # The machine that should take over the copies isn't running yet: nothing leaves s2, and the status says so.
+        assert pending[0] == "retire s2: pending, still a member of partitions [0, 1, 2, 3]"
         world.configuration = configuration
-        world.add_box("s5", m)
+        world.add_box("s5", machine)
         world.start("s5")
         await asyncio.sleep(8)
-        _, todo = await look(world)
-        assert todo == ["retire s2: complete, no partition counts on it", "evacuate b: complete"]
+        _, pending = await run_doctor(world)
+        assert pending == ["retire s2: complete, no partition counts on it", "evacuate b: complete"]
 
     with_fleet(check)
--- a/tests/sim/test_linearizability.py
+++ b/tests/sim/test_linearizability.py
@@ -1,4 +1,4 @@
-"""The checker of the operators' history: what it lets pass, and each kind of breach that it must catch."""
+"""Tests of sim.linearizability: histories that it must accept, and each kind of violation that it must find."""
 
 from __future__ import annotations
 
@@ -88,8 +88,10 @@
 
 
 def random_history(chance: random.Random, orders: int, width: int) -> list[Operation]:
-    """What `width` operators see of a sound register; half of the answers are lost, and each order is sent until one
-    is clear."""
+    """Returns the history of `width` operators on a correct register.
+
+    Half of the answers are lost; each order is sent again until it has a clear answer.
+    """
     register = linearizability.Register()
     history: list[Operation] = []
     clock = 0.0
@@ -116,7 +118,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_long_history_with_lost_answers_is_decided_soon(seed: int) -> None:
+def test_a_long_history_with_lost_answers_needs_few_states(seed: int) -> None:
     history = random_history(random.Random(seed), 400, 8)
     verdict = check(history)
     assert verdict.linearizable, verdict
@@ -137,7 +139,7 @@
     assert check([*history, stale]).linearizable == (victim.order.version == last.order.version)
 
 
-def test_a_search_that_grows_too_large_is_no_verdict(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_search_of_too_many_states_is_undecided(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(linearizability, "MAX_STATES", 1)
     with pytest.raises(Undecided):
         check(START)
