--- a/tests/sim/test_broken.py
+++ b/tests/sim/test_broken.py
@@ -9,7 +9,7 @@
 from sim.scenario import parse
 
 
-@pytest.mark.parametrize("way", FURTHER_CASES)
+@pytest.mark.parametrize("name", FURTHER_CASES)
 def test_each_further_variant_is_caught_and_the_unchanged_product_passes(name: str) -> None:
     line, patch, text = FURTHER_CASES[name]
     assert play(parse(text, name), 1).breaches.get(line) is None
