--- a/plugins/example/postpass_example/shared.py
+++ b/plugins/example/postpass_example/shared.py
@@ -1,4 +1,4 @@
-"""Reuses a prefix only by requests that have every shared part in common, not just the first."""
+"""Lets only those requests prefer the same worker that have all shared parts in common, not just the first."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 
 def all_shared(request: PlacementRequest) -> str:
-    """A digest of all shared parts; empty without any."""
+    """Returns a digest of all shared parts; empty if there are none."""
     return hashlib.sha256("\n".join(request.shared).encode()).hexdigest()[:16] if request.shared else ""
--- a/postpass/configuration/configuration.py
+++ b/postpass/configuration/configuration.py
@@ -1,6 +1,7 @@
-"""The desired state of a fleet, in one document that is applied as a whole: its types, and what follows from it alone.
+"""The configuration of a fleet: the types of its document, and values that are derived from the document alone.
 
-The fields of the typed dictionaries are the keys of the document. `configuration_check` validates it.
+The configuration is the desired state of the fleet. It is one document, which is always applied as a whole. The fields
+of the typed dictionaries are the keys of that document; `configuration_check` validates it.
 """
 
 from __future__ import annotations
@@ -14,13 +15,13 @@
 
 
 class Machine(TypedDict):
-    """A machine with its zone (`area`), its addresses (IP:PORT) and its duties.
+    """A machine with its zone (`area`), its addresses (IP:PORT) and the duties that it performs.
 
-    :ivar peer: the address for links between processes.
+    :ivar peer: the address for links between postpass's own processes.
     :ivar http: the address for clients and operators.
-    :ivar retire: its replicas move elsewhere, then it is reported empty.
-    :ivar gone: declared lost for good.
-    :ivar born: in an announced fleet, the incarnation that announced itself last.
+    :ivar retire: whether its replicas are to move to other machines; once they have, it is reported as empty.
+    :ivar gone: whether the operator declared it permanently lost.
+    :ivar born: in an announced fleet, the incarnation (start) of the machine that announced itself last.
     :ivar disk: in an announced fleet, the identity of its disk.
     """
 
@@ -35,12 +36,12 @@
 
 
 class Server(TypedDict):
-    """A worker: `slots` requests at a time at `url`, http://IP:PORT.
+    """A worker, which serves up to `slots` concurrent requests at `url` (http://IP:PORT).
 
     :ivar area: its zone.
-    :ivar weights: the weights of the model that it should serve; those of the pool if left out.
-    :ivar leave: it takes no new requests, and may be stopped once those under way are over.
-    :ivar cold: in an announced fleet, it is still slow after its start, or again.
+    :ivar weights: the model weights that it should serve; those of the pool if left out.
+    :ivar leave: whether it is leaving: it gets no new requests, and may be stopped once its open requests have ended.
+    :ivar cold: in an announced fleet, whether it is still slow after its start, or has become slow again.
     """
 
     url: str
@@ -52,14 +53,14 @@
 
 
 class Pool(TypedDict):
-    """Workers that can stand in for each other.
-
-    :ivar weights: the weights of the model that its workers should serve; any if left out.
-    :ivar offsets: whether model servers are asked for the place of each piece; yes if left out.
-    :ivar health: of a pool for relayed requests, the path of its workers' health checks.
-    :ivar conns: the connections that a worker takes from all daemons together.
-    :ivar cold_rate: the requests a second that a cold worker takes from all daemons together; 0: no such bound.
-    :ivar kv: the tokens that the memory of a model server holds; 0 or left out: not a model server.
+    """A set of interchangeable workers.
+
+    :ivar weights: the model weights that its workers should serve; any if left out.
+    :ivar offsets: whether model servers are asked for the offset of each streamed piece in the text; yes if left out.
+    :ivar health: in a pool for relayed requests, the path of its workers' health checks.
+    :ivar conns: the most connections that a worker accepts from all daemons together.
+    :ivar cold_rate: the most requests a second that a cold worker accepts from all daemons together; 0 for no limit.
+    :ivar kv: the number of tokens that fit into a model server's KV cache; 0 or left out if it is no model server.
     """
 
     kind: Literal["model", "plain"]
@@ -73,39 +74,42 @@
 
 
 class Split(TypedDict):
-    """A part of a route's requests, by weight."""
+    """A share of a route's requests, proportional to `weight`, that goes to one pool."""
 
     pool: str
     weight: int
 
 
 class Route(TypedDict):
-    """Requests for a host under a prefix go, bytes untouched, to a worker of one of its pools. Times in seconds."""
+    """A relayed route: requests for a host whose path has a prefix are passed, unmodified, to a worker of its pools.
+
+    Times are in seconds.
+    """
 
     host: str
     prefix: str
     kind: Literal["idem", "once", "stream", "lot"]
     split: list[Split]
-    timeout: float  # the longest a request is held
-    target: float  # inside which an answer (for a stream its first piece, for a job its acceptance) is worth most
-    rank: int  # 0 is the highest
-    tries: int  # workers that one request may go to; failures that an item may have
+    timeout: float  # the longest time for which a request is kept open
+    target: float  # a response within it has full value (the first piece of a stream, the acceptance of a job)
+    rank: int  # priority; 0 is the highest
+    tries: int  # the most workers that one request is sent to, and the most failed runs of a batch item
     resumable: bool
-    gap: float  # the longest pause between pieces that is still in time; 0: no such target
-    tokens: bool  # requests name the parts of their prompt
-    quota: int  # tokens that may wait in jobs; 0: no bound
-    due: float  # after a job was accepted
-    expire: float
-    public: NotRequired[bool]  # requests need no key, though there are tenants
+    gap: float  # the target for the longest pause between two pieces of a stream; 0: no such target
+    tokens: bool  # requests carry a header with the parts of their prompt
+    quota: int  # the most tokens that may wait in the route's jobs; 0: no limit
+    due: float  # time after its acceptance at which a job is due
+    expire: float  # time after its acceptance at which a job expires
+    public: NotRequired[bool]  # requests need no tenant key, even if there are tenants
 
 
 class Tenant(TypedDict):
-    """A client organisation: the keys that its clients show, and how much they may ask together.
+    """A client organisation: the keys that its clients present, and the rate limit that they share.
 
     :ivar keys: digests of its keys (`tenant_keys.key_digest`); the keys themselves never leave the operator's document.
-    :ivar rate: requests a second over all edges together; 0: no limit.
-    :ivar burst: requests beyond that at once.
-    :ivar rank: takes the place of the routes' rank; left out: theirs stands.
+    :ivar rate: the most requests a second, over all edges together; 0 for no limit.
+    :ivar burst: how many requests may exceed the rate at once.
+    :ivar rank: replaces the rank of the routes; if left out, each route's own rank applies.
     """
 
     keys: list[str]
@@ -115,20 +119,20 @@
 
 
 class Class(TypedDict):
-    """A kind of requests or batch items: its pool, its share of it, and its own bounds, in seconds where they are times.
-
-    :ivar share: of the pool's capacity, 0 to 1.
-    :ivar priority: orders classes at an edge.
-    :ivar deadline: seconds that a live request may take.
-    :ivar lends: whether others may use what it doesn't use of its share.
-    :ivar borrows: the classes from which it may use such capacity.
-    :ivar handback: seconds inside which lent capacity is to go back.
-    :ivar reserve: seconds of recent live arrivals behind which capacity is kept free.
-    :ivar backlog: how many requests may wait in the admission queue of one edge.
-    :ivar once: a request is run at most once; only for live classes.
-    :ivar predicate: the stability predicate of its records, where it asks for more than the configuration's.
-    :ivar place: the plug-in that places its items on workers.
-    :ivar prefix: the plug-in that finds the prefix which items have in common.
+    """A class of live requests, batch items or plain requests: its pool, its share of the pool and its own limits.
+
+    :ivar share: its share of the pool's capacity, 0 to 1.
+    :ivar priority: the order of the classes at an edge.
+    :ivar deadline: the longest time, in seconds, that a live request may take.
+    :ivar lends: whether other classes may use the unused part of its share.
+    :ivar borrows: the classes whose unused capacity it may use.
+    :ivar handback: the time, in seconds, within which lent capacity must be returned.
+    :ivar reserve: capacity is kept free for the live requests that arrived within this many recent seconds.
+    :ivar backlog: the most requests that may wait in the admission queue of one edge.
+    :ivar once: whether a request is run at most once; only for live classes.
+    :ivar predicate: the stability predicate of its records, if it is stricter than the configuration's.
+    :ivar place: the name of the plug-in that places its items on workers.
+    :ivar prefix: the name of the plug-in that computes a key of the prefix that items have in common.
     """
 
     kind: Literal["live", "batch", "plain"]
@@ -148,7 +152,7 @@
 
 
 class Limits(TypedDict, total=False):
-    """The most that clients may send; `LIMITS` has the defaults. Bytes, numbers, or milliseconds (`_ms`)."""
+    """Upper limits on what clients send, in bytes, counts or milliseconds (`_ms`); `LIMITS` has the defaults."""
 
     body_bytes: int
     item_bytes: int
@@ -162,21 +166,22 @@
 
 
 class Configuration(TypedDict):
-    """The desired state of a fleet. The names of the keys are those of the file and of links.
+    """The desired state of a fleet. The field names are the keys in the operator's file and in messages between peers.
 
     :ivar areas: the zones.
     :ivar parts: the number of partitions.
     :ivar copies: the number of replicas of each partition.
-    :ivar ways: a plain class for each path prefix that is passed on to plain back ends.
-    :ivar predicate: the stability predicate of records; that of `replication.stability` if left out.
-    :ivar evacuated: zones that are to serve nothing.
+    :ivar ways: for each path prefix that is passed on to plain back ends, the plain class that its requests belong to.
+    :ivar predicate: the stability predicate of records: which acknowledgements make a record durable. If left out, the
+        default of `replication.stability` applies.
+    :ivar evacuated: the zones that must not serve anything.
     :ivar retention: seconds for which the results of an ended job are kept.
-    :ivar limits: the most that clients may send.
-    :ivar ramp: seconds after its start over which a worker's capacity grows to all its slots.
-    :ivar announced: the machines announce themselves instead of being listed.
-    :ivar version: in an announced fleet, the operator's own number.
+    :ivar limits: upper limits on what clients send.
+    :ivar ramp: seconds after its start during which a worker's capacity grows to all its slots.
+    :ivar announced: whether machines announce themselves instead of being listed by the operator.
+    :ivar version: in an announced fleet, the version number that the operator gave the configuration.
     :ivar routes: in an announced fleet, the relayed routes by name.
-    :ivar tenants: by name; where there are any, requests on routes that aren't public need a key of one.
+    :ivar tenants: the tenants by name; if there are any, a request on a route that isn't public needs a tenant's key.
     """
 
     name: str
@@ -205,65 +210,71 @@
 
 
 def limit(configuration: Configuration, name: str) -> int:
-    """A limit by its name, or its default."""
+    """Returns the limit `name` of a configuration, or its default."""
     return int(cast(dict[str, int], configuration.get("limits", {})).get(name, LIMITS[name]))
 
 
 def with_duty(configuration: Configuration, duty: str) -> list[str]:
-    """Machines with a duty, in the configuration's order: the agreed order of duties."""
+    """Returns the machines with a duty that aren't declared gone, in the order of the configuration.
+
+    All daemons use this order to agree on which machine acts first.
+    """
     return [n for n, m in configuration["machines"].items() if duty in m["duties"] and not m.get("gone")]
 
 
 def members(configuration: Configuration, part: int) -> tuple[str, ...]:
-    """Who should keep a partition: in distinct zones while there are enough, in an agreed order that
-    the partition's number rotates, so that ownership is spread. In an announced fleet nobody, until as many stores as
-    it takes have announced themselves."""
-    pool = [n for n in with_duty(configuration, "store") if not configuration["machines"][n].get("retire")]
-    if not pool or (configuration.get("announced") and len(pool) < configuration["copies"]):
+    """Returns the stores that should hold the replicas of partition number `part`, in the order in which they own it.
+
+    They are in distinct zones as long as there are enough zones. Every daemon computes the same order, which is rotated
+    by the partition's number so that ownership is spread over the stores. The result is empty if there are no stores,
+    and in an announced fleet until as many stores as there are replicas (`copies`) have announced themselves.
+    """
+    eligible_stores = [n for n in with_duty(configuration, "store") if not configuration["machines"][n].get("retire")]
+    if not eligible_stores or (configuration.get("announced") and len(eligible_stores) < configuration["copies"]):
         return ()
-    ranked = sorted(pool, key=lambda name: hashlib.sha256(f"{part}/{name}".encode()).digest())
-    first = {configuration["machines"][n]["area"]: n for n in reversed(ranked)}
-    heads = [n for n in ranked if first[configuration["machines"][n]["area"]] == n]
-    chosen = (heads + [n for n in ranked if n not in heads])[: configuration["copies"]]
-    # Rotates the configuration's order by the partition's number: owners spread evenly over few stores.
-    kept = [n for n in pool if n in chosen]
-    offset = part % len(kept)
-    return tuple(kept[offset:] + kept[:offset])
+    ranked = sorted(eligible_stores, key=lambda name: hashlib.sha256(f"{part}/{name}".encode()).digest())
+    best_by_zone = {configuration["machines"][n]["area"]: n for n in reversed(ranked)}
+    zone_firsts = [n for n in ranked if best_by_zone[configuration["machines"][n]["area"]] == n]
+    chosen = (zone_firsts + [n for n in ranked if n not in zone_firsts])[: configuration["copies"]]
+    # Rotates the configuration's order by the partition's number, so that owners spread evenly even over few stores.
+    replicas = [n for n in eligible_stores if n in chosen]
+    offset = part % len(replicas)
+    return tuple(replicas[offset:] + replicas[:offset])
 
 
 def predicate_scope(configuration: Configuration, names: tuple[str, ...], me: str) -> PredicateScope:
-    """The replicas of a partition with their zones, as predicates see them from one of them."""
+    """Returns the replicas of a partition with their zones, for a predicate that is evaluated at the replica `me`."""
     zones = tuple((n, configuration["machines"][n]["area"] if n in configuration["machines"] else "") for n in names)
     return PredicateScope(names, zones, me)
 
 
 def partition_of(job_id: str, parts: int) -> int:
-    """The partition that keeps a job."""
+    """Returns the number of the partition that stores a job; `parts` is the number of partitions."""
     return int.from_bytes(hashlib.sha256(job_id.encode()).digest()[:8], "big") % parts
 
 
 def quota_of(configuration: Configuration | None, route: str) -> int:
-    """Tokens that may wait in the jobs of a route; 0 if there is no bound, or no such route."""
-    terms = configuration.get("routes", {}).get(route) if configuration else None
-    return terms.get("quota", 0) if terms else 0
+    """Returns how many tokens may wait in the jobs of a route; 0 if there is no limit, or no such route."""
+    route_settings = configuration.get("routes", {}).get(route) if configuration else None
+    return route_settings.get("quota", 0) if route_settings else 0
 
 
 def installed_plugins(kind: str) -> set[str]:
-    """Names of the plug-ins of a kind that are installed."""
+    """Returns the names of the installed plug-ins of a kind (`place` or `prefix`)."""
     return {e.name for e in entry_points(group=f"postpass.{kind}")}
 
 
 def used_keys(configuration: Configuration) -> set[str]:
-    """The keys that a configuration uses, and the plug-ins: what an older daemon may not know."""
+    """Returns the keys and plug-ins that a configuration uses, some of which an older daemon may not know."""
     groups: list[tuple[str, Any]] = [
         ("", [configuration]), ("machines.", configuration["machines"].values()), ("pools.", configuration["pools"].values()), ("limits.", [configuration.get("limits", {})]),
         ("routes.", configuration.get("routes", {}).values()), ("tenants.", configuration.get("tenants", {}).values()),
         ("servers.", [s for p in configuration["pools"].values() for s in p["servers"].values()]), ("classes.", configuration["classes"].values()),
     ]  # fmt: skip
-    plugged = {f"{k}={c[k]}" for c in configuration["classes"].values() for k in ("place", "prefix") if k in c}  # type: ignore[literal-required]
-    return {f"{name}{key}" for name, things in groups for thing in things for key in thing} | plugged
+    chosen_plugins = {f"{k}={c[k]}" for c in configuration["classes"].values() for k in ("place", "prefix") if k in c}  # type: ignore[literal-required]
+    return {f"{name}{key}" for name, objects in groups for thing in objects for key in thing} | chosen_plugins
 
 
 def dump(configuration: Configuration) -> str:
-    """The configuration as JSON text."""
+    """Returns the configuration as compact JSON text."""
     return json.dumps(configuration, separators=(",", ":"), ensure_ascii=False)
--- a/postpass/configuration/configuration_check.py
+++ b/postpass/configuration/configuration_check.py
@@ -1,9 +1,9 @@
-"""Validation of a fleet's configuration: each error is one line, the path of a key and what is wanted there.
+"""Validation of a fleet's configuration. Each error is one line: the path of a key, and what is expected there.
 
-Two steps: the shape of the document against the types in `configuration`, and then, if that fits, what types can't say,
-one function for each part of the document. To add a key: give it to its type in `configuration`, with a comment that
-names its unit; if not every value of that type will do, add a check to the function of its part here, and a case to
-`tests/configuration/test_configuration.py`. Settings of a single process are checked in `settings`.
+There are two steps: the document's shape is checked against the types in `configuration`; if it fits, what types can't
+express is checked, by one function for each part of the document. To add a key: add it to its type in `configuration`,
+with a comment that names its unit; if some values of that type are invalid, add a check to the function of its part
+here, and a case to `tests/configuration/test_configuration.py`. Settings of a single process are checked in `settings`.
 """
 
 from __future__ import annotations
@@ -29,18 +29,18 @@
 from postpass.configuration.tenant_keys import DIGEST_DIGITS, is_digest
 from postpass.replication.stability import DEFAULT_PREDICATE, PredicateScope, compile_predicate, covers, loss_flaw
 
-SHARE_TOLERANCE = 1e-9  # shares are sums of fractions
+SHARE_TOLERANCE = 1e-9  # shares are added up as floating-point fractions, which round
 MAXIMUM_PARTITIONS = 1024
 MAXIMUM_COPIES = 7
-CHECKED_PARTITIONS = 64  # placements repeat themselves; more are not looked at
+CHECKED_PARTITIONS = 64  # placements repeat themselves; further partitions are not checked
 OWN_PREFIX = "/v1/"
 OWN_PATHS = ("/health", "/ready", "/metrics")
-# Keys of a class, and what their values have to be above.
+# Keys of a class, each with the number that its value must exceed.
 CLASS_MINIMA = (("deadline", 0), ("handback", 0), ("backlog", 0), ("reserve", -SHARE_TOLERANCE))
 
 
 def check(raw: Any) -> Result[Configuration, list[str]]:
-    """The configuration that a JSON document holds, or all errors of the first step that finds any."""
+    """Returns the configuration in a JSON document, or all errors of the first validation step that finds any."""
     errors = validation_errors(Configuration, raw)
     if errors:
         return Err(errors)
@@ -50,7 +50,7 @@
 
 
 def semantic_errors(configuration: Configuration) -> list[str]:
-    """What is wrong with a configuration of the right shape; empty if it may come into force."""
+    """Returns the errors of a configuration that has the right shape; empty if it is valid."""
     return [
         *([] if configuration["areas"] else ["areas: want at least one"]),
         *_machine_errors(configuration),
@@ -83,18 +83,18 @@
 
 
 def _duplicate_addresses(configuration: Configuration) -> list[str]:
-    """Addresses that two machines have; one that was lost for good keeps none."""
+    """Returns an error for each address that two machines have; machines that are declared gone don't count."""
     errors: list[str] = []
-    taken: dict[str, str] = {}
+    path_by_address: dict[str, str] = {}
     for name, machine in configuration["machines"].items():
         if machine.get("gone"):
             continue
         for key, address in (("peer", machine["peer"]), ("http", machine["http"])):
             path = f"machines.{name}.{key}"
-            if address in taken:
-                errors.append(f"{path}: {address} is also {taken[address]}")
+            if address in path_by_address:
+                errors.append(f"{path}: {address} is also {path_by_address[address]}")
             else:
-                taken[address] = path
+                path_by_address[address] = path
     return errors
 
 
@@ -118,8 +118,8 @@
         if not server["url"].startswith("http://") or address_errors("", host):
             errors.append(f"{path}.url: want http://IP:PORT, got {server['url']!r:.60}")
     evacuated = configuration.get("evacuated", [])
-    staying = [s for s in pool["servers"].values() if not s.get("leave") and s["area"] not in evacuated]
-    if pool["servers"] and not staying and not configuration.get("announced"):
+    remaining = [s for s in pool["servers"].values() if not s.get("leave") and s["area"] not in evacuated]
+    if pool["servers"] and not remaining and not configuration.get("announced"):
         errors.append(f"pools.{name}: every server leaves or stands in an evacuated area")
     return errors
 
@@ -178,7 +178,7 @@
 
 
 def _path_errors(configuration: Configuration) -> list[str]:
-    """Errors of path prefixes that are passed on to plain back ends."""
+    """Returns the errors of the path prefixes that are passed on to plain back ends."""
     errors: list[str] = []
     for path, name in configuration["ways"].items():
         if not path.startswith("/"):
@@ -202,9 +202,9 @@
 
 def _duplicate_routes(configuration: Configuration) -> list[str]:
     errors: list[str] = []
-    taken: dict[tuple[str, str], str] = {}
+    name_by_target: dict[tuple[str, str], str] = {}
     for name, route in configuration.get("routes", {}).items():
-        other = taken.setdefault((route["host"].lower(), route["prefix"]), name)
+        other = name_by_target.setdefault((route["host"].lower(), route["prefix"]), name)
         if other != name:
             errors.append(f"routes.{name}.prefix: {route['host']}{route['prefix']} is also that of {other}")
     return errors
@@ -228,27 +228,30 @@
 
 
 def _tenant_errors(tenants: dict[str, Tenant]) -> list[str]:
-    """Errors of tenants; none shows what stands among the keys, which may be a key instead of its digest."""
+    """Returns the errors of tenants. None quotes an entry of `keys`, which may be a key given instead of its digest."""
     errors: list[str] = []
-    holders: dict[str, str] = {}
+    tenant_by_digest: dict[str, str] = {}
     for name, tenant in tenants.items():
         path = f"tenants.{name}"
         if not name:
             errors.append("tenants: want a name, got an empty string")
-        for figure, value in (("rate", tenant["rate"]), ("burst", tenant["burst"])):
+        for key, value in (("rate", tenant["rate"]), ("burst", tenant["burst"])):
             if value < 0:
-                errors.append(f"{path}.{figure}: want 0 or more, got {value}")
+                errors.append(f"{path}.{key}: want 0 or more, got {value}")
         for i, digest in enumerate(tenant["keys"]):
             if not is_digest(digest):
                 errors.append(f"{path}.keys[{i}]: want a digest of {DIGEST_DIGITS} hexadecimal digits")
-            holder = holders.setdefault(digest, name)
+            holder = tenant_by_digest.setdefault(digest, name)
             if holder != name:
                 errors.append(f"{path}.keys[{i}]: is also a key of {holder}")
     return errors
 
 
 def _store_errors(configuration: Configuration) -> list[str]:
-    """Errors of stores, copies and predicates: each predicate must survive the loss of one disk or one zone."""
+    """Returns the errors of stores, replicas and predicates.
+
+    Each predicate must make sure that a record survives the loss of one disk or one zone.
+    """
     if not any(c["kind"] == "batch" or c.get("once") for c in configuration["classes"].values()):
         return []
     stores = [n for n in with_duty(configuration, "store") if not configuration["machines"][n].get("retire")]
@@ -258,32 +261,39 @@
         return [f"copies: want 1 to {MAXIMUM_COPIES}, got {configuration['copies']}"]
     if len(stores) < configuration["copies"]:
         return [f"copies: {configuration['copies']} copies can't be held by {len(stores)} stores that stay"]
-    main = configuration.get("predicate", DEFAULT_PREDICATE)
-    texts = {"predicate": main} | {
+    default_predicate = configuration.get("predicate", DEFAULT_PREDICATE)
+    predicates = {"predicate": default_predicate} | {
         f"classes.{n}.predicate": c["predicate"] for n, c in configuration["classes"].items() if "predicate" in c
     }
-    errors: dict[str, str] = {}  # the first of each path
-    for part in range(min(configuration["parts"], CHECKED_PARTITIONS)):
-        replicas = members(configuration, part)
-        for path, text in texts.items():
-            for me in replicas:
-                place = predicate_scope(configuration, replicas, me)
-                error = loss_flaw(text, place)
+    errors: dict[str, str] = {}  # the first error of each path
+    for partition in range(min(configuration["parts"], CHECKED_PARTITIONS)):
+        replicas = members(configuration, partition)
+        for path, text in predicates.items():
+            for replica in replicas:
+                scope = predicate_scope(configuration, replicas, replica)
+                error = loss_flaw(text, scope)
                 if error:
                     errors.setdefault(path, error)
                     break
-                base = compile_predicate(main, place)
-                if path != "predicate" and isinstance(base, Ok) and _is_weaker(text, main, place):
+                compiled_default = compile_predicate(default_predicate, scope)
+                if (
+                    path != "predicate"
+                    and isinstance(compiled_default, Ok)
+                    and _is_weaker(text, default_predicate, scope)
+                ):
                     errors.setdefault(path, "weaker than the default predicate; a class may only ask for more")
                     break
     return [f"{path}: {error}" for path, error in errors.items()]
 
 
-def _is_weaker(text: str, default: str, place: PredicateScope) -> bool:
-    """Whether some set of copies satisfies a predicate, but not the default one."""
-    own, least = compile_predicate(text, place).unwrap(), compile_predicate(default, place).unwrap()
+def _is_weaker(predicate: str, default: str, scope: PredicateScope) -> bool:
+    """Returns whether some set of replicas satisfies a predicate, but not the default one."""
+    compiled, compiled_default = (
+        compile_predicate(predicate, scope).unwrap(),
+        compile_predicate(default, scope).unwrap(),
+    )
     return any(
-        covers(own, copies) and not covers(least, copies)
-        for size in range(len(place.nodes) + 1)
-        for copies in combinations(place.nodes, size)
+        covers(compiled, copies) and not covers(compiled_default, copies)
+        for size in range(len(scope.nodes) + 1)
+        for copies in combinations(scope.nodes, size)
     )
--- a/postpass/configuration/json_delta.py
+++ b/postpass/configuration/json_delta.py
@@ -1,17 +1,20 @@
-"""What changed between two JSON objects, and the other way round: the numbered feed carries these."""
+"""Differences between two JSON values, and their application. The configuration feed carries such differences."""
 
 from __future__ import annotations
 
 from typing import Any
 
-# [path] drops what is there; [path, value] sets it; [path, start, count, items] replaces a part of a list.
+# Each change is one of: [path] removes the value at the path; [path, value] sets it; [path, start, count, items]
+# replaces `count` elements of the list at the path, from index `start` on, by `items`.
 Delta = list[list[Any]]
 
 
 def delta(old: Any, new: Any, path: tuple[str, ...] = (), splices: bool = False) -> Delta:
-    """Invariant: patch(old, delta(old, new)) == new, keys in the order of `new`'s additions.
+    """Returns the changes that lead from `old` to `new`, both of which are at `path`.
 
-    With `splices` only the part of a list that differs is given; the feed gives whole lists, which every release reads.
+    Invariant: patch(old, delta(old, new)) == new; added keys come in the order in which `new` has them. With `splices`,
+    a change of a list holds only the part that differs. The feed doesn't use that: it sends complete lists, which every
+    release can read.
     """
     if old is new:
         return []
@@ -19,9 +22,9 @@
         return _splice(old, new, path)
     if not isinstance(old, dict) or not isinstance(new, dict):
         return [] if old == new else [[list(path), new]]
-    gone: Delta = [[[*path, k]] for k in old if k not in new]
-    fresh: Delta = [[[*path, k], v] for k, v in new.items() if k not in old]
-    return gone + fresh + [d for k in old if k in new for d in delta(old[k], new[k], (*path, k), splices)]
+    removed: Delta = [[[*path, k]] for k in old if k not in new]
+    added: Delta = [[[*path, k], v] for k, v in new.items() if k not in old]
+    return removed + added + [d for k in old if k in new for d in delta(old[k], new[k], (*path, k), splices)]
 
 
 def _splice(old: list[Any], new: list[Any], path: tuple[str, ...]) -> Delta:
@@ -29,14 +32,16 @@
     start = next((i for i in range(shorter) if old[i] != new[i]), shorter)
     if start == len(old) == len(new):
         return []
-    rest = shorter - start
-    same_end = next((i for i in range(rest) if old[-1 - i] != new[-1 - i]), rest)
-    return [[list(path), start, len(old) - start - same_end, new[start : len(new) - same_end]]]
+    longest_suffix = shorter - start
+    common_suffix = next((i for i in range(longest_suffix) if old[-1 - i] != new[-1 - i]), longest_suffix)
+    return [[list(path), start, len(old) - start - common_suffix, new[start : len(new) - common_suffix]]]
 
 
 def reusing(old: Any, new: Any) -> Any:
-    """`new`, with the parts that are equal to those of `old` at the same place taken from `old`, for what compares by
-    identity first."""
+    """Returns a value equal to `new`, whose parts that equal those of `old` at the same path are the objects of `old`.
+
+    It serves code that compares by identity before it compares by value.
+    """
     if old == new:
         return old
     if isinstance(old, dict) and isinstance(new, dict):
@@ -45,19 +50,19 @@
 
 
 def patch(old: Any, changes: Delta) -> Any:
-    """The value that the changes lead to from `old`, which stays as it is; the two share what did not change."""
+    """Returns `old` with changes applied. `old` itself is not modified; the result shares its unchanged parts."""
     for change in changes:
-        old = _put(old, change[0], change[1:])
+        old = _apply_change(old, change[0], change[1:])
     return old
 
 
-def _put(tree: Any, path: list[str], value: list[Any]) -> Any:
-    if not path and len(value) == 3:
-        start, count, items = value
+def _apply_change(tree: Any, path: list[str], operands: list[Any]) -> Any:
+    if not path and len(operands) == 3:
+        start, count, items = operands
         return [*tree[:start], *items, *tree[start + count :]]
     if not path:
-        return value[0]
-    name, rest = path[0], path[1:]
-    if not rest and not value:
-        return {k: v for k, v in tree.items() if k != name}
-    return tree | {name: _put(tree.get(name, {}), rest, value)}
+        return operands[0]
+    key, remaining_path = path[0], path[1:]
+    if not remaining_path and not operands:
+        return {k: v for k, v in tree.items() if k != key}
+    return tree | {key: _apply_change(tree.get(key, {}), remaining_path, operands)}
--- a/postpass/configuration/schema.py
+++ b/postpass/configuration/schema.py
@@ -1,7 +1,7 @@
-"""A small checker: does a JSON value have the shape of a typed dictionary? Lists every flaw with its path.
+"""Checks that a JSON value has the shape of a typed dictionary, and lists every error with its path.
 
-Fields may be added to a document from outside at any time, with values of any JSON type. Whoever reads one takes
-`known_fields` of what came first, and validates only that.
+A document from outside the product may gain fields at any time, with values of any JSON type. Code that reads one first
+reduces it to its `known_fields`, and validates only those.
 """
 
 from __future__ import annotations
@@ -14,19 +14,21 @@
 
 
 class _Fields(NamedTuple):
-    """The fields of a typed dictionary: the type of each, and which must be there."""
+    """The fields of a typed dictionary: the type of each, and the names of the required ones."""
 
     types: dict[str, Any]
     required: tuple[str, ...]
 
 
 @cache
-def _fields_of(kind: Any) -> _Fields:
-    hints = get_type_hints(kind, include_extras=True)
-    types = {name: get_args(hint)[0] if _is_wrapped(hint) else hint for name, hint in hints.items()}
-    # Annotations are strings here, so the class itself can't tell which keys may be left out.
-    required = tuple(name for name, hint in hints.items() if kind.__total__ and get_origin(hint) is not NotRequired)
-    return _Fields(types, required)
+def _fields_of(expected_type: Any) -> _Fields:
+    hints = get_type_hints(expected_type, include_extras=True)
+    field_types = {name: get_args(hint)[0] if _is_wrapped(hint) else hint for name, hint in hints.items()}
+    # Annotations are strings here, so the class's own `__required_keys__` doesn't show which keys may be left out.
+    required = tuple(
+        name for name, hint in hints.items() if expected_type.__total__ and get_origin(hint) is not NotRequired
+    )
+    return _Fields(field_types, required)
 
 
 def _is_wrapped(hint: Any) -> bool:
@@ -34,98 +36,112 @@
 
 
 @cache
-def _is_typed_dictionary(kind: Any) -> bool:
-    return is_typeddict(kind)
+def _is_typed_dictionary(expected_type: Any) -> bool:
+    return is_typeddict(expected_type)
 
 
 @cache
-def _origin_of(kind: Any) -> Any:
-    return get_origin(kind)
+def _origin_of(expected_type: Any) -> Any:
+    return get_origin(expected_type)
 
 
 @cache
-def _arguments_of(kind: Any) -> tuple[Any, ...]:
-    return get_args(kind)
+def _arguments_of(expected_type: Any) -> tuple[Any, ...]:
+    return get_args(expected_type)
 
 
-def known_fields(kind: Any, raw: Any) -> Any:
-    """What a value has of the type `kind`, in which typed dictionaries, lists and tables may be nested.
+def known_fields(expected_type: Any, raw: Any) -> Any:
+    """Returns a JSON value reduced to the fields that the type `expected_type` declares.
 
-    Fields that the type doesn't name are left out, and so are those set to null, which count as not set. A number
-    without a fraction stands for a whole number where one is wanted (5.0 for 5). What has another shape than the type
-    is returned as it is, for validation to refuse.
+    Typed dictionaries, lists and dictionaries may be nested in the type. Fields that it doesn't declare are dropped,
+    and so are those set to null, which count as absent. A float without a fraction is converted to an integer where the
+    type asks for one (5.0 to 5). A value of another shape than the type is returned unchanged, so that validation
+    rejects it.
     """
     if not isinstance(raw, (dict, list)):
-        return int(raw) if kind is int and isinstance(raw, float) and raw.is_integer() else raw
-    root = _origin_of(kind)
-    if root is list and isinstance(raw, list):
-        part = _arguments_of(kind)[0]
-        if part is str:
+        return int(raw) if expected_type is int and isinstance(raw, float) and raw.is_integer() else raw
+    origin = _origin_of(expected_type)
+    if origin is list and isinstance(raw, list):
+        element_type = _arguments_of(expected_type)[0]
+        if element_type is str:
             return raw
-        return [known_fields(part, value) for value in raw]
-    if root is dict and isinstance(raw, dict):
-        part = _arguments_of(kind)[1]
-        return {key: known_fields(part, value) for key, value in raw.items()}
-    if _is_typed_dictionary(kind) and isinstance(raw, dict):
-        types = _fields_of(kind).types
-        return {k: known_fields(types[k], value) for k, value in raw.items() if k in types and value is not None}
+        return [known_fields(element_type, value) for value in raw]
+    if origin is dict and isinstance(raw, dict):
+        element_type = _arguments_of(expected_type)[1]
+        return {key: known_fields(element_type, value) for key, value in raw.items()}
+    if _is_typed_dictionary(expected_type) and isinstance(raw, dict):
+        field_types = _fields_of(expected_type).types
+        return {
+            k: known_fields(field_types[k], value) for k, value in raw.items() if k in field_types and value is not None
+        }
     return raw
 
 
-_PLAIN = frozenset({str, int, bool})  # types of which every value will do
+_UNRESTRICTED_TYPES = frozenset({str, int, bool})  # types whose values need no further check
 
 
-def type_description(kind: Any) -> str:
-    """What an error says is wanted of a type."""
+def type_description(expected_type: Any) -> str:
+    """Returns the words by which an error message describes a type."""
     names = {str: "a string", int: "a whole number", float: "a number", bool: "true or false"}
-    if get_origin(kind) is Literal:
-        return "one of " + ", ".join(map(str, get_args(kind)))
-    if get_origin(kind) is list:
+    if get_origin(expected_type) is Literal:
+        return "one of " + ", ".join(map(str, get_args(expected_type)))
+    if get_origin(expected_type) is list:
         return "a list"
-    return names.get(kind, "an object")
+    return names.get(expected_type, "an object")
 
 
-def validation_errors(kind: Any, value: Any, path: str = "") -> list[str]:
-    """Every way in which `value` is not a `kind`; an empty list means that it is one."""
-    if kind is Any or (type(value) is kind and kind in _PLAIN):
+def validation_errors(expected_type: Any, value: Any, path: str = "") -> list[str]:
+    """Returns a line for each part of `value` that does not have the type `expected_type`; empty if it is valid.
+
+    `path` is the position of the value in the document, which begins each line.
+    """
+    if expected_type is Any or (type(value) is expected_type and expected_type in _UNRESTRICTED_TYPES):
         return []
-    if _is_typed_dictionary(kind):
-        return _object_errors(kind, value, path)
-    here = path or "(top)"
-    root = _origin_of(kind)
-    if root in (Union, types.UnionType):
-        trials = [validation_errors(k, value, path) for k in get_args(kind)]
-        return [] if any(not t for t in trials) else min(trials, key=len)
-    if root is Literal:
-        return [] if value in get_args(kind) else [f"{here}: want {type_description(kind)}, got {value!r:.40}"]
-    if root is list:
+    if _is_typed_dictionary(expected_type):
+        return _object_errors(expected_type, value, path)
+    displayed_path = path or "(top)"
+    origin = _origin_of(expected_type)
+    if origin in (Union, types.UnionType):
+        errors_by_alternative = [validation_errors(k, value, path) for k in get_args(expected_type)]
+        return [] if any(not t for t in errors_by_alternative) else min(errors_by_alternative, key=len)
+    if origin is Literal:
+        return (
+            []
+            if value in get_args(expected_type)
+            else [f"{displayed_path}: want {type_description(expected_type)}, got {value!r:.40}"]
+        )
+    if origin is list:
         if not isinstance(value, list):
-            return [f"{here}: want a list, got {value!r:.40}"]
-        part = _arguments_of(kind)[0]
-        if part in _PLAIN and all(type(v) is part for v in value):
+            return [f"{displayed_path}: want a list, got {value!r:.40}"]
+        element_type = _arguments_of(expected_type)[0]
+        if element_type in _UNRESTRICTED_TYPES and all(type(v) is element_type for v in value):
             return []
-        return [f for i, v in enumerate(value) for f in validation_errors(part, v, f"{path}[{i}]")]
-    if root is dict:
+        return [f for i, v in enumerate(value) for f in validation_errors(element_type, v, f"{path}[{i}]")]
+    if origin is dict:
         if not isinstance(value, dict):
-            return [f"{here}: want an object, got {value!r:.40}"]
-        part = get_args(kind)[1]
-        return [f for k, v in value.items() for f in validation_errors(part, v, f"{path}.{k}" if path else str(k))]
-    if kind is float:
-        good = isinstance(value, (int, float)) and not isinstance(value, bool)
-        good = good and value == value and abs(value) != float("inf")
-    elif kind is int:
-        good = isinstance(value, int) and not isinstance(value, bool)
+            return [f"{displayed_path}: want an object, got {value!r:.40}"]
+        element_type = get_args(expected_type)[1]
+        return [
+            f for k, v in value.items() for f in validation_errors(element_type, v, f"{path}.{k}" if path else str(k))
+        ]
+    if expected_type is float:
+        is_valid = isinstance(value, (int, float)) and not isinstance(value, bool)
+        is_valid = is_valid and value == value and abs(value) != float("inf")
+    elif expected_type is int:
+        is_valid = isinstance(value, int) and not isinstance(value, bool)
     else:
-        good = isinstance(value, kind)
-    return [] if good else [f"{here}: want {type_description(kind)}, got {value!r:.40}"]
+        is_valid = isinstance(value, expected_type)
+    return [] if is_valid else [f"{displayed_path}: want {type_description(expected_type)}, got {value!r:.40}"]
 
 
-def _object_errors(kind: Any, value: Any, path: str) -> list[str]:
+def _object_errors(expected_type: Any, value: Any, path: str) -> list[str]:
     if not isinstance(value, dict):
         return [f"{path or '(top)'}: want an object, got {value!r:.40}"]
-    types, required = _fields_of(kind)
-    join = (lambda k: f"{path}.{k}") if path else str
-    lack = [f"{join(k)}: missing, want {type_description(types[k])}" for k in required if k not in value]
-    odd = [f"{join(k)}: unknown key; known are {', '.join(sorted(types))}" for k in value if k not in types]
-    deep = [f for k, v in value.items() if k in types for f in validation_errors(types[k], v, join(k))]
-    return lack + odd + deep
+    field_types, required = _fields_of(expected_type)
+    path_of = (lambda k: f"{path}.{k}") if path else str
+    missing = [f"{path_of(k)}: missing, want {type_description(field_types[k])}" for k in required if k not in value]
+    unknown = [
+        f"{path_of(k)}: unknown key; known are {', '.join(sorted(field_types))}" for k in value if k not in field_types
+    ]
+    nested = [f for k, v in value.items() if k in field_types for f in validation_errors(field_types[k], v, path_of(k))]
+    return missing + unknown + nested
--- a/postpass/configuration/settings.py
+++ b/postpass/configuration/settings.py
@@ -1,11 +1,12 @@
-"""Settings of one process: a JSON file, with command-line flags laid over it.
-
-To add a setting: give its key and type to `SettingsFile`, and its default and unit to the field of the same name in
-`Settings` (or `Bounds`, for a promise in seconds); `parse` hands it over by that name. `schema.validation_errors` then
-rejects other types and unknown keys; if not every value of the type will do, add a check to `_value_errors` and a case
-to `tests/configuration/test_settings.py`. A key that has another name here (`area`, `areas`, `tolerate`) is mapped at the
-end of `parse`. Operators read about it in `docs/operators.md`. What the whole fleet shares is not a setting but part of
-the configuration (see `configuration_check`).
+"""Settings of one process: a JSON file, whose values command-line flags override.
+
+To add a setting: add its key and type to `SettingsFile`, and its default and unit to the field of the same name in
+`Settings` (or in `Bounds`, for a guaranteed time in seconds); `parse` passes it on by that name.
+`schema.validation_errors` then rejects other types and unknown keys; if some values of the type are invalid, add a
+check to `_value_errors` and a case to `tests/configuration/test_settings.py`. A key whose field has another name
+(`area`, `areas`, `tolerate`) is mapped at the end of `parse`. The documentation for operators is `docs/operators.md`. Values
+that
+the whole fleet shares are no settings, but part of the configuration (see `configuration_check`).
 """
 
 from __future__ import annotations
@@ -19,13 +20,13 @@
 from postpass.configuration.schema import validation_errors
 from postpass.membership.safe_change import Tolerance
 
-# Figures of `Bounds` that may be 0; all others are above it.
+# Fields of `Bounds` that may be 0; all others must be above 0.
 MAY_BE_ZERO = ("sync", "grace", "keep", "quota_excess", "quota_extra")
 MINIMUM_BYTES = (("buffer_bytes", 65536), ("segment_bytes", 4096), ("disk_bytes", 0))
 
 
 class BoundsFile(TypedDict, total=False):
-    """Promises, in seconds but for the excess and the extra; what is left out has the default of `Bounds`."""
+    """Bounds, in seconds except `quota_excess` and `quota_extra`; those left out have the defaults of `Bounds`."""
 
     end: float
     leave: float
@@ -43,18 +44,18 @@
 
 
 class ToleranceFile(TypedDict, total=False):
-    """How many machines with a disk, or whole zones (`areas`), may be lost at once."""
+    """How many machines with a disk, or how many complete zones (`areas`), may be lost at once."""
 
     disks: int
     areas: int
 
 
 class SettingsFile(TypedDict):
-    """The file as it stands on disk. Addresses are IP:PORT; `Settings` says what each key means.
+    """The contents of the settings file. Addresses are IP:PORT; `Settings` describes all other keys.
 
     :ivar area: the zone of the machine.
     :ivar areas: all zones of the fleet.
-    :ivar tolerate: what may be lost at once while every promise still holds.
+    :ivar tolerate: what may be lost at once without breaking any guarantee.
     """
 
     name: str
@@ -78,32 +79,33 @@
 
 @dataclass(frozen=True)
 class Bounds:
-    """The promises, in seconds where nothing else is said. Every timer is a ratio of one of them.
-
-    :ivar end: from the end of a job to the last start of one of its items.
-    :ivar leave: from when a worker is told to leave to the last request that it is given.
-    :ivar evacuate: from when a zone is evacuated to the last request that is started there.
-    :ivar manifest: from when a configuration is accepted until every daemon follows it.
-    :ivar recover: from the loss of an owner or a primary until another serves in its place.
-    :ivar silent: until a silence is noticed; no timer depends on it.
-    :ivar acknowledge: until an operator's order is acknowledged in a calm time.
-    :ivar sync: until a machine that is back counts again; 0 where no platform sets it.
-    :ivar grace: from SIGTERM to the end of the process; 0 where no platform sets it.
-    :ivar keep: for which a job's results are read, from when it was sent; 0 where no platform sets it.
-    :ivar quota_window: over any time of this length, a tenant's requests are counted against its limit.
-    :ivar quota_excess: by which share of its limit a tenant's requests may go over it; 0 or more.
-    :ivar quota_extra: by how many requests they may, beside that; 0 or more.
+    """The guaranteed bounds, in seconds unless stated otherwise. Every timer is a fixed fraction or multiple of one.
+
+    :ivar end: the longest time from the end of a job to the last start of one of its items.
+    :ivar leave: the longest time from the order that a worker leave to the last request that is sent to it.
+    :ivar evacuate: the longest time from the evacuation of a zone to the last request that is started there.
+    :ivar manifest: the longest time from the acceptance of a configuration until every daemon has applied it.
+    :ivar recover: the longest time from the loss of an owner or a primary until another one serves in its place.
+    :ivar silent: the longest time until it is noticed that a peer has fallen silent; no timer depends on it.
+    :ivar acknowledge: the longest time until an operator's order is acknowledged while there are no failures.
+    :ivar sync: the longest time until a machine that has returned counts again; 0 where no platform sets it.
+    :ivar grace: the longest time from SIGTERM to the end of the process; 0 where no platform sets it.
+    :ivar keep: how long a job's results can be read, from when it was sent; 0 where no platform sets it.
+    :ivar quota_window: a tenant's requests are counted against its limit over any period of this length.
+    :ivar quota_excess: the fraction of its limit by which a tenant's requests may exceed it; 0 or more.
+    :ivar quota_extra: the number of requests by which they may exceed it in addition; 0 or more.
 
     Invariants, checked in `tests/configuration/test_settings.py`:
     - beat * 3 <= detect: three heartbeats are missed before a live owner is suspected.
-    - beat * 5 / 2 + promise / 2 <= contact < detect * 9 / 10: one late heartbeat of a primary costs no member its contact, and
-      a member without contact says so before it would back another primary.
-    - detect + stagger * 5 + promise + refill <= recover: even the fifth in the order serves in time.
-    - lease + poll <= end: an ended job's items stop before its bound.
+    - beat * 5 / 2 + promise / 2 <= contact < detect * 9 / 10: no member loses contact because of one late heartbeat of
+      the primary, and a member without contact reports that before it would vote for another primary.
+    - detect + stagger * 5 + promise + refill <= recover: even the fifth candidate in the order serves within the bound.
+    - lease + poll <= end: the items of an ended job stop within its bound.
     - follow * 2 <= manifest: a daemon polls twice within the bound.
-    - probe * 3 <= leave: a worker's state is read thrice within the bound.
-    - acknowledge * 10 <= resend: an order is known again long after its sender must have had an answer.
-    - follow * 2 < deaf < leave: who hears nobody is sure of it, and stops, before the leaving of a worker binds it.
+    - probe * 3 <= leave: a worker's state is read three times within the bound.
+    - acknowledge * 10 <= resend: an order is still recognised long after its sender must have received an answer.
+    - follow * 2 < deaf < leave: a daemon that hears no other establishes that it is isolated, and stops giving new
+      work, before it must have heard that a worker leaves.
     """
 
     end: float = 3.0
@@ -122,77 +124,77 @@
 
     @property
     def beat(self) -> float:
-        """Seconds between two heartbeats of the owner of a partition or the primary of control."""
+        """The interval, in seconds, between heartbeats of the owner of a partition or of the primary of control."""
         return self.recover / 40
 
     @property
     def detect(self) -> float:
-        """Seconds of silence after which an owner or primary is suspected."""
+        """The failure detection time: seconds of silence after which an owner or primary is suspected to be down."""
         return self.recover / 8
 
     @property
     def contact(self) -> float:
-        """The lease time of a control member: for how long it counts as in touch after it last heard the primary."""
+        """The lease of a control member: seconds for which it is in contact after the last message of the primary."""
         return self.detect * 5 / 6
 
     @property
     def turn(self) -> float:
-        """Seconds within which a follower goes on from a source that is stale to another."""
+        """Seconds within which a follower turns from a stale source to another one."""
         return self.manifest / 10
 
     @property
     def stagger(self) -> float:
-        """Seconds that each later candidate of the agreed order waits longer before it runs for election."""
+        """Seconds that each candidate waits longer than the one before it in the agreed order, before its election."""
         return self.recover / 24
 
     @property
     def drain(self) -> float:
-        """Seconds that requests under way may take to come to their end once the daemon was told to leave."""
+        """Seconds that open requests have to finish after the daemon was told to stop."""
         return self.recover * 2
 
     @property
     def hand(self) -> float:
-        """Seconds that a leaving daemon without proxied routes leaves to others to notice it, before it stops."""
+        """Seconds that a stopping daemon without proxied routes waits, so that others notice that it leaves."""
         return self.leave / 2
 
     @property
     def promise(self) -> float:
-        """Time limit of a request between peers that ends with a sync."""
+        """The time limit, in seconds, of a request between peers that ends with a disk sync."""
         return self.recover / 12
 
     @property
     def resend(self) -> float:
-        """Seconds for which an operator's order may be sent again and is known as one that was accepted."""
+        """Seconds for which an operator's order may be sent again and is recognised as already accepted."""
         return self.acknowledge * 60
 
     @property
     def refill(self) -> float:
-        """Seconds that `recover` leaves for an owner to fetch what it lacks."""
+        """Seconds within `recover` in which a new owner fetches the records that it is missing."""
         return self.recover / 3
 
     @property
     def lease(self) -> float:
-        """Seconds for which a scheduler may run the items of a partition, from when it asked the owner for them."""
+        """Seconds for which a scheduler may run items of a partition, counted from its request to the owner."""
         return self.end / 3
 
     @property
     def deaf(self) -> float:
-        """Seconds after which a daemon that hears no other counts as isolated."""
+        """Seconds without contact to any other daemon after which a daemon is isolated."""
         return self.leave * 3 / 4
 
     @property
     def poll(self) -> float:
-        """The longest pause, in seconds, between two rounds of a scheduler."""
+        """The longest pause, in seconds, between two scheduling rounds of a scheduler."""
         return self.end / 12
 
     @property
     def follow(self) -> float:
-        """Seconds between two polls of the configuration feed, and the time limit of a quick request."""
+        """Seconds between polls of the configuration feed; also the time limit of a request that is answered at once."""
         return self.manifest / 4
 
     @property
     def exchange(self) -> float:
-        """Seconds between two exchanges of the load of workers."""
+        """Seconds between two exchanges of the workers' load among edges."""
         return self.leave / 25
 
     @property
@@ -207,21 +209,21 @@
 
     Invariant: `data` is set for every process with the store duty and for every control process.
 
-    :ivar peer: IP:PORT for links between processes.
+    :ivar peer: IP:PORT at which this process accepts links from its peers.
     :ivar http: IP:PORT for clients and operators.
-    :ivar seeds: peer addresses of processes from which it finds the others.
-    :ivar data: the data directory; empty if it keeps nothing.
-    :ivar announce: nobody lists the machines: this one announces itself to control.
-    :ivar bootstrap: in an announced fleet, the seeds may found control if their disks are blank.
+    :ivar seeds: peer addresses of the processes from which it learns about all others.
+    :ivar data: the data directory; empty if the process stores nothing.
+    :ivar announce: whether this machine announces itself to control, instead of being listed by the operator.
+    :ivar bootstrap: in an announced fleet, whether the seeds may found a control group if their disks are blank.
     :ivar zones: all zones of an announced fleet.
-    :ivar ready: IP:PORT at which readiness is told, beside `http`; empty for none.
-    :ivar disks_lost: machines with a disk that may be lost at once.
-    :ivar zones_lost: zones that may be lost at once.
+    :ivar ready: IP:PORT of a second endpoint for readiness, in addition to `http`; empty for none.
+    :ivar disks_lost: how many machines with a disk may be lost at once.
+    :ivar zones_lost: how many zones may be lost at once.
     :ivar beat: seconds between two heartbeats of a worker.
-    :ivar buffer_bytes: memory for records not yet delivered to every replica; one that is behind by more is refilled from
-        the log.
+    :ivar buffer_bytes: memory for records that aren't delivered to every replica yet; a replica that is behind by more
+        is refilled from the log.
     :ivar segment_bytes: the size of a segment of the log.
-    :ivar disk_bytes: what the data directory may hold; 0: as much as the file system.
+    :ivar disk_bytes: the most bytes that the data directory may take; 0 for all that the file system has.
     """
 
     name: str
@@ -245,22 +247,22 @@
 
     @property
     def tolerance(self) -> Tolerance:
-        """What may be lost at once while every promise still holds."""
+        """What may be lost at once without breaking any guarantee."""
         return Tolerance(self.disks_lost, self.zones_lost)
 
 
 def split_address(addr: str) -> tuple[str, int]:
-    """Host and port of an address."""
+    """Returns the host and the port of an address (HOST:PORT)."""
     host, _, port = addr.rpartition(":")
     return host, int(port)
 
 
 def address_errors(key: str, addr: str) -> list[str]:
-    """What is wrong with an address, as a line that begins with its key; empty for IP:PORT by number."""
+    """Returns the errors of an address, as lines that begin with `key`; empty if it is a numeric IP:PORT."""
     host, _, port = addr.rpartition(":")
-    good = host.count(".") == 3 and all(p.isdigit() and int(p) < 256 for p in host.split("."))
-    good = good and port.isdigit() and 0 < int(port) < 65536
-    return [] if good else [f"{key}: want IP:PORT by number, got {addr!r:.40}"]
+    is_valid = host.count(".") == 3 and all(p.isdigit() and int(p) < 256 for p in host.split("."))
+    is_valid = is_valid and port.isdigit() and 0 < int(port) < 65536
+    return [] if is_valid else [f"{key}: want IP:PORT by number, got {addr!r:.40}"]
 
 
 def _seed_errors(file: SettingsFile) -> list[str]:
@@ -284,7 +286,7 @@
 
 
 def _value_errors(file: SettingsFile, want_data: bool) -> list[str]:
-    """What is wrong with the values of a file of the right shape."""
+    """Returns the errors in the values of a file that has the right shape."""
     errors = [
         *address_errors("peer", file["peer"]),
         *address_errors("http", file["http"]),
@@ -306,7 +308,10 @@
 
 
 def parse(raw: Any, want_data: bool = False) -> Result[Settings, list[str]]:
-    """The settings that a JSON document holds, or all errors. `want_data` asks for a data directory in any case."""
+    """Returns the settings in a JSON document, or all errors.
+
+    With `want_data` a data directory is required, whatever the duties are.
+    """
     errors = validation_errors(SettingsFile, raw)
     if errors:
         return Err(errors)
@@ -314,8 +319,10 @@
     errors = _value_errors(file, want_data)
     if errors:
         return Err(errors)
-    rest: Any = {k: v for k, v in file.items() if k not in ("bounds", "seeds", "duties", "area", "areas", "tolerate")}
-    lost = file.get("tolerate", {})
+    same_named: Any = {
+        k: v for k, v in file.items() if k not in ("bounds", "seeds", "duties", "area", "areas", "tolerate")
+    }
+    tolerance = file.get("tolerate", {})
     return Ok(
         Settings(
             zone=file["area"],
@@ -323,25 +330,28 @@
             duties=tuple(file.get("duties", [])),
             bounds=Bounds(**file.get("bounds", {})),
             zones=tuple(file.get("areas", [])),
-            disks_lost=lost.get("disks", 1),
-            zones_lost=lost.get("areas", 1),
-            **rest,
+            disks_lost=tolerance.get("disks", 1),
+            zones_lost=tolerance.get("areas", 1),
+            **same_named,
         )
     )
 
 
 def load(path: str, flags: dict[str, Any], want_data: bool = False) -> Result[Settings, list[str]]:
-    """Reads the file and lays flags over it; every error names the file and the key."""
+    """Returns the settings of the file at `path`, overridden by the flags that aren't None.
+
+    Without a path the flags alone are the settings. Each error names the file and the key.
+    """
     if not path:
         raw: Any = {}
     else:
         try:
             with open(path, encoding="utf-8") as file:
                 raw = json.load(file)
-        except OSError as bad:
-            return Err([f"{path}: cannot be read: {bad.strerror}"])
-        except ValueError as bad:
-            return Err([f"{path}: not JSON: {bad}"])
+        except OSError as error:
+            return Err([f"{path}: cannot be read: {error.strerror}"])
+        except ValueError as error:
+            return Err([f"{path}: not JSON: {error}"])
     if isinstance(raw, dict):
         raw = raw | {k: v for k, v in flags.items() if v is not None}
     return parse(raw, want_data).map_err(lambda errors: [f"{path or 'flags'}: {e}" for e in errors])
--- a/postpass/configuration/tenant_keys.py
+++ b/postpass/configuration/tenant_keys.py
@@ -1,4 +1,4 @@
-"""Keys of tenants are compared by digests alone, so that no feed, log or status page holds a key."""
+"""Digests of tenant keys. Keys are compared only by digest, so that no feed, log or status page contains a key."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 def key_digest(key: bytes) -> str:
-    """The digest by which a key is known."""
+    """Returns the digest that stands for a key."""
     return hashlib.sha256(key).hexdigest()[:DIGEST_DIGITS]
 
 
 def is_digest(text: str) -> bool:
-    """Has a text the shape of a digest?"""
+    """Returns whether a text has the format of a digest."""
     return _DIGEST.fullmatch(text) is not None
--- a/postpass/feed/__init__.py
+++ b/postpass/feed/__init__.py
@@ -1,1 +1,1 @@
-"""How daemons learn a new configuration: the messages of the feed, and the view that each daemon keeps."""
+"""The configuration feed: its messages, the view of the configuration that each daemon keeps, and its follower."""
--- a/postpass/feed/checksum.py
+++ b/postpass/feed/checksum.py
@@ -1,7 +1,8 @@
-"""Checksums of a configuration: by the sum over its parts where it changes often, else of the whole.
+"""Checksums of a configuration: incremental for an announced fleet, which changes often; else a hash of the document.
 
-The sum over the parts of a tree is brought up to date by what changed, so that a change of an announced fleet costs no
-more than its own size. The control journal (`postpass.control.journal`) sums its trees in the same way.
+The incremental checksum is a sum of hashes over the parts of a JSON tree. It is updated from the parts that changed, so
+that the cost of a change of an announced fleet depends only on the size of the change. The control journal
+(`postpass.control.journal`) computes the checksums of its trees in the same way.
 """
 
 from __future__ import annotations
@@ -12,12 +13,12 @@
 
 from postpass.configuration.configuration import dump
 
-PART_DEPTH = 4  # a configuration's parts down to the single server are summed each for itself
+PART_DEPTH = 4  # levels of the tree whose entries are hashed separately: down to the single server of a configuration
 SUM_SPACE = 1 << 64
 
 
 def parts_sum(tree: Any, path: str = "", depth: int = 0) -> int:
-    """The sum over the parts of a JSON tree that stands at `path`, `depth` levels below the root."""
+    """Returns the sum of the hashes of the parts of a JSON tree, which is at `path`, `depth` levels below the root."""
     if isinstance(tree, dict) and tree and depth < PART_DEPTH:
         return sum(parts_sum(value, f"{path}/{key}", depth + 1) for key, value in tree.items())
     text = f"{path} {json.dumps(tree, separators=(',', ':'), sort_keys=True)}"
@@ -25,7 +26,7 @@
 
 
 def parts_sum_difference(old: Any, new: Any, path: str = "", depth: int = 0) -> int:
-    """`parts_sum(new) - parts_sum(old)`, without a look at what both share."""
+    """Returns `parts_sum(new) - parts_sum(old)`, without visiting objects that both trees share."""
     if old is new:
         return 0
     if not (isinstance(old, dict) and isinstance(new, dict) and old and new and depth < PART_DEPTH):
@@ -37,9 +38,10 @@
 
 
 def checksum(configuration: Any, total: int | None = None) -> str:
-    """The checksum that the feed tells of a configuration; `total` is the sum over its parts, if that is known.
+    """Returns the checksum that the feed sends with a configuration.
 
-    Of an announced fleet it is the sum over the parts, of any other a hash of the whole.
+    For an announced fleet it is the sum over the configuration's parts, passed as `total` if it is known; for
+    any other fleet it is a hash of the complete document.
     """
     if isinstance(configuration, dict) and configuration.get("announced"):
         return f"{(parts_sum(configuration) if total is None else total) % SUM_SPACE:016x}"
--- a/postpass/feed/configuration_view.py
+++ b/postpass/feed/configuration_view.py
@@ -1,4 +1,4 @@
-"""The view that a daemon has of the configuration: the newest revision that it has seen. It never goes back one."""
+"""A daemon's view of the configuration: the newest revision that it has received, and never again an older one."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from postpass.runtime.environment import now
 from postpass.runtime.log_events import Event
 
-MAX_CHANGES = 64  # changes a daemon can hand on before it must hand on a snapshot
+MAX_CHANGES = 64  # changes that a daemon keeps for its followers; one that lacks more gets a snapshot
 NEVER = -1e9
 
 
 @dataclass(frozen=True)
 class Change:
-    """One entry of the feed: it leads from revision `base` to `revision`, whose checksum is given."""
+    """One entry of the feed: the change from revision `base` to `revision`, and the checksum of the latter."""
 
     revision: int
     base: int
@@ -32,23 +32,27 @@
     checksum: str
 
     def body(self) -> ChangeBody:
-        """The change by its keys in the feed; shares its parts."""
+        """Returns the change in the form that the feed sends, without copying its parts."""
         return {"edition": self.revision, "base": self.base, "change": self.change, "seal": self.checksum}
 
 
 def is_announced(raw: Any) -> bool:
-    """Is this the configuration of an announced fleet, whose machines and workers change it many times a minute?"""
+    """Returns whether a configuration is that of an announced fleet.
+
+    Machines and workers change such a configuration many times a minute.
+    """
     return isinstance(raw, dict) and raw.get("announced") is True
 
 
 @dataclass(eq=False)
 class ConfigurationView:
-    """The newest configuration that a daemon knows; owned by the daemon, read by all that runs in it.
+    """The newest configuration that a daemon knows. The daemon owns the view, and all its components read it.
 
-    Invariants: `revision` only grows, and `manifest` is the checked configuration of that revision; `changes` holds the
-    last changes, each based on the one before it; `last_contact` is the time at which another daemon was asked that then
-    answered and knew no newer revision; `fresh` is set once, when what is known here is proved to be no older than what
-    was in force as this process started.
+    Invariants: `revision` only grows, and `manifest` is the validated configuration of that revision, or None before
+    the first; `changes` holds the last changes, each based on the one before it; `last_contact` is the latest time at
+    which a request was sent to another daemon that then answered and had no newer revision; `fresh` is set once, when the
+    view is proved to be no older than the configuration that was in force when this process started; `changed` is set,
+    and replaced by a new event, with each new revision.
     """
 
     owner: str
@@ -58,17 +62,17 @@
     last_contact: float = NEVER
     fresh: bool = False
     changed: asyncio.Event = field(default_factory=asyncio.Event)
-    total: int = 0  # the sum over the parts of the configuration of an announced fleet
+    total: int = 0  # the sum over the parts of an announced fleet's configuration (`checksum.parts_sum`)
 
     def accept(self, revision: int, raw: Any, change: Delta | None = None, total: int | None = None) -> bool:
-        """Puts a newer revision in place; False if it is not newer, or if it is flawed.
+        """Replaces the configuration by a newer revision; returns False if it is not newer, or invalid.
 
-        Parameters: `raw`, the configuration; `change`, which leads to it from the present one, and `total`, the sum over
-        its parts, where these are known already.
+        Parameters: `raw` is the configuration; `change` is the difference from the present configuration to it, and
+        `total` the sum over its parts, if these are known already.
         """
         if revision <= self.revision:
             return False
-        # Control has checked the configuration of an announced fleet; to do so again with each change would cost too much.
+        # Control has validated the configuration of an announced fleet; repeating that for each change costs too much.
         if not is_announced(raw):
             checked = check(raw)
             if not isinstance(checked, Ok):
@@ -87,33 +91,42 @@
         self.changed = asyncio.Event()
         return True
 
-    def note_contact(self, revision: int, asked: float) -> None:
-        """Another daemon, asked at that time, answered and told the revision it runs."""
+    def note_contact(self, revision: int, requested_at: float) -> None:
+        """Notes that another daemon answered a request that was sent at `requested_at`, and reported its revision.
+
+        It counts as contact only if that revision is not newer than this view's.
+        """
         if revision <= self.revision:
-            self.last_contact = max(self.last_contact, asked)
+            self.last_contact = max(self.last_contact, requested_at)
 
     def is_isolated(self, limit: float) -> bool:
-        """Has no other daemon confirmed this view for more than `limit` seconds? Not before there is a configuration."""
+        """Returns whether no other daemon has confirmed this view for more than `limit` seconds.
+
+        It is False as long as there is no configuration.
+        """
         return self.manifest is not None and now() - self.last_contact > limit
 
     def changes_since(self, revision: int) -> FeedAnswer:
-        """What a follower at `revision` lacks: the changes from there on, or a snapshot."""
+        """Returns what a follower at `revision` is missing: the changes since then, or a snapshot."""
         if revision >= self.revision or self.manifest is None:
             return {"edition": self.revision}
-        tail = [change for change in self.changes if change.base >= revision]
-        if tail and tail[0].base == revision:
-            return {"edition": self.revision, "changes": [change.body() for change in tail]}
+        missing_changes = [change for change in self.changes if change.base >= revision]
+        if missing_changes and missing_changes[0].base == revision:
+            return {"edition": self.revision, "changes": [change.body() for change in missing_changes]}
         return {"edition": self.revision, "snapshot": self.manifest, "seal": checksum(self.manifest, self.total)}
 
     def apply_answer(self, answer: FeedAnswer) -> bool:
-        """Accepts what `changes_since` gave; False if it doesn't fit, so that a snapshot is wanted."""
+        """Accepts the answer of another view's `changes_since`.
+
+        Returns False if it can't be applied to this view, which then needs a snapshot.
+        """
         if "snapshot" in answer:
             snapshot = answer["snapshot"]
             return checksum(snapshot) == answer["seal"] and self.accept(answer["edition"], snapshot)
         return all(self._apply_change(change) for change in answer.get("changes", []))
 
     def _apply_change(self, change: ChangeBody) -> bool:
-        """Applies one change; one that is known already is passed over."""
+        """Applies one change, and skips one that is known already; returns False if it can't be applied."""
         if change["edition"] <= self.revision:
             return True
         if change["base"] != self.revision:
@@ -127,13 +140,13 @@
         return self.accept(change["edition"], raw, change["change"], total)
 
     def _total_of(self, raw: Any) -> int:
-        """The sum over the parts of a newer configuration, made from the present one's if there is one."""
+        """Returns the sum over the parts of a newer configuration, derived from the present one's if there is one."""
         if self.manifest is None:
             return parts_sum(raw)
         return self.total + parts_sum_difference(self.manifest, raw)
 
     async def wait(self, past: int, limit: float) -> bool:
-        """True once a revision past the given one is here; False after `limit` seconds."""
+        """Waits for a revision newer than `past`; returns False if there is none within `limit` seconds."""
         try:
             async with asyncio.timeout(limit):
                 while self.revision <= past:
@@ -143,16 +156,16 @@
         return True
 
     def machine(self, name: str) -> Machine | None:
-        """The configuration's record of a machine; None if it has none."""
+        """Returns the configuration's entry of a machine; None if it has none."""
         return self.manifest["machines"].get(name) if self.manifest else None
 
     def addr(self, name: str) -> str:
-        """Where a machine's peers reach it; empty if it is declared gone or unknown."""
+        """Returns the peer address of a machine; empty if it is unknown or declared gone."""
         machine = self.machine(name)
         return machine["peer"] if machine and not machine.get("gone") else ""
 
     def addresses_of_others(self) -> list[str]:
-        """Where the other machines are reached that are not declared gone, in the configuration's order."""
+        """Returns the peer addresses of all other machines that aren't declared gone, in the configuration's order."""
         if self.manifest is None:
             return []
         return [
@@ -162,20 +175,20 @@
         ]
 
     def evacuated(self, name: str) -> bool:
-        """Is a machine in a zone that is evacuated?"""
+        """Returns whether a machine is in an evacuated zone."""
         machine = self.machine(name)
         return bool(machine and self.manifest and machine["area"] in self.manifest.get("evacuated", []))
 
     def order(self, part: int) -> list[str]:
-        """The agreed order of a partition's members; those in evacuated zones stand last."""
+        """Returns a partition's members in the agreed order; those in evacuated zones come last."""
         if self.manifest is None:
             return []
         return sorted(members(self.manifest, part), key=self.evacuated)
 
     def duty(self, duty: str) -> list[str]:
-        """The machines that have a duty; those in evacuated zones stand last."""
+        """Returns the machines that have a duty, in the agreed order; those in evacuated zones come last."""
         return sorted(with_duty(self.manifest, duty), key=self.evacuated) if self.manifest else []
 
     def limit(self, name: str) -> int:
-        """A limit of the configuration by its name; 0 while there is no configuration."""
+        """Returns the limit `name` of the configuration; 0 while there is no configuration."""
         return limit(self.manifest, name) if self.manifest else 0
--- a/postpass/rpc/connection.py
+++ b/postpass/rpc/connection.py
@@ -1,7 +1,7 @@
-"""One connection to a peer: handshake, requests with deadlines, and messages that get no response.
+"""One connection to a peer: the handshake, requests with time limits, and messages that get no response.
 
-The library's asyncio client takes one request at a time; here any number share a connection, and a response is matched
-to its request by the sequence number.
+The thrift library's asyncio client allows one request at a time. Here any number of requests share a connection, and a
+response is matched to its request by the sequence number.
 """
 
 from __future__ import annotations
@@ -25,22 +25,23 @@
 from postpass.runtime.log_events import Event
 
 MAXIMUM_SEQUENCE = 0x7FFFFFFF
-# Parts of the time limit that the tries to connect may take, one after the other; they add up to all of it. The system
-# would send a lost opening packet again only after seconds. Each try lasts longer, so a slow network is no hindrance.
-EARLY_CONNECT_SHARES = (8, 4)
+# Divisors of the time limit for the early attempts to connect (1/8 and 1/4 of it); the last attempt takes the remaining
+# 5/8. There are several attempts because the operating system repeats a lost SYN packet only after seconds. Each
+# attempt lasts longer than the one before, so that one of them succeeds on a slow network too.
+EARLY_CONNECT_DIVISORS = (8, 4)
 LAST_CONNECT_EIGHTHS = 5
 
 
 @dataclass(eq=False)
 class Link:
-    """A connection that this process opened. It belongs to whoever called `open`, who closes it.
+    """A connection that this process opened. The code that called `open` owns it, and closes it.
 
-    States: open, then closed for good (`closed`); every request that waits at that moment gets a fault.
-    Invariant: what is written leaves in the order of the calls.
+    It is open at first, and once closed stays so (`closed`); all requests that are pending then get a fault.
+    Invariant: messages are sent in the order in which they were written.
 
     Attributes:
         address: IP:PORT of the peer.
-        sequence: number of the last message sent; response and request are matched by it.
+        sequence: number of the last message sent; a response has the number of its request.
         pending: requests without a response, by sequence number.
         reader_task: the task that reads responses; it ends with the connection.
         last_received: when the last frame arrived, on the loop's clock; -1 before the first.
@@ -59,9 +60,10 @@
     async def open(
         cls, address: str, limit: float, wire_versions: tuple[int, int] = WIRE_VERSIONS
     ) -> Result[Link, Fault]:
-        """Connects and agrees on a wire version. `limit`, in seconds, holds for each of the two.
+        """Connects and agrees on a wire version; `limit` is the time limit of each of the two steps, in seconds.
 
-        The fault is always `unsent`; its hint is "refused" if it is proved that no process listens at the address.
+        A fault is always `unsent`; its hint is "refused" if the connection was refused, which proves that no process
+        listens at the address.
         """
         host, port = split_address(address)
         try:
@@ -71,11 +73,14 @@
             return Err(Fault("connect", address, str(error) or "no answer in time", hint=hint, unsent=True))
         link = cls(address, reader, writer)
         link.reader_task = asyncio.create_task(link._read_responses())
-        fault = await link._shake_hands(limit, wire_versions)
+        fault = await link._negotiate_version(limit, wire_versions)
         return Ok(link) if fault is None else Err(fault)
 
-    async def _shake_hands(self, limit: float, wire_versions: tuple[int, int]) -> Fault | None:
-        """Says which wire versions this side speaks; None if the peer speaks one of them. Else the link is closed."""
+    async def _negotiate_version(self, limit: float, wire_versions: tuple[int, int]) -> Fault | None:
+        """Tells the peer which wire versions this side speaks.
+
+        Returns None if the peer speaks one of them; otherwise it closes the link and returns the fault.
+        """
         low, high = wire_versions
         future: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
         self.pending[self.put(HANDSHAKE, IDL.Hi(low=low, high=high, release=codec.RELEASE))] = future
@@ -102,24 +107,24 @@
                 data = await frames.next()
                 self.last_received = asyncio.get_running_loop().time()
                 protocol = TBinaryProtocol(TMemoryBuffer(data))
-                name, kind, sequence = protocol.read_message_begin()
+                verb, kind, sequence = protocol.read_message_begin()
                 future = self.pending.pop(sequence, None)
                 if kind == TMessageType.EXCEPTION:
                     result = TApplicationException()
                 else:
-                    result = getattr(IDL.Peer, name + "_result")()
+                    result = getattr(IDL.Peer, verb + "_result")()
                 protocol.read_struct(result)
                 if future is not None and not future.done():
                     future.set_result(result)
         except (asyncio.IncompleteReadError, ConnectionError, OSError):
             pass
-        except Exception as error:  # foreign bytes: the link is closed, the daemon goes on
+        except Exception as error:  # invalid bytes: the link is closed, and the daemon goes on
             why = f"unreadable answer: {error!r:.80}"
             log_events.emit(Event.LINK_CLOSED, self.address, step="read answer", why=why)
         self.close(why)
 
     def close(self, why: str = "closed here") -> None:
-        """Closes the connection, at once and for good; requests that wait get a fault that says why."""
+        """Closes the connection at once; all pending requests get a fault with this reason."""
         if not self.closed:
             self.closed = True
             self.writer.close()
@@ -130,32 +135,33 @@
                 future.set_result(Fault("read answer", self.address, why))
         self.pending.clear()
 
-    def put(self, name: str, *arguments: Any) -> int:
-        """Hands a message to the connection without waiting for anything; returns its sequence number."""
-        record = getattr(IDL.Peer, name + "_args")()
+    def put(self, verb: str, *arguments: Any) -> int:
+        """Writes a message to the connection's buffer without waiting; returns its sequence number."""
+        record = getattr(IDL.Peer, verb + "_args")()
         for spec, argument in zip(record.thrift_spec.values(), arguments, strict=True):
             setattr(record, spec[1], argument)
         self.sequence = (self.sequence + 1) & MAXIMUM_SEQUENCE
-        kind = TMessageType.ONEWAY if codec.is_oneway(name) else TMessageType.CALL
-        data = codec.encode_message(name, kind, self.sequence, record)
+        kind = TMessageType.ONEWAY if codec.is_oneway(verb) else TMessageType.CALL
+        data = codec.encode_message(verb, kind, self.sequence, record)
         self.writer.write(FRAME_HEAD.pack(len(data)) + data)
         return self.sequence
 
     async def drain(self) -> None:
-        """Waits until the connection takes more; raises ConnectionError if it is lost."""
+        """Waits until the connection's buffer has space again. Raises ConnectionError if the connection is lost."""
         await self.writer.drain()
 
-    async def request(self, name: str, body: Body, limit: float) -> PeerResponse:
-        """Sends a request and waits for its response, at most `limit` seconds.
+    async def request(self, verb: str, body: Body, limit: float) -> PeerResponse:
+        """Sends a request, named by its verb, and returns its response, which may take at most `limit` seconds.
 
-        The fault is the peer's own if it responded with one; `unsent` if the link was closed already; it has the code
-        SLOW if there was no response in time. The peer may have handled the request in that case, and in all others.
+        If the peer responded with a fault, that is returned. A fault is `unsent` if the link was closed before the
+        request, and has the code SLOW if there was no response in time. Unless it is `unsent`, the peer may have
+        handled the request.
         """
         if self.closed:
-            return Err(Fault(name, self.address, "the link is closed", unsent=True))
+            return Err(Fault(verb, self.address, "the link is closed", unsent=True))
         future: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        started = asyncio.get_running_loop().time()
-        sequence = self.put(name, codec.encode_body(body))
+        sent_at = asyncio.get_running_loop().time()
+        sequence = self.put(verb, codec.encode_body(body))
         self.pending[sequence] = future
         try:
             async with asyncio.timeout(limit):
@@ -164,40 +170,43 @@
         except ConnectionError as error:
             self.pending.pop(sequence, None)  # before the link closes, which would answer it with a fault
             self.close(str(error))
-            return Err(Fault(name, self.address, str(error)))
+            return Err(Fault(verb, self.address, str(error)))
         except TimeoutError:
             self.pending.pop(sequence, None)
-            if self.last_received < started:
-                # Nothing came since the request went out: the peer may be another process by now, or the network was
-                # cut for so long that this connection would sleep on after the cut heals.
+            if self.last_received < sent_at:
+                # Nothing was received since the request was sent. The peer may have been replaced by another process,
+                # or the network was cut for so long that TCP would go on waiting before it retransmits after the cut
+                # ends.
                 self.close("it does not answer")
-            return Err(Fault(name, self.address, f"no answer within {limit:g} s", SLOW))
+            return Err(Fault(verb, self.address, f"no answer within {limit:g} s", SLOW))
         finally:
             self.pending.pop(sequence, None)
-        return self._response_of(name, result)
+        return self._decode_result(verb, result)
 
-    def _response_of(self, name: str, result: Any) -> PeerResponse:
-        """What a result struct, or what stands in its place, says."""
+    def _decode_result(self, verb: str, result: Any) -> PeerResponse:
+        """Returns the response in a result struct, or in the fault or exception that was received instead of one."""
         if isinstance(result, Fault):
-            return Err(Fault(name, self.address, result.why))
+            return Err(Fault(verb, self.address, result.why))
         if isinstance(result, TApplicationException):
-            return Err(Fault(name, self.address, str(result.message)))
+            return Err(Fault(verb, self.address, str(result.message)))
         if getattr(result, "fault", None) is not None:
             return Err(codec.decode_fault(result.fault))
         if not isinstance(result.success, str):
-            return Err(Fault(name, self.address, "an empty answer"))
+            return Err(Fault(verb, self.address, "an empty answer"))
         try:
             return Ok(json.loads(result.success))
         except ValueError:
-            return Err(Fault(name, self.address, "an answer that is not JSON"))
+            return Err(Fault(verb, self.address, "an answer that is not JSON"))
 
 
 async def _connect(host: str, port: int, limit: float) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """Connects within `limit` seconds. Raises TimeoutError or OSError."""
-    for share in EARLY_CONNECT_SHARES:
+    """Opens a TCP connection within `limit` seconds, in several attempts. Raises TimeoutError or OSError."""
+    for divisor in EARLY_CONNECT_DIVISORS:
         try:
-            return await asyncio.wait_for(asyncio.open_connection(host, port, limit=STREAM_BUFFER_BYTES), limit / share)
+            return await asyncio.wait_for(
+                asyncio.open_connection(host, port, limit=STREAM_BUFFER_BYTES), limit / divisor
+            )
         except TimeoutError:
             pass
-    last = limit * LAST_CONNECT_EIGHTHS / 8
-    return await asyncio.wait_for(asyncio.open_connection(host, port, limit=STREAM_BUFFER_BYTES), last)
+    last_limit = limit * LAST_CONNECT_EIGHTHS / 8
+    return await asyncio.wait_for(asyncio.open_connection(host, port, limit=STREAM_BUFFER_BYTES), last_limit)
--- a/postpass/rpc/framing.py
+++ b/postpass/rpc/framing.py
@@ -1,7 +1,7 @@
-"""Frames over a stream: a length of four bytes, then a message.
+"""Frames on a byte stream: a length of four bytes, followed by a message of that length.
 
-The framing is thrift's own. The library's transport takes any length that a peer announces, so the bound is checked here
-before a byte of the message is read.
+The framing is thrift's own. The library's transport accepts any length that a peer announces, so its upper limit is
+checked here, before any byte of the message is read.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 from postpass.rpc.codec import ProtocolError
 
-FRAME_HEAD = struct.Struct("!i")  # length of the message
+FRAME_HEAD = struct.Struct("!i")  # the length of the message that follows
 MAXIMUM_FRAME_BYTES = 8 << 20
-STREAM_BUFFER_BYTES = 1 << 20  # what asyncio buffers of a connection before it stops reading
+STREAM_BUFFER_BYTES = 1 << 20  # received bytes of a connection that asyncio buffers before it stops reading
 
 
 class FrameSizeError(ProtocolError):
@@ -23,24 +23,24 @@
 
 
 class Stream:
-    """What the library's transports ask of a socket, over asyncio's streams."""
+    """The socket interface that the thrift library's transports use, on top of asyncio's streams."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
     async def read(self, size: int) -> bytes:
-        """Up to `size` bytes; raises EOFError once the peer has closed."""
+        """Reads up to `size` bytes. Raises EOFError if the peer has closed the connection."""
         data = await self.reader.read(size)
         if not data:
             raise EOFError("the peer closed")
         return data
 
     def write(self, data: bytes) -> None:
-        """Hands bytes to the connection."""
+        """Writes bytes to the connection's buffer."""
         self.writer.write(data)
 
     async def flush(self) -> None:
-        """Waits until the connection takes more."""
+        """Waits until the connection's buffer has space again."""
         await self.writer.drain()
 
     def close(self) -> None:
@@ -49,14 +49,18 @@
 
 
 class BoundedFrames(TAsyncFramedTransport):  # type: ignore[misc]
-    """The library's framed transport with a bound on what a peer may announce."""
+    """The library's framed transport, with an upper limit on the frame length that a peer may announce."""
 
     def __init__(self, stream: Stream) -> None:
         super().__init__(stream)
         self.stream = stream
 
     async def next(self) -> bytes:
-        """The next message. Raises FrameSizeError, and asyncio.IncompleteReadError once the peer has closed."""
+        """Reads and returns the next message.
+
+        Raises FrameSizeError for an invalid length, and asyncio.IncompleteReadError if the peer has closed the
+        connection.
+        """
         head = await self.stream.reader.readexactly(FRAME_HEAD.size)
         (size,) = FRAME_HEAD.unpack(head)
         if not 0 < size <= MAXIMUM_FRAME_BYTES:
--- a/postpass/rpc/peer_links.py
+++ b/postpass/rpc/peer_links.py
@@ -1,4 +1,4 @@
-"""Connections to all the peers of a process: one to an address, opened when it is first wanted."""
+"""The connections of a process to its peers: one for each address, opened when it is first used."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 @dataclass(eq=False)
 class PeerLinks:
-    """The links of one process, by the address of the peer. Invariant: at most one open link to an address.
+    """The links of one process. Invariant: it uses at most one open link to an address.
 
     Attributes:
-        links: links that were opened; one that is closed is replaced when it is next wanted.
-        opening: links that are being opened, shared by all who want them.
+        links: the links that were opened, by address; a closed one is replaced when it is next used.
+        opening: tasks that open links, by address, shared by all requests that wait for the link.
     """
 
     links: dict[str, Link] = field(default_factory=dict)
     opening: dict[str, asyncio.Task[Result[Link, Fault]]] = field(default_factory=dict)
 
     async def link(self, address: str, limit: float) -> Result[Link, Fault]:
-        """An open link to an address, after at most `limit` seconds; the fault is always `unsent`.
+        """Returns an open link to an address, within at most `limit` seconds; a fault is always `unsent`.
 
-        Who runs into its limit leaves the attempt running for the others that wait for it.
+        When the time limit passes, the attempt to open the link goes on for others that wait for it.
         """
         link = self.links.get(address)
         if link is not None and not link.closed:
@@ -44,25 +44,28 @@
         return opened
 
     async def _open(self, address: str, limit: float) -> Result[Link, Fault]:
-        """Opens a link and keeps it for the next request, even if whoever asked for it has given up.
+        """Opens a link and stores it for the next request, even if the request that needed it has timed out.
 
-        Opening takes up to twice `limit`. A link that nobody held would live until the garbage collector found it, a
-        moment that differs from run to run.
+        Opening takes up to twice `limit` (connection and handshake). A link without a reference would stay open until
+        the garbage collector found it, at a moment that differs from run to run.
         """
         opened = await Link.open(address, limit)
         if isinstance(opened, Ok):
-            present = self.links.get(address)
-            if present is None or present.closed:
+            current = self.links.get(address)
+            if current is None or current.closed:
                 self.links[address] = opened.unwrap()
         return opened
 
-    async def request(self, address: str, name: str, body: Body, limit: float) -> PeerResponse:
-        """Sends a request to an address; `limit`, in seconds, holds for the link and then for the response. Faults are
-        those of `link` and of `Link.request`."""
+    async def request(self, address: str, verb: str, body: Body, limit: float) -> PeerResponse:
+        """Sends a request, named by its verb, to an address and returns the response.
+
+        `limit`, in seconds, applies first to the opening of the link, and then to the response. Faults are those of
+        `link` and of `Link.request`.
+        """
         opened = await self.link(address, limit)
         if isinstance(opened, Err):
             return opened
-        return await opened.unwrap().request(name, body, limit)
+        return await opened.unwrap().request(verb, body, limit)
 
     def drop(self, address: str) -> None:
         """Closes the link to an address, if there is one."""
--- a/postpass/rpc/peer_server.py
+++ b/postpass/rpc/peer_server.py
@@ -1,4 +1,4 @@
-"""The side of a link that takes messages from peers and hands them to the handlers of this process."""
+"""The server side of links: accepts connections of peers and passes their messages to the handlers of this process."""
 
 from __future__ import annotations
 
@@ -36,15 +36,15 @@
 
 @dataclass(eq=False)
 class PeerServer:
-    """Takes links from peers. Invariant: oneway messages of a link are handled in order, one at a time.
+    """Accepts links from peers. Invariant: oneway messages of a link are handled in order, one at a time.
 
-    Requests of a link are handled at the same time, each in a task of its own.
+    The requests of a link are handled concurrently, each in its own task.
 
     Attributes:
-        process: name of this process, for events and faults.
-        handlers: what handles a message, by its name; a request without a handler is refused.
-        tasks: requests that are being handled.
-        links: connections that are open.
+        process: the name of this process, for events and faults.
+        handlers: the handler of each message, by the message's name (verb); requests without a handler are refused.
+        tasks: the tasks of the requests that are being handled.
+        links: the open connections.
     """
 
     process: str
@@ -54,12 +54,12 @@
     links: OrderedSet[asyncio.StreamWriter] = field(default_factory=OrderedSet)
 
     async def listen(self, address: str) -> None:
-        """Takes links at IP:PORT from now on. Raises OSError if the address can't be had."""
+        """Starts accepting links at an address (IP:PORT). Raises OSError if the address isn't available."""
         host, port = split_address(address)
         self.server = await asyncio.start_server(self._serve, host, port, limit=STREAM_BUFFER_BYTES)
 
     async def close(self) -> None:
-        """Closes all links and ends the handlers that run."""
+        """Stops listening, closes all links and cancels the requests that are being handled."""
         if self.server is not None:
             self.server.close()
         for writer in list(self.links):
@@ -68,7 +68,7 @@
             task.cancel()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serves one link until it is closed, by either side; foreign bytes close it too."""
+        """Serves one link until either side closes it; invalid bytes close it too."""
         peer = _peer_name(writer)
         self.links.add(writer)
         try:
@@ -82,35 +82,35 @@
             writer.close()
 
     async def _read_messages(self, frames: BoundedFrames, writer: asyncio.StreamWriter) -> None:
-        """Reads messages for ever; raises ProtocolError for one that is not of the protocol."""
+        """Reads messages until the link ends. Raises ProtocolError for an invalid one."""
         agreed = False
         while True:
             data = await frames.next()
             protocol = TBinaryProtocol(TMemoryBuffer(data))
-            name, _, sequence = protocol.read_message_begin()
-            if name not in IDL.Peer.thrift_services:
-                raise UnknownMessageError(f"unknown message {name!r:.40}")
-            record = getattr(IDL.Peer, name + "_args")()
+            verb, _, sequence = protocol.read_message_begin()
+            if verb not in IDL.Peer.thrift_services:
+                raise UnknownMessageError(f"unknown message {verb!r:.40}")
+            record = getattr(IDL.Peer, verb + "_args")()
             protocol.read_struct(record)
             argument = getattr(record, record.thrift_spec[1][1])
             if argument is None:
-                raise MissingArgumentError(f"{name} without its argument")
-            if name == HANDSHAKE:
+                raise MissingArgumentError(f"{verb} without its argument")
+            if verb == HANDSHAKE:
                 agreed = self._answer_handshake(argument, sequence, writer)
                 continue
             if not agreed:
-                why = f"{name} before any wire number was agreed on: another release, or no postpass"
+                why = f"{verb} before any wire number was agreed on: another release, or no postpass"
                 raise HandshakeRequiredError(why)
-            if codec.is_oneway(name):
-                if name in self.handlers:
-                    await self.handlers[name](argument)
+            if codec.is_oneway(verb):
+                if verb in self.handlers:
+                    await self.handlers[verb](argument)
             else:
-                task = asyncio.create_task(self._respond(name, sequence, argument, writer))
+                task = asyncio.create_task(self._respond(verb, sequence, argument, writer))
                 self.tasks.add(task)
                 task.add_done_callback(self.tasks.discard)
 
     def _answer_handshake(self, offer: Any, sequence: int, writer: asyncio.StreamWriter) -> bool:
-        """Responds to the first message; False if there is no wire version that both sides speak."""
+        """Responds to a handshake; returns False if there is no wire version that both sides speak."""
         (low, high), result = WIRE_VERSIONS, IDL.Peer.hi_result()
         if offer.low is not None and offer.high is not None and offer.low <= high and offer.high >= low:
             result.success = IDL.Hi(low=low, high=high, release=codec.RELEASE)
@@ -125,29 +125,29 @@
         writer.write(FRAME_HEAD.pack(len(data)) + data)
         return result.fault is None
 
-    async def _respond(self, name: str, sequence: int, argument: str, writer: asyncio.StreamWriter) -> None:
-        """Handles a request and sends the response, which is lost if the link is gone by then."""
-        result = getattr(IDL.Peer, name + "_result")()
+    async def _respond(self, verb: str, sequence: int, argument: str, writer: asyncio.StreamWriter) -> None:
+        """Handles a request and sends the response, which is dropped if the link is closed by then."""
+        result = getattr(IDL.Peer, verb + "_result")()
         try:
-            handler = self.handlers.get(name)
+            handler = self.handlers.get(verb)
             if handler is None:
-                response: PeerResponse = Err(Fault(name, self.process, "no such duty here", BROKE))
+                response: PeerResponse = Err(Fault(verb, self.process, "no such duty here", BROKE))
             else:
                 body = json.loads(argument)
                 if not isinstance(body, dict):
                     raise ValueError("not an object")
                 response = await handler(body)
         except (KeyError, TypeError, ValueError) as error:
-            response = Err(Fault(name, self.process, f"{error!r:.160}", BROKE))
+            response = Err(Fault(verb, self.process, f"{error!r:.160}", BROKE))
             log_events.emit(
-                Event.HANDLER_FAILED, self.process, step=name, peer=_peer_name(writer), why=f"{error!r:.160}"
+                Event.HANDLER_FAILED, self.process, step=verb, peer=_peer_name(writer), why=f"{error!r:.160}"
             )
         if isinstance(response, Ok):
             result.success = codec.encode_body(response.unwrap())
         else:
             result.fault = codec.encode_fault(response.unwrap_err())
         try:
-            data = codec.encode_message(name, TMessageType.REPLY, sequence, result)
+            data = codec.encode_message(verb, TMessageType.REPLY, sequence, result)
             writer.write(FRAME_HEAD.pack(len(data)) + data)
             await writer.drain()
         except (ConnectionError, RuntimeError):
@@ -155,5 +155,5 @@
 
 
 def _peer_name(writer: asyncio.StreamWriter) -> str:
-    """Where a link comes from, for events."""
+    """Returns the remote address of a link, for events."""
     return str(writer.get_extra_info("peername"))
--- a/postpass/runtime/__init__.py
+++ b/postpass/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What a process stands on: clock, network, chance and disk; log events; errors."""
+"""The runtime of a process: clock, network, random numbers and disk; log events; errors."""
--- a/postpass/runtime/deferred_import.py
+++ b/postpass/runtime/deferred_import.py
@@ -1,7 +1,8 @@
-"""Libraries that are loaded when they are first used: a process that is started anew answers sooner without them.
+"""Libraries that are loaded when they are first used, so that a process that starts answers sooner.
 
-After a loss of power all daemons start at once, and nothing is served until they listen; on a slow machine loading a library
-for HTTP clients or for parsers takes longer than all else, and most daemons of an announced fleet never use it.
+After a power loss all daemons start at once, and nothing is served until they listen. On a slow machine, loading a
+library for HTTP clients or for parsers takes longer than the rest of the start, and most daemons of an announced fleet
+never use such a library.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 
 class DeferredModule:
-    """Stands for a module by its name; looking anything up in it loads it."""
+    """A placeholder for a module, which is imported when one of its attributes is first read."""
 
     def __init__(self, name: str) -> None:
         self._name = name
--- a/postpass/runtime/disk.py
+++ b/postpass/runtime/disk.py
@@ -1,7 +1,7 @@
-"""Files of one data directory, which last only once they are synced.
+"""The files of one data directory, whose contents are durable only once they are synced.
 
-`Disk` is what daemons use; `RealDisk` is the file system, and the simulator has one that fails on purpose. Reads block the
-event loop; syncs and replacements run in a thread.
+`Disk` is the interface that daemons use; `RealDisk` implements it on the file system, and the simulator has an
+implementation that injects failures. Reads block the event loop; syncs and replacements run in a thread.
 """
 
 from __future__ import annotations
@@ -15,31 +15,31 @@
 from pathlib import Path
 from typing import Protocol
 
-TEMPORARY_SUFFIX = ".new"  # of a file that is being written; a crash may leave it behind, and nobody reads it
+TEMPORARY_SUFFIX = ".new"  # of a file that is being written; one that a crash leaves behind is never read
 
 
 class Disk(Protocol):
-    """What the daemons ask of a disk; all of it raises OSError, with ENOSPC if there is no space.
+    """The disk operations that daemons use. All of them raise OSError, with errno ENOSPC if there is no space.
 
     Invariant: appended bytes are durable only after `sync` has returned.
     """
 
     def names(self) -> list[str]:
-        """The files, sorted; without those that are being written."""
+        """Returns the names of the files, sorted, without those that are being written."""
         ...
 
     def read(self, name: str) -> bytes:
-        """A whole file, durable or not."""
+        """Returns the contents of a file, including bytes that aren't durable yet."""
         ...
 
     def append(self, name: str, data: bytes) -> None:
-        """Adds bytes to a file, which is made if need be: all of them or, if it raises, none."""
+        """Appends bytes to a file, which is created if needed: all of them or, if it raises, none."""
 
     async def sync(self, name: str) -> None:
-        """Makes durable what was appended to a file before the call."""
+        """Makes all bytes durable that were appended to a file before the call."""
 
     async def write(self, name: str, data: bytes) -> None:
-        """Replaces a file, durably: after a crash the old one is there or the new one, either complete."""
+        """Replaces a file durably and atomically: after a crash either the old or the new contents are complete."""
 
     def truncate(self, name: str, size: int) -> None:
         """Shortens a file to `size` bytes."""
@@ -48,28 +48,29 @@
         """Deletes a file."""
 
     def rename(self, name: str, new: str) -> None:
-        """Gives a file another name."""
+        """Renames a file."""
 
     def space(self) -> tuple[int, int]:
-        """Bytes free, and in all."""
+        """Returns the number of free bytes, and of all bytes."""
         ...
 
 
 @dataclass
 class RealDisk:
-    """Plain files. Invariant: `root` exists; files are opened for append and stay open.
+    """A disk of plain files. Invariant: `root` exists; files are opened for append and stay open.
 
-    A write waits for the disk as a sync does, and a disk may stall for seconds. With a capacity, whether appended bytes
-    fit is known without the disk: they stay in memory until the next `sync`, whose thread writes them, and the event loop
-    never waits. Without one only the write itself tells that there is no space, so that it is made at once.
+    A write waits for the disk just as a sync does, and a disk may stall for seconds. With a capacity, it is known
+    without the disk whether appended bytes fit: they stay in memory until the next `sync`, whose thread writes them, so
+    that the event loop never waits. Without a capacity only the write itself shows that there is no space, so appended
+    bytes are written at once.
 
     Attributes:
-        root: the directory; it is made if need be.
-        capacity: the most bytes that the files may take together; 0 for what the file system has.
-        descriptors: open files by name.
-        used: bytes that the files take, those in memory included.
-        pending: appended bytes that aren't written yet, by file, in their order.
-        writing: held by the one thread that writes and syncs.
+        root: the directory; it is created if needed.
+        capacity: the most bytes that all files together may take; 0 for all that the file system has.
+        descriptors: the descriptors of open files, by name.
+        used: the bytes that all files take, including those in memory.
+        pending: appended bytes that aren't written yet, by file, in the order of the appends.
+        writing: the lock of the one thread that writes and syncs.
     """
 
     root: Path
@@ -84,15 +85,15 @@
 
     def _measure(self) -> int:
         written = sum(f.stat().st_size for f in self.root.iterdir() if f.is_file())
-        return written + sum(len(data) for parts in list(self.pending.values()) for data in list(parts))
+        return written + sum(len(data) for chunks in list(self.pending.values()) for data in list(chunks))
 
     def names(self) -> list[str]:
-        """The files, sorted; without those that are being written."""
+        """Returns the names of the files, sorted, without those that are being written."""
         files = {f.name for f in self.root.iterdir() if f.is_file() and not f.name.endswith(TEMPORARY_SUFFIX)}
-        return sorted(files | {name for name, parts in self.pending.items() if parts})
+        return sorted(files | {name for name, chunks in self.pending.items() if chunks})
 
     def read(self, name: str) -> bytes:
-        """A whole file, durable or not."""
+        """Returns the contents of a file, including bytes that aren't durable yet."""
         self._write_appended(name)
         return (self.root / name).read_bytes()
 
@@ -105,7 +106,7 @@
         return self.descriptors[name]
 
     def _sync_directory(self) -> None:
-        """Makes new and changed names durable."""
+        """Makes created and renamed directory entries durable."""
         directory = os.open(self.root, os.O_RDONLY)
         try:
             os.fsync(directory)
@@ -113,7 +114,7 @@
             os.close(directory)
 
     def append(self, name: str, data: bytes) -> None:
-        """Adds bytes to a file. What was written before an error is taken off again."""
+        """Appends bytes to a file. If writing fails, the part that was written is removed again."""
         if self.capacity and self.used + len(data) > self.capacity:
             raise OSError(errno.ENOSPC, "No space left under the configured disk_bytes")
         if self.capacity:
@@ -124,7 +125,7 @@
         self.used += len(data)
 
     def _write_out(self, name: str, data: bytes) -> None:
-        """Writes bytes to the end of a file: all of them, or none."""
+        """Writes bytes to the end of a file: all of them or, if it raises, none."""
         descriptor = self._descriptor(name)
         size = os.fstat(descriptor).st_size
         done = 0
@@ -136,20 +137,20 @@
             raise
 
     def _write_pending(self, name: str) -> None:
-        """Writes what was appended to a file; called by the holder of `writing`."""
-        parts = self.pending.get(name, deque())
-        taken = [parts.popleft() for _ in range(len(parts))]
-        if taken:
-            self._write_out(name, b"".join(taken))
+        """Writes the pending bytes of a file; the lock `writing` must be held."""
+        chunks = self.pending.get(name, deque())
+        data = [chunks.popleft() for _ in range(len(chunks))]
+        if data:
+            self._write_out(name, b"".join(data))
 
     def _write_appended(self, name: str) -> None:
-        """Writes what was appended to a file, for whoever needs the file itself; waits for the disk."""
+        """Writes the pending bytes of a file, for an operation on the file itself; waits for the disk."""
         if self.pending.get(name):
             with self.writing:
                 self._write_pending(name)
 
     async def sync(self, name: str) -> None:
-        """Writes what was appended to a file and syncs it, in a thread."""
+        """Writes the pending bytes of a file and syncs it, in a thread."""
         await asyncio.to_thread(self._write_and_sync, name)
 
     def _write_and_sync(self, name: str) -> None:
@@ -158,7 +159,7 @@
             os.fsync(self._descriptor(name))
 
     async def write(self, name: str, data: bytes) -> None:
-        """Replaces a file, in a thread: a temporary file is written, synced and renamed, then the directory is synced."""
+        """Replaces a file, in a thread: writes, syncs and renames a temporary file, then syncs the directory."""
         await asyncio.to_thread(self._replace, name, data)
         self.used = self._measure()
 
@@ -203,7 +204,7 @@
         self._sync_directory()
 
     def space(self) -> tuple[int, int]:
-        """Bytes free, and in all: of the configured capacity, or else of the file system."""
+        """Returns the free and the total bytes: of the capacity if there is one, else of the file system."""
         if self.capacity:
             return max(self.capacity - self.used, 0), self.capacity
         stat = os.statvfs(self.root)
--- a/postpass/runtime/environment.py
+++ b/postpass/runtime/environment.py
@@ -1,7 +1,7 @@
-"""What a daemon has of the world beside its event loop: disk, random numbers, the wall clock, HTTP in and out.
+"""A daemon's access to the outside world, apart from its event loop: disk, random numbers, wall clock, HTTP.
 
-Time and the network come through the running asyncio loop, which the simulator replaces by one with
-virtual time and links of its own; so the daemons use `asyncio.sleep` and `open_connection` as usual.
+Time and the network are reached through the running asyncio loop, so daemons use `asyncio.sleep` and `open_connection`
+as usual. The simulator replaces the loop by one with virtual time and a simulated network.
 """
 
 from __future__ import annotations
@@ -29,19 +29,20 @@
 
 Answer = TypeVar("Answer")
 
-CONNECT_LIMIT_S = 1.0  # for a TCP connection to a worker
+CONNECT_LIMIT_S = 1.0  # time limit for opening a TCP connection to a worker
 KEEPALIVE_S = 2.0  # how long an idle HTTP connection stays open
 
 
 @dataclass(frozen=True)
 class Environment:
-    """What differs between a real process, a simulated one and a test. One is made for each process.
+    """The resources that differ between a real process, a simulated one and a test. Each process has one.
 
     Attributes:
-        disk: the data directory; None for a process that keeps nothing.
-        chance: the source of random numbers; a simulation seeds it.
-        wall: the time of day in seconds, for people and for what outlives the process; leases and timers use `now`.
-        connector: makes the connector of an HTTP session.
+        disk: the data directory; None for a process that stores nothing.
+        chance: the random number generator; a simulation seeds it.
+        wall: returns the wall-clock time in seconds, for people and for data that outlives the process; leases and
+            timers use `now`.
+        connector: creates the connector of an HTTP session.
     """
 
     disk: Disk | None = None
@@ -52,7 +53,10 @@
     )
 
     def session(self) -> aiohttp.ClientSession:
-        """An HTTP session, closed by whoever asked for it. It hands bodies on as they came and keeps no cookies."""
+        """Returns a new HTTP session, which the requester has to close.
+
+        It passes bodies on without decompressing them, and stores no cookies.
+        """
         return aiohttp.ClientSession(
             connector=self.connector(),
             auto_decompress=False,
@@ -61,12 +65,15 @@
         )
 
     def deferred_session(self) -> aiohttp.ClientSession:
-        """The same, made when it is first used: a daemon that relays by connections of its own needs none."""
+        """Returns an HTTP session like `session`, which is created when it is first used.
+
+        A daemon that relays requests over its own connections never needs one.
+        """
         return cast("aiohttp.ClientSession", DeferredSession(self.session))
 
 
 class DeferredSession:
-    """An HTTP session that is made when it is first used. `close` makes none."""
+    """An HTTP session that is created when it is first used, except by `close`."""
 
     def __init__(self, make: Callable[[], aiohttp.ClientSession]) -> None:
         self._make = make
@@ -78,18 +85,18 @@
         return getattr(self._made, attribute)
 
     async def close(self) -> None:
-        """Closes the session if there is one."""
+        """Closes the session if it was created."""
         if self._made is not None:
             await self._made.close()
 
 
 def now() -> float:
-    """The one clock for leases and timers: the loop's, monotonic, never the wall."""
+    """Returns the event loop's monotonic time in seconds, the only clock for leases and timers."""
     return asyncio.get_running_loop().time()
 
 
 class _Server(uvicorn.Server):
-    """A server that leaves signals to the daemon."""
+    """An HTTP server that leaves the handling of signals to the daemon."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Generator[None, None, None]:
@@ -99,11 +106,11 @@
 async def gather_until(
     requests: Mapping[str, Coroutine[Any, Any, Answer]], enough: Callable[[dict[str, Answer]], bool], grace: float
 ) -> dict[str, Answer]:
-    """Runs requests at the same time until there are enough answers.
+    """Runs requests concurrently until there are enough answers.
 
-    Once `enough` holds for the answers so far, the rest are waited for at most `grace` seconds and then cancelled.
-    Returns the answers by the names of their requests, in the order of the requests. The loop
-    looks at the answers and clears the event without giving way in between, so no answer is missed.
+    Once `enough` returns True for the answers so far, the remaining requests get at most `grace` more seconds and are
+    then cancelled. Returns the answers by the names of their requests, in the order of the requests. The loop checks
+    the answers and clears the event without an await in between, so no answer is missed.
     """
     answers: dict[str, Answer] = {}
     arrived = asyncio.Event()
@@ -118,12 +125,12 @@
         while len(answers) < len(tasks):
             if deadline is None and enough(answers):
                 deadline = now() + grace
-            left = None if deadline is None else deadline - now()
-            if left is not None and left <= 0:
+            remaining = None if deadline is None else deadline - now()
+            if remaining is not None and remaining <= 0:
                 break
             arrived.clear()
             try:
-                await asyncio.wait_for(arrived.wait(), left)
+                await asyncio.wait_for(arrived.wait(), remaining)
             except TimeoutError:
                 break
     finally:
@@ -135,8 +142,10 @@
 async def serve_http(
     app: ASGIApp, host: str, port: int, stop: asyncio.Event, drain: float = 2.0, protocol: Any = "httptools"
 ) -> None:
-    """Serves an app at `host` and `port` until `stop` is set, then lets open requests come to their end for as long as
-    `drain`, in seconds. `protocol` is uvicorn's name or class of an HTTP protocol. Raises OSError if it can't listen."""
+    """Serves an app at `host` and `port` until `stop` is set, then gives open requests `drain` seconds to finish.
+
+    `protocol` is the name or the class of an HTTP protocol of uvicorn. Raises OSError if it can't listen.
+    """
     settings = uvicorn.Config(
         app, host=host, port=port, http=protocol, ws="none", lifespan="off", loop="none",
         log_config=None, access_log=False, timeout_graceful_shutdown=math.ceil(drain), server_header=False, date_header=False,
--- a/postpass/runtime/errors.py
+++ b/postpass/runtime/errors.py
@@ -1,7 +1,7 @@
-"""Errors that carry the step and the peer at which they arose.
+"""Errors that name the step and the peer at which they occurred.
 
-A `Fault` is a value: handlers return it, links carry it, and whoever asked decides by its `code`, `hint`, `unsent` and
-`unsure` what to do next. `FaultError` raises one, where it has to end the task or the process that met it.
+A `Fault` is a value: handlers return it, links carry it, and the requester decides by its `code`, `hint`, `unsent` and
+`unsure` what to do next. `FaultError` is the exception for a fault that has to end the task or process where it occurs.
 """
 
 from __future__ import annotations
@@ -13,18 +13,21 @@
 
 @unique
 class ErrorCode(IntEnum):
-    """What peers act upon. The numbers are on the wire: HTTP statuses where one fits, so that a gateway can pass them on
-    as they are. A peer of a later release may send others."""
+    """The kinds of faults, by which peers decide what to do.
+
+    The numbers are sent on the wire. They are HTTP statuses where one fits, so that a gateway can pass them on
+    unchanged. A peer of a later release may send other numbers.
+    """
 
     BAD_REQUEST = 400  # the request can never be accepted as it is
     NOT_FOUND = 404
-    CONFLICT = 409  # the id is taken by something else
-    PRECONDITION_FAILED = 412  # the request builds on a version that is not the present one
-    NOT_RESPONSIBLE = 421  # another peer owns what was asked for; the hint may name it
-    TOO_MANY_REQUESTS = 429  # a bound of the client or class is reached; later is fine
+    CONFLICT = 409  # the id is already used for something else
+    PRECONDITION_FAILED = 412  # the request is based on a version that is not the present one
+    NOT_RESPONSIBLE = 421  # another peer owns the partition or job in question; the hint may name it
+    TOO_MANY_REQUESTS = 429  # a limit of the client or class is reached; a later retry may succeed
     PEER_FAILED = 502  # anything else: the peer, its disk or the link to it failed
     REJECTED = 503  # not accepted now; nothing was done
-    TIMED_OUT = 504  # no response in time; it may have been done
+    TIMED_OUT = 504  # no response in time; the request may have been carried out
     NO_SPACE = 507  # the disk has no space
 
 
@@ -42,16 +45,16 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """What failed.
+    """An error as a value.
 
     Attributes:
-        step: what was tried.
-        peer: at whom: a process, an address, or this process itself.
-        why: what was seen, for people.
+        step: the operation that failed.
+        peer: where it failed: the name of a process, an address, or this process itself.
+        why: a description of the error, for people.
         code: an `ErrorCode`, or a number that a later release uses.
-        hint: what code may act upon beside the number, such as the address of the owner.
+        hint: further information that programs may act on, such as the address of the owner.
         unsent: True only if it is proved that no byte of the request left this process.
-        unsure: True if an earlier try at the same thing was left without an answer.
+        unsure: True if an earlier attempt at the same operation got no answer, so that its outcome is unknown.
     """
 
     step: str
@@ -66,12 +69,12 @@
         return f"{self.step} at {self.peer}: {self.why}"
 
     def as_json(self) -> dict[str, Any]:
-        """The fault as clients and operators are told it."""
+        """Returns the fault as a JSON object for clients and operators."""
         return {"step": self.step, "peer": self.peer, "why": self.why} | ({"hint": self.hint} if self.hint else {})
 
 
 class FaultError(Exception):
-    """Ends the task or the process that met a fault."""
+    """Raised for a fault that ends the task or the process in which it occurs."""
 
     def __init__(self, fault: Fault) -> None:
         super().__init__(str(fault))
--- a/postpass/runtime/log_events.py
+++ b/postpass/runtime/log_events.py
@@ -1,8 +1,8 @@
-"""Numbered events of the logs: each line that tells of one begins with the number of its kind.
+"""Numbered log events: each log line of an event begins with the number of its kind.
 
-To add an event: give it a number that was never used, as a member of `Event` at its place, and its text in
-`DESCRIPTIONS`; then write the page `docs/events.md` anew with `python -m postpass.runtime.log_events`. A test holds the
-page and this module together. Numbers never change; a name that changes stays in `FORMER_NAMES`.
+To add an event: add a member with an unused number to `Event`, in numerical order, and its text to `DESCRIPTIONS`; then
+regenerate the page `docs/events.md` with `python -m postpass.runtime.log_events`. A test checks that the page agrees
+with this module. Numbers never change and are never reused; when a name changes, the old one stays in `FORMER_NAMES`.
 """
 
 from __future__ import annotations
@@ -19,8 +19,11 @@
 
 @unique
 class Event(IntEnum):
-    """The kinds of events, by area: 100 process and links, 110 disk, 120 partitions, 130 control, 140 configuration,
-    150 scheduling and workers, 160 live requests, 170 proxied requests."""
+    """The kinds of events, numbered by subject.
+
+    The subjects are: 100 process and links, 110 disk, 120 partitions, 130 control, 140 configuration, 150 scheduling
+    and workers, 160 live requests, 170 proxied requests.
+    """
 
     STARTED = 100
     STOPPING = 101
@@ -143,7 +146,7 @@
     ),
 }
 
-# Names up to release 0.2.0, for those who search older logs.
+# Names in the logs of releases up to 0.2.0, for searches in older logs.
 FORMER_NAMES: dict[Event, str] = {
     Event.WIRE_VERSION_MISMATCH: "wire-unmet", Event.SEEDS_CHANGED: "seeds", Event.SETTINGS_REJECTED: "settings-bad",
     Event.DISK_FORMATTED: "disk-new", Event.DISK_TORN_TAIL: "disk-torn", Event.OWNER_ELECTED: "owner",
@@ -159,7 +162,7 @@
     Event.PROXY_BROKEN: "relay-broken", Event.PROXY_LATE: "relay-late", Event.PROXY_REJECTED: "relay-refused",
 }  # fmt: skip
 
-# Told as warnings: someone has to look at these.
+# Logged as warnings, since an operator has to deal with them.
 WARNINGS = frozenset(
     {
         Event.TASK_FAILED,
@@ -173,7 +176,7 @@
 
 @dataclass(frozen=True)
 class CatalogueEntry:
-    """A kind of event as the page lists it. `former_name` is the present one if it never changed."""
+    """A kind of event, as `docs/events.md` lists it. `former_name` equals `name` if the name never changed."""
 
     name: str
     former_name: str
@@ -188,26 +191,27 @@
     int(event): CatalogueEntry(_name_of(event), FORMER_NAMES.get(event, _name_of(event)), DESCRIPTIONS[event])
     for event in Event
 }
-# The newest events with their text, oldest first, and how many of each kind there were; of this process.
+# This process's latest events (number and text), oldest first, and the count of its events by number.
 RECENT: deque[tuple[int, str]] = deque(maxlen=RECENT_EVENTS)
 COUNTS: Counter[int] = Counter()
 
 
 def emit(number: int, process: str, /, **details: object) -> None:
-    """Logs an event.
+    """Logs and counts an event.
 
-    Parameters: `number` is its kind, a member of `Event`; `process` the name of the process it concerns, or the address
-    of the peer; `details` follow in the line as `key=value`. Raises KeyError for a number that is not in the catalogue.
+    Parameters: `number` is its kind, a member of `Event`; `process` is the name of the process that it concerns, or the
+    address of the peer; `details` are appended to the line as `key=value`. Raises KeyError for a number that is not in
+    the catalogue.
     """
     name = CATALOGUE[number].name
-    tail = " ".join(f"{key}={value}" for key, value in details.items())
+    details_text = " ".join(f"{key}={value}" for key, value in details.items())
     COUNTS[number] += 1
-    RECENT.append((number, f"{process} {tail}"))
-    (logging.warning if number in WARNINGS else logging.info)("E%03d %s %s %s", number, name, process, tail)
+    RECENT.append((number, f"{process} {details_text}"))
+    (logging.warning if number in WARNINGS else logging.info)("E%03d %s %s %s", number, name, process, details_text)
 
 
 def catalogue() -> str:
-    """The page `docs/events.md`."""
+    """Returns the contents of the page `docs/events.md`."""
     rows = "\n".join(
         f"| E{number:03d} | {entry.name} | {entry.former_name} | {entry.description} |"
         for number, entry in sorted(CATALOGUE.items())
--- a/postpass/runtime/ordered_set.py
+++ b/postpass/runtime/ordered_set.py
@@ -1,6 +1,7 @@
-"""A set that is walked in the order in which its elements came.
+"""A set that is iterated in the order in which its elements were added.
 
-A built-in set of objects is walked in the order of their addresses, which differs from run to run.
+A built-in set of objects is iterated in the order of their hashes, which depend on memory addresses and so differ from
+run to run.
 """
 
 from __future__ import annotations
@@ -12,10 +13,14 @@
 
 
 class OrderedSet(MutableSet[Element]):
-    """Invariant: an element that is added again keeps its place; one that was discarded in between comes last."""
+    """A set in insertion order.
+
+    Invariant: an element that is added again keeps its position, unless it was discarded in between; then it comes
+    last.
+    """
 
     def __init__(self, elements: Iterable[Element] = ()) -> None:
-        """Begins with these elements, in their order."""
+        """Creates a set of these elements, in their order."""
         self._elements: dict[Element, None] = dict.fromkeys(elements)
 
     def __contains__(self, element: object) -> bool:
@@ -28,9 +33,9 @@
         return len(self._elements)
 
     def add(self, value: Element) -> None:
-        """Puts an element at the end, if it isn't there."""
+        """Adds an element at the end, unless the set contains it already."""
         self._elements[value] = None
 
     def discard(self, value: Element) -> None:
-        """Takes an element out, if it is there."""
+        """Removes an element if the set contains it."""
         self._elements.pop(value, None)
--- a/postpass/worker_api/openai.py
+++ b/postpass/worker_api/openai.py
@@ -1,7 +1,7 @@
-"""The adapter to workers: the OpenAI-compatible HTTP interface that common model servers publish.
+"""The adapter to workers: a client of the OpenAI-compatible HTTP interface that common model servers have.
 
-Everything postpass knows of that interface is in this file: streamed completions, health, models, and the
-gauges of the metrics page that tell running and waiting requests and the KV cache's use.
+All that postpass uses of that interface is in this file: streamed completions, health, models, and the gauges of the
+metrics page for running requests, waiting requests and the use of the KV cache.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 else:
     aiohttp = DeferredModule("aiohttp")
 
-MAX_LINE = 64 << 10  # bytes of a line of a stream
-MAX_METRICS = 256 << 10  # bytes of a metrics page that are read
+MAX_LINE = 64 << 10  # the most bytes of a line in a stream
+MAX_METRICS = 256 << 10  # the most bytes of a metrics page that are read
 CONNECT_TIMEOUT = 1.0  # seconds
-UNTOLD = -1  # the place of a piece that the worker doesn't tell
-STEP = "complete"  # of the faults of a completion
-REJECTIONS = (429, 503)  # statuses that say that the worker took nothing
-# Gauges of the metrics page, by the field of a report that they fill.
+UNKNOWN_OFFSET = -1  # the offset of a piece if the worker doesn't report it
+STEP = "complete"  # the step in faults of a completion
+REJECTIONS = (429, 503)  # statuses that mean that the worker did not accept the request
+# The field of a report that is read from each gauge of the metrics page.
 GAUGES = {
     "vllm:num_requests_running": "running",
     "vllm:num_requests_waiting": "waiting",
@@ -39,20 +39,26 @@
 
 @dataclass(frozen=True)
 class Report:
-    """What a worker says of itself. Invariant: every field was read in one poll, or carried on from the last one for
-    `weights` and `revision`, which change only with a restart."""
+    """A worker's state, as it reports it.
 
-    running: int  # requests
-    waiting: int  # requests
-    cache: float  # part of the KV cache in use
-    start: float  # seconds since the epoch; 0 if it isn't told
-    weights: str  # the model that it serves
-    revision: str  # of its software
+    Invariant: all fields were read in one poll, except that `weights` and `revision`, which change only with a restart,
+    may be those of an earlier poll.
+    """
+
+    running: int  # number of requests that it is processing
+    waiting: int  # number of requests in its queue
+    cache: float  # fraction of the KV cache that is in use
+    start: float  # when it was started, in seconds since the Unix epoch; 0 if it doesn't report that
+    weights: str  # name of the model that it serves
+    revision: str  # version of its software
 
 
 async def report(session: aiohttp.ClientSession, url: str, limit: float, old: Report | None) -> Report:
-    """Reads a worker within `limit` seconds. `old`: its last report, whose model and revision are kept if the worker
-    hasn't been restarted since. Raises FaultError with step and peer if it can't be read."""
+    """Returns a worker's report, read within `limit` seconds.
+
+    `old` is its previous report, whose model and revision are reused if the worker hasn't been restarted since. Raises
+    FaultError with the step and the peer if the report can't be read.
+    """
     step = "health"
     try:
         async with asyncio.timeout(limit):
@@ -62,14 +68,14 @@
             step = "metrics"
             async with session.get(f"{url}/metrics") as response:
                 text = (await response.content.read(MAX_METRICS)).decode()
-            seen = {
+            gauges = {
                 GAUGES[s.name]: float(s.value)
                 for family in text_string_to_metric_families(text)
                 for s in family.samples
                 if s.name in GAUGES
             }
             weights, revision = (old.weights, old.revision) if old else ("", "")
-            if old is None or old.start != seen.get("start", 0.0):
+            if old is None or old.start != gauges.get("start", 0.0):
                 step = "models"
                 async with session.get(f"{url}/v1/models") as response:
                     weights = str((await response.json(content_type=None))["data"][0]["id"])
@@ -78,52 +84,64 @@
                     revision = str((await response.json(content_type=None))["version"])
     except (aiohttp.ClientError, OSError, TimeoutError, ValueError, KeyError, IndexError, TypeError) as error:
         raise FaultError(Fault(step, url, repr(error)[:120])) from error
-    return Report(int(seen.get("running", 0)), int(seen.get("waiting", 0)), seen.get("cache", 0.0),
-                  seen.get("start", 0.0), weights, revision)  # fmt: skip
+    return Report(int(gauges.get("running", 0)), int(gauges.get("waiting", 0)), gauges.get("cache", 0.0),
+                  gauges.get("start", 0.0), weights, revision)  # fmt: skip
 
 
 @dataclass(frozen=True)
 class Prompt:
-    """A prompt of shared parts and a request's own."""
+    """A prompt: the parts that it shares with other requests, followed by the request's own part."""
 
     shared: tuple[str, ...]
     own: str
-    most: int = 256  # tokens of the completion
+    most: int = 256  # the most tokens of the completion
 
     @property
     def text(self) -> str:
-        """All parts in order."""
+        """The complete prompt: all parts in order."""
         return "\n".join([*self.shared, self.own])
 
 
 def offset_of(choice: dict[str, Any]) -> int:
-    """Where a piece stands in the text, or UNTOLD if the worker doesn't tell."""
-    offsets = (choice.get("logprobs") or {}).get("text_offset") or [UNTOLD]
+    """Returns the offset of a piece in the text, or UNKNOWN_OFFSET if the worker doesn't report it."""
+    offsets = (choice.get("logprobs") or {}).get("text_offset") or [UNKNOWN_OFFSET]
     return int(offsets[0])
 
 
 class CompletionReader:
-    """Reads the event stream of one completion line by line. Owner: `complete`. Invariant: all pieces that were given
-    out are of one run of the worker, in order and without a gap, as far as the worker tells their places.
+    """Parses the event stream of one completion line by line. It belongs to one call of `complete`.
 
-    Its methods raise FaultError for a stream that breaks the interface."""
+    Invariant: all pieces that were returned are from one run of the worker, in order and without a gap, as far as the
+    worker reports their offsets. The methods raise FaultError for a stream that violates the interface.
+    """
 
-    __slots__ = ("url", "max_pieces", "check_offsets", "prompt_size", "count", "finished", "_begin", "_size", "_reason")
+    __slots__ = (
+        "url",
+        "max_pieces",
+        "check_offsets",
+        "prompt_size",
+        "count",
+        "finished",
+        "_text_start",
+        "_text_length",
+        "_reason",
+    )
 
     def __init__(self, url: str, max_pieces: int, check_offsets: bool, prompt_size: int) -> None:
         self.url, self.max_pieces, self.check_offsets = url, max_pieces, check_offsets
-        self.prompt_size = prompt_size  # characters
-        self.count = 0  # pieces that were given out
-        self.finished = False  # the worker said that the completion is whole
-        self._begin, self._size = UNTOLD, 0  # where the text begins, and how much of it has come
-        self._reason = ""  # why the worker ended it, once it did
+        self.prompt_size = prompt_size  # in characters
+        self.count = 0  # number of pieces that were returned
+        self.finished = False  # whether the worker reported that the completion is complete
+        # The offset at which the completion's text begins, and how many characters of it were received.
+        self._text_start, self._text_length = UNKNOWN_OFFSET, 0
+        self._reason = ""  # the finish reason, once the worker has sent it
 
     def fault(self, why: str, code: int = BROKE) -> FaultError:
-        """To be raised."""
+        """Returns an exception, for the code that found the error to raise."""
         return FaultError(Fault(STEP, self.url, why, code))
 
     def check_head(self, response: aiohttp.ClientResponse) -> None:
-        """Is the answer a stream at all?"""
+        """Checks the status and the content type of the response, which must be an event stream."""
         if response.status in REJECTIONS:
             raise FaultError(Fault(STEP, self.url, f"shed with {response.status}", CROWD, hint="shed"))
         if response.status != 200:
@@ -132,9 +150,9 @@
             raise self.fault("the answer is no event stream")
 
     def feed(self, line: bytes) -> str:
-        """The piece of one line; empty for a line without text. Sets `finished` at the end."""
+        """Returns the piece of text in one line; empty for a line without text. Sets `finished` at the end."""
         if not line.endswith(b"\n") or len(line) > MAX_LINE:
-            raise self.cut()
+            raise self.cut_error()
         if not line.startswith(b"data:"):
             if line.strip():
                 raise self.fault("garbled stream")
@@ -159,38 +177,38 @@
                 raise self.fault(f"endless: more than {self.max_pieces} pieces")
         return text
 
-    def cut(self) -> FaultError:
-        """The stream ended before the completion did; to be raised."""
+    def cut_error(self) -> FaultError:
+        """Returns the exception for a stream that ended before the completion did."""
         return self.fault(f"cut after {self.count} pieces")
 
     def _check_offset(self, offset: int, text: str) -> None:
-        """Does a piece begin where the last one ended?"""
+        """Checks that a piece begins where the previous one ended."""
         if not text:
-            if offset >= 0 and self._begin >= 0 and offset != self._begin + self._size:
+            if offset >= 0 and self._text_start >= 0 and offset != self._text_start + self._text_length:
                 raise self.fault(f"cut after {self.count} pieces: the end is out of place")
             return
         if offset < 0:
             raise self.fault("pieces without their place in the text; set offsets: false on its pool")
-        if self._begin < 0 and offset in (0, self.prompt_size):  # some workers count from the prompt's start
-            self._begin = offset
-        if self._begin < 0 or offset != self._begin + self._size:
+        if self._text_start < 0 and offset in (0, self.prompt_size):  # some workers count from the prompt's start
+            self._text_start = offset
+        if self._text_start < 0 or offset != self._text_start + self._text_length:
             raise self.fault(f"cut after {self.count} pieces: the next is out of place")
-        self._size += len(text)
+        self._text_length += len(text)
 
 
 class CheckedBody:
-    """A request's body whose bytes go out only if the admission check has nothing against it."""
+    """A request's body, which is sent only if the admission check returns no objection at that moment."""
 
     def __init__(self, url: str, data: bytes, admission_check: Callable[[], str], on_sent: Callable[[], None]) -> None:
         self.url, self.data, self.admission_check, self.on_sent = url, data, admission_check, on_sent
-        self.left = False  # bytes of it may have left
+        self.may_have_left = False  # whether bytes of it may have left this process
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """The body in one chunk. Raises FaultError with an `unsent` fault if the check says why not."""
+        """Yields the body in one chunk. Raises FaultError with an `unsent` fault if the admission check objects."""
         why = self.admission_check()
         if why:
             raise FaultError(Fault("gate", self.url, why, unsent=True))
-        self.left = True
+        self.may_have_left = True
         self.on_sent()
         yield self.data
 
@@ -206,15 +224,15 @@
     max_pieces: int,
     offsets: bool = False,
 ) -> AsyncIterator[str]:
-    """Streams a completion's pieces; ends normally only if the worker said that it was whole.
+    """Requests a completion and yields its pieces; ends normally only if the worker reported that it is complete.
 
-    Parameters: `admission_check`: asked right before the body's bytes go out; what it says, if anything,
-    closes the request unsent. `on_sent` is called at that moment. `idle`: seconds for which nothing may come.
-    `max_pieces`: a longer completion is taken for endless. With `offsets` the worker is asked for the place of each
-    piece in the text (`logprobs.text_offset`, as the interface calls it), so that a piece that is skipped, repeated or
-    out of order is told from the next one.
+    Parameters: `admission_check` is called right before the body is sent; if it returns a reason, the request ends
+    unsent. `on_sent` is called when the body is sent. `idle` is the longest time, in seconds, for which nothing may be
+    received. A completion of more than `max_pieces` pieces counts as endless, and ends with a fault. With `offsets` the
+    worker is asked for the offset of each piece in the text (`logprobs.text_offset` in the interface), so that a piece
+    that was skipped, repeated or out of order is detected.
 
-    Raises FaultError for any fault; `unsent` in it is a proof.
+    Raises FaultError for any fault; if its `unsent` is set, no byte of the body has left this process.
     """
     request = {"model": model, "prompt": prompt.text, "stream": True, "max_tokens": prompt.most}
     data = json.dumps(request | ({"logprobs": 0} if offsets else {}), ensure_ascii=False).encode()
@@ -233,14 +251,14 @@
                     yield text
                 elif reader.finished:
                     return
-            raise reader.cut()
-    except FaultError as stop:
-        if stop.fault.unsent or stop.fault.step == STEP:
+            raise reader.cut_error()
+    except FaultError as fault_error:
+        if fault_error.fault.unsent or fault_error.fault.step == STEP:
             raise
-        raise FaultError(Fault(STEP, url, str(stop), BROKE, unsent=not body.left)) from stop
+        raise FaultError(Fault(STEP, url, str(fault_error), BROKE, unsent=not body.may_have_left)) from fault_error
     except (ValueError, KeyError, IndexError, TypeError) as error:
         raise reader.fault(f"garbled stream: {error!r:.80}") from error
     except (aiohttp.ClientError, OSError, TimeoutError) as error:
         code = SLOW if isinstance(error, TimeoutError) else BROKE
-        cut = f"cut after {reader.count} pieces: " if reader.count else ""
-        raise FaultError(Fault(STEP, url, f"{cut}{error!r:.120}", code, unsent=not body.left)) from error
+        progress = f"cut after {reader.count} pieces: " if reader.count else ""
+        raise FaultError(Fault(STEP, url, f"{progress}{error!r:.120}", code, unsent=not body.may_have_left)) from error
--- a/postpass/worker_api/plugins.py
+++ b/postpass/worker_api/plugins.py
@@ -1,8 +1,8 @@
-"""Plug-ins of operators: how requests of a class are placed on workers, and which requests go to the same worker.
+"""Operators' plug-ins, which place the requests of a class on workers and choose which requests share a worker.
 
 They are found by the entry points `postpass.place` and `postpass.prefix`, and named in the configuration's classes.
-Each is a pure function over frozen values. Where one raises, or answers something that can't be used, this is logged
-and the default is taken, so that no request is harmed.
+Each is a pure function of immutable values. If one raises an exception or returns an invalid result, that is logged and
+the default is used, so that no request fails because of a plug-in.
 """
 
 from __future__ import annotations
@@ -17,22 +17,22 @@
 from postpass.runtime import log_events
 from postpass.runtime.log_events import Event
 
-AFFINITY_MARGIN = 0.25  # of its slots by which the preferred worker may be more loaded than the least loaded one
+AFFINITY_MARGIN = 0.25  # how much higher the preferred worker's load may be than the least load, as a fraction of slots
 
 
 @dataclass(frozen=True)
 class Candidate:
-    """A worker that a plug-in may choose. Invariant: it may take a request now; `free` >= 1.
+    """A worker that a plug-in may choose. Invariant: it can accept a request now; `free` >= 1.
 
     `area` and `fond` are the older names of `zone` and `preferred`, and stay for one release.
     """
 
     name: str
     zone: str
-    free: int  # requests that it may still take from this process
+    free: int  # number of further requests that it may get from this process
     slots: int
-    load: int  # requests under way there, as far as known
-    preferred: bool = False  # the affinity key points here
+    load: int  # number of requests that it is serving, as far as this process knows
+    preferred: bool = False  # whether the request's affinity key maps to this worker
 
     @property
     def area(self) -> str:
@@ -49,10 +49,10 @@
 class PlacementRequest:
     """A request as plug-ins see it. `area` is the older name of `zone`, and stays for one release."""
 
-    kind: str  # its class
-    shared: tuple[str, ...]  # the shared parts of its prompt
-    size: int  # characters of its prompt
-    zone: str  # of the process that places it
+    kind: str  # the name of its class
+    shared: tuple[str, ...]  # the parts of its prompt that it shares with other requests
+    size: int  # length of its prompt, in characters
+    zone: str  # the zone of the process that places it
 
     @property
     def area(self) -> str:
@@ -64,13 +64,16 @@
 Seat = Candidate
 Ask = PlacementRequest
 
-Place = Callable[[PlacementRequest, tuple[Candidate, ...]], str]  # the name of one of the candidates
-Prefix = Callable[[PlacementRequest], str]  # an affinity key: requests with the same key tend to the same worker
+Place = Callable[[PlacementRequest, tuple[Candidate, ...]], str]  # returns the name of one of the candidates
+Prefix = Callable[[PlacementRequest], str]  # returns an affinity key: requests with the same key prefer the same worker
 
 
 def least_loaded(request: PlacementRequest, candidates: tuple[Candidate, ...]) -> str:
-    """The default placement: the preferred worker unless it is much more loaded than the least loaded one; of equally
-    loaded ones, one in the request's own zone."""
+    """Returns the default placement: the preferred worker, unless another one has a much lower load.
+
+    In that case, and if there is no preferred worker, it is the least loaded one; among equally loaded ones, one in the
+    request's own zone.
+    """
     best = min(candidates, key=lambda worker: (worker.load / worker.slots, worker.zone != request.zone, worker.name))
     preferred = next((c for c in candidates if c.preferred), None)
     if preferred is not None and preferred.load / preferred.slots <= best.load / best.slots + AFFINITY_MARGIN:
@@ -79,18 +82,24 @@
 
 
 def first_part_key(request: PlacementRequest) -> str:
-    """The default affinity key: a digest of the first shared part, which clients of one kind have in common."""
+    """Returns the default affinity key: a digest of the first shared part, which clients of one kind have in common.
+
+    It is empty for a request without shared parts.
+    """
     return hashlib.sha256(request.shared[0].encode()).hexdigest()[:16] if request.shared else ""
 
 
 @lru_cache(maxsize=64)
 def find(kind: str, name: str) -> Any:
-    """The plug-in of an entry point. Raises StopIteration if none of this name is installed."""
+    """Returns the plug-in of a kind (`place` or `prefix`). Raises StopIteration if none of this name is installed."""
     return next(e.load() for e in entry_points(group=f"postpass.{kind}") if e.name == name)
 
 
 def place(who: str, name: str, request: PlacementRequest, candidates: tuple[Candidate, ...]) -> str:
-    """The worker that the plug-in `name` chooses, or the default's choice. `who`: this process, for the log."""
+    """Returns the name of the worker that the plug-in `name` chooses, or else the default's choice.
+
+    `who` is the name of this process, for the log.
+    """
     if name:
         try:
             chosen = find("place", name)(request, candidates)
@@ -103,7 +112,10 @@
 
 
 def affinity_key(who: str, name: str, request: PlacementRequest) -> str:
-    """The key that the plug-in `name` gives a request, or the default's. `who`: this process, for the log."""
+    """Returns the affinity key that the plug-in `name` computes for a request, or else the default key.
+
+    `who` is the name of this process, for the log.
+    """
     if name:
         try:
             key = find("prefix", name)(request)
@@ -116,6 +128,8 @@
 
 
 def affinity_worker(key: str, names: list[str]) -> str:
-    """The worker that a key points to, by rendezvous hashing: few keys move when workers come or go. Empty without a
-    key or workers."""
+    """Returns the worker to which an affinity key maps, by rendezvous hashing.
+
+    Few keys move to another worker when workers are added or removed. The result is empty without a key or workers.
+    """
     return max(names, key=lambda name: hashlib.sha256(f"{key}/{name}".encode()).digest()) if key and names else ""
--- a/tests/configuration/test_nginx_import.py
+++ b/tests/configuration/test_nginx_import.py
@@ -7,7 +7,7 @@
 from postpass.configuration.nginx_import import carry_over
 
 
-def test_upstreams_and_locations_are_carried_over_and_the_rest_is_named(tmp_path: Path) -> None:
+def test_upstreams_and_locations_are_converted_and_all_other_directives_are_listed(tmp_path: Path) -> None:
     file = tmp_path / "nginx.conf"
     file.write_text(
         "events {}\nhttp {\n gzip on;\n upstream app { least_conn; server 127.0.0.1:9000 weight=2; server app.local; }\n"
@@ -15,11 +15,11 @@
         "  location ~ x$ { proxy_pass http://app; } location /one { proxy_pass http://127.0.0.2:81; }\n"
         "  location /old/ { proxy_pass http://app/new/; } location /two { proxy_pass http://nowhere; } } }\n"
     )
-    parts, left = carry_over(str(file)).unwrap()
+    parts, notes = carry_over(str(file)).unwrap()
     assert parts["ways"] == {"/view": "app", "/one": "127.0.0.2:81"}
     assert parts["pools"]["app"]["servers"] == {"app-1": {"url": "http://127.0.0.1:9000", "area": "", "slots": 16}}
-    words = "\n".join(left)
-    for word in (
+    all_notes = "\n".join(notes)
+    for expected in (
         "gzip on",
         "least_conn",
         "weight=2",
@@ -30,6 +30,6 @@
         "unchanged",
         "nowhere",
     ):
-        assert word in words, word
+        assert expected in all_notes, expected
     file.write_text("http { oops")
     assert carry_over(str(file)).unwrap_err()[0].startswith(f"{file}:")
--- a/tests/configuration/test_schema.py
+++ b/tests/configuration/test_schema.py
@@ -18,11 +18,11 @@
     rate: float
 
 
-def test_every_flaw_is_listed_with_its_path() -> None:
-    good = {"leaves": {"x": {"size": 1, "mode": "a"}}, "rate": 2}
-    assert validation_errors(Tree, good) == []
-    bad = {"leaves": {"x": {"size": True, "mode": "c", "odd": 1}}, "rate": float("nan")}
-    seen = validation_errors(Tree, bad)
-    assert [f.split(":")[0] for f in seen] == ["leaves.x.odd", "leaves.x.size", "leaves.x.mode", "rate"]
+def test_every_error_is_listed_with_its_path() -> None:
+    valid = {"leaves": {"x": {"size": 1, "mode": "a"}}, "rate": 2}
+    assert validation_errors(Tree, valid) == []
+    invalid = {"leaves": {"x": {"size": True, "mode": "c", "odd": 1}}, "rate": float("nan")}
+    errors = validation_errors(Tree, invalid)
+    assert [f.split(":")[0] for f in errors] == ["leaves.x.odd", "leaves.x.size", "leaves.x.mode", "rate"]
     assert validation_errors(Tree, []) == ["(top): want an object, got []"]
     assert validation_errors(Tree, {"leaves": {}})[0].startswith("rate: missing")
--- a/tests/configuration/test_settings.py
+++ b/tests/configuration/test_settings.py
@@ -6,40 +6,40 @@
 
 from postpass.configuration.settings import Bounds, load, parse
 
-GOOD: dict[str, Any] = {
+VALID: dict[str, Any] = {
     "name": "s1", "area": "a", "peer": "127.1.0.1:7000", "http": "127.1.0.1:8000",
     "seeds": ["127.1.0.1:7000", "127.1.0.2:7000", "127.1.0.3:7000"],
 }  # fmt: skip
 
 
 def test_bounds_keep_their_invariants() -> None:
-    b = Bounds()
-    assert b.beat * 3 <= b.detect
-    assert b.beat * 5 / 2 + b.promise / 2 <= b.contact < b.detect * 9 / 10
-    assert b.detect + b.stagger * 5 + b.promise + b.refill <= b.recover
-    assert b.lease + b.poll <= b.end
-    assert b.follow * 2 <= b.manifest
-    assert b.probe * 3 <= b.leave
-    assert b.acknowledge * 10 <= b.resend
-    assert b.follow * 2 < b.deaf < b.leave
-
-
-def test_config_is_refused_whole_with_key_and_want() -> None:
-    assert parse(GOOD).unwrap().bounds.end == 3.0
-    bad = GOOD | {"peer": "localhost:1", "seeds": [], "duties": ["store"], "bounds": {"end": 0}}
-    seen = parse(bad).unwrap_err()
-    assert [s.split(":")[0] for s in seen] == ["peer", "seeds", "data", "bounds.end"]
-    assert parse(GOOD | {"odd": 1}).unwrap_err()[0].startswith("odd: unknown key")
+    bounds = Bounds()
+    assert bounds.beat * 3 <= bounds.detect
+    assert bounds.beat * 5 / 2 + bounds.promise / 2 <= bounds.contact < bounds.detect * 9 / 10
+    assert bounds.detect + bounds.stagger * 5 + bounds.promise + bounds.refill <= bounds.recover
+    assert bounds.lease + bounds.poll <= bounds.end
+    assert bounds.follow * 2 <= bounds.manifest
+    assert bounds.probe * 3 <= bounds.leave
+    assert bounds.acknowledge * 10 <= bounds.resend
+    assert bounds.follow * 2 < bounds.deaf < bounds.leave
+
+
+def test_invalid_settings_are_rejected_with_the_key_and_what_is_expected() -> None:
+    assert parse(VALID).unwrap().bounds.end == 3.0
+    invalid = VALID | {"peer": "localhost:1", "seeds": [], "duties": ["store"], "bounds": {"end": 0}}
+    errors = parse(invalid).unwrap_err()
+    assert [s.split(":")[0] for s in errors] == ["peer", "seeds", "data", "bounds.end"]
+    assert parse(VALID | {"odd": 1}).unwrap_err()[0].startswith("odd: unknown key")
     assert load("/no/such", {}).unwrap_err() == ["/no/such: cannot be read: No such file or directory"]
 
 
-def test_the_figures_of_the_rate_limit_have_defaults_and_may_be_zero_but_for_the_window() -> None:
+def test_the_bounds_of_the_rate_limit_have_defaults_and_may_be_zero_except_the_window() -> None:
     bounds = Bounds()
     assert (bounds.quota_window, bounds.quota_excess, bounds.quota_extra) == (5.0, 0.1, 20.0)
-    given = parse(GOOD | {"bounds": {"quota_window": 2.5, "quota_excess": 0, "quota_extra": 0}}).unwrap().bounds
-    assert (given.quota_window, given.quota_excess, given.quota_extra) == (2.5, 0, 0)
-    bad = parse(GOOD | {"bounds": {"quota_window": 0, "quota_excess": -0.1, "quota_extra": -1}}).unwrap_err()
-    assert bad == [
+    parsed = parse(VALID | {"bounds": {"quota_window": 2.5, "quota_excess": 0, "quota_extra": 0}}).unwrap().bounds
+    assert (parsed.quota_window, parsed.quota_excess, parsed.quota_extra) == (2.5, 0, 0)
+    errors = parse(VALID | {"bounds": {"quota_window": 0, "quota_excess": -0.1, "quota_extra": -1}}).unwrap_err()
+    assert errors == [
         "bounds.quota_window: want a number above 0, got 0",
         "bounds.quota_excess: want 0 or more, got -0.1",
         "bounds.quota_extra: want 0 or more, got -1",
--- a/tests/configuration/test_tenants.py
+++ b/tests/configuration/test_tenants.py
@@ -1,4 +1,4 @@
-"""Tenants in the product's own configuration: what makes them invalid, and what of them an older daemon may not know."""
+"""Tests of tenants in the configuration: which are invalid, and which of their keys an older daemon may not know."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     return check(manifest() | {"tenants": tenants}).err() or []
 
 
-def test_proper_tenants_are_taken() -> None:
+def test_valid_tenants_are_accepted() -> None:
     assert errors_of({}) == []
     assert errors_of({"t": tenant(DIGEST_A, DIGEST_A, rank=2), "u": tenant(DIGEST_B, rate=63.0, burst=6.5)}) == []
 
@@ -41,11 +41,11 @@
         ({"t": tenant(odd=1)}, "tenants.t.odd: unknown key; known are burst, keys, rank, rate"),
     ],
 )
-def test_an_invalid_tenant_is_refused_with_the_path(tenants: Any, error: str) -> None:
+def test_an_invalid_tenant_is_rejected_with_the_path(tenants: Any, error: str) -> None:
     assert errors_of(tenants)[0] == error
 
 
-def test_keys_of_tenants_and_routes_are_among_those_that_an_older_daemon_may_not_know() -> None:
+def test_used_keys_include_those_of_tenants_and_routes() -> None:
     plain: Any = manifest()
     route = {"host": "h", "prefix": "/", "public": True}
     newer: Any = plain | {"tenants": {"t": tenant(rank=1)}, "routes": {"r": route}}
@@ -55,14 +55,14 @@
     }  # fmt: skip
 
 
-def test_a_digest_is_told_from_a_key() -> None:
+def test_a_digest_is_distinguished_from_a_key() -> None:
     assert is_digest(DIGEST_A) and not is_digest(DIGEST_A[:-1]) and not is_digest(f"{DIGEST_A}\n")
 
 
-def test_equal_parts_are_taken_from_the_older_value() -> None:
+def test_equal_parts_are_the_objects_of_the_older_value() -> None:
     old: Any = {"a": {"x": [1], "y": [2]}, "b": {"z": 3}}
     new: Any = {"c": 1, "b": {"z": 3}, "a": {"x": [1], "y": [5]}}
-    got = reusing(old, new)
-    assert got == new and list(got) == list(new)
-    assert got["b"] is old["b"] and got["a"]["x"] is old["a"]["x"] and got["a"]["y"] is new["a"]["y"]
+    result = reusing(old, new)
+    assert result == new and list(result) == list(new)
+    assert result["b"] is old["b"] and result["a"]["x"] is old["a"]["x"] and result["a"]["y"] is new["a"]["y"]
     assert reusing(old, {"b": {"z": 3}, "a": {"x": [1], "y": [2]}}) is old
--- a/tests/feed/test_configuration_view.py
+++ b/tests/feed/test_configuration_view.py
@@ -8,7 +8,7 @@
 from tests.support.sample_configuration import small_configuration
 
 
-def test_a_daemon_never_goes_back_an_edition() -> None:
+def test_a_view_never_goes_back_to_an_older_revision() -> None:
     async def run() -> None:
         configuration_view = ConfigurationView("x")
         assert (
@@ -22,28 +22,30 @@
     asyncio.run(run())
 
 
-def test_evacuated_members_stand_last() -> None:
+def test_members_in_evacuated_zones_come_last() -> None:
     configuration_view = ConfigurationView("x", small_configuration(), 1)
     assert configuration_view.order(0)[0] == "s1"
     configuration_view.manifest = small_configuration() | {"evacuated": ["a"]}  # type: ignore[assignment]
     assert configuration_view.order(0)[-1] == "s1" and configuration_view.evacuated("s1")
 
 
-def test_followers_take_changes_from_their_place_or_a_snapshot() -> None:
-    main, near, late = ConfigurationView("m"), ConfigurationView("n"), ConfigurationView("l")
-    main.accept(1, small_configuration())
-    assert near.apply_answer(main.changes_since(0)) and near.revision == 1
+def test_followers_get_the_changes_since_their_revision_or_a_snapshot() -> None:
+    source, follower, outdated = ConfigurationView("m"), ConfigurationView("n"), ConfigurationView("l")
+    source.accept(1, small_configuration())
+    assert follower.apply_answer(source.changes_since(0)) and follower.revision == 1
     for revision in range(2, MAX_CHANGES + 9):
-        main.accept(revision, small_configuration() | {"name": f"e{revision}"})
-        assert "changes" in main.changes_since(near.revision) and near.apply_answer(main.changes_since(near.revision))
-    assert near.manifest == main.manifest
-    late.accept(1, small_configuration())
+        source.accept(revision, small_configuration() | {"name": f"e{revision}"})
+        assert "changes" in source.changes_since(follower.revision) and follower.apply_answer(
+            source.changes_since(follower.revision)
+        )
+    assert follower.manifest == source.manifest
+    outdated.accept(1, small_configuration())
     assert (
-        "snapshot" in main.changes_since(1)
-        and late.apply_answer(main.changes_since(1))
-        and late.revision == main.revision
+        "snapshot" in source.changes_since(1)
+        and outdated.apply_answer(source.changes_since(1))
+        and outdated.revision == source.revision
     )
-    odd = main.changes_since(main.revision - 1)
-    near.revision -= 1
-    odd["changes"][0]["seal"] = "other"
-    assert not near.apply_answer(odd)
+    answer = source.changes_since(source.revision - 1)
+    follower.revision -= 1
+    answer["changes"][0]["seal"] = "other"
+    assert not follower.apply_answer(answer)
--- a/tests/feed/test_messages.py
+++ b/tests/feed/test_messages.py
@@ -1,11 +1,11 @@
-"""The feed's messages and the rotation of its followers."""
+"""Tests of postpass.feed.messages: the feed's messages, and the rotation of its followers."""
 
 from __future__ import annotations
 
 from postpass.feed.messages import MAX_HOLD_S, Poll, Rotation, Stale
 
 
-def test_messages_survive_the_wire() -> None:
+def test_messages_are_read_as_they_were_written() -> None:
     poll, stale = Poll(7, 1.5, "e1"), Stale(6, ("10.0.0.1:7000",))
     assert Poll.from_json(poll.as_json()) == poll
     assert "who" not in Poll(7).as_json()
--- a/tests/rpc/test_codec.py
+++ b/tests/rpc/test_codec.py
@@ -8,7 +8,7 @@
 from postpass.runtime.errors import SLOW, Fault
 
 
-def test_a_message_has_these_bytes() -> None:
+def test_the_encoding_of_a_message() -> None:
     data = encode_message("ping", TMessageType.CALL, 7, IDL.Peer.ping_args(body=encode_body({"kept": 1})))
     head = b"\x80\x01\x00\x01" + b"\0\0\0\4ping" + b"\0\0\0\7"
     assert data == head + b"\x0b\0\1" + b"\0\0\0\x0a" + b'{"kept":1}' + b"\0"
--- a/tests/rpc/test_framing.py
+++ b/tests/rpc/test_framing.py
@@ -26,11 +26,11 @@
 
 
 @pytest.mark.parametrize("size", [0, -1, MAXIMUM_FRAME_BYTES + 1])
-def test_a_length_out_of_bounds_is_refused_before_the_message_is_read(size: int) -> None:
+def test_an_invalid_length_is_rejected_before_the_message_is_read(size: int) -> None:
     with pytest.raises(FrameSizeError, match=f"a frame of {size} bytes"):
         next_frame(FRAME_HEAD.pack(size))
 
 
-def test_a_frame_that_ends_early_is_told_apart() -> None:
+def test_a_truncated_frame_is_detected() -> None:
     with pytest.raises(asyncio.IncompleteReadError):
         next_frame(b"\0\0\0\3ab")
--- a/tests/runtime/test_disk.py
+++ b/tests/runtime/test_disk.py
@@ -13,7 +13,7 @@
 from postpass.runtime.disk import RealDisk
 
 
-def test_real_disk_keeps_replaces_and_caps(tmp_path: Path) -> None:
+def test_a_disk_appends_replaces_renames_and_limits_its_size(tmp_path: Path) -> None:
     disk = RealDisk(tmp_path / "d", capacity=64)
     disk.append("log", b"one")
     asyncio.run(disk.sync("log"))
@@ -24,10 +24,10 @@
     assert disk.read("log") == b"o" and disk.space() == (64 - 7, 64)
     try:
         disk.append("log", b"x" * 64)
-    except OSError as bad:
-        assert bad.errno == 28
+    except OSError as error:
+        assert error.errno == 28
     else:
-        raise AssertionError("a full disk took more")
+        raise AssertionError("a full disk accepted more bytes")
     assert disk.read("log") == b"o"
     disk.rename("log", "bad-log")
     disk.remove("mark")
@@ -71,13 +71,13 @@
     asyncio.run(main())
 
 
-def test_a_disk_that_stalls_stops_no_event_loop(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A stalled disk holds up a write as it does a sync: neither may be waited for by the event loop's thread."""
-    goes_on, loop_thread, write, fsync = threading.Event(), threading.get_ident(), os.write, os.fsync
+def test_a_stalled_disk_does_not_block_the_event_loop(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """A stalled disk delays a write as well as a sync, so the event loop's thread must not wait for either."""
+    disk_resumes, loop_thread, write, fsync = threading.Event(), threading.get_ident(), os.write, os.fsync
 
     def wait_for_the_disk() -> None:
         assert threading.get_ident() != loop_thread, "the event loop waits for the disk"
-        assert goes_on.wait(10)
+        assert disk_resumes.wait(10)
 
     def stalled_write(descriptor: int, data: bytes) -> int:
         wait_for_the_disk()
@@ -89,7 +89,7 @@
 
     async def main() -> None:
         disk = RealDisk(tmp_path / "d", capacity=1 << 20)
-        # The event loop's own pipe is written to as well, but not by this name.
+        # Only the disk module's `os` is replaced: the event loop uses `os.write` too, for its own pipe.
         monkeypatch.setattr("postpass.runtime.disk.os", SimpleNamespace(**vars(os)))
         monkeypatch.setattr("postpass.runtime.disk.os.write", stalled_write)
         monkeypatch.setattr("postpass.runtime.disk.os.fsync", stalled_fsync)
@@ -99,7 +99,7 @@
         disk.append("log", b"two")
         await asyncio.sleep(0.01)
         assert not synced.done()
-        goes_on.set()
+        disk_resumes.set()
         await synced
         await disk.sync("log")
         assert (tmp_path / "d" / "log").read_bytes() == b"onetwo"
--- a/tests/runtime/test_log_events.py
+++ b/tests/runtime/test_log_events.py
@@ -9,13 +9,13 @@
 
 from postpass.runtime.log_events import CATALOGUE, COUNTS, DESCRIPTIONS, RECENT, Event, catalogue, emit
 
-# Operators search logs by these, so a number never changes its meaning.
+# Operators search their logs by these numbers, so the meaning of a number never changes.
 EVENTS_OF_0_2_0 = {100: "started", 101: "stopping", 102: "link-closed", 103: "task-failed", 104: "handler-failed", 105: "handing-over", 106: "wire-unmet", 107: "seeds", 108: "settings-bad", 110: "disk-new", 111: "disk-torn", 112: "disk-damaged", 113: "disk-failed", 114: "disk-full", 120: "owner", 121: "owner-lost", 122: "mirror-silent", 123: "mirror-refill", 124: "members", 125: "loss", 126: "handed-on", 130: "primary", 131: "primary-lost", 132: "backup", 133: "control-loss", 134: "voter", 135: "founded", 136: "joined", 137: "dropped", 138: "ordered", 140: "manifest", 141: "manifest-shed", 142: "fresh", 143: "deaf", 144: "in-force", 145: "change-unfit", 150: "sched-on", 151: "sched-off", 152: "loan-back", 153: "worker", 154: "plug-failed", 160: "call-broken", 161: "claim", 170: "relay-broken", 171: "worker-avoided", 172: "relay-late", 173: "relay-refused"}  # fmt: skip
 
 
-def test_the_catalogue_in_the_docs_is_this_one() -> None:
+def test_the_page_of_events_agrees_with_the_catalogue() -> None:
     page = Path(__file__).parent.parent.parent / "docs" / "events.md"
-    assert page.read_text() == catalogue(), "write it anew: python -m postpass.runtime.log_events"
+    assert page.read_text() == catalogue(), "regenerate the page: python -m postpass.runtime.log_events"
 
 
 def test_numbers_and_former_names_are_those_of_the_release() -> None:
--- a/tests/worker_api/test_plugins.py
+++ b/tests/worker_api/test_plugins.py
@@ -20,36 +20,36 @@
 CANDIDATES = (Candidate("a", "x", 2, 4, 2), Candidate("b", "y", 3, 4, 1), Candidate("c", "x", 3, 4, 1))
 
 
-def test_least_loaded_near_and_fond() -> None:
-    ask = PlacementRequest("ask", ("s",), 1, "x")
-    assert least_loaded(ask, CANDIDATES) == "c"
-    assert least_loaded(ask, (Candidate("a", "x", 2, 4, 2, preferred=True), *CANDIDATES[1:])) == "a"
-    assert least_loaded(ask, (Candidate("a", "x", 1, 4, 3, preferred=True), *CANDIDATES[1:])) == "c"
+def test_the_default_placement_considers_load_zone_and_the_preferred_worker() -> None:
+    request = PlacementRequest("ask", ("s",), 1, "x")
+    assert least_loaded(request, CANDIDATES) == "c"
+    assert least_loaded(request, (Candidate("a", "x", 2, 4, 2, preferred=True), *CANDIDATES[1:])) == "a"
+    assert least_loaded(request, (Candidate("a", "x", 1, 4, 3, preferred=True), *CANDIDATES[1:])) == "c"
 
 
-def test_a_plug_in_that_raises_or_answers_nonsense_harms_no_call(monkeypatch: Any) -> None:
+def test_the_default_replaces_a_plug_in_that_raises_or_returns_an_invalid_result(monkeypatch: Any) -> None:
     import sys
 
-    ask = PlacementRequest("ask", ("s",), 1, "x")
-    before = log_events.COUNTS[154]
+    request = PlacementRequest("ask", ("s",), 1, "x")
+    earlier_count = log_events.COUNTS[154]
     plugins = sys.modules[place.__module__]
     monkeypatch.setattr(
         plugins, "find", lambda kind, name: {"nonsense": lambda *_: "nowhere", "raises": lambda *_: 1 / 0}[name]
     )
-    assert place("e1", "nonsense", ask, CANDIDATES) == place("e1", "raises", ask, CANDIDATES) == "c"
-    assert affinity_key("e1", "raises", ask) == first_part_key(ask)
-    assert log_events.COUNTS[154] == before + 3
-    monkeypatch.setattr(plugins, "find", lambda kind, name: lambda _ask, seats: seats[0].name)
-    assert place("e1", "mine", ask, CANDIDATES) == "a"
+    assert place("e1", "nonsense", request, CANDIDATES) == place("e1", "raises", request, CANDIDATES) == "c"
+    assert affinity_key("e1", "raises", request) == first_part_key(request)
+    assert log_events.COUNTS[154] == earlier_count + 3
+    monkeypatch.setattr(plugins, "find", lambda kind, name: lambda _request, candidates: candidates[0].name)
+    assert place("e1", "mine", request, CANDIDATES) == "a"
 
 
-def test_older_names_of_the_public_types_stay() -> None:
+def test_older_names_of_the_public_types_still_work() -> None:
     assert Ask is PlacementRequest and Seat is Candidate
     request, candidate = Ask("ask", (), 1, "x"), Seat("a", "y", 1, 4, 3, True)
     assert (request.area, candidate.area, candidate.fond) == ("x", "y", True)
 
 
-def test_prefix_keys_move_little() -> None:
+def test_few_affinity_keys_move_when_a_worker_is_removed() -> None:
     names = [f"w{i}" for i in range(9)]
     keys = [f"k{i}" for i in range(300)]
     moved = sum(affinity_worker(k, names) != affinity_worker(k, names[:-1]) for k in keys)
