--- a/postpass/gateway/admission_control.py
+++ b/postpass/gateway/admission_control.py
@@ -62,7 +62,7 @@
 
     def exclusion_reason(self, pool: str, worker: str) -> str:
         """Returns why a worker may get no new requests; empty if it may."""
-        return self.worker_load.barred(pool, worker, self.report_max_age)
+        return self.worker_load.barred_reason(pool, worker, self.report_max_age)
 
     # --- shares
     def quota(self, class_name: str) -> int:
@@ -79,7 +79,8 @@
     def has_capacity(self, class_name: str) -> bool:
         """Returns whether one more request of the class may be in flight at this edge.
 
-        It may use the quota of its class, or the unused part of another class's quota from which its class may borrow.
+        Besides its own quota, a class may use that of the classes listed in its `borrows`, except for the reserved part of it.
+        A class lends only while none of its own requests wait.
         """
         if self.in_flight[class_name] < self.quota(class_name):
             return True
@@ -161,7 +162,7 @@
     async def dispatch_loop(self) -> None:
         """Dispatches each time new reports of the workers have been read. Runs until cancelled."""
         while True:
-            freed = self.worker_load.freed
+            freed = self.worker_load.polled
             await freed.wait()
             self.dispatch()
 
