--- a/bench/capacity/meter.py
+++ b/bench/capacity/meter.py
@@ -77,12 +77,12 @@
         meter.received[pipe.there.name] += len(data or b"")
         send(pipe, data)
 
-    def measured_encode(name: str, kind: int, sequence: int, record: Any) -> bytes:
-        data = encode(name, kind, sequence, record)
+    def measured_encode(verb: str, kind: int, sequence: int, record: Any) -> bytes:
+        data = encode(verb, kind, sequence, record)
         host = HOST.get()
         if host is not None:
-            meter.messages[(host.name, name)] += 1
-            meter.sizes[(host.name, name)] += len(data)
+            meter.messages[(host.name, verb)] += 1
+            meter.sizes[(host.name, verb)] += len(data)
         return data
 
     loop_events.Handle._run = measured_run  # type: ignore[assignment,method-assign]
--- a/bench/measure/size.py
+++ b/bench/measure/size.py
@@ -69,9 +69,9 @@
     """Counts what the processes of this simulated fleet send each other."""
     sent, original = SentMessages(), codec.encode_message
 
-    def encode(name: str, kind: int, sequence: int, record: Any) -> bytes:
-        data = original(name, kind, sequence, record)
-        sent.sizes[name].append(len(data))
+    def encode(verb: str, kind: int, sequence: int, record: Any) -> bytes:
+        data = original(verb, kind, sequence, record)
+        sent.sizes[verb].append(len(data))
         return data
 
     codec.encode_message = encode
--- a/sim/points.py
+++ b/sim/points.py
@@ -104,21 +104,21 @@
     )
     init = peer_server.PeerServer.__init__
 
-    def tapped_put(self: connection.Link, name: str, *arguments: Any) -> int:
-        hit(f"sends.{name}", self.address)
-        return put(self, name, *arguments)
+    def tapped_put(self: connection.Link, verb: str, *arguments: Any) -> int:
+        hit(f"sends.{verb}", self.address)
+        return put(self, verb, *arguments)
 
-    async def tapped_request(self: connection.Link, name: str, body: Any, limit: float) -> Any:
-        got = await request(self, name, body, limit)
+    async def tapped_request(self: connection.Link, verb: str, body: Any, limit: float) -> Any:
+        got = await request(self, verb, body, limit)
         if got.is_ok():
-            hit(f"hears.{name}", self.address)
+            hit(f"hears.{verb}", self.address)
         return got
 
     async def tapped_respond(
-        self: peer_server.PeerServer, name: str, sequence: int, argument: Any, writer: Any
+        self: peer_server.PeerServer, verb: str, sequence: int, argument: Any, writer: Any
     ) -> None:
-        hit(f"takes.{name}")
-        await answer(self, name, sequence, argument, writer)
+        hit(f"takes.{verb}")
+        await answer(self, verb, sequence, argument, writer)
 
     def tapped_emit(number: int, process: str, /, **details: object) -> None:
         emit(number, process, **details)
--- a/tests/control/test_feed.py
+++ b/tests/control/test_feed.py
@@ -154,10 +154,10 @@
             polls: list[tuple[float, float, str, bool]] = []
             original_request = edge.peer_links.request
 
-            async def recording_request(address: str, name: str, body: Any, limit: float) -> Any:
+            async def recording_request(address: str, verb: str, body: Any, limit: float) -> Any:
                 started_at = fleet.loop.clock
-                response = await original_request(address, name, body, limit)
-                if name == "follow" and "who" in body:
+                response = await original_request(address, verb, body, limit)
+                if verb == "follow" and "who" in body:
                     polls.append(
                         (
                             started_at,
