--- a/postpass/batch/capacity.py
+++ b/postpass/batch/capacity.py
@@ -61,7 +61,7 @@
         """Returns how many items of a class each worker may run now, including those that run."""
         class_config = configuration["classes"][item_class]
         servers = configuration["pools"][class_config["pool"]]["servers"]
-        stale_after_s = self.settings.bounds.probe * PROBES_UNTIL_STALE
+        stale_after_s = self.settings.bounds.probe_interval * PROBES_UNTIL_STALE
         names = [
             name
             for name in sorted(servers)
--- a/postpass/batch/dispatch.py
+++ b/postpass/batch/dispatch.py
@@ -20,7 +20,7 @@
 from postpass.configuration.settings import Settings
 from postpass.feed.configuration_view import ConfigurationView
 from postpass.runtime.environment import Environment, now
-from postpass.runtime.errors import CLASH
+from postpass.runtime.errors import CONFLICT
 
 POLLS_PER_HAND_BACK = 4  # rounds within the time in which a class hands back slots
 DEFAULT_HAND_BACK = 1.0  # seconds within which a class hands back its slots to live requests
@@ -67,7 +67,7 @@
             for class_config in classes
             if class_config["kind"] == "batch"
         ]
-        return min([self.settings.bounds.poll, *(seconds / POLLS_PER_HAND_BACK for seconds in hand_backs)])
+        return min([self.settings.bounds.scheduling_pause, *(seconds / POLLS_PER_HAND_BACK for seconds in hand_backs)])
 
     async def run(self) -> None:
         """Runs rounds until it is cancelled; then cancels the lease requests in flight."""
@@ -85,7 +85,7 @@
             was_woken = await self.wait_until_woken(last_round + pause)
             if was_woken:
                 # Whatever else wakes the loop during this minimum interval is served by the same run.
-                await asyncio.sleep(last_run + self.settings.bounds.poll / RUNS_PER_POLL - now())
+                await asyncio.sleep(last_run + self.settings.bounds.scheduling_pause / RUNS_PER_POLL - now())
             else:
                 last_round = now()
             last_run = now()
@@ -185,7 +185,9 @@
         ]
         if not lease_tasks:
             return
-        finished, unfinished = await asyncio.wait(lease_tasks, timeout=self.settings.bounds.poll / WAITS_PER_POLL)
+        finished, unfinished = await asyncio.wait(
+            lease_tasks, timeout=self.settings.bounds.scheduling_pause / WAITS_PER_POLL
+        )
         for lease_task in finished:
             lease_task.result()
         for lease_task in unfinished:
@@ -205,15 +207,15 @@
         bounds = self.settings.bounds
         requested_at = now()
         request = TakeRequest(self.settings.name, self.election.term, wanted, self.items.unreported(partition))
-        answer = await self.owners.ask(partition, "take", request.as_json(), bounds.poll * 2)
+        answer = await self.owners.ask(partition, "take", request.as_json(), bounds.scheduling_pause * 2)
         if isinstance(answer, Err):
             fault = answer.unwrap_err()
-            if fault.code == CLASH and fault.hint.isdigit():
+            if fault.code == CONFLICT and fault.hint.isdigit():
                 self.election.exceed_term(int(fault.hint))
             return
         if not self.election.active:
             return
-        self.items.leases[partition] = requested_at + bounds.lease
+        self.items.leases[partition] = requested_at + bounds.item_lease
         take_response = TakeResponse.from_json(answer.unwrap())
         for job in take_response.stopped_jobs:
             for item in self.items.items_of_job(job):
--- a/postpass/batch/item_request.py
+++ b/postpass/batch/item_request.py
@@ -13,7 +13,7 @@
 from postpass.gateway.client_identity import ClientIdentity
 from postpass.gateway.http_headers import AUTHORIZATION
 from postpass.gateway.response_check import Proof, ResponseHeaderNames, check_response
-from postpass.runtime.errors import BROKE, REJECTED, Fault, FaultError
+from postpass.runtime.errors import PEER_FAILED, REJECTED, Fault, FaultError
 
 LEAST_URGENT = b"9"  # value of the urgency header of all items of jobs
 MAX_LINE_BYTES = 1 << 20  # longest line of a response
@@ -173,7 +173,9 @@
     async for chunk in exchange.chunks():
         size += len(chunk)
         if size > MAX_FAILURE_BYTES:
-            raise FaultError(Fault("run item", worker, f"a failure of more than {MAX_FAILURE_BYTES} bytes", BROKE))
+            raise FaultError(
+                Fault("run item", worker, f"a failure of more than {MAX_FAILURE_BYTES} bytes", PEER_FAILED)
+            )
 
 
 async def run_item(
@@ -197,7 +199,7 @@
             await drain_body(exchange, worker)
             return FINAL_STATUSES[exchange.status]
         if exchange.status != 200:
-            raise FaultError(Fault("run item", worker, f"status {exchange.status}", BROKE))
+            raise FaultError(Fault("run item", worker, f"status {exchange.status}", PEER_FAILED))
         await read_text(exchange, text, worker)
         return RunEnd.DONE
     finally:
@@ -210,7 +212,7 @@
     if checked.proof in (Proof.NOT_RUN, Proof.OTHER_WORKER):
         raise FaultError(Fault("run item", worker, f"status {exchange.status}: not run", REJECTED, REJECTED_HINT))
     if checked.proof is Proof.NONE:
-        raise FaultError(Fault("run item", worker, checked.why, BROKE))
+        raise FaultError(Fault("run item", worker, checked.why, PEER_FAILED))
 
 
 async def read_text(exchange: Exchange, text: ItemText, worker: str) -> None:
@@ -219,4 +221,4 @@
     async for chunk in exchange.chunks():
         events.feed(chunk)
     if not events.complete or text.last < 0:
-        raise FaultError(Fault("run item", worker, "the answer ended within an event", BROKE))
+        raise FaultError(Fault("run item", worker, "the answer ended within an event", PEER_FAILED))
--- a/postpass/batch/item_run.py
+++ b/postpass/batch/item_run.py
@@ -22,7 +22,7 @@
 from postpass.gateway.client_identity import ClientIdentity
 from postpass.gateway.worker_load import WorkerLoad
 from postpass.runtime.environment import now
-from postpass.runtime.errors import MOVED, Fault, FaultError
+from postpass.runtime.errors import NOT_RESPONSIBLE, Fault, FaultError
 from postpass.worker_api.openai import complete
 
 if TYPE_CHECKING:
@@ -69,7 +69,7 @@
         reason = self.lease_admission_check(item)
         if reason:
             return reason
-        if now() - self.configuration_view.last_contact > self.settings.bounds.deaf:
+        if now() - self.configuration_view.last_contact > self.settings.bounds.isolation_time:
             return "no news for too long"
         if self.configuration_view.revision < item.since:
             return "the configuration known here is older than its lot"
@@ -99,7 +99,7 @@
             limit.completed(slots)
             self.capacity.record_run(now() - started_at)
         except FaultError as error:
-            poll = self.settings.bounds.poll
+            poll = self.settings.bounds.scheduling_pause
             if not_run(error.fault):
                 limit.rejected(poll)
                 item.not_before = now() + poll / 4
@@ -138,7 +138,7 @@
     # --- items of classes
     def prompt_admission_check(self, item: LeasedItem, pool: str) -> str:
         """Returns why an item of a class may not be sent; empty if it may. Called right before its bytes are sent."""
-        stale_after_s = self.settings.bounds.probe * PROBES_UNTIL_STALE
+        stale_after_s = self.settings.bounds.probe_interval * PROBES_UNTIL_STALE
         return self.lease_admission_check(item) or self.worker_load.barred_reason(pool, item.worker, stale_after_s)
 
     async def run_prompt(self, configuration: Configuration, pool: str, item: LeasedItem) -> None:
@@ -199,9 +199,9 @@
         item.reporting = True
         while now() < deadline:
             body = result.as_json(ItemKey(item.job, item.position))
-            answer = await self.owners.ask(item.partition, "done", body, bounds.detect)
+            answer = await self.owners.ask(item.partition, "done", body, bounds.detection_time)
             if isinstance(answer, Ok):
                 return
-            if result.status != ItemStatus.DONE and answer.unwrap_err().code != MOVED:
+            if result.status != ItemStatus.DONE and answer.unwrap_err().code != NOT_RESPONSIBLE:
                 return
-            await asyncio.sleep(bounds.poll / 2)
+            await asyncio.sleep(bounds.scheduling_pause / 2)
--- a/postpass/batch/job_api.py
+++ b/postpass/batch/job_api.py
@@ -18,7 +18,7 @@
 from postpass.gateway.request_bodies import IDENTIFIER
 from postpass.rpc.codec import Body
 from postpass.runtime.environment import now
-from postpass.runtime.errors import CLASH, CROWD, FULL, LACK, REJECTED, Fault
+from postpass.runtime.errors import CONFLICT, NO_SPACE, NOT_FOUND, REJECTED, TOO_MANY_REQUESTS, Fault
 
 MAX_ITEMS = 200
 HEADER_NAME = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
@@ -150,11 +150,11 @@
     def not_accepted(self, job_id: str, fault: Fault) -> JobAnswer:
         """Returns the response for a job that, as far as is known, an owner did not accept."""
         jobs_total = self.edge.jobs_total
-        if fault.code == CLASH:
+        if fault.code == CONFLICT:
             return JobAnswer(409, {"error": fault.why})
-        if (fault.code in (CROWD, REJECTED, FULL) and not fault.unsure) or fault.unsent:
+        if (fault.code in (TOO_MANY_REQUESTS, REJECTED, NO_SPACE) and not fault.unsure) or fault.unsent:
             jobs_total.labels("shed").inc()
-            if fault.code == CROWD:
+            if fault.code == TOO_MANY_REQUESTS:
                 return JobAnswer(429, {"error": fault.why})
             self.edge.record_unacknowledged_job(job_id, fault, 503)
             return JobAnswer(503, {"error": fault.why})
@@ -175,11 +175,13 @@
         partition = partition_of(job_id, edge.configuration["parts"])
         client = {"caller": tenant} if tenant else {}
         answer = await edge.owners.request(partition, verb, body | {"id": job_id} | client, now() + wait)
-        return answer.map_err(lambda fault: 404 if fault.code == LACK else 503)
+        return answer.map_err(lambda fault: 404 if fault.code == NOT_FOUND else 503)
 
     async def results(self, job_id: str, start: int, hold: float, tenant: str = "") -> Result[Body, int]:
         """Returns a page of results from a position on; the owner waits at most `hold` seconds until there is one."""
-        hold = min(hold, self.edge.settings.bounds.detect)  # well within the time limit of one request to an owner
+        hold = min(
+            hold, self.edge.settings.bounds.detection_time
+        )  # well within the time limit of one request to an owner
         request = ResultsRequest(start, hold).as_json()
         return await self.ask(job_id, "results", request, hold + self.owner_timeout() / 2, tenant)
 
--- a/postpass/batch/job_records.py
+++ b/postpass/batch/job_records.py
@@ -17,7 +17,7 @@
 from postpass.replication.partition import Partition
 from postpass.replication.partition_table import PartitionTable
 from postpass.rpc.codec import Body, PeerResponse
-from postpass.runtime.errors import CLASH, FULL, LACK, REJECTED, SLOW, Fault, FaultError
+from postpass.runtime.errors import CONFLICT, NO_SPACE, NOT_FOUND, REJECTED, TIMED_OUT, Fault, FaultError
 
 DEFAULT_SUBMIT_S = 5.0  # seconds that an edge waits until a job, or its end, is covered
 DEFAULT_CLAIM_S = 3.0  # seconds that an edge waits until a claim is covered
@@ -48,7 +48,8 @@
         """Verb `submit`: accepts a job, and responds `kept` only once its record is covered.
 
         Refuses the job only if nothing was sequenced, or once the record of a rejection, which takes precedence over
-        the job, is itself covered; responds CLASH if another job has the id; otherwise the outcome is unknown (SLOW).
+        the job, is itself covered; responds CONFLICT if another job has the id; otherwise the outcome is unknown
+        (TIMED_OUT).
         """
         job = body["lot"]
         lookup = self.leadership.owned_partition(body["part"], "submit")
@@ -62,7 +63,7 @@
                 if refusal is None:
                     self.owner.append(partition, "lot", job, vital=False)
             except FaultError as error:
-                if error.fault.code != FULL:
+                if error.fault.code != NO_SPACE:
                     return Err(error.fault)
                 refusal = error.fault
             if refusal is not None:
@@ -71,10 +72,10 @@
         if existing is None:
             return await self.rejection_response(partition, job["id"], limit)
         if existing.digest != job_digest(job):
-            return self.failure("submit", "a lot with this id and other content is here", CLASH)
+            return self.failure("submit", "a lot with this id and other content is here", CONFLICT)
         if await partition.wait(existing.seq, self.class_predicate(job["class"]), limit):
             return Ok({"id": job["id"], "state": "kept"})
-        return self.failure("submit", "not covered yet", SLOW)
+        return self.failure("submit", "not covered yet", TIMED_OUT)
 
     def rejection(self, partition: Partition) -> Fault | None:
         """Returns why no further job is accepted now; None if one is.
@@ -92,7 +93,7 @@
         mirrors = partition.mirrors
         writable = {mirror for mirror, state in mirrors.items() if not state.disk_full and not state.silent} | {name}
         if not partition.can_cover(writable) and any(state.disk_full for state in mirrors.values()):
-            return Fault("submit", name, "the disks of the mirrors are full", FULL)
+            return Fault("submit", name, "the disks of the mirrors are full", NO_SPACE)
         return None
 
     async def reject(self, partition: Partition, body: Body, refusal: Fault, limit: float) -> PeerResponse:
@@ -102,9 +103,9 @@
         try:
             record = self.owner.append(partition, "shed", {"id": body["lot"]["id"]})
         except FaultError:
-            return self.failure("submit", "not known yet", SLOW)
+            return self.failure("submit", "not known yet", TIMED_OUT)
         if not await partition.wait(record.seq, "", limit):
-            return self.failure("submit", "not known yet", SLOW)
+            return self.failure("submit", "not known yet", TIMED_OUT)
         why = refusal.why + "; this lot is refused, send it under another id"
         return Err(Fault(refusal.step, refusal.peer, why, refusal.code))
 
@@ -112,33 +113,33 @@
         """Returns the response for a job that was refused for good before."""
         if await partition.wait(partition.view.rejected[job_id], "", limit):
             return self.failure("submit", "this lot was refused; send it under another id", REJECTED)
-        return self.failure("submit", "not known yet", SLOW)
+        return self.failure("submit", "not known yet", TIMED_OUT)
 
     # --- reading
     async def read(self, body: Body, step: str) -> Result[tuple[Partition, Job], Fault]:
         """Returns a covered job of the client that asks, after confirming ownership.
 
         Returns:
-            The partition and the job; or a fault: LACK (unknown, lost, or of another client), REJECTED (refused), or
-            SLOW (not known yet).
+            The partition and the job; or a fault: NOT_FOUND (unknown, lost, or of another client), REJECTED (refused),
+            or TIMED_OUT (not known yet).
         """
         lookup = self.leadership.owned_partition(body["part"], step)
         if isinstance(lookup, Err):
             return lookup
         partition = lookup.unwrap()
         if not await self.leadership.confirm(partition):
-            return self.failure(step, "could not be confirmed", SLOW)
+            return self.failure(step, "could not be confirmed", TIMED_OUT)
         view, job_id = partition.view, body["id"]
         job = view.jobs.get(job_id)
         if job_id in view.rejected and view.rejected[job_id] <= partition.covered:
             return self.failure(step, "this lot was refused", REJECTED)
         if job_id in view.lost:
-            return self.failure(step, "this lot was lost", LACK)
+            return self.failure(step, "this lot was lost", NOT_FOUND)
         if job is None or job.body.get("caller", "") not in ("", body.get("caller", "")):
             loss_note = f"; this partition lost lots {view.losses} time(s)" if view.losses else ""
-            return self.failure(step, f"no such lot of this caller{loss_note}", LACK)
+            return self.failure(step, f"no such lot of this caller{loss_note}", NOT_FOUND)
         if job.seq > partition.covered:
-            return self.failure(step, "not known yet", SLOW)
+            return self.failure(step, "not known yet", TIMED_OUT)
         return Ok((partition, job))
 
     async def on_show(self, body: Body) -> PeerResponse:
@@ -178,7 +179,7 @@
             except FaultError as error:
                 return Err(error.fault)
         if not await partition.wait(max(job.state_seq, job.seq), "", float(body.get("wait", DEFAULT_SUBMIT_S))):
-            return self.failure("end", "not known yet", SLOW)
+            return self.failure("end", "not known yet", TIMED_OUT)
         return Ok({"id": job.id, "state": "done" if job.complete and job.state == JobState.OPEN else "ended"})
 
     async def on_claim(self, body: Body) -> PeerResponse:
@@ -195,5 +196,5 @@
                 return Err(error.fault)
         winner = partition.view.claims[body["key"]]
         if not await partition.wait(winner["seq"], "", float(body.get("wait", DEFAULT_CLAIM_S))):
-            return self.failure("claim", "not covered yet", SLOW)
+            return self.failure("claim", "not covered yet", TIMED_OUT)
         return Ok({"won": winner["nonce"] == body["nonce"]})
--- a/postpass/batch/job_service.py
+++ b/postpass/batch/job_service.py
@@ -21,7 +21,7 @@
 from postpass.replication.partition import Partition
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime.environment import now
-from postpass.runtime.errors import CLASH, FULL, LACK, MOVED, SLOW, Fault, FaultError
+from postpass.runtime.errors import CONFLICT, NO_SPACE, NOT_FOUND, NOT_RESPONSIBLE, TIMED_OUT, Fault, FaultError
 
 PAGE_BYTES = 900_000  # bytes of text in one page of results
 PAGE_ITEMS = 500  # most results on one page
@@ -71,8 +71,8 @@
     async def on_accept(self, body: Body) -> PeerResponse:
         """Verb `accept`: accepts a job, and responds that it is kept only once its record is covered.
 
-        Refuses the job (CROWD, FULL) only if nothing was sequenced, and no earlier request for it can still be
-        sequenced; responds CLASH if another job has the id; otherwise the outcome is unknown (SLOW).
+        Refuses the job (TOO_MANY_REQUESTS, NO_SPACE) only if nothing was sequenced, and no earlier request for it can still be
+        sequenced; responds CONFLICT if another job has the id; otherwise the outcome is unknown (TIMED_OUT).
         """
         lookup = self.store.owned_partition(body["part"], "accept")
         if isinstance(lookup, Err):
@@ -85,14 +85,14 @@
                 return Err(refusal)
         existing = partition.view.jobs.get(job["id"])
         if existing is None:
-            return self.failure("accept", "not known yet", SLOW)
+            return self.failure("accept", "not known yet", TIMED_OUT)
         if existing.digest != job_digest(job) and not self.has_same_content(existing, body["lot"]):
-            return self.failure("accept", "a lot with this id and other content is here", CLASH)
+            return self.failure("accept", "a lot with this id and other content is here", CONFLICT)
         if await partition.wait(existing.seq, "", limit):
             self.notify_scheduler(partition)
             return Ok({"id": job["id"], "state": "kept"})
         missing_members = ", ".join(self.store.members_awaited(partition))
-        return self.failure("accept", f"not covered yet, without the word of {missing_members or 'nobody'}", SLOW)
+        return self.failure("accept", f"not covered yet, without the word of {missing_members or 'nobody'}", TIMED_OUT)
 
     def has_same_content(self, existing: Job, job: Body) -> bool:
         """Returns whether this is the existing job, apart from the names of its route and its client.
@@ -120,7 +120,7 @@
             )
             task.add_done_callback(lambda _: self.accept_tasks.pop(key, None))
         done, _ = await asyncio.wait([task], timeout=limit)
-        return task.result() if done else Fault("accept", self.store.settings.name, "not known yet", SLOW)
+        return task.result() if done else Fault("accept", self.store.settings.name, "not known yet", TIMED_OUT)
 
     async def accept_job(
         self, partition: Partition, epoch: int, job: Body, payload: bytes, limit: float
@@ -137,20 +137,20 @@
             if refusal is not None:
                 return refusal
             if partition.epoch != epoch:
-                return Fault("accept", self.store.settings.name, "not the owner any more", MOVED)
+                return Fault("accept", self.store.settings.name, "not the owner any more", NOT_RESPONSIBLE)
             return self.append_job(partition, job, payload)
         finally:
             pending[key] -= tokens
 
     def append_job(self, partition: Partition, job: Body, payload: bytes) -> Fault | None:
-        """Appends a job to the partition's log; None on success, FULL if the disk can't store it."""
+        """Appends a job to the partition's log; None on success, NO_SPACE if the disk can't store it."""
         # Its items may be placed only by this revision of the configuration or a later one, never by an earlier one.
         since = max(int(job.get("since", 0)), self.store.configuration_view.revision)
         try:
             self.store.append(partition, "lot", job | {"since": since}, vital=False, raw=payload)
         except FaultError as error:
             fault = error.fault
-            return fault if fault.code == FULL else Fault("accept", self.store.settings.name, fault.why, SLOW)
+            return fault if fault.code == NO_SPACE else Fault("accept", self.store.settings.name, fault.why, TIMED_OUT)
         return None
 
     def notify_scheduler(self, partition: Partition) -> None:
@@ -161,15 +161,17 @@
         if address:
             spawn(
                 store.background_tasks,
-                store.peer_links.request(address, "wake", {"part": partition.id}, store.settings.bounds.beat),
+                store.peer_links.request(
+                    address, "wake", {"part": partition.id}, store.settings.bounds.heartbeat_interval
+                ),
             )
 
     # --- reading
     async def read(self, body: Body, step: str) -> Result[tuple[Partition, Job], Fault]:
-        """Returns the partition and the job that a request names; LACK if the job did not come by a route."""
+        """Returns the partition and the job that a request names; NOT_FOUND if the job did not come by a route."""
         lookup = await self.store.read(body, step)
         if isinstance(lookup, Ok) and "route" not in lookup.unwrap()[1].body:
-            return self.failure(step, "no such lot", LACK)
+            return self.failure(step, "no such lot", NOT_FOUND)
         return lookup
 
     async def on_results(self, body: Body) -> PeerResponse:
@@ -201,7 +203,7 @@
         return rows
 
     async def on_item(self, body: Body) -> PeerResponse:
-        """Verb `item`: responds with the base64 body of an item without a covered result; LACK if there is none."""
+        """Verb `item`: responds with the base64 body of an item without a covered result; NOT_FOUND if there is none."""
         lookup = await self.read(body, "item")
         if isinstance(lookup, Err):
             return lookup
@@ -210,11 +212,11 @@
         position = ids.index(body["item"]) if body["item"] in ids else -1
         listed = position in job.results and job.results[position].seq <= partition.covered
         if position < 0 or listed or job.state == JobState.ENDED:
-            return self.failure("item", "no such item that waits", LACK)
+            return self.failure("item", "no such item that waits", NOT_FOUND)
         item_bytes = job.item_body(position)
         if item_bytes is None:
             # The bodies are released, since all results are there, but the last one is not covered yet.
-            return self.failure("item", "not known yet", SLOW)
+            return self.failure("item", "not known yet", TIMED_OUT)
         return Ok({"body": base64.b64encode(item_bytes).decode()})
 
     # --- expiry and retention
--- a/postpass/batch/leases.py
+++ b/postpass/batch/leases.py
@@ -23,7 +23,7 @@
 from postpass.routing.item_order import usual_seconds
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime.environment import now
-from postpass.runtime.errors import BAD, CLASH, SLOW, Fault, FaultError
+from postpass.runtime.errors import BAD_REQUEST, CONFLICT, TIMED_OUT, Fault, FaultError
 from postpass.worker_api.openai import Prompt
 
 DEFAULT_TRIES = 5  # failures after which an item of a class is given up
@@ -141,7 +141,7 @@
     async def on_take(self, body: Body) -> PeerResponse:
         """Verb `take`: leases items of covered, open jobs in serving order to the scheduler of the highest term.
 
-        A scheduler with a lower term is refused with CLASH, and the highest term as hint.
+        A scheduler with a lower term is refused with CONFLICT, and the highest term as hint.
         """
         lookup = self.leadership.owned_partition(body["part"], "take")
         if isinstance(lookup, Err):
@@ -150,14 +150,14 @@
         state, current_time = self.owner_states[partition.id], now()
         if (request.term, request.scheduler) < (state.term, state.scheduler):
             why = f"scheduler {state.scheduler} has term {state.term}"
-            return Err(Fault("take", self.table.settings.name, why, CLASH, str(state.term)))
+            return Err(Fault("take", self.table.settings.name, why, CONFLICT, str(state.term)))
         state.term, state.scheduler = request.term, request.scheduler
-        expires_at = current_time + self.table.settings.bounds.lease * OWNER_LEASE_FACTOR
+        expires_at = current_time + self.table.settings.bounds.item_lease * OWNER_LEASE_FACTOR
         # Before the first await: if a result arrives while this waits, its lease must not be created again afterwards.
         state.renew(request, expires_at)
         # The response starts a lease at the scheduler, so only a store that is still the owner may send it.
         if not await self.leadership.confirm(partition):
-            return Err(Fault("take", self.table.settings.name, "could not be confirmed", SLOW))
+            return Err(Fault("take", self.table.settings.name, "could not be confirmed", TIMED_OUT))
         state.release_expired(partition.view, request, current_time)
         return Ok(self.grant(partition, state, request, expires_at).as_json())
 
@@ -198,7 +198,7 @@
     async def on_done(self, body: Body) -> PeerResponse:
         """Verb `done`: records an item's result, unless it has one already; only a complete output is reported as done.
 
-        Responds whether the result was recorded; BAD if the output doesn't match its checksum.
+        Responds whether the result was recorded; BAD_REQUEST if the output doesn't match its checksum.
         """
         lookup = self.leadership.owned_partition(body["part"], "done")
         if isinstance(lookup, Err):
@@ -211,7 +211,7 @@
             return Ok({"taken": False})
         result = ItemResult.from_json(body)
         if result.status == ItemStatus.DONE and not result.intact:
-            return Err(Fault("done", self.table.settings.name, "the output doesn't match its sum", BAD))
+            return Err(Fault("done", self.table.settings.name, "the output doesn't match its sum", BAD_REQUEST))
         recorded = result_to_record(job, key.position, result)
         try:
             if recorded is None:
--- a/postpass/batch/owner_client.py
+++ b/postpass/batch/owner_client.py
@@ -10,7 +10,7 @@
 from postpass.feed.configuration_view import ConfigurationView
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.rpc.peer_links import PeerLinks
-from postpass.runtime.errors import CLASH, MOVED, Fault
+from postpass.runtime.errors import CONFLICT, NOT_RESPONSIBLE, Fault
 
 MAX_MACHINES_ASKED = 2  # the machine assumed to be the owner, and the one that it names
 
@@ -42,10 +42,10 @@
                 self.owners[partition] = name
                 return answer
             fault = answer.unwrap_err()
-            if fault.code == MOVED and fault.hint and fault.hint != name:
+            if fault.code == NOT_RESPONSIBLE and fault.hint and fault.hint != name:
                 name = fault.hint
                 continue
-            if fault.code != CLASH and order:
+            if fault.code != CONFLICT and order:
                 position = order.index(name) if name in order else -1
                 self.owners[partition] = order[(position + 1) % len(order)]
             return answer
--- a/postpass/batch/partition_access.py
+++ b/postpass/batch/partition_access.py
@@ -43,7 +43,7 @@
         """Sends a request to another store, by its name."""
 
     def owned_partition(self, number: int, step: str) -> Result[Partition, Fault]:
-        """Returns the partition if it is owned here and ready, else MOVED with its owner as hint."""
+        """Returns the partition if it is owned here and ready, else NOT_RESPONSIBLE with its owner as hint."""
 
     async def confirm(self, partition: Partition) -> bool:
         """Returns whether this store is still the owner, after a round trip to the members."""
--- a/postpass/batch/partition_client.py
+++ b/postpass/batch/partition_client.py
@@ -11,7 +11,7 @@
 from postpass.replication.owner_lookup import OwnerLookup
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime.environment import now
-from postpass.runtime.errors import BROKE, LACK, MOVED, SLOW, Fault
+from postpass.runtime.errors import NOT_FOUND, NOT_RESPONSIBLE, PEER_FAILED, TIMED_OUT, Fault
 
 RETRY_TIME_SHARE = 0.8  # share of the time limit in which attempts start; the rest is for the last response
 # Heartbeat divided by the pause between two rounds of the search, and before a machine that is becoming the owner is
@@ -21,7 +21,7 @@
 
 def is_retriable(fault: Fault) -> bool:
     """Returns whether a retry, perhaps at another machine, may succeed."""
-    return fault.code in (MOVED, SLOW, LACK, BROKE) or fault.unsent
+    return fault.code in (NOT_RESPONSIBLE, TIMED_OUT, NOT_FOUND, PEER_FAILED) or fault.unsent
 
 
 @dataclass(eq=False)
@@ -45,9 +45,9 @@
         Fails at once with a fault that a retry can't change, otherwise with the last one.
         """
         store, deadline = self.store, now() + limit * RETRY_TIME_SHARE
-        pause = store.settings.bounds.beat / PAUSES_PER_HEARTBEAT
+        pause = store.settings.bounds.heartbeat_interval / PAUSES_PER_HEARTBEAT
         lookup = self._new_lookup(partition)
-        last_response: PeerResponse = Err(Fault(verb, store.settings.name, "no owner known", SLOW))
+        last_response: PeerResponse = Err(Fault(verb, store.settings.name, "no owner known", TIMED_OUT))
         while now() < deadline:
             name = lookup.next_name()
             if not name:
@@ -69,7 +69,7 @@
 
     async def _update_lookup(self, lookup: OwnerLookup, name: str, fault: Fault, pause: float) -> None:
         """Updates the search after a machine did not respond as the owner: notes silence, or follows its hint."""
-        if fault.code != MOVED:
+        if fault.code != NOT_RESPONSIBLE:
             self.silent_since[name] = now()
         elif fault.hint == name:
             await asyncio.sleep(pause)
@@ -79,7 +79,7 @@
 
     def _new_lookup(self, partition: int) -> OwnerLookup:
         """Starts a round over the last known owner, the owner that the replica here follows, and all members."""
-        store, recent = self.store, now() - self.store.settings.bounds.detect
+        store, recent = self.store, now() - self.store.settings.bounds.detection_time
         local_copy = store.partitions.get(partition)
         self.silent_since = {name: silent_at for name, silent_at in self.silent_since.items() if silent_at > recent}
         candidates = [self.owners.get(partition, ""), local_copy.owner if local_copy is not None else ""]
--- a/postpass/batch/quota_holder.py
+++ b/postpass/batch/quota_holder.py
@@ -17,7 +17,7 @@
 from postpass.configuration.configuration import quota_of
 from postpass.replication.partition import Partition
 from postpass.rpc.codec import Body, PeerResponse
-from postpass.runtime.errors import CLASH, CROWD, SLOW, Fault
+from postpass.runtime.errors import CONFLICT, TIMED_OUT, TOO_MANY_REQUESTS, Fault
 
 
 @dataclass(eq=False)
@@ -58,15 +58,15 @@
         if not request.wanted:
             return Ok({})
         if not is_newer:
-            return self.failure("a later word came before this one", CLASH)
+            return self.failure("a later word came before this one", CONFLICT)
         if not await self.fetch_missing_counts(partition, owned_budgets, budget, request):
-            return self.failure("not all partitions have told their counts", SLOW)
+            return self.failure("not all partitions have told their counts", TIMED_OUT)
         # Still under this epoch: a later holder asks every owner, and each counts the tokens that it requested here.
         if not await self.store.confirm(partition) or partition.epoch != epoch:
-            return self.failure("could not be confirmed", SLOW)
+            return self.failure("could not be confirmed", TIMED_OUT)
         quota = quota_of(self.store.configuration_view.manifest, request.key.route)
         if quota and not budget.grant(request.owner, self.uncounted_tokens(budget, request), quota):
-            return self.failure(f"{budget.tokens} of {quota} tokens wait on the route", CROWD)
+            return self.failure(f"{budget.tokens} of {quota} tokens wait on the route", TOO_MANY_REQUESTS)
         return Ok({})
 
     def uncounted_tokens(self, budget: Budget, request: ReserveRequest) -> int:
@@ -92,7 +92,9 @@
 
     async def fetch_route_count(self, budget: Budget, owner: int, key: BudgetKey) -> None:
         """Asks one owner for its count of a route; without a response, the count stays missing."""
-        answer = await self.client.ask(owner, "waiting", {"route": key.route}, self.store.settings.bounds.beat)
+        answer = await self.client.ask(
+            owner, "waiting", {"route": key.route}, self.store.settings.bounds.heartbeat_interval
+        )
         if isinstance(answer, Ok):
             response = WaitingResponse.from_json(answer.unwrap())
             budget.report(owner, response.epoch, response.number, response.tokens)
@@ -115,7 +117,9 @@
 
     async def fetch_owner_tenant_counts(self, holder: int, owned_budgets: OwnedBudgets, owner: int) -> None:
         """Asks one owner for its counts of all tenants whose budgets `holder` holds; it may not respond."""
-        answer = await self.client.ask(owner, "waiting", {"holder": holder}, self.store.settings.bounds.beat)
+        answer = await self.client.ask(
+            owner, "waiting", {"holder": holder}, self.store.settings.bounds.heartbeat_interval
+        )
         if isinstance(answer, Ok):
             owned_budgets.report(TenantCounts.from_json(answer.unwrap()))
 
--- a/postpass/batch/quota_service.py
+++ b/postpass/batch/quota_service.py
@@ -23,7 +23,7 @@
 from postpass.replication.partition import Partition
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime.environment import now
-from postpass.runtime.errors import CLASH, CROWD, FULL, SLOW, Fault
+from postpass.runtime.errors import CONFLICT, NO_SPACE, TIMED_OUT, TOO_MANY_REQUESTS, Fault
 
 RECOUNTS_PER_HEARTBEAT = 8  # the most retries per heartbeat of a request whose count was overtaken by a later one
 
@@ -97,8 +97,8 @@
     ) -> Fault | None:
         """Requests the tokens of a job, which are in `pending` already; None once they are granted.
 
-        CROWD if the quota is reached, FULL if the holder gave no definite response within `limit` seconds; in both
-        cases nothing was sequenced.
+        TOO_MANY_REQUESTS if the quota is reached, NO_SPACE if the holder gave no definite response within `limit`
+        seconds; in both cases nothing was sequenced.
         """
         if not quota_of(self.store.configuration_view.manifest, key.route):
             return None
@@ -107,13 +107,13 @@
             while True:
                 # The tokens of this job are not part of the count; they are what is requested.
                 fault = await self.ask_holder(partition, key, pending[key] - tokens, tokens, deadline - now())
-                # CLASH: the holder asked for the count meanwhile, and received that later one first. Send it again.
-                if fault is None or fault.code != CLASH:
+                # CONFLICT: the holder asked for the count meanwhile, and received that later one first. Send it again.
+                if fault is None or fault.code != CONFLICT:
                     return fault
-                # CLASH also comes if a later owner has reported: then this store must not request anything more.
+                # CONFLICT also comes if a later owner has reported: then this store must not request anything more.
                 if now() >= deadline or not partition.owning:
-                    return replace(fault, code=FULL)
-                await asyncio.sleep(self.store.settings.bounds.beat / RECOUNTS_PER_HEARTBEAT)
+                    return replace(fault, code=NO_SPACE)
+                await asyncio.sleep(self.store.settings.bounds.heartbeat_interval / RECOUNTS_PER_HEARTBEAT)
 
     async def ask_holder(
         self, partition: Partition, key: BudgetKey, requested: int, wanted: int, limit: float
@@ -133,12 +133,12 @@
             sent_counts.record(key, number, count + wanted)
             return None
         fault = answer.unwrap_err()
-        if fault.code == CROWD:
+        if fault.code == TOO_MANY_REQUESTS:
             sent_counts.record(key, number, count)
         # After any other fault, nothing was sequenced here, so the client may be refused; but not for a reached quota,
         # since that is not certain.
-        is_definite = fault.code in (CROWD, CLASH)
-        return fault if is_definite else Fault("reserve", f"partition {holder} at {fault.peer}", fault.why, FULL)
+        is_definite = fault.code in (TOO_MANY_REQUESTS, CONFLICT)
+        return fault if is_definite else Fault("reserve", f"partition {holder} at {fault.peer}", fault.why, NO_SPACE)
 
     # --- reporting
     def report(self) -> None:
@@ -163,7 +163,7 @@
             return
         async with request_lock:
             requested = self.pending_of(partition.id)[key]
-            await self.ask_holder(partition, key, requested, 0, self.store.settings.bounds.beat)
+            await self.ask_holder(partition, key, requested, 0, self.store.settings.bounds.heartbeat_interval)
 
     def report_tenants(self, partition: Partition, routes: set[str]) -> None:
         """Reports to each holder the counts of tenants that it doesn't know; all of them once under an epoch."""
@@ -189,7 +189,9 @@
 
     async def report_counts(self, sent_counts: SentCounts, holder: int, message: TenantCounts) -> None:
         """Reports counts of tenants to a holder, and records what it has acknowledged."""
-        answer = await self.client.ask(holder, "reserve", message.as_json(), self.store.settings.bounds.beat)
+        answer = await self.client.ask(
+            holder, "reserve", message.as_json(), self.store.settings.bounds.heartbeat_interval
+        )
         if isinstance(answer, Err):
             return
         if message.complete:
@@ -212,7 +214,7 @@
             return lookup
         partition = lookup.unwrap()
         if not await self.store.confirm(partition):
-            return Err(Fault("waiting", self.store.settings.name, "could not be confirmed", SLOW))
+            return Err(Fault("waiting", self.store.settings.name, "could not be confirmed", TIMED_OUT))
         if "holder" in body:
             return Ok(
                 self.new_message(partition, True, self.counts_for(self.counts(partition), body["holder"])).as_json()
--- a/postpass/batch/scheduler_election.py
+++ b/postpass/batch/scheduler_election.py
@@ -44,7 +44,7 @@
 
     async def run(self) -> None:
         """Pings the machines that precede this one in the order, once a heartbeat; runs until it is cancelled."""
-        heartbeat = self.settings.bounds.beat
+        heartbeat = self.settings.bounds.heartbeat_interval
         while True:
             await asyncio.sleep(heartbeat * (0.8 + 0.4 * self.environment.chance.random()))
             order = self.configuration_view.duty("sched")
@@ -72,7 +72,10 @@
     def decide(self, predecessors: list[str]) -> None:
         """Activates this scheduler if all its predecessors are silent; deactivates it if one of them responds."""
         bounds = self.settings.bounds
-        all_silent = all(self.missed_heartbeats[name] * bounds.beat >= bounds.detect / 2 for name in predecessors)
+        all_silent = all(
+            self.missed_heartbeats[name] * bounds.heartbeat_interval >= bounds.detection_time / 2
+            for name in predecessors
+        )
         if self.active and predecessors and any(self.missed_heartbeats[name] == 0 for name in predecessors):
             self.set_active(False, "one before it is back")
         elif not self.active and all_silent and not self.leaving:
--- a/postpass/configuration/accepted_orders.py
+++ b/postpass/configuration/accepted_orders.py
@@ -65,10 +65,10 @@
 def limit_of(bounds: Bounds) -> int:
     """Returns how many accepted orders are listed.
 
-    That is as many as may be accepted while one of them may still be sent again (`Bounds.resend`), but no fewer than
+    That is as many as may be accepted while one of them may still be sent again (`Bounds.resend_period`), but no fewer than
     `MINIMUM` and no more than `MAXIMUM`.
     """
-    return min(MAXIMUM, max(MINIMUM, math.ceil(bounds.resend * ORDERS_PER_SECOND)))
+    return min(MAXIMUM, max(MINIMUM, math.ceil(bounds.resend_period * ORDERS_PER_SECOND)))
 
 
 def _version(entry: str) -> int | None:
--- a/postpass/configuration/settings.py
+++ b/postpass/configuration/settings.py
@@ -96,16 +96,19 @@
     :ivar quota_extra: the number of requests by which they may exceed it in addition; 0 or more.
 
     Invariants, checked in `tests/configuration/test_settings.py`:
-    - beat * 3 <= detect: three heartbeats are missed before a live owner is suspected.
-    - beat * 5 / 2 + promise / 2 <= contact < detect * 9 / 10: no member loses contact because of one late heartbeat of
-      the primary, and a member without contact reports that before it would vote for another primary.
-    - detect + stagger * 5 + promise + refill <= recover: even the fifth candidate in the order serves within the bound.
-    - lease + poll <= end: the items of an ended job stop within its bound.
-    - follow * 2 <= manifest: a daemon polls twice within the bound.
-    - probe * 3 <= leave: a worker's state is read three times within the bound.
-    - acknowledge * 10 <= resend: an order is still recognised long after its sender must have received an answer.
-    - follow * 2 < deaf < leave: a daemon that hears no other establishes that it is isolated, and stops giving new
-      work, before it must have heard that a worker leaves.
+    - heartbeat_interval * 3 <= detection_time: three heartbeats are missed before a live owner is suspected.
+    - heartbeat_interval * 5 / 2 + sync_request_limit / 2 <= contact_lease < detection_time * 9 / 10: no member loses
+      contact because of one late heartbeat of the primary, and a member without contact reports that before it would
+      vote for another primary.
+    - detection_time + candidate_delay * 5 + sync_request_limit + refill_time <= recover: even the fifth candidate in
+      the order serves within the bound.
+    - item_lease + scheduling_pause <= end: the items of an ended job stop within its bound.
+    - feed_interval * 2 <= manifest: a daemon polls twice within the bound.
+    - probe_interval * 3 <= leave: a worker's state is read three times within the bound.
+    - acknowledge * 10 <= resend_period: an order is still recognised long after its sender must have received an
+      answer.
+    - feed_interval * 2 < isolation_time < leave: a daemon that hears no other establishes that it is isolated, and
+      stops giving new work, before it must have heard that a worker leaves.
     """
 
     end: float = 3.0
@@ -123,19 +126,19 @@
     quota_extra: float = 20.0
 
     @property
-    def beat(self) -> float:
+    def heartbeat_interval(self) -> float:
         """The interval, in seconds, between heartbeats of the owner of a partition or of the primary of control."""
         return self.recover / 40
 
     @property
-    def detect(self) -> float:
+    def detection_time(self) -> float:
         """The failure detection time: seconds of silence after which an owner or primary is suspected to be down."""
         return self.recover / 8
 
     @property
-    def contact(self) -> float:
+    def contact_lease(self) -> float:
         """The lease of a control member: seconds for which it is in contact after the last message of the primary."""
-        return self.detect * 5 / 6
+        return self.detection_time * 5 / 6
 
     @property
     def turn(self) -> float:
@@ -143,62 +146,62 @@
         return self.manifest / 10
 
     @property
-    def stagger(self) -> float:
+    def candidate_delay(self) -> float:
         """Seconds that each candidate waits longer than the one before it in the agreed order, before its election."""
         return self.recover / 24
 
     @property
-    def drain(self) -> float:
+    def drain_time(self) -> float:
         """Seconds that open requests have to finish after the daemon was told to stop."""
         return self.recover * 2
 
     @property
-    def hand(self) -> float:
+    def leave_notice(self) -> float:
         """Seconds that a stopping daemon without proxied routes waits, so that others notice that it leaves."""
         return self.leave / 2
 
     @property
-    def promise(self) -> float:
+    def sync_request_limit(self) -> float:
         """The time limit, in seconds, of a request between peers that ends with a disk sync."""
         return self.recover / 12
 
     @property
-    def resend(self) -> float:
+    def resend_period(self) -> float:
         """Seconds for which an operator's order may be sent again and is recognised as already accepted."""
         return self.acknowledge * 60
 
     @property
-    def refill(self) -> float:
+    def refill_time(self) -> float:
         """Seconds within `recover` in which a new owner fetches the records that it is missing."""
         return self.recover / 3
 
     @property
-    def lease(self) -> float:
+    def item_lease(self) -> float:
         """Seconds for which a scheduler may run items of a partition, counted from its request to the owner."""
         return self.end / 3
 
     @property
-    def deaf(self) -> float:
+    def isolation_time(self) -> float:
         """Seconds without contact to any other daemon after which a daemon is isolated."""
         return self.leave * 3 / 4
 
     @property
-    def poll(self) -> float:
+    def scheduling_pause(self) -> float:
         """The longest pause, in seconds, between two scheduling rounds of a scheduler."""
         return self.end / 12
 
     @property
-    def follow(self) -> float:
+    def feed_interval(self) -> float:
         """Seconds between polls of the configuration feed; also the time limit of a request that is answered at once."""
         return self.manifest / 4
 
     @property
-    def exchange(self) -> float:
+    def load_exchange_interval(self) -> float:
         """Seconds between two exchanges of the workers' load among edges."""
         return self.leave / 25
 
     @property
-    def probe(self) -> float:
+    def probe_interval(self) -> float:
         """Seconds between two probes of a worker."""
         return self.leave / 4
 
--- a/postpass/control/api.py
+++ b/postpass/control/api.py
@@ -18,17 +18,26 @@
 from postpass.daemon.process import Task
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime.environment import now
-from postpass.runtime.errors import BAD, BROKE, CLASH, MOVED, OLD, REJECTED, SLOW, Fault
+from postpass.runtime.errors import (
+    BAD_REQUEST,
+    CONFLICT,
+    NOT_RESPONSIBLE,
+    PEER_FAILED,
+    PRECONDITION_FAILED,
+    REJECTED,
+    TIMED_OUT,
+    Fault,
+)
 
 MAX_CONFIGURATION_BYTES = 4 << 20  # bytes of a configuration that is accepted over HTTP
 HTTP_STATUS_BY_FAULT = {
-    BAD: 400,
-    OLD: 412,
-    MOVED: 503,
-    SLOW: 503,
+    BAD_REQUEST: 400,
+    PRECONDITION_FAILED: 412,
+    NOT_RESPONSIBLE: 503,
+    TIMED_OUT: 503,
     REJECTED: 503,
-    CLASH: 409,
-    BROKE: 502,
+    CONFLICT: 409,
+    PEER_FAILED: 502,
 }  # by the code of a fault; 503 for any code that is missing here
 
 
@@ -46,10 +55,10 @@
     """Returns the response to a request that the primary refused, or that did not reach the primary."""
     status = HTTP_STATUS_BY_FAULT.get(fault.code, 503)
     body: Body = {"error": fault.as_json()}
-    if fault.code == BAD:
+    if fault.code == BAD_REQUEST:
         body["flaws"] = fault.why.split("\n")
     headers = {}
-    if fault.code == OLD:
+    if fault.code == PRECONDITION_FAILED:
         headers = {"etag": f'"{fault.hint}"'}
     elif status == 503:
         headers = {"retry-after": "1"}
--- a/postpass/control/configuration.py
+++ b/postpass/control/configuration.py
@@ -14,7 +14,7 @@
 from postpass.configuration.configuration_check import semantic_errors
 from postpass.membership import operator_changes
 from postpass.membership.registry import OperatorConfiguration, State, Translator
-from postpass.runtime.errors import BAD, OLD, SLOW, Fault
+from postpass.runtime.errors import BAD_REQUEST, PRECONDITION_FAILED, TIMED_OUT, Fault
 
 STEP = "configure"
 
@@ -57,10 +57,10 @@
             return self._refuse(*self.parsed_document.unwrap_err())
         if recollection is Recollection.FORGOTTEN and self.base < self.order.version:
             reason = f"version {self.order.version}: too long ago to tell whether it was taken"
-            return Err(Fault(STEP, self.member, reason, SLOW))
+            return Err(Fault(STEP, self.member, reason, TIMED_OUT))
         if self.base != current:
             reason = f"version {current} is current, this builds on {self.base}"
-            return Err(Fault(STEP, self.member, reason, OLD, str(current)))
+            return Err(Fault(STEP, self.member, reason, PRECONDITION_FAILED, str(current)))
         return self._apply(state, self.translator)
 
     def _apply(self, state: State, translator: Translator) -> Result[State, Fault]:
@@ -80,4 +80,4 @@
         return self._refuse(*errors) if errors else Ok(new_state)
 
     def _refuse(self, *errors: str) -> Result[State, Fault]:
-        return Err(Fault(STEP, self.member, "\n".join(errors), BAD))
+        return Err(Fault(STEP, self.member, "\n".join(errors), BAD_REQUEST))
--- a/postpass/control/contact.py
+++ b/postpass/control/contact.py
@@ -43,7 +43,7 @@
 
     def in_touch(self) -> bool:
         """Returns whether the last contact is within the lease, so that this member may serve what it knows."""
-        return now() - self.last_contact() <= self.settings.bounds.contact
+        return now() - self.last_contact() <= self.settings.bounds.contact_lease
 
     def has_lost_contact(self) -> bool:
         """Returns whether this member is neither the primary nor in touch with it. After its start a member has one
@@ -51,14 +51,14 @@
         yet and so has no primary."""
         if self.epoch or self.known_configuration() is None or self.is_renewing_replica_set():
             return False
-        return now() - max(self.last_contact(), self.started) > self.settings.bounds.contact
+        return now() - max(self.last_contact(), self.started) > self.settings.bounds.contact_lease
 
     def is_renewing_replica_set(self) -> bool:
         """Returns whether this is the primary while it takes another backup or voter by a new epoch; for a moment it
         leads no epoch then. A former primary that was cut off runs elections too, but has not heard most voters for
         longer than that."""
         is_renewing = self.leader == self.settings.name and self.lock.locked()
-        return is_renewing and now() - self.last_contact() <= RENEWAL_LEASES * self.settings.bounds.contact
+        return is_renewing and now() - self.last_contact() <= RENEWAL_LEASES * self.settings.bounds.contact_lease
 
     def other_members(self) -> list[str]:
         """Returns the addresses of the other control members."""
--- a/postpass/control/election.py
+++ b/postpass/control/election.py
@@ -41,7 +41,7 @@
 from postpass.rpc.codec import Body
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
-from postpass.runtime.errors import SLOW, Fault
+from postpass.runtime.errors import TIMED_OUT, Fault
 from postpass.runtime.log_events import Event
 
 STEP = "stand"  # the `step` of the faults that a lost election returns, as operators see it
@@ -148,7 +148,7 @@
             granted = await self.collect_grants(configuration, replica_set, list(campaign.promises))
             await self.settle_previous_voters()
         except ElectionLostError as error:
-            return Err(Fault(STEP, self.settings.name, str(error), SLOW))
+            return Err(Fault(STEP, self.settings.name, str(error), TIMED_OUT))
         self.become_primary(replica_set, granted, reason)
         self.report_election(campaign, basis, replica_set, reason)
         self.publish(self.replicated_state.state)
@@ -163,7 +163,7 @@
         primary then may hear one now."""
         # Case: this process was frozen after the pre-vote. At a handover all members hear the present primary, which
         # agrees to the election, so no pre-vote is needed.
-        if not handover and not prevotes.is_fresh(now(), self.settings.bounds.detect):
+        if not handover and not prevotes.is_fresh(now(), self.settings.bounds.detection_time):
             raise ElectionLostError(PREVOTE_TOO_OLD)
         candidate = self.settings.name
         electorate, gone_members = self.electorate(configuration), self.gone_members(configuration)
@@ -332,7 +332,7 @@
                 why=reason,
             )
         else:
-            self.leader_silent_since = now() - self.settings.bounds.detect
+            self.leader_silent_since = now() - self.settings.bounds.detection_time
 
     def topology(self, configuration: Configuration) -> Topology:
         """Returns the zones of the machines, and which losses at the same time the fleet must tolerate."""
@@ -374,7 +374,7 @@
         daemons = [n for n, m in configuration["machines"].items() if not m.get("gone") and n != self.settings.name]
         request = {"after": 0, "wait": 0}
         responses = await asyncio.gather(*(
-            self.peer_links.request(configuration["machines"][n]["peer"], "follow", request, self.settings.bounds.promise)
+            self.peer_links.request(configuration["machines"][n]["peer"], "follow", request, self.settings.bounds.sync_request_limit)
             for n in daemons
         ))  # fmt: skip
         answers = [g.unwrap() for g in responses if isinstance(g, Ok)]
--- a/postpass/control/feed.py
+++ b/postpass/control/feed.py
@@ -16,7 +16,7 @@
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
-from postpass.runtime.errors import MOVED, REJECTED, SLOW, Fault
+from postpass.runtime.errors import NOT_RESPONSIBLE, REJECTED, TIMED_OUT, Fault
 from postpass.runtime.log_events import Event
 
 MIN_WAIT_S = 0.001  # shortest wait for a new configuration within a poll
@@ -25,9 +25,9 @@
 class Feed(Writer):
     """Serves the configuration to followers, confirms reads, and finds out which machines run a version.
 
-    Owns `next_confirmation` with `confirmation_lock`: the confirmation round that has not begun yet, which all reads that
-    arrive until then share. Records in `machine_heartbeats` when a follower polled. Decides whether a poll is answered with
-    changes or with `Stale`, whether a read is confirmed, and whether a version is in force.
+    Owns `next_confirmation` with `confirmation_lock`: the confirmation round that has not begun yet, which all reads
+    that arrive until then share. Records in `machine_heartbeats` when a follower polled. Decides whether a poll is
+    answered with changes or with `Stale`, whether a read is confirmed, and whether a version is in force.
     """
 
     async def on_ping(self, body: Body) -> PeerResponse:
@@ -47,7 +47,7 @@
         self.machine_heartbeats[poll.follower] = now()
         deadline = now() + poll.hold
         while self.in_touch() and self.configuration_view.revision <= poll.after and now() < deadline:
-            lease_end = self.last_contact() + self.settings.bounds.contact
+            lease_end = self.last_contact() + self.settings.bounds.contact_lease
             await self.configuration_view.wait(poll.after, max(min(deadline, lease_end) - now(), MIN_WAIT_S))
         answer = (
             cast(Body, self.configuration_view.changes_since(poll.after))
@@ -66,14 +66,16 @@
     ) -> list[str]:
         """Waits until a revision is in force; returns the machines that are not known to run it, nor to be down, in time.
 
-        Where machines announce themselves, only those that send requests to workers and may be connected are waited for;
-        elsewhere all machines of the old and the new configuration are. The time runs from `requested_at`, for `timeout`
-        seconds; 0 stands for the bound on configuration changes.
+        Where machines announce themselves, only those that send requests to workers and may be connected are waited
+        for; elsewhere all machines of the old and the new configuration are. The time runs from `requested_at`, for
+        `timeout` seconds; 0 stands for the bound on configuration changes.
         """
         bounds, me = self.settings.bounds, self.settings.name
         if new_configuration.get("announced"):
             contact_times = ContactTimes(self.machine_heartbeats, self.member_reported_at, self.leading_since)
-            machines = awaited_senders(new_configuration, me, contact_times, now(), bounds.detect, 4 * self.patience)
+            machines = awaited_senders(
+                new_configuration, me, contact_times, now(), bounds.detection_time, 4 * self.patience
+            )
         else:
             all_machines = {
                 name: machine
@@ -124,7 +126,7 @@
                     new_configuration["machines"][name]["peer"],
                     "ping",
                     {"fits": new_configuration},
-                    self.settings.bounds.follow,
+                    self.settings.bounds.feed_interval,
                 )
                 for name in names
             )
@@ -154,13 +156,13 @@
                 if not address:
                     return 0
                 response = await self.peer_links.request(
-                    address, "read", ReadRequest(brief=True).as_json(), self.settings.bounds.follow
+                    address, "read", ReadRequest(brief=True).as_json(), self.settings.bounds.feed_interval
                 )
                 if isinstance(response, Err):
                     return 0
                 revision = RevisionAnswer.from_json(response.unwrap()).revision
                 if revision > self.configuration_view.revision:
-                    await self.follower.fetch(address, self.settings.bounds.follow)
+                    await self.follower.fetch(address, self.settings.bounds.feed_interval)
                 return revision
 
         if self.next_confirmation is None:
@@ -188,7 +190,8 @@
     async def on_read(self, body: Body) -> PeerResponse:
         """Returns the configuration, its revision alone or the operator's document, once this member has proved that it leads.
 
-        Any other member answers with a fault that names the primary; only a read with `wait` is answered by every member.
+        Any other member answers with a fault that names the primary; only a read with `wait` is answered by every
+        member.
         """
         request = ReadRequest.from_json(body)
         if request.wait is not None:
@@ -201,7 +204,7 @@
         if not self.epoch:
             primary = self.vote_record.replica_set.primary
             hint = primary if primary != self.settings.name else ""
-            return Err(Fault("read", self.settings.name, "not the primary", MOVED, hint))
+            return Err(Fault("read", self.settings.name, "not the primary", NOT_RESPONSIBLE, hint))
         async with self.lock:
             state = self.committed.state
             if not await self.confirm_leadership():
@@ -213,4 +216,4 @@
 
     def unconfirmed_fault(self, step: str) -> Fault:
         """Returns the fault of a member that believes to be the primary, but could not prove it in time."""
-        return Fault(step, self.settings.name, "could not be confirmed; ask again", SLOW)
+        return Fault(step, self.settings.name, "could not be confirmed; ask again", TIMED_OUT)
--- a/postpass/control/in_force.py
+++ b/postpass/control/in_force.py
@@ -55,9 +55,9 @@
     """Returns the machines that send requests to workers and may still be connected to a control member: name -> address.
 
     A machine is left out if no control member heard it for `window` seconds. This can't be known for a time that a
-    member's report doesn't cover yet, so the window ends at the time up to which all reports are complete. A machine that
-    was not heard for `patience` seconds is left out in any case, since a control member may be gone for good and never
-    report again.
+    member's report doesn't cover yet, so the window ends at the time up to which all reports are complete. A machine
+    that was not heard for `patience` seconds is left out in any case, since a control member may be gone for good and
+    never report again.
     """
     other_members = [n for n in with_duty(configuration, "control") if n != me]
     heard_after = max(contact_times.reports_complete_until(other_members, clock) - window, clock - patience)
@@ -98,7 +98,7 @@
 
     async def _ask_until_settled(self, name: str) -> None:
         while name in self.pending and (remaining := self.deadline - now()) > 0:
-            timeout = min(remaining, self.bounds.follow)
+            timeout = min(remaining, self.bounds.feed_interval)
             requests = {
                 "direct": self._request_directly(name, timeout),
                 "relayed": self._request_through_relays(name, timeout),
@@ -107,7 +107,7 @@
             if any(responses.values()):
                 self.pending.pop(name, None)
                 return
-            await asyncio.sleep(max(0.0, min(self.deadline - now(), self.bounds.follow / 8)))
+            await asyncio.sleep(max(0.0, min(self.deadline - now(), self.bounds.feed_interval / 8)))
 
     async def _request_directly(self, name: str, timeout: float) -> bool:
         body = {"want": self.version, "at": self.source_address, "wait": timeout * 0.9}
@@ -133,8 +133,8 @@
     def _relays(self, name: str) -> list[str]:
         """Returns randomly chosen machines through which to ask `name`.
 
-        Only machines that are no longer pending are chosen if there are enough of them, since the version can be fetched
-        from those that run it.
+        Only machines that are no longer pending are chosen if there are enough of them, since the version can be
+        fetched from those that run it.
         """
         others = sorted(n for n in self.addresses if n != name)
         running = [n for n in others if n not in self.pending]
--- a/postpass/control/journal.py
+++ b/postpass/control/journal.py
@@ -16,7 +16,7 @@
 from postpass.feed.checksum import parts_sum, parts_sum_difference
 from postpass.rpc.codec import IDL, pack, unpack
 from postpass.runtime.disk import Disk
-from postpass.runtime.errors import BROKE, FULL, Fault, FaultError
+from postpass.runtime.errors import NO_SPACE, PEER_FAILED, Fault, FaultError
 from postpass.storage.segmented_log import SegmentedLog
 
 RECORD_FORMAT = 1  # format of a record in the log; records of a later format are neither read nor overwritten
@@ -207,7 +207,7 @@
         try:
             journal = cls(member, disk, log, replay(entries))
         except UnknownFormatError as error:
-            raise FaultError(Fault("open data folder", member, f"{error}; nothing was touched", BROKE)) from error
+            raise FaultError(Fault("open data folder", member, f"{error}; nothing was touched", PEER_FAILED)) from error
         if journal.image is not None and log.logged_bytes:
             await journal._make_durable()
         return journal
@@ -219,7 +219,7 @@
         try:
             await self.compact()
         except FaultError as error:
-            if error.fault.code != FULL:
+            if error.fault.code != NO_SPACE:
                 raise
             await self._await_write(self.disk.sync(self.log.segment_name))
 
@@ -273,15 +273,15 @@
         segment = self.log.segment_number
         await self._await_write(self.log.compact(iter([snapshot_entry(image)])))
         if self.log.segment_number == segment:
-            raise FaultError(Fault("write snapshot", self.member, "the disk is full", FULL))
+            raise FaultError(Fault("write snapshot", self.member, "the disk is full", NO_SPACE))
 
     def _raise_if_failed(self) -> None:
         if self.log.failure:
-            raise FaultError(Fault("sync", self.member, self.log.failure, BROKE))
+            raise FaultError(Fault("sync", self.member, self.log.failure, PEER_FAILED))
 
     async def _await_write(self, write: Coroutine[Any, Any, None]) -> None:
         try:
             await write
         except OSError as error:
             self.log.failure = f"sync failed: {error.strerror}"
-            raise FaultError(Fault("sync", self.member, self.log.failure, BROKE)) from error
+            raise FaultError(Fault("sync", self.member, self.log.failure, PEER_FAILED)) from error
--- a/postpass/control/leadership.py
+++ b/postpass/control/leadership.py
@@ -23,9 +23,9 @@
 class Leadership(Registry):
     """Keeps this member the primary while it is one, and runs for election when there is none.
 
-    Changes `epoch` (cleared when a majority doesn't answer, or to hand over) and `leader_silent_since`, the time from which
-    the primary's silence is counted. Decides when an election is due: after a restart, after the primary was silent for too
-    long, when a backup or voter is to be replaced, and when this member leaves.
+    Changes `epoch` (cleared when a majority doesn't answer, or to hand over) and `leader_silent_since`, the time from
+    which the primary's silence is counted. Decides when an election is due: after a restart, after the primary was
+    silent for too long, when a backup or voter is to be replaced, and when this member leaves.
     """
 
     async def tick(self) -> None:
@@ -35,7 +35,7 @@
         """
         bounds = self.settings.bounds
         while True:
-            await asyncio.sleep(bounds.beat * (0.8 + 0.4 * self.environment.chance.random()))
+            await asyncio.sleep(bounds.heartbeat_interval * (0.8 + 0.4 * self.environment.chance.random()))
             configuration = self.known_configuration()
             if configuration is None or self.settings.name not in self.members(configuration):
                 continue
@@ -52,16 +52,16 @@
     async def heartbeat_as_primary(self, configuration: Configuration) -> None:
         """Sends the primary's heartbeat to all members, then steps down if no majority answered.
 
-        Otherwise starts `reconcile` where machines announce themselves, and renews the replica set if a backup or voter has
-        to be replaced. If none has to be, and the change of voters that came with this epoch is not complete yet, tries to
-        complete it.
+        Otherwise starts `reconcile` where machines announce themselves, and renews the replica set if a backup or voter
+        has to be replaced. If none has to be, and the change of voters that came with this epoch is not complete yet,
+        tries to complete it.
         """
         bounds, epoch, replica_set = self.settings.bounds, self.epoch, self.replicated_state.replica_set
         answers = await self.send_heartbeats(epoch, configuration)
         if self.epoch != epoch:
             return
         self.voter_heard[self.settings.name] = now()
-        if not in_touch(replica_set.voters, self.voter_heard, now() - bounds.detect):
+        if not in_touch(replica_set.voters, self.voter_heard, now() - bounds.detection_time):
             self.step_down("no majority answers")
             return
         if configuration.get("announced"):
@@ -80,7 +80,7 @@
         self, configuration: Configuration, answers: list[Acknowledgement]
     ) -> ElectionReason | None:
         """Returns why backups or voters have to be replaced; None if the replica set can stay as it is."""
-        heard_after = now() - self.settings.bounds.detect
+        heard_after = now() - self.settings.bounds.detection_time
         if (
             self.wiped_backups
             or self.backup_is_leaving(answers)
@@ -102,13 +102,15 @@
         """Runs for election soon after a start, without waiting for the detection time, if most members started as well.
 
         If a majority answers and none of them has heard a primary since its start, there is no primary to wait for. The
-        primary of the newest epoch runs at once. Each of its backups waits one heartbeat period for every holder of the state
-        that ranks before it, unless those are seen to have lost their disks. All other members wait for
+        primary of the newest epoch runs at once. Each of its backups waits one heartbeat period for every holder of the
+        state that ranks before it, unless those are seen to have lost their disks. All other members wait for
         `watch_for_leader`. If a member runs by mistake, that costs one epoch and nothing else.
         """
         bounds, started_at, eligible_since = self.settings.bounds, now(), INFINITY
         while (
-            now() - started_at < bounds.detect and not (self.epoch or self.leaving) and self.leader_heard < started_at
+            now() - started_at < bounds.detection_time
+            and not (self.epoch or self.leaving)
+            and self.leader_heard < started_at
         ):
             configuration = self.known_configuration()
             if configuration is not None and self.may_lead_after_restart(configuration):
@@ -120,10 +122,10 @@
                 turn = restart_turn(self.settings.name, self.replicated_state.epoch, prevotes.answers)
                 if turn is not None:
                     eligible_since = min(eligible_since, now())
-                    if turn.is_first or now() - eligible_since > bounds.beat * turn.rank:
+                    if turn.is_first or now() - eligible_since > bounds.heartbeat_interval * turn.rank:
                         if await self.run_after_restart(configuration, prevotes, started_at):
                             return
-            await asyncio.sleep(bounds.beat / 4 * (0.8 + 0.4 * self.environment.chance.random()))
+            await asyncio.sleep(bounds.heartbeat_interval / 4 * (0.8 + 0.4 * self.environment.chance.random()))
 
     def may_lead_after_restart(self, configuration: Configuration) -> bool:
         """Returns whether this member holds a state and is a control member of the configuration that it knows."""
@@ -143,8 +145,8 @@
     async def watch_for_leader(self, configuration: Configuration) -> None:
         """Runs for election if no primary was heard for too long: holders of the state first, then the other members.
 
-        Each member waits longer than the one that ranks before it, by `bounds.stagger`; the members of the configuration
-        have the same order everywhere.
+        Each member waits longer than the one that ranks before it, by `bounds.candidate_delay`; the members of the
+        configuration have the same order everywhere.
         """
         bounds = self.settings.bounds
         ranked_members = sorted(
@@ -156,8 +158,8 @@
             # Ranks behind all others, since as the primary it could not write the changes that it would be sent.
             rank += len(ranked_members)
         if (
-            now() - self.leader_silent_since <= bounds.detect + rank * bounds.stagger
-            or now() < self.candidate_until + rank * bounds.stagger
+            now() - self.leader_silent_since <= bounds.detection_time + rank * bounds.candidate_delay
+            or now() < self.candidate_until + rank * bounds.candidate_delay
         ):
             return
         if self.replicated_state.epoch == 0 and self.configuration_view.manifest is None:
@@ -171,18 +173,22 @@
             prevotes = await self.collect_prevotes(configuration)
             answers = prevotes.answers
             if not self.prevote_won(configuration, answers) or not self.may_try_to_lead(configuration, answers):
-                self.leader_silent_since = now() - bounds.detect + bounds.stagger * self.environment.chance.random()
+                self.leader_silent_since = (
+                    now() - bounds.detection_time + bounds.candidate_delay * self.environment.chance.random()
+                )
                 return
             result = await self.run_election(configuration, ElectionReason(Cause.PRIMARY_LOST), prevotes=prevotes)
             if isinstance(result, Err):
-                self.leader_silent_since = now() - bounds.detect + bounds.stagger * self.environment.chance.random()
+                self.leader_silent_since = (
+                    now() - bounds.detection_time + bounds.candidate_delay * self.environment.chance.random()
+                )
 
     async def depart(self) -> None:
         """Returns once the other members hold the state without this one, so that this process may end.
 
-        A primary hands over to a backup, which then takes a backup of its own; if no backup takes over, the primary first
-        takes another backup. A backup waits until the primary has replaced it; the primary learns with its next heartbeat
-        that this member leaves. The time for all this is limited by `leave_limit`.
+        A primary hands over to a backup, which then takes a backup of its own; if no backup takes over, the primary
+        first takes another backup. A backup waits until the primary has replaced it; the primary learns with its next
+        heartbeat that this member leaves. The time for all this is limited by `leave_limit`.
         """
         handed_over = False
         while self.epoch or self.others_need_this_member():
@@ -197,8 +203,8 @@
                         configuration, ElectionReason(Cause.TOO_FEW_BACKUPS), change_voters=True
                     )
                 if isinstance(result, Err):
-                    await asyncio.sleep(self.settings.bounds.promise)
-            await asyncio.sleep(self.settings.bounds.beat / 4)
+                    await asyncio.sleep(self.settings.bounds.sync_request_limit)
+            await asyncio.sleep(self.settings.bounds.heartbeat_interval / 4)
 
     @property
     def leave_limit(self) -> float:
@@ -232,7 +238,9 @@
             log_events.emit(Event.PRIMARY_STEPPED_DOWN, self.settings.name, epoch=epoch, seen="handed over")
         for address in addresses:
             request = AdoptRequest(epoch)
-            response = await self.peer_links.request(address, ADOPT, request.as_json(), self.settings.bounds.promise)
+            response = await self.peer_links.request(
+                address, ADOPT, request.as_json(), self.settings.bounds.sync_request_limit
+            )
             if isinstance(response, Ok) and AdoptAnswer.from_json(response.unwrap()).accepted:
                 return True
         return False
--- a/postpass/control/member.py
+++ b/postpass/control/member.py
@@ -24,7 +24,7 @@
 from postpass.runtime import log_events
 from postpass.runtime.disk import Disk
 from postpass.runtime.environment import Environment, now
-from postpass.runtime.errors import FULL, MOVED, Fault, FaultError
+from postpass.runtime.errors import NO_SPACE, NOT_RESPONSIBLE, Fault, FaultError
 from postpass.runtime.log_events import Event
 from postpass.storage.data_directory import STATE_FORMAT, open_data_directory, raise_format
 
@@ -208,7 +208,7 @@
     @property
     def disk_stays_full(self) -> bool:
         """Whether every write of the state has failed because of a full disk for longer than the detection time."""
-        return now() - self.disk_full_since > self.settings.bounds.detect
+        return now() - self.disk_full_since > self.settings.bounds.detection_time
 
     @property
     def disk_was_recently_full(self) -> bool:
@@ -232,7 +232,7 @@
             self.disk_full_since = INFINITY
             return image
         except FaultError as error:
-            if error.fault.code == FULL:
+            if error.fault.code == NO_SPACE:
                 self.disk_full_at, self.disk_full_since = now(), min(self.disk_full_since, now())
             else:
                 self.fail_disk(error.fault.why)
@@ -242,11 +242,11 @@
         """Checks at every heartbeat interval whether a snapshot of the state is due, so that the log of changes stays
         short. Runs until it is cancelled or the disk fails; a full disk is tolerated."""
         while True:
-            await asyncio.sleep(self.settings.bounds.beat)
+            await asyncio.sleep(self.settings.bounds.heartbeat_interval)
             try:
                 await self.journal.compact_if_due()
             except FaultError as error:
-                if error.fault.code != FULL:
+                if error.fault.code != NO_SPACE:
                     self.fail_disk(error.fault.why)
                     raise
 
@@ -301,13 +301,13 @@
     def yield_to_candidate(self) -> None:
         """Delays this member's own candidacy, because the candidate that was given a vote may soon lead. The candidate
         is not treated as the primary yet."""
-        self.candidate_until = now() + self.settings.bounds.promise
+        self.candidate_until = now() + self.settings.bounds.sync_request_limit
 
     def hears_another_primary(self, candidate: str) -> bool:
         """Returns whether this member hears a primary, or is the primary itself, that `candidate` would depose."""
         if self.epoch:
             return candidate != self.settings.name
-        return self.leader != candidate and now() - self.leader_heard < self.settings.bounds.detect * 0.9
+        return self.leader != candidate and now() - self.leader_heard < self.settings.bounds.detection_time * 0.9
 
     async def on_grant(self, body: Body) -> PeerResponse:
         """Handles the request of a candidate whose backups have synced the state to grant its epoch."""
@@ -383,7 +383,7 @@
     def not_leader_fault(self, step: str) -> Fault:
         """Returns the fault of a member that isn't the primary; its hint names the primary that was heard last."""
         hint = self.leader if self.leader != self.settings.name else ""
-        return Fault(step, self.settings.name, "not the primary", MOVED, hint)
+        return Fault(step, self.settings.name, "not the primary", NOT_RESPONSIBLE, hint)
 
     def knows_no_fleet(self) -> bool:
         """Returns whether this member knows of no fleet: it has no configuration, no state and has granted no epoch."""
--- a/postpass/control/orders.py
+++ b/postpass/control/orders.py
@@ -32,15 +32,25 @@
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
-from postpass.runtime.errors import BAD, LACK, MOVED, OLD, REJECTED, SLOW, Fault, FaultError
+from postpass.runtime.errors import (
+    BAD_REQUEST,
+    NOT_FOUND,
+    NOT_RESPONSIBLE,
+    PRECONDITION_FAILED,
+    REJECTED,
+    TIMED_OUT,
+    Fault,
+    FaultError,
+)
 from postpass.runtime.log_events import Event
 
 
 class Orders(Leadership):
     """Accepts and carries out the orders of operators.
 
-    Owns no state: an order becomes a change of the replicated state, which `Writer` writes, or a complete configuration,
-    which is committed with `lock` held. Decides whether an order is accepted, refused, or not known to be accepted.
+    Owns no state: an order becomes a change of the replicated state, which `Writer` writes, or a complete
+    configuration, which is committed with `lock` held. Decides whether an order is accepted, refused, or not known to
+    be accepted.
     """
 
     async def on_apply(self, body: Body) -> PeerResponse:
@@ -63,7 +73,7 @@
         step, me = "apply", self.settings.name
         check_result = check(request.configuration)
         if isinstance(check_result, Err):
-            return Err(Fault(step, me, "\n".join(check_result.unwrap_err()), BAD))
+            return Err(Fault(step, me, "\n".join(check_result.unwrap_err()), BAD_REQUEST))
         configuration, base = check_result.unwrap(), request.base
         async with self.lock:
             if not self.epoch:
@@ -86,7 +96,7 @@
         step, me = "apply", self.settings.name
         if self.known_configuration() is not None or base not in (0, -1):
             hint = self.vote_record.replica_set.primary if self.vote_record.replica_set.primary != me else ""
-            return Err(Fault(step, me, "not the primary", MOVED, hint))
+            return Err(Fault(step, me, "not the primary", NOT_RESPONSIBLE, hint))
         if me not in self.members(configuration):
             return Err(Fault(step, me, f"machines: {me} is not a control machine of this manifest", REJECTED))
         result = await self.run_election(configuration, ElectionReason(Cause.FOUNDED), State(1, configuration))
@@ -101,13 +111,13 @@
             if not await self.confirm_leadership():
                 return self.unconfirmed_fault(step)
             reason = f"edition {state.revision} is in force, this was made from {base}"
-            return Fault(step, me, reason, OLD, str(state.revision))
+            return Fault(step, me, reason, PRECONDITION_FAILED, str(state.revision))
         reasons = await self.configuration_errors(state, configuration)
         if not reasons:
             return None
         if not await self.confirm_leadership():
             return self.unconfirmed_fault(step)
-        return Fault(step, me, "\n".join(reasons), BAD)
+        return Fault(step, me, "\n".join(reasons), BAD_REQUEST)
 
     async def commit_configuration(self, state: State) -> Result[int, Fault]:
         """Makes a state durable at the replicas; returns its revision. Called with the lock held.
@@ -123,8 +133,8 @@
             # must not go on as the primary.
             if self.epoch:
                 self.epoch = 0
-                self.leader_silent_since = now() - self.settings.bounds.detect
-            return Err(Fault("apply", self.settings.name, "not known whether it was taken; ask again", SLOW))
+                self.leader_silent_since = now() - self.settings.bounds.detection_time
+            return Err(Fault("apply", self.settings.name, "not known whether it was taken; ask again", TIMED_OUT))
         return Ok(state.revision)
 
     async def configuration_errors(self, state: State, configuration: Configuration) -> list[str]:
@@ -192,13 +202,13 @@
             case RetirementOrder():
                 return self.retirement_change(order)
             case UnknownOrder(kind):
-                return lambda _: Err(Fault("order", self.settings.name, f"unknown order {kind!r:.60}", BAD))
+                return lambda _: Err(Fault("order", self.settings.name, f"unknown order {kind!r:.60}", BAD_REQUEST))
 
     def evacuation_change(self, order: EvacuationOrder) -> StateUpdate:
         """Returns the change that marks a zone as evacuated or as open again; it refuses a zone missing from the settings."""
         zone = order.zone
         if zone not in self.settings.zones:
-            return lambda _: Err(Fault(order.kind, self.settings.name, f"unknown area {zone!r:.60}", LACK))
+            return lambda _: Err(Fault(order.kind, self.settings.name, f"unknown area {zone!r:.60}", NOT_FOUND))
         return lambda state: Ok(
             operator_changes.with_zone_evacuated(state, zone)
             if order.evacuated
@@ -226,7 +236,8 @@
 
     async def retirement_status(self, store: str) -> PeerResponse:
         """Answers whether a retired store is out of the fleet. Removes it from the fleet if its data is needed no longer."""
-        # The lock waits for a write in progress, so that a change that is not committed yet is not taken for one in force.
+        # The lock waits for a write in progress, so that a change that is not committed yet is not taken for one in
+        # force.
         async with self.lock:
             state, is_confirmed = self.committed.state, await self.confirm_leadership()
         if not is_confirmed:
@@ -235,7 +246,7 @@
             return Ok(RetirementAnswer(True).as_json())
         configuration = state.configuration
         if store not in configuration["machines"]:
-            return Err(Fault("retire", self.settings.name, f"no store {store!r:.60}", LACK))
+            return Err(Fault("retire", self.settings.name, f"no store {store!r:.60}", NOT_FOUND))
         if not configuration["machines"][store].get("retire") or not await self.is_emptied(store, configuration):
             return Ok(RetirementAnswer(False).as_json())
         result = await self.change(lambda state: Ok(operator_changes.without_emptied_store(state, store)), 0.0)
@@ -252,7 +263,7 @@
         responses = await asyncio.gather(
             *(
                 self.peer_links.request(
-                    configuration["machines"][other]["peer"], "parts", {}, self.settings.bounds.follow
+                    configuration["machines"][other]["peer"], "parts", {}, self.settings.bounds.feed_interval
                 )
                 for other in other_stores
             )
--- a/postpass/control/registry.py
+++ b/postpass/control/registry.py
@@ -20,7 +20,7 @@
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
-from postpass.runtime.errors import BAD, Fault
+from postpass.runtime.errors import BAD_REQUEST, Fault
 from postpass.runtime.log_events import Event
 
 MAX_DRAINED_WORKERS = 4096  # how many workers a member remembers whose leaving the primary has acknowledged
@@ -68,12 +68,12 @@
 class Registry(Feed):
     """Keeps the registry of machines and workers.
 
-    Owns what is known of their heartbeats, in seconds of this machine's clock: `worker_heartbeats`, `machine_heartbeats`,
-    `worker_seqnos`, `drained_workers`, `first_heard`, `member_reported_at` and `reported_at`. Heartbeats and the reports of
-    other members change these; the first two are reset when another primary leads. None of this is on disk: the registry
-    itself is a part of the replicated state, and is changed by `change` alone.
-    Decides which machines join, which machines and workers are late or gone, and how many copies of the data there can be
-    (`reconcile`, by the rules of `postpass.membership.registry`).
+    Owns what is known of their heartbeats, in seconds of this machine's clock: `worker_heartbeats`,
+    `machine_heartbeats`, `worker_seqnos`, `drained_workers`, `first_heard`, `member_reported_at` and `reported_at`.
+    Heartbeats and the reports of other members change these; the first two are reset when another primary leads. None
+    of this is on disk: the registry itself is a part of the replicated state, and is changed by `change` alone.
+    Decides which machines join, which machines and workers are late or gone, and how many copies of the data there can
+    be (`reconcile`, by the rules of `postpass.membership.registry`).
     """
 
     async def found_fleet(self) -> None:
@@ -84,10 +84,12 @@
         bounds, seeds = self.settings.bounds, sorted(set(self.settings.seeds))
         if not self.settings.bootstrap or self.settings.peer not in seeds:
             return
-        await asyncio.sleep(bounds.detect * seeds.index(self.settings.peer))
+        await asyncio.sleep(bounds.detection_time * seeds.index(self.settings.peer))
         while self.knows_no_fleet():
             requests = [
-                self.peer_links.request(seed, "ping", {"entry": 1}, bounds.beat if seed != self.settings.peer else 0)
+                self.peer_links.request(
+                    seed, "ping", {"entry": 1}, bounds.heartbeat_interval if seed != self.settings.peer else 0
+                )
                 for seed in seeds
                 if seed != self.settings.peer
             ]
@@ -112,7 +114,7 @@
                         Event.FLEET_FOUNDED, self.settings.name, machines=",".join(e["name"] for e in entries)
                     )
                     return
-            await asyncio.sleep(bounds.beat / 4 * (0.8 + 0.4 * self.environment.chance.random()))
+            await asyncio.sleep(bounds.heartbeat_interval / 4 * (0.8 + 0.4 * self.environment.chance.random()))
 
     async def on_join(self, body: Body) -> PeerResponse:
         """Adds a machine that announces itself; returns the revision that contains it, once that revision is durable."""
@@ -121,13 +123,13 @@
             return Err(self.not_leader_fault(step))
         flaws = machine_registry.announcement_errors(entry, self.settings.zones)
         if flaws:
-            return Err(Fault(step, self.settings.name, "\n".join(flaws), BAD))
+            return Err(Fault(step, self.settings.name, "\n".join(flaws), BAD_REQUEST))
         self.machine_heartbeats[entry["name"]] = now()
         if (configuration := self.known_configuration()) is not None:
             self.note_newcomers(configuration)
         self.first_heard.setdefault(entry["name"], now())
         result = await self.change(
-            lambda state: Ok(machine_registry.with_machine(state, entry)), self.settings.bounds.beat / 4
+            lambda state: Ok(machine_registry.with_machine(state, entry)), self.settings.bounds.heartbeat_interval / 4
         )
         if isinstance(result, Err):
             return Err(result.unwrap_err())
@@ -161,7 +163,9 @@
                 recent_heartbeat_ages(self.machine_heartbeats, sent_at, max_age),
                 self.settings.name,
             )
-            response = await self.peer_links.request(address, HEAR, report.as_json(), min(period, bounds.beat * 2))
+            response = await self.peer_links.request(
+                address, HEAR, report.as_json(), min(period, bounds.heartbeat_interval * 2)
+            )
             if isinstance(response, Ok) and HeartbeatReportAnswer.from_json(response.unwrap()).leads:
                 self.reported_at = sent_at
             forget_after = 8 * self.settings.beat
@@ -220,7 +224,8 @@
         last_store_joined_at = max(
             (self.first_heard.get(name, 0.0) for name in with_duty(configuration, "store")), default=current_time
         )
-        # This time is longer than `patience`, so that lost machines are no longer in `live_machines` once it has passed.
+        # This time is longer than `patience`, so that lost machines are no longer in `live_machines` once it has
+        # passed.
         no_store_is_new = current_time - max(last_store_joined_at, listening_since) > bounds.recover / 4
         live_machines = [name for name, silence in machine_silences.items() if silence <= self.patience]
 
@@ -253,15 +258,15 @@
         # A bad announcement, once accepted, would make every later configuration invalid.
         flaws = worker_registry.announcement_errors(announcement, self.settings.zones)
         if flaws:
-            return Err(Fault("beat", self.settings.name, "\n".join(flaws), BAD))
+            return Err(Fault("beat", self.settings.name, "\n".join(flaws), BAD_REQUEST))
         heartbeat = WorkerHeartbeat(worker, announcement, seqno)
         if self.is_superseded(heartbeat):
             return Ok({})
         if len(self.worker_seqnos) > MAX_SEQNOS:
             self.worker_seqnos = dict(list(self.worker_seqnos.items())[-SEQNOS_AFTER_TRIM:])
         reported_recently = self.epoch > 0 or now() - self.reported_at < 1.5 * self.settings.beat
-        # The first heartbeat by which a worker leaves needs the primary's acknowledgement; later ones are treated like any
-        # other heartbeat.
+        # The first heartbeat by which a worker leaves needs the primary's acknowledgement; later ones are treated like
+        # any other heartbeat.
         needs_no_acknowledgement = not heartbeat.leaves or worker in self.drained_workers
         if (
             reported_recently
--- a/postpass/control/replica.py
+++ b/postpass/control/replica.py
@@ -17,7 +17,7 @@
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.environment import gather_until, now
-from postpass.runtime.errors import FULL, Fault, FaultError
+from postpass.runtime.errors import NO_SPACE, Fault, FaultError
 from postpass.runtime.log_events import Event
 
 
@@ -134,7 +134,7 @@
             state_json=replicated_state.as_json() if change is None and replicated_state is not None else None,
         )
         # Where machines announce themselves, another backup is soon found, so an order doesn't wait long for this one.
-        timeout = self.settings.bounds.promise / (2 if self.settings.announce else 1)
+        timeout = self.settings.bounds.sync_request_limit / (2 if self.settings.announce else 1)
         response = await self.peer_links.request(address, APPEND, request.as_json(), timeout)
         if isinstance(response, Err):
             return None
@@ -185,7 +185,7 @@
         # The voters without a copy of the state are asked while the disks sync, so that their round trip adds no delay.
         voters_task = asyncio.create_task(self.collect_voter_acknowledgements(epoch, replica_set))
         try:
-            async with asyncio.timeout(self.settings.bounds.detect):
+            async with asyncio.timeout(self.settings.bounds.detection_time):
                 stored = await self.store(ReplicatedState(epoch, replica_set, state))
             if self.epoch != epoch:
                 return False
@@ -197,7 +197,7 @@
             if not replica_set.confirmed_by(answers):
                 answers += await voters_task
         except FaultError as error:
-            if error.fault.code == FULL and self.disk_stays_full:
+            if error.fault.code == NO_SPACE and self.disk_stays_full:
                 # Nothing was written, and nothing will be as long as the disk is full; another member may lead
                 # meanwhile.
                 self.step_down("the disk is full")
@@ -262,7 +262,7 @@
             return 2 * (1 + sum(a is not None for a in responses.values())) > len(others) + 1
 
         requests = {n: self.append_to(None, epoch, n) for n in others}
-        responses = await gather_until(requests, has_majority, self.settings.bounds.promise / 2)
+        responses = await gather_until(requests, has_majority, self.settings.bounds.sync_request_limit / 2)
         return [a for a in responses.values() if a is not None]
 
     async def ask_all(
@@ -283,14 +283,16 @@
             if name == self.settings.name:
                 return await getattr(self, f"on_{verb}")(body)  # type: ignore[no-any-return]
             return await self.peer_links.request(
-                machine["peer"], verb, body, bounds.beat / 2 if quick else bounds.promise
+                machine["peer"], verb, body, bounds.heartbeat_interval / 2 if quick else bounds.sync_request_limit
             )
 
         def has_majority(responses: dict[str, PeerResponse]) -> bool:
             return 2 * sum(isinstance(g, Ok) for g in responses.values()) > len(names)
 
         responses = await gather_until(
-            {n: ask_member(n) for n in names}, has_majority, bounds.beat / 8 if quick else bounds.beat
+            {n: ask_member(n) for n in names},
+            has_majority,
+            bounds.heartbeat_interval / 8 if quick else bounds.heartbeat_interval,
         )
         return {n: g.unwrap() for n, g in responses.items() if isinstance(g, Ok)}
 
--- a/postpass/control/writer.py
+++ b/postpass/control/writer.py
@@ -14,7 +14,7 @@
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
-from postpass.runtime.errors import MOVED, REJECTED, SLOW, Fault, FaultError
+from postpass.runtime.errors import NOT_RESPONSIBLE, REJECTED, TIMED_OUT, Fault, FaultError
 from postpass.runtime.log_events import Event
 
 
@@ -97,7 +97,7 @@
                 self.epoch = 0
                 election_result = await self.run_election(state.configuration, ElectionReason(Cause.BACKUP_LOST))
                 if isinstance(election_result, Err):
-                    self.leader_silent_since = now() - bounds.detect
+                    self.leader_silent_since = now() - bounds.detection_time
                 else:
                     log_events.emit(
                         Event.BACKUP_CHANGED,
@@ -105,7 +105,7 @@
                         backup=",".join(self.replicated_state.replica_set.backups),
                         why="it did not take a write",
                     )
-        return [Err(Fault("write", own_name, "not known whether it was taken; ask again", SLOW)) for _ in changes]
+        return [Err(Fault("write", own_name, "not known whether it was taken; ask again", TIMED_OUT)) for _ in changes]
 
     async def forward(self, verb: str, body: Body, limit: float = 0.0) -> PeerResponse:
         """Sends a request to the primary, wherever it is, and returns the response. Where machines announce themselves,
@@ -133,7 +133,7 @@
         response: PeerResponse = await getattr(self, f"on_{verb}")(body)
         tried = {self.settings.name}
         names = [n for n in self.members() if n != self.settings.name]
-        while isinstance(response, Err) and response.unwrap_err().code == MOVED:
+        while isinstance(response, Err) and response.unwrap_err().code == NOT_RESPONSIBLE:
             hint = response.unwrap_err().hint
             untried = [n for n in ([hint] if hint else []) + names if n not in tried]
             if not untried:
@@ -146,7 +146,7 @@
             limit = limit or self.settings.bounds.manifest * (2 if verb == "apply" else 1)
             remote_response = await self.peer_links.request(address, verb, body | {"passed": 1}, limit)
             if isinstance(remote_response, Err) and remote_response.unwrap_err().unsent:
-                response = Err(Fault(verb, untried[0], remote_response.unwrap_err().why, MOVED))
+                response = Err(Fault(verb, untried[0], remote_response.unwrap_err().why, NOT_RESPONSIBLE))
             else:
                 response = remote_response
         return response
--- a/postpass/daemon/announcer.py
+++ b/postpass/daemon/announcer.py
@@ -69,17 +69,17 @@
             addrs = [*self.follower.sources(), *self.partial_view.addresses()]
             near = [addr for addr in dict.fromkeys(addrs) if addr != self.settings.peer]
             if not near:
-                await asyncio.sleep(bounds.beat / 2)
+                await asyncio.sleep(bounds.heartbeat_interval / 2)
                 continue
             await self._announce_at(self.environment.chance.sample(near, min(ASKED_AT_ONCE, len(near))))
             if not self.is_registered():
-                await asyncio.sleep(bounds.beat / 2 * (0.6 + 0.8 * self.environment.chance.random()))
+                await asyncio.sleep(bounds.heartbeat_interval / 2 * (0.6 + 0.8 * self.environment.chance.random()))
 
     async def _announce_at(self, addrs: list[str]) -> None:
         """Announces this start at several daemons at once; fetches the revision that has it from whoever answers."""
         bounds, view = self.settings.bounds, self.follower.configuration_view
         asks = {
-            addr: self.peer_links.request(addr, "join", {"entry": self.announcement()}, bounds.follow * 2)
+            addr: self.peer_links.request(addr, "join", {"entry": self.announcement()}, bounds.feed_interval * 2)
             for addr in addrs
         }
         answers = await gather_until(asks, any_answered, 0.0)
@@ -88,7 +88,7 @@
                 self.follower.missed[addr] = now()
             if isinstance(answer, Ok) and answer.unwrap()["edition"] > view.revision:
                 # The feed brings it in a moment, as a rule.
-                await view.wait(answer.unwrap()["edition"] - 1, bounds.beat / 8)
+                await view.wait(answer.unwrap()["edition"] - 1, bounds.heartbeat_interval / 8)
                 if answer.unwrap()["edition"] > view.revision:
                     await self.follower.fetch(addr)
 
@@ -97,4 +97,4 @@
         addr = next((source for source in self.follower.sources() if source != self.settings.peer), "")
         if not addr or body.get("hop"):
             return Err(Fault("join", self.settings.name, "no control machine is known here", REJECTED))
-        return await self.peer_links.request(addr, "join", body | {"hop": 1}, self.settings.bounds.follow)
+        return await self.peer_links.request(addr, "join", body | {"hop": 1}, self.settings.bounds.feed_interval)
--- a/postpass/daemon/data_plane.py
+++ b/postpass/daemon/data_plane.py
@@ -93,7 +93,7 @@
             self.environment,
             self.configuration_view,
             session,
-            self.settings.bounds.deaf,
+            self.settings.bounds.isolation_time,
             peer_links=peer_links,
         )
 
@@ -188,7 +188,7 @@
             await self.store.leave()
         if self.edge is not None:
             # Who passes connections on asks once a second and takes two misses to notice.
-            await asyncio.sleep(self.settings.bounds.hand if self.relay is None else LEAVE_NOTICED)
+            await asyncio.sleep(self.settings.bounds.leave_notice if self.relay is None else LEAVE_NOTICED)
         if self.scheduler is not None:
             await self.scheduler.drain()
 
@@ -223,7 +223,7 @@
     def drain(self) -> float:
         """How many seconds requests under way may take; of a grace period, what leaving in order leaves of it."""
         grace = self.settings.bounds.grace
-        return self.settings.bounds.drain if grace == 0 else max(1.0, grace - LEAVE_NOTICED - GRACE_RESERVE)
+        return self.settings.bounds.drain_time if grace == 0 else max(1.0, grace - LEAVE_NOTICED - GRACE_RESERVE)
 
     def protocol(self) -> Any:
         """The HTTP protocol: in an announced fleet one whose limits on request heads the configuration sets."""
@@ -254,7 +254,7 @@
         if self.edge is not None:
             out += self.edge.tasks()
             # Workers of an announced fleet are not asked for their state: it costs them, and control tells it.
-            out += [] if self.settings.announce else [self.worker_load.poll_loop(self.settings.bounds.probe)]
+            out += [] if self.settings.announce else [self.worker_load.poll_loop(self.settings.bounds.probe_interval)]
             out += [serve_ready(self.settings.ready, lambda: not self.ready())] if self.settings.ready else []
         if self.load_exchange is not None:
             out.append(self.load_exchange.run())
--- a/postpass/daemon/gossip.py
+++ b/postpass/daemon/gossip.py
@@ -47,7 +47,7 @@
 
     async def run(self) -> None:
         """Shuffles at random intervals around the bound on following; runs until it is cancelled."""
-        interval, namesake = self.settings.bounds.follow, ""
+        interval, namesake = self.settings.bounds.feed_interval, ""
         while True:
             await asyncio.sleep(interval * (0.7 + 0.6 * self.environment.chance.random()))
             self.next_own_record()
@@ -63,7 +63,7 @@
     async def _greet_namesake(self, addr: str) -> None:
         """Tells a process of the same name of this one, and hears of it in turn."""
         body: Body = {"cards": [self.partial_view.own_record]}
-        got = await self.peer_links.request(addr, "shuffle", body, self.settings.bounds.follow)
+        got = await self.peer_links.request(addr, "shuffle", body, self.settings.bounds.feed_interval)
         if isinstance(got, Ok):
             self.note_name_clash(got.unwrap()["cards"])
 
@@ -75,7 +75,7 @@
             return
         asked = now()
         body: Body = {"cards": offer, "heights": self.partition_epochs}
-        got = await self.peer_links.request(addr, "shuffle", body, self.settings.bounds.follow)
+        got = await self.peer_links.request(addr, "shuffle", body, self.settings.bounds.feed_interval)
         self.shuffles.labels("ok" if isinstance(got, Ok) else "failed").inc()
         if isinstance(got, Err):
             if neighbour is not None:
@@ -117,7 +117,7 @@
         neighbours = sorted(self.partial_view.neighbours.items())
         others = [other.record["peer"] for other_name, other in neighbours if other_name != name]
         helpers = self.environment.chance.sample(others, min(HELPERS_ASKED, len(others)))
-        wait = self.settings.bounds.beat * 2
+        wait = self.settings.bounds.heartbeat_interval * 2
         answers = await asyncio.gather(
             *(self.peer_links.request(helper, "ping", {"reach": addr}, wait) for helper in helpers)
         )
@@ -133,7 +133,7 @@
 
     async def ask_epochs(self) -> int:
         """Asks all machines for the epochs that they know; returns how many answered."""
-        addrs, wait = self.follower.configuration_view.addresses_of_others(), self.settings.bounds.beat
+        addrs, wait = self.follower.configuration_view.addresses_of_others(), self.settings.bounds.heartbeat_interval
         answers = await asyncio.gather(
             *(self.peer_links.request(addr, "ping", {"heights": 1}, wait) for addr in addrs if addr)
         )
--- a/postpass/daemon/health_endpoints.py
+++ b/postpass/daemon/health_endpoints.py
@@ -117,7 +117,7 @@
         return JSONResponse({
             "name": settings.name, "area": settings.zone, "peer": settings.peer, "http": settings.http,
             "duties": list(settings.duties), "release": daemon.release, "edition": view.revision,
-            "fresh": view.fresh, "leaving": daemon.leaving, "deaf": view.is_isolated(settings.bounds.deaf),
+            "fresh": view.fresh, "leaving": daemon.leaving, "deaf": view.is_isolated(settings.bounds.isolation_time),
             "up": round(now() - daemon.started, 3), "ready": daemon.ready(), "clash": daemon.name_clash,
             "neighbours": sorted(daemon.partial_view.neighbours), **await daemon.more_status(),
         })  # fmt: skip
--- a/postpass/daemon/process.py
+++ b/postpass/daemon/process.py
@@ -45,9 +45,9 @@
 class Daemon:
     """One process of the fleet.
 
-    States: starting (before `run` serves), serving, leaving (`stop` is set, `leaving` is true while what is done here is
-    handed over), closed (`closed` is set). Invariants: `stop` is set once and never cleared; a task that fails ends the
-    daemon, which `failed` then tells; `closed` follows `stop`.
+    States: starting (before `run` serves), serving, leaving (`stop` is set, `leaving` is true while what is done here
+    is handed over), closed (`closed` is set). Invariants: `stop` is set once and never cleared; a task that fails ends
+    the daemon, which `failed` then tells; `closed` follows `stop`.
 
     `read_config` reads the settings anew where they stand in a file that may change; None where they don't.
     """
@@ -110,7 +110,8 @@
         """Empty if ready to serve; else what is lacking."""
         if self.configuration_view.manifest is None:
             return "no manifest yet"
-        # One that control doesn't know yet isn't counted by the others; if control can't be reached it serves all the same.
+        # One that control doesn't know yet isn't counted by the others; if control can't be reached it serves all the
+        # same.
         waits = (
             self.settings.announce
             and not self.announcer.note_registration()
@@ -129,7 +130,7 @@
     @property
     def drain(self) -> float:
         """How many seconds requests under way may take once nothing new is accepted."""
-        return self.settings.bounds.drain
+        return self.settings.bounds.drain_time
 
     def protocol(self) -> Any:
         """The HTTP protocol of the server, by its name or as a class."""
@@ -284,7 +285,7 @@
 
     async def _ping_for_another(self, body: Body) -> PeerResponse:
         """Tells whether the daemon at `reach` answers, for one that can't reach it itself."""
-        limit = self.settings.bounds.beat
+        limit = self.settings.bounds.heartbeat_interval
         if body.get("want", 0) > self.configuration_view.revision and body.get("at"):
             # Whom it reaches will fetch the revision from here.
             await self.follower.fetch(body["at"], limit)
@@ -306,7 +307,7 @@
 
     async def ask_kept_jobs(self, part: int) -> list[str]:
         """All jobs of a partition that any machine knows to have been accepted lately; asked only after a loss."""
-        addrs, wait = self.configuration_view.addresses_of_others(), self.settings.bounds.beat
+        addrs, wait = self.configuration_view.addresses_of_others(), self.settings.bounds.heartbeat_interval
         answers = await asyncio.gather(
             *(self.peer_links.request(addr, "ping", {"kept": part}, wait) for addr in addrs if addr)
         )
--- a/postpass/feed/follower.py
+++ b/postpass/feed/follower.py
@@ -68,12 +68,12 @@
         if not self.settings.announce:
             return control or seeds
         all_sources = list(dict.fromkeys([*control, *seeds]))
-        oldest_miss = now() - self.settings.bounds.detect * AVOIDANCE_FACTOR
+        oldest_miss = now() - self.settings.bounds.detection_time * AVOIDANCE_FACTOR
         return [addr for addr in all_sources if self.missed.get(addr, NEVER) < oldest_miss] or all_sources
 
     async def follow(self) -> None:
         """Polls the feed for changes after the view's revision, from one source after another; runs until cancelled."""
-        interval, chance = self.settings.bounds.follow, self.environment.chance
+        interval, chance = self.settings.bounds.feed_interval, self.environment.chance
         rotation = Rotation(chance.randrange(FIRST_POSITIONS))
         while True:
             sources = self.sources()
@@ -97,7 +97,7 @@
         """
         requested_at = now()
         response = await self.peer_links.request(
-            addr, "follow", poll.as_json(), poll.hold + self.settings.bounds.follow
+            addr, "follow", poll.as_json(), poll.hold + self.settings.bounds.feed_interval
         )
         if isinstance(response, Err):
             self.missed[addr] = now()
@@ -137,12 +137,12 @@
         """Copies newer revisions from one neighbour, drawn at random, that is none of the sources."""
         neighbours = [addr for addr in self.partial_view.addresses() if addr not in sources]
         if neighbours:
-            await self.fetch(self.environment.chance.choice(neighbours), self.settings.bounds.follow / 2)
+            await self.fetch(self.environment.chance.choice(neighbours), self.settings.bounds.feed_interval / 2)
 
     async def poll_revisions(self, addrs: list[str]) -> int:
         """Asks many daemons at once for their revision, and fetches the newest; returns how many answered."""
         requested_at = now()
-        limit = self.settings.bounds.follow
+        limit = self.settings.bounds.feed_interval
         responses = await asyncio.gather(*(self.peer_links.request(addr, "ping", {}, limit) for addr in addrs))
         response_by_address = zip(addrs, responses, strict=True)
         revisions = {addr: answer.unwrap()["edition"] for addr, answer in response_by_address if isinstance(answer, Ok)}
@@ -159,7 +159,7 @@
         It asks other daemons after half the time without a confirmation that makes this daemon isolated, and logs when
         the daemon becomes isolated and when it no longer is.
         """
-        view, limit = self.configuration_view, self.settings.bounds.deaf
+        view, limit = self.configuration_view, self.settings.bounds.isolation_time
         was_isolated = False
         while True:
             await asyncio.sleep(limit / 4)
@@ -185,7 +185,7 @@
             await self._confirm_with_control()
             if view.fresh:
                 break
-            await asyncio.sleep(bounds.follow / 4 * (0.8 + 0.4 * self.environment.chance.random()))
+            await asyncio.sleep(bounds.feed_interval / 4 * (0.8 + 0.4 * self.environment.chance.random()))
             if view.manifest is not None and not view.fresh and now() - started_at > bounds.manifest:
                 others, revision = view.addresses_of_others(), view.revision
                 view.fresh = 2 * await self.poll_revisions(others) > len(others) and revision == view.revision
@@ -201,7 +201,7 @@
 
         A source holds the request until there is a primary that confirms a revision.
         """
-        view, interval = self.configuration_view, self.settings.bounds.follow
+        view, interval = self.configuration_view, self.settings.bounds.feed_interval
         sources = self.sources()
         chosen = self.environment.chance.sample(sources, min(MAX_CONFIRMING_SOURCES, len(sources)))
         body: dict[str, Any] = {"brief": 1, "wait": interval}
--- a/postpass/gateway/admission_control.py
+++ b/postpass/gateway/admission_control.py
@@ -22,7 +22,7 @@
 from postpass.gateway.http_errors import EVACUATED, LEAVING
 from postpass.gateway.worker_load import ISOLATED, OVERCOMMIT, WorkerLoad
 from postpass.runtime.environment import now
-from postpass.runtime.errors import CROWD, REJECTED, Fault, FaultError
+from postpass.runtime.errors import REJECTED, TOO_MANY_REQUESTS, Fault, FaultError
 from postpass.worker_api.openai import Prompt
 from postpass.worker_api.plugins import Candidate, PlacementRequest, affinity_key, affinity_worker, place
 
@@ -36,8 +36,8 @@
 class AdmissionControl:
     """Admits the requests of one edge and assigns workers to them.
 
-    Invariants: a request holds at most one worker, and releases it exactly once; no queue is longer than its `queue_limit`;
-    `in_flight` counts the requests that hold a worker, by class.
+    Invariants: a request holds at most one worker, and releases it exactly once; no queue is longer than its
+    `queue_limit`; `in_flight` counts the requests that hold a worker, by class.
     """
 
     settings: Settings
@@ -58,7 +58,7 @@
     @property
     def report_max_age(self) -> float:
         """The age in seconds from which a worker's report is too old for it to get new requests."""
-        return self.settings.bounds.probe * MAX_MISSED_POLLS
+        return self.settings.bounds.probe_interval * MAX_MISSED_POLLS
 
     def exclusion_reason(self, pool: str, worker: str) -> str:
         """Returns why a worker may get no new requests; empty if it may."""
@@ -79,8 +79,8 @@
     def has_capacity(self, class_name: str) -> bool:
         """Returns whether one more request of the class may be in flight at this edge.
 
-        Besides its own quota, a class may use that of the classes listed in its `borrows`, except for the reserved part of it.
-        A class lends only while none of its own requests wait.
+        Besides its own quota, a class may use that of the classes listed in its `borrows`, except for the reserved part
+        of it. A class lends only while none of its own requests wait.
         """
         if self.in_flight[class_name] < self.quota(class_name):
             return True
@@ -128,10 +128,10 @@
             elif pool["kind"] != "model" or self.worker_load.warm_part(pool_name, name) >= 1:
                 fallback_candidates.append(Candidate(name, server["area"], 1, max(slots, 1), load, name == preferred))
         if quota <= 0 and in_use == 0 and fallback_candidates:
-            # There are more edges than slots, and this edge's share of every worker that is up is zero. It may still use
-            # one slot, at the worker that its own name maps to, so that the edges without a share don't all choose the
-            # same worker. This exceeds the workers' joint capacity by at most one request for each such edge, and never
-            # at a worker whose reported load has reached its limit.
+            # There are more edges than slots, and this edge's share of every worker that is up is zero. It may still
+            # use one slot, at the worker that its own name maps to, so that the edges without a share don't all choose
+            # the same worker. This exceeds the workers' joint capacity by at most one request for each such edge, and
+            # never at a worker whose reported load has reached its limit.
             chosen = affinity_worker(self.settings.name, sorted(candidate.name for candidate in fallback_candidates))
             return tuple(candidate for candidate in fallback_candidates if candidate.name == chosen)
         return tuple(available)
@@ -207,10 +207,10 @@
             return Err(Fault("let in", name, LEAVING, REJECTED, hint="another edge"))
         if self.configuration_view.evacuated(name):
             return Err(Fault("let in", name, EVACUATED, REJECTED, hint="another edge"))
-        if now() - self.configuration_view.last_contact > self.settings.bounds.deaf:
+        if now() - self.configuration_view.last_contact > self.settings.bounds.isolation_time:
             return Err(Fault("let in", name, ISOLATED, REJECTED, hint="another edge"))
         if queue.size >= self.queue_limit(class_name):
-            return Err(Fault("let in", name, f"the backlog of {class_name} is full ({queue.size})", CROWD))
+            return Err(Fault("let in", name, f"the backlog of {class_name} is full ({queue.size})", TOO_MANY_REQUESTS))
         if self.expected_wait(class_name) > seconds_left:
             return Err(Fault("let in", name, f"the wait for {class_name} is past the deadline", REJECTED))
         return Ok(None)
--- a/postpass/gateway/connection_pool.py
+++ b/postpass/gateway/connection_pool.py
@@ -8,7 +8,7 @@
 
 from postpass.configuration.settings import split_address
 from postpass.gateway.upstream_connection import Exchange, UpstreamConnection
-from postpass.runtime.errors import BROKE, CROWD, SLOW, Fault, FaultError
+from postpass.runtime.errors import PEER_FAILED, TIMED_OUT, TOO_MANY_REQUESTS, Fault, FaultError
 
 # An attempt to connect is abandoned after this multiple of the usual time, but not before so many seconds.
 CONNECT_TIMEOUT_FACTOR, MIN_CONNECT_TIMEOUT = 8, 0.04
@@ -91,7 +91,7 @@
             self.usual_seconds = max(loop.time() - started_at, self.usual_seconds * USUAL_DECAY)
         except (OSError, TimeoutError) as error:
             connection.drop()
-            code = SLOW if isinstance(error, TimeoutError) else BROKE
+            code = TIMED_OUT if isinstance(error, TimeoutError) else PEER_FAILED
             raise FaultError(Fault("connect", addr, str(error) or "no answer", code, unsent=True)) from error
         except BaseException:
             connection.drop()
@@ -128,13 +128,15 @@
         reused = connection is not None
         if connection is None:
             if max_connections and len(self.opened.get(addr, ())) >= max_connections:
-                raise FaultError(Fault("connect", addr, f"{max_connections} connections are open", CROWD, unsent=True))
+                raise FaultError(
+                    Fault("connect", addr, f"{max_connections} connections are open", TOO_MANY_REQUESTS, unsent=True)
+                )
             connection = await self.open(addr, limit)
         objection = admission_check()
         if objection:
             if connection.usable():
                 self.put(connection)
-            raise FaultError(Fault("gate", addr, objection, CROWD, unsent=True))
+            raise FaultError(Fault("gate", addr, objection, TOO_MANY_REQUESTS, unsent=True))
         remaining = deadline - asyncio.get_running_loop().time()
         if not connection.usable() or remaining <= 0:
             connection.drop()
@@ -200,15 +202,16 @@
             self.put(connection)
             self.probe_passed_at[addr] = loop.time()
         except FaultError as error:
-            if error.fault.code != SLOW or self.last_received <= silent_since:
-                # A reset shows that the host is alive; and if nothing was received from any worker, this side may be cut off.
+            if error.fault.code != TIMED_OUT or self.last_received <= silent_since:
+                # A reset shows that the host is alive; and if nothing was received from any worker, this side may be
+                # cut off.
                 self.probe_passed_at[addr] = loop.time()
                 return
             for connection in list(self.opened.get(addr, ())):
                 if connection.exchange is None:
                     connection.drop()
                 elif connection.patience and connection.last_received <= silent_since:
-                    connection.fail(connection.fault_step(), "nothing came, and no connection was taken", SLOW)
+                    connection.fail(connection.fault_step(), "nothing came, and no connection was taken", TIMED_OUT)
         finally:
             del self.probe_tasks[addr]
 
--- a/postpass/gateway/job_routes.py
+++ b/postpass/gateway/job_routes.py
@@ -14,12 +14,21 @@
 from postpass.gateway.request_bodies import IDENTIFIER, IDENTIFIER_RULE, JobRequestBody, client_name_of, read_json
 from postpass.rpc.codec import Body
 from postpass.runtime.environment import now
-from postpass.runtime.errors import BROKE, CLASH, CROWD, FULL, LACK, REJECTED, SLOW, Fault
+from postpass.runtime.errors import (
+    CONFLICT,
+    NO_SPACE,
+    NOT_FOUND,
+    PEER_FAILED,
+    REJECTED,
+    TIMED_OUT,
+    TOO_MANY_REQUESTS,
+    Fault,
+)
 
 MAX_PAGE_RESULTS = 500  # the most results on one page
 # Codes of owners' faults that prove that a job was not accepted; they are HTTP statuses as well.
-REJECTION_CODES = (REJECTED, FULL, CROWD)
-STATUS_BY_CODE = {LACK: 404, REJECTED: 410, SLOW: 504, BROKE: 502}
+REJECTION_CODES = (REJECTED, NO_SPACE, TOO_MANY_REQUESTS)
+STATUS_BY_CODE = {NOT_FOUND: 404, REJECTED: 410, TIMED_OUT: 504, PEER_FAILED: 502}
 STATE_BY_STATUS = {410: "shed", 504: "unknown"}
 
 
@@ -27,7 +36,8 @@
 class JobRoutes:
     """The handlers of `/v1/lots`.
 
-    Invariant: a client is told that a job is stored, or that it certainly is not stored, only if the job's owner says so.
+    Invariant: a client is told that a job is stored, or that it certainly is not stored, only if the job's owner says
+    so.
     """
 
     edge: EdgeState
@@ -35,8 +45,8 @@
     def _not_served_response(self) -> Response | None:
         """Returns the error response if these handlers don't serve jobs, or don't serve them yet; None if they do.
 
-        To these handlers clients give their own names, unchecked. If the configuration has tenants, a job belongs to the
-        tenant whose key the client presents, and only the handlers of configured routes ask for keys.
+        To these handlers clients give their own names, unchecked. If the configuration has tenants, a job belongs to
+        the tenant whose key the client presents, and only the handlers of configured routes ask for keys.
         """
         edge = self.edge
         if (not_ready := edge.not_ready_response()) is not None:
@@ -87,8 +97,8 @@
             "class": body["class"], "items": body["items"], "shared": body.get("shared", []), "caller": client,
             "due": body.get("due"), "within": body.get("within"),
         }  # fmt: skip
-        # A relative due time is made absolute only once, here, and the job's digest leaves it out, so that it is safe to
-        # send the job again.
+        # A relative due time is made absolute only once, here, and the job's digest leaves it out, so that it is safe
+        # to send the job again.
         if job["due"] is None:
             job["due"] = round(edge.environment.wall() + body["within"], 3)
         job["said"] = [body.get("due"), body.get("within")]
@@ -121,14 +131,14 @@
         `client_chose_id`: the job's id was given by the client, not drawn here.
         """
         jobs_total = self.edge.jobs_total
-        if fault.code == CLASH:
+        if fault.code == CONFLICT:
             jobs_total.labels("clash").inc()
             return fault_response(fault, 409, id=job_id)
         # If the client chose the id, an earlier submission of the job may have been stored: that nothing was sent this
         # time doesn't prove that it wasn't.
         if fault.code in REJECTION_CODES or (fault.unsent and not client_chose_id):
             jobs_total.labels("shed").inc()
-            if fault.code != CROWD:
+            if fault.code != TOO_MANY_REQUESTS:
                 self.edge.record_unacknowledged_job(job_id, fault, fault.code if fault.code in REJECTION_CODES else 503)
             return fault_response(fault, fault.code if fault.code in REJECTION_CODES else 503, id=job_id, state="shed")
         jobs_total.labels("unknown").inc()
--- a/postpass/gateway/live_requests.py
+++ b/postpass/gateway/live_requests.py
@@ -23,7 +23,7 @@
 from postpass.rpc.codec import Body
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
-from postpass.runtime.errors import SLOW, Fault, FaultError
+from postpass.runtime.errors import TIMED_OUT, Fault, FaultError
 from postpass.runtime.log_events import Event
 from postpass.worker_api.openai import Prompt, complete
 
@@ -45,8 +45,8 @@
 class LiveRequest:
     """One admitted request. Owned by the task of `LiveRequests.run`.
 
-    Invariant: `pieces_sent` counts the pieces that were sent to the client, all of which come from the current attempt, and
-    `digest` is the digest of their text.
+    Invariant: `pieces_sent` counts the pieces that were sent to the client, all of which come from the current attempt,
+    and `digest` is the digest of their text.
     """
 
     class_name: str
@@ -176,7 +176,8 @@
             why = "a call with this key was taken before; it is not run again"
             response = fault_response(Fault("claim", edge.settings.name, why), 409, ran="unknown")
         else:
-            # This edge neither has sent the request nor will send it; whether another edge has claimed the key is unknown.
+            # This edge neither has sent the request nor will send it; whether another edge has claimed the key is
+            # unknown.
             response = fault_response(claim_result.unwrap_err(), 503, ran="not by this call")
         await request.connection.respond(response)
         return False
@@ -220,7 +221,7 @@
         except FaultError as error:
             self._note_fault(request, error.fault, worker_state)
         except TimeoutError:
-            fault = request.last_fault = Fault("call", worker, "its deadline passed", SLOW)
+            fault = request.last_fault = Fault("call", worker, "its deadline passed", TIMED_OUT)
             last_attempt = request.attempt_log.last
             sent = last_attempt is not None and last_attempt.state in (AttemptState.SENT, AttemptState.FIRST)
             state = AttemptState.BROKEN if sent else AttemptState.UNSENT
@@ -240,9 +241,9 @@
         model = worker_state.report.weights if worker_state.report else ""
         async with asyncio.timeout(request.deadline - now()):
             async for text in complete(
-                edge.session, server["url"], model, request.prompt, lambda: edge.admission.exclusion_reason(pool, worker),
-                request.mark_sent, max(MIN_PIECE_TIMEOUT, request.deadline - now()), edge.configuration_view.limit("pieces"),
-                edge.configuration["pools"][pool].get("offsets", True),
+                edge.session, server["url"], model, request.prompt, lambda: edge.admission.exclusion_reason(pool,
+                worker), request.mark_sent, max(MIN_PIECE_TIMEOUT, request.deadline - now()),
+                edge.configuration_view.limit("pieces"), edge.configuration["pools"][pool].get("offsets", True),
             ):  # fmt: skip
                 piece_number = request.pieces_sent
                 if piece_number == 0:
@@ -294,5 +295,5 @@
             retry_after_s = max(1.0, edge.admission.expected_wait(request.class_name))
             await request.connection.respond(fault_response(fault, 503, ran="never", retry_after_s=retry_after_s))
         else:
-            status = 504 if last_fault.code == SLOW else 502
+            status = 504 if last_fault.code == TIMED_OUT else 502
             await request.connection.respond(fault_response(fault, status, ran="unknown"))
--- a/postpass/gateway/load_exchange.py
+++ b/postpass/gateway/load_exchange.py
@@ -1,8 +1,8 @@
 """Exchanges the load of workers between edges and schedulers, through the hubs of `routing.load_picture`.
 
-Each daemon reports its own counts several times a second and receives the sum of all others; no request waits for that. A
-daemon that reaches no hub decides by its own counts alone. A lost or late message costs one interval, because each report
-replaces the sender's previous one.
+Each daemon reports its own counts several times a second and receives the sum of all others; no request waits for that.
+A daemon that reaches no hub decides by its own counts alone. A lost or late message costs one interval, because each
+report replaces the sender's previous one.
 """
 
 from __future__ import annotations
@@ -46,9 +46,9 @@
 class LoadExchange:
     """What the other edges and schedulers have in progress at the workers, as far as reported.
 
-    Owner: the data plane's process. Invariant: `others` contains nothing of this process. `own_use` returns the load that
-    this process puts on each worker; `on_update` is called whenever `others` changes. A daemon that receives reports of
-    members acts as their hub, whichever daemon it is.
+    Owner: the data plane's process. Invariant: `others` contains nothing of this process. `own_use` returns the load
+    that this process puts on each worker; `on_update` is called whenever `others` changes. A daemon that receives
+    reports of members acts as their hub, whichever daemon it is.
     """
 
     settings: Settings
@@ -108,7 +108,7 @@
         for name, machine in sorted(configuration["machines"].items()):
             if "edge" in machine["duties"] and not machine.get("gone"):
                 by_zone.setdefault(machine["area"], []).append(name)
-        self.interval = exchange_interval(self.settings.bounds.exchange, by_zone)
+        self.interval = exchange_interval(self.settings.bounds.load_exchange_interval, by_zone)
         self.preferred_hubs = preferred_hubs(self.settings.name, self.settings.zone, by_zone)
         self.all_hubs = choose_hubs(by_zone)
 
--- a/postpass/gateway/owner_client.py
+++ b/postpass/gateway/owner_client.py
@@ -16,7 +16,7 @@
 from postpass.rpc.peer_links import PeerLinks
 from postpass.runtime import log_events
 from postpass.runtime.environment import Environment, now
-from postpass.runtime.errors import BROKE, MOVED, SLOW, Fault
+from postpass.runtime.errors import NOT_RESPONSIBLE, PEER_FAILED, TIMED_OUT, Fault
 from postpass.runtime.log_events import Event
 
 MIN_RESPONSE_TIMEOUT = 0.05  # seconds; the shortest time that a response is waited for
@@ -44,19 +44,19 @@
     async def request(self, partition: int, verb: str, body: Body, deadline: float) -> Result[Body, Fault]:
         """Sends a request to a partition's owner and returns its response; tries until the deadline.
 
-        The request must be safe to repeat, since a machine may get it more than once. `deadline` is in seconds of the event
-        loop's clock. A fault is `unsure` if an earlier attempt may have arrived but got no response, and `unsent`
+        The request must be safe to repeat, since a machine may get it more than once. `deadline` is in seconds of the
+        event loop's clock. A fault is `unsure` if an earlier attempt may have arrived but got no response, and `unsent`
         only if there was no such attempt.
         """
         body = body | {"part": partition}
         unsure = False
         lookup = self._lookup(partition)
-        last_fault = Fault(verb, self.settings.name, "no owner known", SLOW)
+        last_fault = Fault(verb, self.settings.name, "no owner known", TIMED_OUT)
         bounds = self.settings.bounds
         while now() < deadline:
             name = lookup.next_name()
             if not name:
-                await asyncio.sleep(bounds.beat / 2 * (0.75 + 0.5 * self.environment.chance.random()))
+                await asyncio.sleep(bounds.heartbeat_interval / 2 * (0.75 + 0.5 * self.environment.chance.random()))
                 lookup = self._lookup(partition)
                 continue
             lookup.mark_asked(name)
@@ -72,18 +72,18 @@
                 self.known_owners[partition] = name
                 return response
             last_fault = response.unwrap_err()
-            if last_fault.code not in (MOVED, BROKE, SLOW):
+            if last_fault.code not in (NOT_RESPONSIBLE, PEER_FAILED, TIMED_OUT):
                 return Err(replace(last_fault, unsure=unsure))
             if self.known_owners.get(partition) == name:
                 del self.known_owners[partition]
-            if last_fault.code == MOVED:
+            if last_fault.code == NOT_RESPONSIBLE:
                 await self._follow_redirect(partition, lookup, name, last_fault.hint)
                 continue
             unsure = unsure or not last_fault.unsent
             if not last_fault.unsent:
-                lookup = self._lookup(partition, [name] if last_fault.code == BROKE else [])
-                await asyncio.sleep(bounds.beat / 8)
-        return Err(Fault(verb, last_fault.peer, last_fault.why, SLOW, unsent=not unsure, unsure=unsure))
+                lookup = self._lookup(partition, [name] if last_fault.code == PEER_FAILED else [])
+                await asyncio.sleep(bounds.heartbeat_interval / 8)
+        return Err(Fault(verb, last_fault.peer, last_fault.why, TIMED_OUT, unsent=not unsure, unsure=unsure))
 
     async def _request_machine(self, name: str, addr: str, verb: str, body: Body, timeout_s: float) -> PeerResponse:
         """Sends a request to one machine, and records whether the machine answered."""
@@ -102,7 +102,7 @@
     def _response_timeout(self, name: str, deadline: float) -> float:
         """Returns how many seconds to wait for a machine's response."""
         detection_periods = 1 if name in self.unresponsive else 2
-        return min(max(MIN_RESPONSE_TIMEOUT, deadline - now()), self.settings.bounds.detect * detection_periods)
+        return min(max(MIN_RESPONSE_TIMEOUT, deadline - now()), self.settings.bounds.detection_time * detection_periods)
 
     def _lookup(self, partition: int, tried: Iterable[str] = ()) -> OwnerLookup:
         """Returns a new round of the search: the known owner, then all members in the agreed order, without those in `tried`."""
@@ -115,7 +115,7 @@
         """Handles the response of machine `name` that not it but `owner` is the owner; empty if it knows none."""
         if owner == name:
             # It names itself: it is about to become the owner.
-            await asyncio.sleep(self.settings.bounds.beat / 8)
+            await asyncio.sleep(self.settings.bounds.heartbeat_interval / 8)
             lookup.ask_again(name)
         elif owner and owner not in lookup.tried:
             self.known_owners[partition] = owner
--- a/postpass/gateway/proxied_routes.py
+++ b/postpass/gateway/proxied_routes.py
@@ -21,7 +21,7 @@
 from postpass.runtime import log_events
 from postpass.runtime.deferred_import import DeferredModule
 from postpass.runtime.environment import now
-from postpass.runtime.errors import BROKE, REJECTED, SLOW, Fault, FaultError
+from postpass.runtime.errors import PEER_FAILED, REJECTED, TIMED_OUT, Fault, FaultError
 from postpass.runtime.log_events import Event
 from postpass.worker_api.openai import Prompt
 
@@ -42,7 +42,7 @@
     "location",
 )  # fmt: skip
 BODILESS_STATUSES = (204, 304)
-STATUS_BY_CODE = {REJECTED: 503, SLOW: 504}
+STATUS_BY_CODE = {REJECTED: 503, TIMED_OUT: 504}
 
 
 class Outcome(Enum):
@@ -136,8 +136,8 @@
     async def run(self, request: ProxiedRequest) -> None:
         """Serves one admitted request until its response is complete.
 
-        Raises ConnectionError if the response is cut off, so that the HTTP server closes the connection and the response
-        can't look complete.
+        Raises ConnectionError if the response is cut off, so that the HTTP server closes the connection and the
+        response can't look complete.
         """
         edge, class_name = self.edge, request.class_name
         for _ in range(MAX_ATTEMPTS):
@@ -200,7 +200,7 @@
         Raises ConnectionError if a part of the response was sent to the client.
         """
         edge = self.edge
-        code = SLOW if isinstance(error, TimeoutError) else BROKE
+        code = TIMED_OUT if isinstance(error, TimeoutError) else PEER_FAILED
         fault = request.last_fault = Fault("pass", worker, repr(error)[:120], code)
         if started:
             edge.requests_total.labels(request.class_name, "broken").inc()
--- a/postpass/gateway/relay.py
+++ b/postpass/gateway/relay.py
@@ -33,7 +33,7 @@
 from postpass.gateway.worker_selection import WorkerSelection
 from postpass.runtime import log_events
 from postpass.runtime.environment import Environment, now
-from postpass.runtime.errors import CROWD, SLOW, Fault, FaultError
+from postpass.runtime.errors import TIMED_OUT, TOO_MANY_REQUESTS, Fault, FaultError
 from postpass.runtime.log_events import Event
 from postpass.tenants.rate_limit import RateLimit
 
@@ -45,7 +45,7 @@
 CONNECTION_SHARE = 0.9  # share of a worker's connections that all senders together use
 WORKER_SEARCH_SHARE = 1 / 4  # of a route's target: for so long other workers are tried, then the client has to retry
 MIN_RETRY_AFTER = 0.05  # seconds
-# Multiples of `detect` from its start until a process is ready: usually, and at worst.
+# Multiples of `Bounds.detection_time` from its start until a process is ready: usually, and at worst.
 USUAL_STARTUP, LONGEST_STARTUP = 0.4, 1.4
 FAILED_STATUSES = (500, 502)  # by which a worker reports a failure of its own; 504 means that a deadline passed
 REJECTION_LOG_INTERVAL = 1.0  # seconds between two log lines about rejected requests
@@ -174,9 +174,9 @@
     def seconds_until_ready(self) -> float:
         """Returns the seconds until an edge that isn't ready is expected to be.
 
-        After a common restart the control plane is available at once, otherwise within `detect`.
+        After a common restart the control plane is available at once, otherwise within `Bounds.detection_time`.
         """
-        detect, uptime = self.settings.bounds.detect, now() - self.started
+        detect, uptime = self.settings.bounds.detection_time, now() - self.started
         return max(0.5, detect * (USUAL_STARTUP if uptime < detect * USUAL_STARTUP / 2 else LONGEST_STARTUP) - uptime)
 
     async def reject(self, send: Send, retry_delay: float, why: str) -> None:
@@ -285,8 +285,8 @@
         while True:
             key_status = KeyStatus.VALID if request.answer_begun else self.clients.key_status(route, request.client)
             decision = next_relayed_attempt(
-                request.attempt_log, repeatable=request.repeatable, resumable=request.can_resume, answer_begun=request.answer_begun,
-                now=now(), search_until=search_until, deadline=request.deadline, max_runs=max(1, route["tries"]), key_status=key_status,
+                request.attempt_log, repeatable=request.repeatable, resumable=request.can_resume,
+                answer_begun=request.answer_begun, now=now(), search_until=search_until, deadline=request.deadline, max_runs=max(1, route["tries"]), key_status=key_status,
             )  # fmt: skip
             if decision.action is not Action.SEND:
                 return decision
@@ -361,7 +361,8 @@
         await self.read_refusal(exchange)
         request.attempt_log = request.attempt_log.mark(AttemptState.REJECTED, f"{exchange.status}")
         if check_result.proof is Proof.OTHER_WORKER:
-            # If the client asks for a version of the weights, the same status means that this worker has another version.
+            # If the client asks for a version of the weights, the same status means that this worker has another
+            # version.
             if not any(header == self.names.want_version for header, _ in request.headers):
                 self._avoid(worker_name, health, "another worker answers there")
         else:
@@ -384,12 +385,12 @@
         """Records a failed attempt, and avoids the worker if the worker is the cause."""
         if fault.unsent:
             request.attempt_log = request.attempt_log.mark(AttemptState.UNSENT, fault.why)
-            worker_at_fault = fault.step == "connect" and fault.code != CROWD
+            worker_at_fault = fault.step == "connect" and fault.code != TOO_MANY_REQUESTS
         else:
             request.attempt_log = request.attempt_log.mark(AttemptState.BROKEN, str(fault))
             worker_at_fault = fault.step != "repeat" and now() < request.deadline
         if worker_at_fault:
-            self._avoid(worker_name, health, fault.why, silent=fault.code == SLOW)
+            self._avoid(worker_name, health, fault.why, silent=fault.code == TIMED_OUT)
 
     def _avoid(self, name: str, health: WorkerHealth, why: str, silent: bool = False) -> None:
         """Records a failure of a worker, so that it is avoided for a while; logs it if it counts."""
--- a/postpass/gateway/upstream_connection.py
+++ b/postpass/gateway/upstream_connection.py
@@ -18,7 +18,7 @@
 import httptools
 
 from postpass.gateway.http_headers import Headers
-from postpass.runtime.errors import BROKE, SLOW, Fault, FaultError
+from postpass.runtime.errors import PEER_FAILED, TIMED_OUT, Fault, FaultError
 
 MAX_HEAD_BYTES = 64 << 10  # a longer head of an answer is an error
 MAX_BODY_BYTES = 64 << 20  # the longest body that `Exchange.read` accepts unless told otherwise
@@ -193,8 +193,8 @@
 class UpstreamConnection(asyncio.Protocol):
     """One connection to a worker. Owner: its pool.
 
-    Invariants: it has at most one exchange at a time; bytes that arrive while it has none close it. Times are seconds of
-    the loop's clock.
+    Invariants: it has at most one exchange at a time; bytes that arrive while it has none close it. Times are seconds
+    of the loop's clock.
     """
 
     def __init__(self, addr: str, pool: Pool) -> None:
@@ -345,7 +345,7 @@
         self.transport.write(b"".join(data))
 
     def _timed_out(self) -> None:
-        self.fail(self.fault_step(), "no whole answer in time", SLOW)
+        self.fail(self.fault_step(), "no whole answer in time", TIMED_OUT)
 
     def finish(self) -> None:
         """Ends the exchange with a complete answer. Keeps the connection for further requests if it is still usable."""
@@ -359,7 +359,7 @@
             self.drop()
         exchange.end(None)
 
-    def fail(self, step: str, why: str, code: int = BROKE, hint: str = "") -> None:
+    def fail(self, step: str, why: str, code: int = PEER_FAILED, hint: str = "") -> None:
         """Closes the connection, and ends its exchange, if there is one, with a fault."""
         exchange, self.exchange = self.exchange, None
         self._stop_timer()
--- a/postpass/gateway/worker_selection.py
+++ b/postpass/gateway/worker_selection.py
@@ -87,7 +87,7 @@
 
     def own_use(self) -> LoadReport:
         """Returns the load that this edge puts on each worker, and how its recent attempts at them ended."""
-        current_time, window = now(), self.settings.bounds.exchange * OUTCOME_INTERVALS
+        current_time, window = now(), self.settings.bounds.load_exchange_interval * OUTCOME_INTERVALS
         return {
             name: WorkerUse(health.in_flight, 0, health.unread, *health.outcome(current_time, window))
             for name, health in self.health_by_worker.items()
--- a/postpass/membership/operator_changes.py
+++ b/postpass/membership/operator_changes.py
@@ -13,7 +13,7 @@
 from postpass.membership.machine_registry import without_machines
 from postpass.membership.registry import OperatorConfiguration, State, with_parts
 from postpass.membership.safe_change import Tolerance, copies_keep_majority, safe_copies
-from postpass.runtime.errors import CLASH, LACK
+from postpass.runtime.errors import CONFLICT, NOT_FOUND
 
 
 class RetirementRefusal(NamedTuple):
@@ -26,9 +26,9 @@
 def with_configuration(state: State, configured: OperatorConfiguration, source: Any, orders: list[str]) -> State:
     """Returns the state with a new operator's part of the configuration, and the workers that there are.
 
-    Workers of a pool that was removed become unassigned, and unassigned workers of a pool that was added join it. `source`
-    is the document from which `configured` was read, `orders` the memory of accepted orders. Unchanged parts are shared with
-    the present state, so that the cost of the rest of the change depends only on what has changed.
+    Workers of a pool that was removed become unassigned, and unassigned workers of a pool that was added join it.
+    `source` is the document from which `configured` was read, `orders` the memory of accepted orders. Unchanged parts
+    are shared with the present state, so that the cost of the rest of the change depends only on what has changed.
     """
     groups = {**{n: p["servers"] for n, p in state.configuration["pools"].items()}, **state.unassigned}
     pools = {n: cast(Pool, {**p, "servers": groups.get(n, {})}) for n, p in configured["pools"].items()}
@@ -73,21 +73,21 @@
 def retirement_refusal(state: State, name: str, tolerance: Tolerance) -> RetirementRefusal | None:
     """Returns the reason for refusing to retire a store; None if it can be retired, or if that was ordered already.
 
-    If the remaining stores are too few for the number of copies, fewer copies are acceptable as long as these still survive
-    the tolerated loss.
+    If the remaining stores are too few for the number of copies, fewer copies are acceptable as long as these still
+    survive the tolerated loss.
     """
     if name in state.retired:
         return None
     configuration = state.configuration
     if name not in with_duty(configuration, "store"):
-        return RetirementRefusal(LACK, f"no store {name!r:.60}")
+        return RetirementRefusal(NOT_FOUND, f"no store {name!r:.60}")
     if configuration["machines"][name].get("retire"):
         return None
     zones = remaining_store_zones(configuration, name)
     copies = safe_copies(zones, configuration["copies"], tolerance)
     if copies < configuration["copies"] and not copies_keep_majority(zones, copies, tolerance):
         reason = f"the {len(zones)} stores that would stay can't bear the loss of what may be lost at once"
-        return RetirementRefusal(CLASH, reason)
+        return RetirementRefusal(CONFLICT, reason)
     return None
 
 
--- a/postpass/replication/acknowledger.py
+++ b/postpass/replication/acknowledger.py
@@ -36,7 +36,8 @@
         Args:
             partition: The partition.
             owner: Name of the store to send it to; empty for the known owner.
-            gap: Whether the stream does not continue this log. It is not used: the counters themselves report a gap, by a
+            gap: Whether the stream does not continue this log. It is not used: the counters themselves report a gap, by
+            a
                 log that is not aligned.
         """
         owner = owner or partition.owner
@@ -68,7 +69,7 @@
             if link is None or link.closed or link.address != addr:
                 connection = await Link.open(addr, self.table.settings.bounds.silent)
                 if isinstance(connection, Err):
-                    await asyncio.sleep(self.table.settings.bounds.beat)
+                    await asyncio.sleep(self.table.settings.bounds.heartbeat_interval)
                     continue
                 link = connection.unwrap()
                 assert link.reader_task is not None
@@ -100,7 +101,7 @@
         determines when to run for owner; the epochs determine who the owner is.
         """
         address = self.table.configuration_view.addr(owner)
-        connection = await Link.open(address, self.table.settings.bounds.promise) if address else None
+        connection = await Link.open(address, self.table.settings.bounds.sync_request_limit) if address else None
         if isinstance(connection, Ok):
             connection.unwrap().close()
         if connection is None or isinstance(connection, Ok) or connection.unwrap_err().hint != "refused":
@@ -110,11 +111,11 @@
         for partition in affected_partitions:
             partition.refused_owner, partition.last_heard_at = (
                 owner,
-                min(partition.last_heard_at, now() - bounds.detect),
+                min(partition.last_heard_at, now() - bounds.detection_time),
             )
         # The members that will be asked for promises notice the broken link at the same time as this one; they need a
         # moment for their own probes.
-        await asyncio.sleep(bounds.beat / 8)
+        await asyncio.sleep(bounds.heartbeat_interval / 8)
         for partition in affected_partitions:
             if partition.refused_owner == owner and not partition.owning:
                 self.election.run_if_silent(partition)
--- a/postpass/replication/catch_up.py
+++ b/postpass/replication/catch_up.py
@@ -13,7 +13,7 @@
 from postpass.replication.partition_table import PartitionTable
 from postpass.replication.record_log import Record, RecordLog, last_common_seq
 from postpass.rpc.codec import Body, PeerResponse
-from postpass.runtime.errors import MOVED, Fault
+from postpass.runtime.errors import NOT_RESPONSIBLE, Fault
 
 PIECE_BYTES = 256 << 10  # about how many bytes of records, or at most of a base, one answer holds
 
@@ -79,12 +79,14 @@
     async def on_fetch(self, body: Body) -> PeerResponse:
         """Returns the records after a sequence number, or a piece of the base if they are folded into it (verb `fetch`).
 
-        Only the candidate to which this store has promised itself gets them; others get the fault MOVED.
+        Only the candidate to which this store has promised itself gets them; others get the fault NOT_RESPONSIBLE.
         """
         request = FetchRequest.decode(body)
         partition = self.table.partition(request.partition)
         if partition.promised != request.epoch or partition.owning:
-            return Err(Fault("fetch", self.table.settings.name, f"promised to epoch {partition.promised}", MOVED))
+            return Err(
+                Fault("fetch", self.table.settings.name, f"promised to epoch {partition.promised}", NOT_RESPONSIBLE)
+            )
         record_log = partition.record_log
         if request.after < record_log.base_seq:
             base = partition.base_dump()
@@ -109,8 +111,8 @@
         """
         if staged_log is partition.record_log:
             return
-        # The disk is always written first: records that it did not accept must not be in memory, otherwise the next record
-        # leaves a gap in the log on disk.
+        # The disk is always written first: records that it did not accept must not be in memory, otherwise the next
+        # record leaves a gap in the log on disk.
         common_seq = last_common_seq(
             partition.record_log.marks(), partition.record_log.last, staged_log.marks(), staged_log.last
         )
--- a/postpass/replication/cover_watch.py
+++ b/postpass/replication/cover_watch.py
@@ -65,7 +65,7 @@
         if previous is None or (previous.epoch, previous.covered) != (partition.epoch, partition.covered):
             self.stalled_frontiers[partition.id] = StalledFrontier(partition.epoch, partition.covered, now())
             return
-        if previous.reported or now() - previous.since <= self.table.settings.bounds.detect:
+        if previous.reported or now() - previous.since <= self.table.settings.bounds.detection_time:
             return
         self.stalled_frontiers[partition.id] = StalledFrontier(
             previous.epoch, previous.covered, previous.since, reported=True
--- a/postpass/replication/election.py
+++ b/postpass/replication/election.py
@@ -57,8 +57,8 @@
         owner: Takes up the partitions that were won.
         catch_up: Fetches the log of a voter that has more records.
         ask_epochs: Asks other daemons for the highest epochs that they remember; None if there is nobody to ask.
-        ask_kept_jobs: Asks other daemons for the jobs that they know to be kept in a partition; None if there is nobody to ask.
-        known_epochs: Highest known epoch by partition. It is the daemon's own map, which `ask_epochs` fills.
+        ask_kept_jobs: Asks other daemons for the jobs that they know to be kept in a partition; None if there is nobody
+        to ask. known_epochs: Highest known epoch by partition. It is the daemon's own map, which `ask_epochs` fills.
     """
 
     table: PartitionTable
@@ -71,8 +71,8 @@
     def run_if_silent(self, partition: Partition) -> None:
         """Begins an election if nothing was heard of the owner for the detection time and this store's stagger.
 
-        Each member waits `bounds.stagger` seconds longer than the one before it in the agreed order, so that normally only
-        the first live member runs.
+        Each member waits `bounds.candidate_delay` seconds longer than the one before it in the agreed order, so that
+        normally only the first live member runs.
         """
         order = self.table.configuration_view.order(partition.id)
         members = partition.record_log.base.members if isinstance(partition.record_log.base, JobView) else {}
@@ -81,7 +81,10 @@
         if self.table.settings.name not in ranks or partition.in_election or self.table.leaving:
             return
         bounds = self.table.settings.bounds
-        if now() - partition.last_heard_at > bounds.detect + ranks.index(self.table.settings.name) * bounds.stagger:
+        if (
+            now() - partition.last_heard_at
+            > bounds.detection_time + ranks.index(self.table.settings.name) * bounds.candidate_delay
+        ):
             self.run_soon(partition, 0)
 
     def run_soon(self, partition: Partition, handed_epoch: int) -> None:
@@ -129,7 +132,9 @@
 
         body = request.encode()
         answers = await gather_until(
-            {n: self.table.ask(n, "promise", body) for n in names}, has_quorum, self.table.settings.bounds.beat / 2
+            {n: self.table.ask(n, "promise", body) for n in names},
+            has_quorum,
+            self.table.settings.bounds.heartbeat_interval / 2,
         )
         return {n: PromiseAnswer.decode(a.unwrap()) for n, a in answers.items() if isinstance(a, Ok)}
 
@@ -169,16 +174,17 @@
         return promises
 
     async def run_election(self, partition: Partition, handed_epoch: int) -> None:
-        """Runs one election for owner of a partition; on failure the next one is delayed by up to `bounds.stagger`.
+        """Runs one election for owner of a partition; on failure the next one is delayed by up to `bounds.candidate_delay`.
 
         Args:
             partition: The partition; this store's own promise of the new epoch is synced before others are asked.
-            handed_epoch: Epoch of the owner that handed the partition over, for whose silence the members need not wait;
+            handed_epoch: Epoch of the owner that handed the partition over, for whose silence the members need not
+            wait;
                 0 if none did.
         """
         bounds = self.table.settings.bounds
         if not handed_epoch and not await self.could_win(partition):
-            partition.last_heard_at = now() - bounds.detect + bounds.stagger
+            partition.last_heard_at = now() - bounds.detection_time + bounds.candidate_delay
             return
         epoch = partition.promised + 1
         partition.promised = epoch
@@ -188,7 +194,7 @@
             return
         request = PromiseRequest(partition.id, self.table.settings.name, handed_epoch, epoch, probe=False)
         promises = await self.collect_promises(partition, request)
-        retry_at = now() - bounds.detect + bounds.stagger * self.table.environment.chance.random()
+        retry_at = now() - bounds.detection_time + bounds.candidate_delay * self.table.environment.chance.random()
         if promises is None or not await self.try_to_lead(partition, epoch, promises):
             partition.last_heard_at = max(partition.last_heard_at, retry_at)
 
@@ -256,8 +262,8 @@
     async def on_promise(self, body: Body) -> PeerResponse:
         """Answers a candidate that asks for the promise not to accept anything under a lower epoch (verb `promise`).
 
-        The promise is refused if the owner is alive and has not handed the partition over. It is synced before the answer
-        is sent. A probe is answered without promising anything.
+        The promise is refused if the owner is alive and has not handed the partition over. It is synced before the
+        answer is sent. A probe is answered without promising anything.
         """
         request, bounds = PromiseRequest.decode(body), self.table.settings.bounds
         partition, epoch, disk = self.table.partition(request.partition), request.epoch, self.table.disk_id
@@ -266,7 +272,7 @@
             partition.aligned_epoch, partition.epoch
         )
         owner_alive = partition.owning or (
-            partition.contacted and now() - partition.last_heard_at < bounds.detect * 0.9
+            partition.contacted and now() - partition.last_heard_at < bounds.detection_time * 0.9
         )
         if request.probe:
             return Ok(PromiseAnswer(disk, promised_before, not owner_alive or was_handed_over).encode())
--- a/postpass/replication/handover.py
+++ b/postpass/replication/handover.py
@@ -1,9 +1,9 @@
 """Handing a partition over to another member that has all of it, without waiting for an election by timeout.
 
 An owner never steps down for a member because of an acknowledgement that arrived a while ago: that member may have lost
-power since. The owner asks first, and hands the partition over only to a member that answers, under the owner's own epoch,
-that it would run for owner at once. If the message that tells it to run is not accepted after all, the old owner runs
-for owner itself.
+power since. The owner asks first, and hands the partition over only to a member that answers, under the owner's own
+epoch, that it would run for owner at once. If the message that tells it to run is not accepted after all, the old owner
+runs for owner itself.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
         await asyncio.gather(*(self.hand_over_to_any(partition) for partition in owned))
         await asyncio.gather(*self.table.background_tasks)
         # This store goes on redirecting requests for the jobs that were handed over until they find the new owner.
-        await asyncio.sleep(self.table.settings.bounds.beat)
+        await asyncio.sleep(self.table.settings.bounds.heartbeat_interval)
 
     async def hand_over_to_any(self, partition: Partition) -> None:
         """Hands a partition over to the first member in its order that can take it over; does nothing if none answers."""
@@ -83,7 +83,7 @@
         if (
             mirror is None
             or mirror.silent
-            or current_time - mirror.last_heard_at >= bounds.beat * RECENT_HEARTBEATS
+            or current_time - mirror.last_heard_at >= bounds.heartbeat_interval * RECENT_HEARTBEATS
             or partition.view.members.get(name) != mirror.disk
         ):
             return False
--- a/postpass/replication/leadership_check.py
+++ b/postpass/replication/leadership_check.py
@@ -10,7 +10,7 @@
 from postpass.replication.messages import Hello, HelloAnswer
 from postpass.replication.partition import Partition
 from postpass.replication.partition_table import PartitionTable
-from postpass.runtime.errors import MOVED, Fault
+from postpass.runtime.errors import NOT_RESPONSIBLE, Fault
 
 
 @dataclass(eq=False)
@@ -24,7 +24,7 @@
     checks: dict[int, asyncio.Task[bool]] = field(default_factory=dict)
 
     def owned_partition(self, number: int, step: str) -> Result[Partition, Fault]:
-        """Returns the partition if this store is its ready owner, else the fault MOVED with its owner as a hint.
+        """Returns the partition if this store is its ready owner, else the fault NOT_RESPONSIBLE with its owner as a hint.
 
         Args:
             number: Number of the partition.
@@ -33,18 +33,24 @@
         partition = self.table.partitions.get(number)
         if partition is None or not partition.owning:
             hint = partition.owner if partition is not None and partition.owner != self.table.settings.name else ""
-            return Err(Fault(step, self.table.settings.name, "not the owner", MOVED, hint))
+            return Err(Fault(step, self.table.settings.name, "not the owner", NOT_RESPONSIBLE, hint))
         if not partition.ready:
             return Err(
-                Fault(step, self.table.settings.name, "the owner is not ready yet", MOVED, self.table.settings.name)
+                Fault(
+                    step,
+                    self.table.settings.name,
+                    "the owner is not ready yet",
+                    NOT_RESPONSIBLE,
+                    self.table.settings.name,
+                )
             )
         return Ok(partition)
 
     async def confirm(self, partition: Partition) -> bool:
         """Confirms by a round trip to the members that no later owner of a partition exists; returns whether that is so.
 
-        The round trip begins after the request for it, so that it holds for a read that is answered afterwards. Requests
-        that arrive while one check runs share the next one.
+        The round trip begins after the request for it, so that it holds for a read that is answered afterwards.
+        Requests that arrive while one check runs share the next one.
         """
         task = self.checks.get(partition.id)
         if task is not None and not task.done():
--- a/postpass/replication/mirror.py
+++ b/postpass/replication/mirror.py
@@ -19,7 +19,7 @@
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
-from postpass.runtime.errors import FULL, Fault, FaultError
+from postpass.runtime.errors import NO_SPACE, Fault, FaultError
 from postpass.runtime.log_events import Event
 
 
@@ -111,7 +111,8 @@
     async def on_carry(self, packet: Any) -> None:
         """Receives one packet of an owner's stream (verb `carry`).
 
-        A packet under an epoch below the promised one is refused. The response is an acknowledgement, which is sent later.
+        A packet under an epoch below the promised one is refused. The response is an acknowledgement, which is sent
+        later.
         """
         partition = self.table.partition(packet.part)
         if packet.epoch < partition.promised or (partition.owning and packet.epoch <= partition.epoch):
@@ -127,7 +128,7 @@
             self.accept_packet(partition, packet)
         except FaultError as error:
             partition.aligned_epoch = partition.handshake_epoch = 0
-            if error.fault.code != FULL:
+            if error.fault.code != NO_SPACE:
                 raise
             log_events.emit(Event.DISK_FULL, self.table.settings.name, part=partition.id)
         partition.covered = (
--- a/postpass/replication/owner.py
+++ b/postpass/replication/owner.py
@@ -16,7 +16,7 @@
 from postpass.rpc.codec import Body
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
-from postpass.runtime.errors import BROKE, FULL, SLOW, Fault, FaultError
+from postpass.runtime.errors import NO_SPACE, PEER_FAILED, TIMED_OUT, Fault, FaultError
 from postpass.runtime.log_events import Event
 
 
@@ -117,16 +117,17 @@
             raw: Bytes of the record that are stored as they are, without JSON encoding.
 
         Raises:
-            FaultError: The disk is full or has failed; nothing was sequenced. If it failed to write this record, the store
+            FaultError: The disk is full or has failed; nothing was sequenced. If it failed to write this record, the
+            store
                 has stepped down as well.
         """
         if not vital:
             free_bytes, _ = self.table.log.disk.space()
             if free_bytes - len(json.dumps(body)) - len(raw) - 256 < self.table.log.reserved_bytes:
                 log_events.emit(Event.DISK_FULL, self.table.settings.name, part=partition.id)
-                raise FaultError(Fault("append", self.table.settings.name, "the disk is full", FULL))
+                raise FaultError(Fault("append", self.table.settings.name, "the disk is full", NO_SPACE))
         if self.table.log.failure:
-            raise FaultError(Fault("append", self.table.settings.name, self.table.log.failure, BROKE))
+            raise FaultError(Fault("append", self.table.settings.name, self.table.log.failure, PEER_FAILED))
         record = partition.sequence_record(kind, body, raw)
         try:
             self.table.write(partition, [record.entry(partition.id)])
@@ -135,7 +136,7 @@
             partition.cut(record.seq - 1)
             partition.step_down()
             partition.last_heard_at = now()
-            raise FaultError(Fault("append", self.table.settings.name, error.fault.why, SLOW)) from error
+            raise FaultError(Fault("append", self.table.settings.name, error.fault.why, TIMED_OUT)) from error
         self.table.counts[f"rec_{kind}"] += 1
         self.streams.wake_all(partition)
         return record
--- a/postpass/replication/owner_duties.py
+++ b/postpass/replication/owner_duties.py
@@ -30,18 +30,18 @@
     def run(self, partition: Partition) -> None:
         """Runs the duties of an owner for one heartbeat.
 
-        Steps down if no quorum was heard from for 1.5 times the detection time, or if the disks that are left have not been
-        able to cover records for the detection time.
+        Steps down if no quorum was heard from for 1.5 times the detection time, or if the disks that are left have not
+        been able to cover records for the detection time.
         """
         configuration, bounds, current_time = self.table.configuration_view.manifest, self.table.settings.bounds, now()
         assert configuration is not None
         responsive_disks = {
             n: mirror.disk
             for n, mirror in partition.mirrors.items()
-            if current_time - mirror.last_heard_at < bounds.detect
+            if current_time - mirror.last_heard_at < bounds.detection_time
         }
         if not partition.is_ownership_confirmed(responsive_disks | {self.table.settings.name: self.table.disk_id}):
-            if current_time - partition.last_heard_at > bounds.detect * 1.5:
+            if current_time - partition.last_heard_at > bounds.detection_time * 1.5:
                 self.table.step_down(partition, partition.epoch)
                 return
         else:
@@ -50,8 +50,9 @@
         self.cover_watch.observe(partition)
         if self.cannot_cover(partition):
             partition.uncoverable_since = partition.uncoverable_since or current_time
-            if current_time - partition.uncoverable_since > bounds.detect:
-                # Nothing can be covered any more under this ownership: only an election that all members answer can go on.
+            if current_time - partition.uncoverable_since > bounds.detection_time:
+                # Nothing can be covered any more under this ownership: only an election that all members answer can go
+                # on.
                 self.table.step_down(partition, partition.epoch)
                 return
         else:
@@ -69,7 +70,7 @@
                 mirror = partition.mirrors.get(name)
                 if (
                     mirror is not None
-                    and current_time - mirror.tracked_since > bounds.detect
+                    and current_time - mirror.tracked_since > bounds.detection_time
                     and self.handover.can_take_over(partition, name)
                 ):
                     self.handover.begin(partition, name)
@@ -85,7 +86,7 @@
             n: mirror for n in expected_names if (mirror := partition.mirrors.get(n)) is not None and mirror.disk
         }
         if len(answering_mirrors) < len(expected_names) or any(
-            mirror.silent or current_time - mirror.last_heard_at > bounds.detect
+            mirror.silent or current_time - mirror.last_heard_at > bounds.detection_time
             for mirror in answering_mirrors.values()
         ):
             return False
--- a/postpass/replication/partition_table.py
+++ b/postpass/replication/partition_table.py
@@ -20,7 +20,7 @@
 from postpass.rpc.peer_links import PeerLinks
 from postpass.runtime import log_events
 from postpass.runtime.environment import Environment, now
-from postpass.runtime.errors import LACK, Fault
+from postpass.runtime.errors import NOT_FOUND, Fault
 from postpass.runtime.log_events import Event
 from postpass.storage.data_directory import DataDirectory, open_data_directory
 from postpass.storage.segmented_log import SegmentedLog
@@ -108,11 +108,11 @@
         return [n for n in copy_holders if n != self.settings.name]
 
     async def ask(self, name: str, verb: str, body: Body) -> PeerResponse:
-        """Sends a request to another store and returns its response; the fault LACK if the store has no address."""
+        """Sends a request to another store and returns its response; the fault NOT_FOUND if the store has no address."""
         addr = self.configuration_view.addr(name)
         if not addr:
-            return Err(Fault(verb, name, "gone or unknown", LACK))
-        return await self.peer_links.request(addr, verb, body, self.settings.bounds.promise)
+            return Err(Fault(verb, name, "gone or unknown", NOT_FOUND))
+        return await self.peer_links.request(addr, verb, body, self.settings.bounds.sync_request_limit)
 
     def step_down(self, partition: Partition, epoch: int) -> None:
         """Ends the ownership of a partition, if there is one, because an epoch was seen or the owner can't go on.
--- a/postpass/replication/reconfiguration.py
+++ b/postpass/replication/reconfiguration.py
@@ -46,7 +46,7 @@
 
     def situation(self, partition: Partition) -> Situation:
         """Returns the state from which a change of a partition's members is decided, as its owner sees it now."""
-        recent_since = now() - self.table.settings.bounds.detect
+        recent_since = now() - self.table.settings.bounds.detection_time
         answering_disks = {
             n: f.disk
             for n, f in partition.mirrors.items()
@@ -72,8 +72,8 @@
         """As owner: returns whether all members answer and have synced the last change of members and the mark that
         settles it.
 
-        From then on a store that has left may lose its disk, and after it any one of the members: all covered records, and
-        the proof of who the members are, are on the disks of all members.
+        From then on a store that has left may lose its disk, and after it any one of the members: all covered records,
+        and the proof of who the members are, are on the disks of all members.
         """
         situation = self.situation(partition)  # the stores in `live` have synced all covered records
         return partition.is_membership_proven() and situation.live == set(situation.current)
--- a/postpass/replication/store.py
+++ b/postpass/replication/store.py
@@ -7,8 +7,8 @@
 
 Where to look: `election` (when a store runs for owner) and `election_decision` (who wins), `owner` (sequencing of
 records), `streaming` and `mirror` (both ends of the stream), `acknowledger` (a mirror's acknowledgements),
-`leadership_check` (confirms the ownership before a read), `reconfiguration` (changes of members and predicate), `handover`
-(planned changes of owner), `catch_up` (fetching a longer log).
+`leadership_check` (confirms the ownership before a read), `reconfiguration` (changes of members and predicate),
+`handover` (planned changes of owner), `catch_up` (fetching a longer log).
 """
 
 from __future__ import annotations
@@ -134,11 +134,11 @@
         await self.handover.leave()
 
     async def ask(self, name: str, verb: str, body: Body) -> PeerResponse:
-        """Sends a request to another store, given by name, and returns its response; LACK if it has no address."""
+        """Sends a request to another store, given by name, and returns its response; NOT_FOUND if it has no address."""
         return await self.table.ask(name, verb, body)
 
     def owned_partition(self, number: int, step: str) -> Result[Partition, Fault]:
-        """Returns the partition if this store is its ready owner, else the fault MOVED with its owner as a hint."""
+        """Returns the partition if this store is its ready owner, else the fault NOT_RESPONSIBLE with its owner as a hint."""
         return self.leadership.owned_partition(number, step)
 
     async def confirm(self, partition: Partition) -> bool:
@@ -199,9 +199,11 @@
                     self.acknowledger.schedule(partition)
 
     async def run_heartbeat(self) -> None:
-        """Runs the store's heartbeat, at random intervals of 0.8 to 1.2 times `bounds.beat` seconds."""
+        """Runs the store's heartbeat, at random intervals of 0.8 to 1.2 times `bounds.heartbeat_interval` seconds."""
         while True:
-            await asyncio.sleep(self.table.settings.bounds.beat * (0.8 + 0.4 * self.table.environment.chance.random()))
+            await asyncio.sleep(
+                self.table.settings.bounds.heartbeat_interval * (0.8 + 0.4 * self.table.environment.chance.random())
+            )
             configuration = self.table.configuration_view.manifest
             if configuration is None:
                 continue
@@ -209,12 +211,13 @@
                 if self.table.settings.name in self.table.configuration_view.order(number):
                     self.table.partition(number)
             for partition in self.table.partitions.values():
-                # After a start no owner has been heard from yet, and the detection time need not pass before an election:
-                # if there is an owner, one of the members asked for promises hears its heartbeats and refuses.
+                # After a start no owner has been heard from yet, and the detection time need not pass before an
+                # election: if there is an owner, one of the members asked for promises hears its heartbeats and
+                # refuses.
                 if not partition.contacted:
                     partition.contacted, partition.last_heard_at = (
                         True,
-                        min(partition.last_heard_at, now() - self.table.settings.bounds.detect),
+                        min(partition.last_heard_at, now() - self.table.settings.bounds.detection_time),
                     )
             zones = {name: machine["area"] for name, machine in configuration["machines"].items()}
             for partition in list(self.table.partitions.values()):
@@ -241,8 +244,8 @@
                 "crew": p.members, "complete": self.reconfiguration.complete(p), "losses": p.view.losses,
                 "awaited": members_awaited(p) if p.owning else [],
                 "mirrors": {
-                    name: {"persisted": p.acknowledgements.get(name, mirror.disk, "persisted"), "silent": mirror.silent, "full": mirror.disk_full, "disk": mirror.disk}
-                    for name, mirror in sorted(p.mirrors.items())
+                    name: {"persisted": p.acknowledgements.get(name, mirror.disk, "persisted"), "silent": mirror.silent,
+                    "full": mirror.disk_full, "disk": mirror.disk} for name, mirror in sorted(p.mirrors.items())
                 },
                 "lots": len(p.view.jobs), "open": sum(job.state == "open" and not job.complete for job in p.view.jobs.values()),
             }
--- a/postpass/replication/streaming.py
+++ b/postpass/replication/streaming.py
@@ -17,7 +17,8 @@
 from postpass.runtime.environment import now
 from postpass.runtime.log_events import Event
 
-# Bytes that one partition may send to a mirror before the heartbeats and records of the other partitions have their turn.
+# Bytes that one partition may send to a mirror before the heartbeats and records of the other partitions have their
+# turn.
 TURN_BYTES = 4 * PACKET
 
 
@@ -42,7 +43,8 @@
     async def send_loop(self, name: str) -> None:
         """Streams all partitions owned here to one mirror, for ever, over one FIFO link.
 
-        Records are sent without waiting for acknowledgements, which arrive over another link. A broken link is replaced.
+        Records are sent without waiting for acknowledgements, which arrive over another link. A broken link is
+        replaced.
         """
         link: Link | None = None
         bounds = self.table.settings.bounds
@@ -56,18 +58,18 @@
                 if link is not None:
                     link.close()
                     link = None
-                await self.back_off(name, bounds.beat)
+                await self.back_off(name, bounds.heartbeat_interval)
                 continue
             if link is None or link.closed or link.address != addr:
                 connection = await Link.open(addr, bounds.silent / 2)
                 if isinstance(connection, Err):
                     for partition in owned:
                         self.suspend_if_silent(partition, name)
-                    await self.back_off(name, bounds.beat, unreachable=True)
+                    await self.back_off(name, bounds.heartbeat_interval, unreachable=True)
                     continue
                 link = connection.unwrap()
             if not await self.send_pass(name, link, owned, heartbeats):
-                await self.back_off(name, bounds.beat / 2)
+                await self.back_off(name, bounds.heartbeat_interval / 2)
 
     async def send_pass(self, name: str, link: Link, owned: list[Partition], heartbeats: dict[int, float]) -> bool:
         """Sends the heartbeats that are due, and then up to `TURN_BYTES` bytes of each partition's records.
@@ -94,7 +96,7 @@
                 continue
             ready_mirrors.append((partition, mirror))
             sent_at = heartbeats.get(partition.id, 0.0)
-            if now() - sent_at >= bounds.beat * 0.9 or sent_at == 0:
+            if now() - sent_at >= bounds.heartbeat_interval * 0.9 or sent_at == 0:
                 heartbeats[partition.id] = now()
                 self.send(link, partition, HEARTBEAT, partition.record_log.last, partition.epoch, 0, b"")
             self.suspend_if_silent(partition, name)
@@ -117,7 +119,8 @@
         Args:
             name: The mirror.
             timeout: Seconds after which the send loop continues without a wake-up.
-            unreachable: Whether to sleep for that long before waiting for a wake-up, since the mirror could not be reached.
+            unreachable: Whether to sleep for that long before waiting for a wake-up, since the mirror could not be
+            reached.
         """
         wake_event = self.wake_events[name]
         if unreachable:
@@ -188,12 +191,12 @@
         is none that both still hold, the stream begins with a snapshot.
 
         Returns:
-            Whether the stream has begun. If not, the mirror did not answer, does not follow this epoch, or has lost records
-            that it had acknowledged, or the ownership has ended meanwhile.
+            Whether the stream has begun. If not, the mirror did not answer, does not follow this epoch, or has lost
+            records that it had acknowledged, or the ownership has ended meanwhile.
         """
         epoch = partition.epoch
         hello = Hello(partition.id, epoch, self.table.settings.name)
-        response = await link.request("hello", hello.encode(), self.table.settings.bounds.promise)
+        response = await link.request("hello", hello.encode(), self.table.settings.bounds.sync_request_limit)
         if isinstance(response, Err):
             link.close(str(response.unwrap_err()))
             return False
@@ -228,7 +231,7 @@
             Event.DISK_DAMAGED, own_name, part=partition.id, mirror=name, last=answer.last, acknowledged=acknowledged
         )
         hello = Hello(partition.id, partition.epoch, own_name, failed_disk=answer.disk)
-        await link.request("hello", hello.encode(), self.table.settings.bounds.promise)
+        await link.request("hello", hello.encode(), self.table.settings.bounds.sync_request_limit)
         link.close("its disk lost what it had acknowledged")
 
     def begin_snapshot(self, partition: Partition, name: str, mirror: MirrorProgress) -> None:
--- a/postpass/rpc/connection.py
+++ b/postpass/rpc/connection.py
@@ -21,7 +21,7 @@
 from postpass.rpc.codec import HANDSHAKE, IDL, WIRE_VERSIONS, Body, PeerResponse
 from postpass.rpc.framing import FRAME_HEAD, STREAM_BUFFER_BYTES, BoundedFrames, Stream
 from postpass.runtime import log_events
-from postpass.runtime.errors import SLOW, Fault
+from postpass.runtime.errors import TIMED_OUT, Fault
 from postpass.runtime.log_events import Event
 
 MAXIMUM_SEQUENCE = 0x7FFFFFFF
@@ -154,7 +154,7 @@
         """Sends a request, named by its verb, and returns its response, which may take at most `limit` seconds.
 
         If the peer responded with a fault, that is returned. A fault is `unsent` if the link was closed before the
-        request, and has the code SLOW if there was no response in time. Unless it is `unsent`, the peer may have
+        request, and has the code TIMED_OUT if there was no response in time. Unless it is `unsent`, the peer may have
         handled the request.
         """
         if self.closed:
@@ -178,7 +178,7 @@
                 # or the network was cut for so long that TCP would go on waiting before it retransmits after the cut
                 # ends.
                 self.close("it does not answer")
-            return Err(Fault(verb, self.address, f"no answer within {limit:g} s", SLOW))
+            return Err(Fault(verb, self.address, f"no answer within {limit:g} s", TIMED_OUT))
         finally:
             self.pending.pop(sequence, None)
         return self._decode_result(verb, result)
--- a/postpass/rpc/peer_server.py
+++ b/postpass/rpc/peer_server.py
@@ -26,7 +26,7 @@
 )
 from postpass.rpc.framing import FRAME_HEAD, STREAM_BUFFER_BYTES, BoundedFrames, Stream
 from postpass.runtime import log_events
-from postpass.runtime.errors import BROKE, Fault
+from postpass.runtime.errors import PEER_FAILED, Fault
 from postpass.runtime.log_events import Event
 from postpass.runtime.ordered_set import OrderedSet
 
@@ -119,7 +119,7 @@
                 f"this is release {codec.RELEASE} with wire numbers {low} to {high}; "
                 f"the other is {offer.release} with {offer.low} to {offer.high}"
             )
-            result.fault = codec.encode_fault(Fault(HANDSHAKE, self.process, why, BROKE))
+            result.fault = codec.encode_fault(Fault(HANDSHAKE, self.process, why, PEER_FAILED))
             log_events.emit(Event.WIRE_VERSION_MISMATCH, self.process, step=HANDSHAKE, peer=_peer_name(writer), why=why)
         data = codec.encode_message(HANDSHAKE, TMessageType.REPLY, sequence, result)
         writer.write(FRAME_HEAD.pack(len(data)) + data)
@@ -131,14 +131,14 @@
         try:
             handler = self.handlers.get(verb)
             if handler is None:
-                response: PeerResponse = Err(Fault(verb, self.process, "no such duty here", BROKE))
+                response: PeerResponse = Err(Fault(verb, self.process, "no such duty here", PEER_FAILED))
             else:
                 body = json.loads(argument)
                 if not isinstance(body, dict):
                     raise ValueError("not an object")
                 response = await handler(body)
         except (KeyError, TypeError, ValueError) as error:
-            response = Err(Fault(verb, self.process, f"{error!r:.160}", BROKE))
+            response = Err(Fault(verb, self.process, f"{error!r:.160}", PEER_FAILED))
             log_events.emit(
                 Event.HANDLER_FAILED, self.process, step=verb, peer=_peer_name(writer), why=f"{error!r:.160}"
             )
--- a/postpass/runtime/errors.py
+++ b/postpass/runtime/errors.py
@@ -31,16 +31,16 @@
     NO_SPACE = 507  # the disk has no space
 
 
-BAD: int = ErrorCode.BAD_REQUEST
-LACK: int = ErrorCode.NOT_FOUND
-CLASH: int = ErrorCode.CONFLICT
-OLD: int = ErrorCode.PRECONDITION_FAILED
-MOVED: int = ErrorCode.NOT_RESPONSIBLE
-CROWD: int = ErrorCode.TOO_MANY_REQUESTS
-BROKE: int = ErrorCode.PEER_FAILED
+BAD_REQUEST: int = ErrorCode.BAD_REQUEST
+NOT_FOUND: int = ErrorCode.NOT_FOUND
+CONFLICT: int = ErrorCode.CONFLICT
+PRECONDITION_FAILED: int = ErrorCode.PRECONDITION_FAILED
+NOT_RESPONSIBLE: int = ErrorCode.NOT_RESPONSIBLE
+TOO_MANY_REQUESTS: int = ErrorCode.TOO_MANY_REQUESTS
+PEER_FAILED: int = ErrorCode.PEER_FAILED
 REJECTED: int = ErrorCode.REJECTED
-SLOW: int = ErrorCode.TIMED_OUT
-FULL: int = ErrorCode.NO_SPACE
+TIMED_OUT: int = ErrorCode.TIMED_OUT
+NO_SPACE: int = ErrorCode.NO_SPACE
 
 
 @dataclass(frozen=True)
--- a/postpass/storage/segmented_log.py
+++ b/postpass/storage/segmented_log.py
@@ -9,15 +9,15 @@
     the operation `sealed`; a snapshot without it is damaged.
 
 What is synced when
-    `append` writes to the current segment and returns at once; the bytes are durable only after the next `sync`, which covers
-    all that was appended before it began (group commit). Whoever promises durability waits with `wait_synced` for the
-    offset that `append` returned. A snapshot is written to a temporary file, synced and renamed (`Disk.write`); the files
-    it replaces are removed only after that.
+    `append` writes to the current segment and returns at once; the bytes are durable only after the next `sync`, which
+    covers all that was appended before it began (group commit). Whoever promises durability waits with `wait_synced` for the
+    offset that `append` returned. A snapshot is written to a temporary file, synced and renamed (`Disk.write`); the
+    files it replaces are removed only after that.
 
 Why a torn write is harmless
     A loss of power can leave part of the bytes that were appended after the last sync. Those were never reported as
-    durable, so `load` truncates the segment at the first frame that is short or does not match its checksum. This is done
-    in the last segment only, and only if no complete frame follows: anything else is damage to bytes that had been
+    durable, so `load` truncates the segment at the first frame that is short or does not match its checksum. This is
+    done in the last segment only, and only if no complete frame follows: anything else is damage to bytes that had been
     synced, which raises `FaultError`, and the data directory is then formatted anew (see `data_directory`).
 """
 
@@ -35,7 +35,7 @@
 from postpass.rpc.codec import IDL, pack, unpack
 from postpass.runtime import log_events
 from postpass.runtime.disk import Disk
-from postpass.runtime.errors import BROKE, FULL, Fault, FaultError
+from postpass.runtime.errors import NO_SPACE, PEER_FAILED, Fault, FaultError
 from postpass.runtime.log_events import Event
 
 HEAD = struct.Struct("!II")  # length of the payload, its CRC-32
@@ -102,9 +102,9 @@
 
     Offsets count the bytes appended since the process started, over all segments.
 
-    Invariants: `synced` <= `end`; entries up to `synced` survive a loss of power; once `failure` is set, nothing more is
-    reported as synced and every operation raises `FaultError`, because a failed sync may have dropped pages that a later
-    one reports as written.
+    Invariants: `synced` <= `end`; entries up to `synced` survive a loss of power; once `failure` is set, nothing more
+    is reported as synced and every operation raises `FaultError`, because a failed sync may have dropped pages that a
+    later one reports as written.
 
     Attributes:
         process: name of the process, for events and errors.
@@ -151,8 +151,8 @@
         """Reads the last snapshot and the segments after it, truncates a torn tail and removes the files that the snapshot
         replaces.
 
-        Returns all entries in the order in which they were appended. Raises `FaultError`, whose fault names the file and
-        the offset, if a file is damaged or missing; the files are left unchanged then.
+        Returns all entries in the order in which they were appended. Raises `FaultError`, whose fault names the file
+        and the offset, if a file is damaged or missing; the files are left unchanged then.
         """
         names = self.disk.names()
         snapshots = [n for n in names if n.startswith(SNAPSHOT_PREFIX)]
@@ -161,7 +161,7 @@
         entries = self._load_snapshot(snapshots[-1]) if snapshots else []
         current = [n for n in segments if _segment_number(n) >= first]
         if [_segment_number(n) for n in current] != list(range(first, first + len(current))):
-            raise FaultError(Fault("read log", self.process, f"a segment is missing: found {current}", BROKE))
+            raise FaultError(Fault("read log", self.process, f"a segment is missing: found {current}", PEER_FAILED))
         for name in current:
             entries += self._load_segment(name, is_last=name == current[-1])
         for name in [n for n in segments if _segment_number(n) < first] + snapshots[:-1]:
@@ -174,7 +174,7 @@
         data = self.disk.read(name)
         entries, end = read_entries(data)
         if end != len(data) or not entries or entries[-1].op != SEALED:
-            raise FaultError(Fault("read snapshot", self.process, f"{name} is damaged at byte {end}", BROKE))
+            raise FaultError(Fault("read snapshot", self.process, f"{name} is damaged at byte {end}", PEER_FAILED))
         self.snapshot_bytes = len(data)
         return entries[:-1]
 
@@ -185,7 +185,7 @@
         if end != len(data):
             damaged = has_entry_after(data, end) or (self.strict and is_complete_but_damaged(data, end))
             if not is_last or damaged:
-                raise FaultError(Fault("read log", self.process, f"{name} is damaged at byte {end}", BROKE))
+                raise FaultError(Fault("read log", self.process, f"{name} is damaged at byte {end}", PEER_FAILED))
             log_events.emit(Event.DISK_TORN_TAIL, self.process, file=name, at=end, bytes=len(data) - end)
             self.disk.truncate(name, end)
         self.segment_size = end
@@ -195,19 +195,21 @@
     def append(self, entries: Iterable[Any], vital: bool = True) -> int:
         """Appends entries to the current segment, without a sync; returns the offset to pass to `wait_synced`.
 
-        Entries that aren't `vital` leave `reserved_bytes` of the disk free. Raises `FaultError`: with code FULL if the
-        disk is full, with code BROKE if it failed before.
+        Entries that aren't `vital` leave `reserved_bytes` of the disk free. Raises `FaultError`: with code NO_SPACE if
+        the disk is full, with code PEER_FAILED if it failed before.
         """
         if self.failure:
             raise self._failure_at("append")
         data = b"".join(map(encode_frame, entries))
         free, _ = self.disk.space()
         if not vital and free - len(data) < self.reserved_bytes:
-            raise FaultError(Fault("append", self.process, "the disk is full", FULL))
+            raise FaultError(Fault("append", self.process, "the disk is full", NO_SPACE))
         try:
             self.disk.append(self.segment_name, data)
         except OSError as error:
-            raise FaultError(Fault("append", self.process, f"{self.segment_name}: {error.strerror}", FULL)) from error
+            raise FaultError(
+                Fault("append", self.process, f"{self.segment_name}: {error.strerror}", NO_SPACE)
+            ) from error
         self.end += len(data)
         self.segment_size += len(data)
         self.logged_bytes += len(data)
@@ -269,8 +271,8 @@
         """
         async with self.lock:
             data = b"".join(map(encode_frame, entries)) + encode_frame(IDL.Entry(part=-1, op=SEALED))
-            # From here on nothing is appended to the old segment: whatever is appended while the snapshot is written goes
-            # to the new segment, which is read after the snapshot.
+            # From here on nothing is appended to the old segment: whatever is appended while the snapshot is written
+            # goes to the new segment, which is read after the snapshot.
             old_number, old_size, old_name, offset = self.segment_number, self.segment_size, self.segment_name, self.end
             new_number = old_number + 1
             self.segment_number, self.segment_size = new_number, 0
@@ -307,7 +309,7 @@
 
     def _failure_at(self, step: str) -> FaultError:
         """Returns the error to raise for a step that is not possible, because the disk has failed."""
-        return FaultError(Fault(step, self.process, self.failure, BROKE))
+        return FaultError(Fault(step, self.process, self.failure, PEER_FAILED))
 
     def _fail(self, step: str, failure: str, error: OSError) -> NoReturn:
         """Marks the disk as failed, logs an event and raises `FaultError`."""
--- a/postpass/tenants/home_client.py
+++ b/postpass/tenants/home_client.py
@@ -13,11 +13,11 @@
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.rpc.peer_links import PeerLinks
 from postpass.runtime.environment import now
-from postpass.runtime.errors import MOVED, SLOW, Fault
+from postpass.runtime.errors import NOT_RESPONSIBLE, TIMED_OUT, Fault
 from postpass.tenants.limits import ShareTimers
 
-# The pause between two rounds, and before a machine that is becoming the owner is tried again, as a fraction of the time
-# limit of one attempt.
+# The pause between two rounds, and before a machine that is becoming the owner is tried again, as a fraction of the
+# time limit of one attempt.
 PAUSE_FRACTION = 1 / 4
 
 
@@ -27,7 +27,8 @@
 
     Attributes:
         known_owners: the last known owner, by partition; may be out of date.
-        unanswered_at: when a machine last failed to respond, in seconds of the event loop's clock, by name. For a while after
+        unanswered_at: when a machine last failed to respond, in seconds of the event loop's clock, by name. For a while
+        after
             that it is tried last.
     """
 
@@ -48,7 +49,7 @@
         body = body | {"part": partition}
         pause = self.timers.retry * PAUSE_FRACTION
         lookup = self._lookup(partition)
-        last_response: PeerResponse = Err(Fault(verb, self.settings.name, "no owner known", SLOW))
+        last_response: PeerResponse = Err(Fault(verb, self.settings.name, "no owner known", TIMED_OUT))
         while (remaining := deadline - now()) > 0:
             name = lookup.next_name()
             if not name:
@@ -70,11 +71,12 @@
     async def _note_failure(self, partition: int, lookup: OwnerLookup, name: str, fault: Fault, pause: float) -> None:
         """Updates the search for the owner after a machine didn't respond as the owner.
 
-        A machine that failed otherwise than by MOVED is tried last from now on. One that names itself in the hint is becoming
-        the owner and is tried again after a pause; if it names another machine, that one is tried next.
+        A machine that failed otherwise than by NOT_RESPONSIBLE is tried last from now on. One that names itself in the
+        hint is becoming the owner and is tried again after a pause; if it names another machine, that one is tried
+        next.
         """
         self.known_owners.pop(partition, None)
-        if fault.code != MOVED:
+        if fault.code != NOT_RESPONSIBLE:
             self.unanswered_at[name] = now()
         elif fault.hint == name:
             await asyncio.sleep(pause)
