--- a/postpass/tenants/share_service.py
+++ b/postpass/tenants/share_service.py
@@ -1,7 +1,7 @@
 """The home of tenants: the owner of a partition leases shares of the limits of its tenants to edges.
 
-A home keeps its state in memory, for the duration of one ownership. A new home learns from the edges what the former one
-granted. If an edge doesn't answer, its shares have expired once a lease time has passed.
+A home keeps its state in memory, for the duration of one ownership. A new home learns from the edges what the former
+one granted. If an edge doesn't answer, its shares have expired once a lease time has passed.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from postpass.rpc.peer_links import PeerLinks
 from postpass.runtime import log_events
 from postpass.runtime.environment import now
-from postpass.runtime.errors import SLOW, Fault
+from postpass.runtime.errors import TIMED_OUT, Fault
 from postpass.runtime.log_events import Event
 from postpass.tenants.limits import (
     CLOCK_MARGIN,
@@ -55,7 +55,7 @@
         """The partitions of which this store has a copy, by number."""
 
     def owned_partition(self, number: int, step: str) -> Result[Partition, Fault]:
-        """Returns the partition if this store owns it and is ready; otherwise MOVED with its owner as a hint."""
+        """Returns the partition if this store owns it and is ready; otherwise NOT_RESPONSIBLE with its owner as a hint."""
 
     async def confirm(self, partition: Partition) -> bool:
         """Returns whether this store is still the owner, after a round trip to the partition's members."""
@@ -111,7 +111,7 @@
     async def on_share(self, body: Body) -> PeerResponse:
         """Handles the verb `share`: grants an edge its shares.
 
-        Returns SLOW if it can't be confirmed in time that this store is still the home.
+        Returns TIMED_OUT if it can't be confirmed in time that this store is still the home.
         """
         result = self.store.owned_partition(body["part"], SHARE)
         if isinstance(result, Err):
@@ -121,9 +121,9 @@
         await self._await_holdings(partition, home)
         # The confirmation under this epoch proves that the grant was requested before any later home began.
         if not await self.store.confirm(partition) or self.homes.get(partition.id) is not home:
-            return Err(Fault(SHARE, self.store.settings.name, "could not be confirmed", SLOW))
-        # The home of an earlier epoch may have received a request made under that epoch, and the returned tokens with it;
-        # they must not count here as well.
+            return Err(Fault(SHARE, self.store.settings.name, "could not be confirmed", TIMED_OUT))
+        # The home of an earlier epoch may have received a request made under that epoch, and the returned tokens with
+        # it; they must not count here as well.
         outdated = request.epoch != home.epoch
         share_requests = [
             replace(share_request, returned=0.0) if outdated else share_request
@@ -148,7 +148,8 @@
     def _ledger(self, home: Home, tenant: str) -> ShareLedger:
         """Returns the ledger of a tenant; creates it if need be.
 
-        In a new ledger of a settled home, tokens have accrued since the home was settled, since no edge had a share till now.
+        In a new ledger of a settled home, tokens have accrued since the home was settled, since no edge had a share
+        till now.
         """
         ledger = home.ledgers.get(tenant)
         if ledger is None:
@@ -227,7 +228,7 @@
         if not address:
             return
         response = await self.store.peer_links.request(
-            address, HOLDINGS, request.as_json(), self.store.settings.bounds.beat
+            address, HOLDINGS, request.as_json(), self.store.settings.bounds.heartbeat_interval
         )
         if isinstance(response, Err):
             return
--- a/postpass/worker_api/openai.py
+++ b/postpass/worker_api/openai.py
@@ -15,7 +15,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from postpass.runtime.deferred_import import DeferredModule
-from postpass.runtime.errors import BROKE, CROWD, SLOW, Fault, FaultError
+from postpass.runtime.errors import PEER_FAILED, TIMED_OUT, TOO_MANY_REQUESTS, Fault, FaultError
 
 if TYPE_CHECKING:
     import aiohttp
@@ -136,14 +136,14 @@
         self._text_start, self._text_length = UNKNOWN_OFFSET, 0
         self._reason = ""  # the finish reason, once the worker has sent it
 
-    def fault(self, why: str, code: int = BROKE) -> FaultError:
+    def fault(self, why: str, code: int = PEER_FAILED) -> FaultError:
         """Returns an exception, for the code that found the error to raise."""
         return FaultError(Fault(STEP, self.url, why, code))
 
     def check_head(self, response: aiohttp.ClientResponse) -> None:
         """Checks the status and the content type of the response, which must be an event stream."""
         if response.status in REJECTIONS:
-            raise FaultError(Fault(STEP, self.url, f"shed with {response.status}", CROWD, hint="shed"))
+            raise FaultError(Fault(STEP, self.url, f"shed with {response.status}", TOO_MANY_REQUESTS, hint="shed"))
         if response.status != 200:
             raise self.fault(f"status {response.status}")
         if not response.headers.get("content-type", "").startswith("text/event-stream"):
@@ -255,10 +255,12 @@
     except FaultError as fault_error:
         if fault_error.fault.unsent or fault_error.fault.step == STEP:
             raise
-        raise FaultError(Fault(STEP, url, str(fault_error), BROKE, unsent=not body.may_have_left)) from fault_error
+        raise FaultError(
+            Fault(STEP, url, str(fault_error), PEER_FAILED, unsent=not body.may_have_left)
+        ) from fault_error
     except (ValueError, KeyError, IndexError, TypeError) as error:
         raise reader.fault(f"garbled stream: {error!r:.80}") from error
     except (aiohttp.ClientError, OSError, TimeoutError) as error:
-        code = SLOW if isinstance(error, TimeoutError) else BROKE
+        code = TIMED_OUT if isinstance(error, TimeoutError) else PEER_FAILED
         progress = f"cut after {reader.count} pieces: " if reader.count else ""
         raise FaultError(Fault(STEP, url, f"{progress}{error!r:.120}", code, unsent=not body.may_have_left)) from error
--- a/sim/broken.py
+++ b/sim/broken.py
@@ -21,7 +21,7 @@
 from postpass.gateway.attempts import Action, Decision
 from postpass.gateway.worker_load import WorkerLoad
 from postpass.replication.partition import Partition
-from postpass.runtime.errors import OLD, REJECTED, Fault, FaultError
+from postpass.runtime.errors import PRECONDITION_FAILED, REJECTED, Fault, FaultError
 from postpass.worker_api import openai
 
 Patch = Callable[[pytest.MonkeyPatch], None]
@@ -153,7 +153,7 @@
 
     async def apply(self: ControlPlane, body: dict[str, Any]) -> Any:
         got = await plain(self, body)
-        if isinstance(got, Err) and got.unwrap_err().code == OLD:
+        if isinstance(got, Err) and got.unwrap_err().code == PRECONDITION_FAILED:
             return await plain(self, body | {"base": int(got.unwrap_err().hint)})
         return got
 
--- a/sim/points.py
+++ b/sim/points.py
@@ -6,12 +6,13 @@
 | point | is met |
 |---|---|
 | `E120` … | as a numbered event of the journal is logged |
-| `sends.VERB`, `takes.VERB`, `answers.VERB`, `hears.VERB` | by a message between own processes: before its bytes go, as its handler begins, before the answer's bytes go, as the answer is here |
-| `starts.FILE`, `synced.FILE` | by a file of a disk: before a sync, and right after it held (`log`, `snap`, `state`, `epochs`, `identity`) |
-| `places`, `gate.open`, `gate.shut` | by a call or item about to go to a worker: before the connection, after the last check |
-| `took`, `piece.K` | at a worker, as it takes a call, and as its piece K is about to leave |
-| `kept`, `shed`, `unknown`, `ended`, `paged`, `applied.CODE` | as a caller or operator has the answer |
-| `reach`, `evac`, `lot.CODE`, `changed.CODE` | in an announced fleet: at a worker, and as a client or the operator has the answer |
+| `sends.VERB`, `takes.VERB`, `answers.VERB`, `hears.VERB` | by a message between own processes: before its bytes go, as
+its handler begins, before the answer's bytes go, as the answer is here | | `starts.FILE`, `synced.FILE` | by a file of
+a disk: before a sync, and right after it held (`log`, `snap`, `state`, `epochs`, `identity`) | | `places`, `gate.open`,
+`gate.shut` | by a call or item about to go to a worker: before the connection, after the last check | | `took`,
+`piece.K` | at a worker, as it takes a call, and as its piece K is about to leave | | `kept`, `shed`, `unknown`,
+`ended`, `paged`, `applied.CODE` | as a caller or operator has the answer | | `reach`, `evac`, `lot.CODE`,
+`changed.CODE` | in an announced fleet: at a worker, and as a client or the operator has the answer |
 """
 
 from __future__ import annotations
@@ -127,13 +128,13 @@
     def tapped_init(self: peer_server.PeerServer, *args: Any, **more: Any) -> None:
         init(self, *args, **more)
 
-        def around(name: str, handler: peer_server.Handler) -> peer_server.Handler:
+        def around(verb: str, handler: peer_server.Handler) -> peer_server.Handler:
             async def run(val: Any) -> Any:
-                if codec.is_oneway(name):
-                    hit(f"takes.{name}")
+                if codec.is_oneway(verb):
+                    hit(f"takes.{verb}")
                     return await handler(val)
                 got = await handler(val)
-                hit(f"answers.{name}")
+                hit(f"answers.{verb}")
                 return got
 
             return run
--- a/tests/batch/test_dispatch.py
+++ b/tests/batch/test_dispatch.py
@@ -16,7 +16,7 @@
 from postpass.configuration.settings import Bounds
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.runtime.environment import Environment, now
-from postpass.runtime.errors import SLOW, Fault
+from postpass.runtime.errors import TIMED_OUT, Fault
 from sim.loop import SimLoop, run_sim
 
 PARTITIONS = 3
@@ -61,7 +61,7 @@
         self.request_times[partition].append(now())
         if partition in self.silent:
             await asyncio.sleep(wait)
-            return Err(Fault(verb, "o1", "no answer in time", SLOW))
+            return Err(Fault(verb, "o1", "no answer in time", TIMED_OUT))
         await asyncio.sleep(self.round_trip)
         return Ok(TakeResponse([], [], {}).as_json())
 
@@ -83,7 +83,9 @@
         for partition in range(PARTITIONS):
             times = [0.0, *scheduler.request_times[partition], DURATION_S]
             longest = max(later - earlier for earlier, later in zip(times, times[1:], strict=False))
-            assert longest < BOUNDS.lease / 2, f"the lease of partition {partition} was not renewed for {longest} s"
+            assert longest < BOUNDS.item_lease / 2, (
+                f"the lease of partition {partition} was not renewed for {longest} s"
+            )
 
     run_sim(main, 1)
 
@@ -92,7 +94,7 @@
     async def main(loop: SimLoop) -> None:
         scheduler = WokenScheduler()
         await scheduler.run(0.001, set())
-        runs = DURATION_S / BOUNDS.poll * (RUNS_PER_POLL + 2)
+        runs = DURATION_S / BOUNDS.scheduling_pause * (RUNS_PER_POLL + 2)
         assert len(scheduler.placement_times) <= runs
         assert len(scheduler.placement_times) >= runs / 2, "the loop must keep placing items"
 
@@ -103,7 +105,7 @@
     async def main(loop: SimLoop) -> None:
         scheduler = WokenScheduler()
         task = asyncio.create_task(scheduler.dispatcher.run())
-        await asyncio.sleep(BOUNDS.poll * 1.5)
+        await asyncio.sleep(BOUNDS.scheduling_pause * 1.5)
         before = now()
         scheduler.placement_times.clear()
         scheduler.dispatcher.wake.set()
@@ -120,11 +122,13 @@
         await scheduler.run(ROUND_TRIP * 2, {0})
         times = [0.0, *scheduler.placement_times, DURATION_S]
         longest = max(later - earlier for earlier, later in zip(times, times[1:], strict=False))
-        assert longest < BOUNDS.poll / 2, f"nothing was placed for {longest} s"
+        assert longest < BOUNDS.scheduling_pause / 2, f"nothing was placed for {longest} s"
         for partition in (0, 2):
             times = [0.0, *scheduler.request_times[partition], DURATION_S]
             longest = max(later - earlier for earlier, later in zip(times, times[1:], strict=False))
-            assert longest < BOUNDS.poll * 1.5, f"the lease of partition {partition} was not renewed for {longest} s"
+            assert longest < BOUNDS.scheduling_pause * 1.5, (
+                f"the lease of partition {partition} was not renewed for {longest} s"
+            )
 
     run_sim(main, 1)
 
@@ -134,22 +138,24 @@
         scheduler = WokenScheduler(silent=frozenset({1}))
         await scheduler.run(ROUND_TRIP * 2, {0, 1})
         times = scheduler.request_times[1]
-        assert len(times) >= DURATION_S / (BOUNDS.poll * 2) - 1
-        assert all(later - earlier >= BOUNDS.poll * 2 for earlier, later in zip(times, times[1:], strict=False))
+        assert len(times) >= DURATION_S / (BOUNDS.scheduling_pause * 2) - 1
+        assert all(
+            later - earlier >= BOUNDS.scheduling_pause * 2 for earlier, later in zip(times, times[1:], strict=False)
+        )
 
     run_sim(main, 1)
 
 
 def test_an_owner_that_has_something_new_while_it_is_slow_to_answer_is_asked_again_right_after() -> None:
     async def main(loop: SimLoop) -> None:
-        scheduler = WokenScheduler(round_trip=BOUNDS.poll / 3)
+        scheduler = WokenScheduler(round_trip=BOUNDS.scheduling_pause / 3)
         task = asyncio.create_task(scheduler.dispatcher.run())
         while not scheduler.request_times[0]:
             await asyncio.sleep(ROUND_TRIP)
-        await asyncio.sleep(BOUNDS.poll / 4)
+        await asyncio.sleep(BOUNDS.scheduling_pause / 4)
         scheduler.dispatcher.woken_partitions.add(0)
         scheduler.dispatcher.wake.set()
-        await asyncio.sleep(BOUNDS.poll / 4)
+        await asyncio.sleep(BOUNDS.scheduling_pause / 4)
         assert len(scheduler.request_times[0]) == 2 and len(scheduler.request_times[1]) == 1
         task.cancel()
 
@@ -161,7 +167,7 @@
         scheduler = WokenScheduler(silent=frozenset({1}))
         before = asyncio.all_tasks()
         task = asyncio.create_task(scheduler.dispatcher.run())
-        await asyncio.sleep(BOUNDS.poll * 1.5)
+        await asyncio.sleep(BOUNDS.scheduling_pause * 1.5)
         task.cancel()
         await asyncio.wait([task])
         await asyncio.sleep(0)
@@ -191,7 +197,7 @@
         fakes: Any = scheduler.dispatcher
         fakes.placement.place_requests = place
         fakes.route_capacity.forget_removed = forget
-        scheduler.round_trip = BOUNDS.poll * 2  # a round takes longer than the interval between rounds
+        scheduler.round_trip = BOUNDS.scheduling_pause * 2  # a round takes longer than the interval between rounds
         task = asyncio.create_task(scheduler.dispatcher.run())
         await asyncio.sleep(DURATION_S)
         task.cancel()
--- a/tests/batch/test_quota_service.py
+++ b/tests/batch/test_quota_service.py
@@ -18,7 +18,7 @@
 from postpass.replication.partition import Partition
 from postpass.replication.record_log import Record
 from postpass.rpc.codec import Body, PeerResponse
-from postpass.runtime.errors import CROWD, MOVED, SLOW, Fault
+from postpass.runtime.errors import NOT_RESPONSIBLE, TIMED_OUT, TOO_MANY_REQUESTS, Fault
 from sim.loop import SimLoop, run_sim
 
 PARTITIONS = 3
@@ -70,7 +70,7 @@
     def owned_partition(self, number: int, step: str) -> Result[Partition, Fault]:
         if number == self.partition.id:
             return Ok(self.partition)
-        return Err(Fault(step, self.settings.name, "not the owner", MOVED, f"s{number}"))
+        return Err(Fault(step, self.settings.name, "not the owner", NOT_RESPONSIBLE, f"s{number}"))
 
     async def confirm(self, partition: Partition) -> bool:
         await asyncio.sleep(0.001)
@@ -80,12 +80,12 @@
         await asyncio.sleep(0.001)
         store = self.network.stores[name]
         if name in self.network.unreachable:
-            return Err(Fault(verb, name, "no answer", SLOW))
+            return Err(Fault(verb, name, "no answer", TIMED_OUT))
         handler = {"reserve": store.quota.on_reserve, "waiting": store.quota.on_waiting}[verb]
         answer = await handler(json.loads(json.dumps(body)))
         self.network.request_counts[verb] += isinstance(answer, Ok)
         if self.network.lose_answer(verb, body):
-            return Err(Fault(verb, name, "no answer", SLOW))
+            return Err(Fault(verb, name, "no answer", TIMED_OUT))
         return answer
 
     async def reserve(self, key: BudgetKey, tokens: int) -> Fault | None:
@@ -147,7 +147,7 @@
         network.request_counts.clear()
         owner = network.owner(1)
         faults = await asyncio.gather(*(owner.reserve(key, 90) for key in others), owner.reserve(FIRM, 50))
-        assert faults[:-1] == [None] * len(others) and faults[-1] is not None and faults[-1].code == CROWD
+        assert faults[:-1] == [None] * len(others) and faults[-1] is not None and faults[-1].code == TOO_MANY_REQUESTS
         assert network.request_counts["waiting"] == PARTITIONS
 
     run_simulated(main)
--- a/tests/configuration/test_settings.py
+++ b/tests/configuration/test_settings.py
@@ -14,14 +14,21 @@
 
 def test_bounds_keep_their_invariants() -> None:
     bounds = Bounds()
-    assert bounds.beat * 3 <= bounds.detect
-    assert bounds.beat * 5 / 2 + bounds.promise / 2 <= bounds.contact < bounds.detect * 9 / 10
-    assert bounds.detect + bounds.stagger * 5 + bounds.promise + bounds.refill <= bounds.recover
-    assert bounds.lease + bounds.poll <= bounds.end
-    assert bounds.follow * 2 <= bounds.manifest
-    assert bounds.probe * 3 <= bounds.leave
-    assert bounds.acknowledge * 10 <= bounds.resend
-    assert bounds.follow * 2 < bounds.deaf < bounds.leave
+    assert bounds.heartbeat_interval * 3 <= bounds.detection_time
+    assert (
+        bounds.heartbeat_interval * 5 / 2 + bounds.sync_request_limit / 2
+        <= bounds.contact_lease
+        < bounds.detection_time * 9 / 10
+    )
+    assert (
+        bounds.detection_time + bounds.candidate_delay * 5 + bounds.sync_request_limit + bounds.refill_time
+        <= bounds.recover
+    )
+    assert bounds.item_lease + bounds.scheduling_pause <= bounds.end
+    assert bounds.feed_interval * 2 <= bounds.manifest
+    assert bounds.probe_interval * 3 <= bounds.leave
+    assert bounds.acknowledge * 10 <= bounds.resend_period
+    assert bounds.feed_interval * 2 < bounds.isolation_time < bounds.leave
 
 
 def test_invalid_settings_are_rejected_with_the_key_and_what_is_expected() -> None:
--- a/tests/control/test_feed.py
+++ b/tests/control/test_feed.py
@@ -67,7 +67,7 @@
 
 def contact_lease(control: ControlPlane) -> float:
     """Returns the seconds for which a member counts as in touch after it last heard its primary."""
-    return control.settings.bounds.contact
+    return control.settings.bounds.contact_lease
 
 
 class Test_MemberOutOfTouch:
@@ -85,7 +85,7 @@
                 [n for n in names(fleet.controls()) if n != isolated_member.settings.name],
                 direction,
             )
-            await asyncio.sleep(contact_lease(isolated_member) + isolated_member.settings.bounds.detect)
+            await asyncio.sleep(contact_lease(isolated_member) + isolated_member.settings.bounds.detection_time)
             started_at = fleet.loop.clock
             poll = {"after": isolated_member.configuration_view.revision, "wait": 1.0, "who": "e1"}
             response = (await fleet.ask(isolated_member.settings.name, lambda c: c.on_follow(poll))).unwrap()
@@ -251,7 +251,7 @@
             edges = [n.daemon for n in fleet.nodes.values() if n.settings.duties == ("edge",)]
             for edge in edges:
                 assert edge is not None and edge.ready() == ""
-                assert fleet.loop.clock - edge.configuration_view.last_contact < edge.settings.bounds.deaf
+                assert fleet.loop.clock - edge.configuration_view.last_contact < edge.settings.bounds.isolation_time
             revision = max(e.configuration_view.revision for e in edges if e is not None)
             fleet.kill("e1")
             fleet.boot("e1")
--- a/tests/control/test_isolation.py
+++ b/tests/control/test_isolation.py
@@ -15,7 +15,19 @@
 from starlette.applications import Starlette
 
 from postpass.control.daemon import ControlPlane
-from postpass.runtime.errors import BAD, BROKE, CLASH, CROWD, FULL, LACK, MOVED, OLD, REJECTED, SLOW, Fault
+from postpass.runtime.errors import (
+    BAD_REQUEST,
+    CONFLICT,
+    NO_SPACE,
+    NOT_FOUND,
+    NOT_RESPONSIBLE,
+    PEER_FAILED,
+    PRECONDITION_FAILED,
+    REJECTED,
+    TIMED_OUT,
+    TOO_MANY_REQUESTS,
+    Fault,
+)
 from sim.linearizability import Attempt, Operation, Order, Outcome, Read, check
 from tests.control.test_announced_control import play, worker_announcement
 from tests.control.test_feed import cut, heal, names, settle
@@ -184,7 +196,7 @@
         _, _, other_members = await settle(fleet)
         isolated = other_members[0]
         cut(fleet, isolated.settings.name, [n for n in names(fleet.controls()) if n != isolated.settings.name])
-        await asyncio.sleep(isolated.settings.bounds.contact + 0.1)
+        await asyncio.sleep(isolated.settings.bounds.contact_lease + 0.1)
         member_app, platform_app = (
             isolated.app(),
             Starlette(routes=adapter("operators").ControlRoutes(isolated).routes()),
@@ -208,10 +220,24 @@
         assert "ask another: 10.0." in body["error"]["why"]
 
 
-@pytest.mark.parametrize("code", [BAD, LACK, CLASH, OLD, MOVED, CROWD, BROKE, REJECTED, SLOW, FULL])
+@pytest.mark.parametrize(
+    "code",
+    [
+        BAD_REQUEST,
+        NOT_FOUND,
+        CONFLICT,
+        PRECONDITION_FAILED,
+        NOT_RESPONSIBLE,
+        TOO_MANY_REQUESTS,
+        PEER_FAILED,
+        REJECTED,
+        TIMED_OUT,
+        NO_SPACE,
+    ],
+)
 def test_every_refusal_that_may_be_repeated_says_when(code: int) -> None:
     response = adapter("operators").rejection(Fault("order", "c1", "no", code, "7"))
-    status_of_definite = {BAD: 400, LACK: 404, CLASH: 409, OLD: 412}
+    status_of_definite = {BAD_REQUEST: 400, NOT_FOUND: 404, CONFLICT: 409, PRECONDITION_FAILED: 412}
     assert response.status_code == status_of_definite.get(code, 503)
     assert ("retry-after" in response.headers) == (code not in status_of_definite)
 
--- a/tests/control/test_journal.py
+++ b/tests/control/test_journal.py
@@ -25,7 +25,7 @@
     snapshot_entry,
 )
 from postpass.rpc.codec import IDL, pack, unpack
-from postpass.runtime.errors import BROKE, FULL, FaultError
+from postpass.runtime.errors import NO_SPACE, PEER_FAILED, FaultError
 from postpass.storage.data_directory import (
     IDENTITY_FILE,
     STATE_FORMAT,
@@ -297,10 +297,10 @@
             disk.cap = sum(map(len, disk.files.values()))
             with pytest.raises(FaultError) as full:
                 await journal.append(change)
-            assert full.value.fault.code == FULL and journal.image == before
+            assert full.value.fault.code == NO_SPACE and journal.image == before
             with pytest.raises(FaultError) as full:
                 await journal.replace(after)
-            assert full.value.fault.code == FULL and journal.image == before
+            assert full.value.fault.code == NO_SPACE and journal.image == before
             with pytest.raises(FaultError):
                 await journal.replace(after)
             assert (await open_journal(disk))[1].image == before
@@ -331,7 +331,7 @@
             disk.fails = True
             with pytest.raises(FaultError) as failed:
                 await writes[write]()
-            assert failed.value.fault.code == BROKE
+            assert failed.value.fault.code == PEER_FAILED
             with pytest.raises(FaultError):
                 await open_journal(disk)
             disk.fails = False
--- a/tests/control/test_orders.py
+++ b/tests/control/test_orders.py
@@ -19,7 +19,7 @@
 from postpass.control.daemon import ControlPlane
 from postpass.daemon.process import Daemon
 from postpass.membership.registry import State
-from postpass.runtime.errors import OLD, Fault
+from postpass.runtime.errors import PRECONDITION_FAILED, Fault
 from sim.disk import SimDisk
 from sim.linearizability import Outcome, Verdict, check
 from sim.loop import SimLoop, run_sim
@@ -202,8 +202,8 @@
 ) -> tuple[int, list[str], list[str], Verdict]:
     """Runs operators through one disruption after the other, then sends every accepted order again to every member.
 
-    Returns how many orders were accepted, which of them were refused when sent again, which other orders were refused, and
-    the verdict on whether the history is linearizable.
+    Returns how many orders were accepted, which of them were refused when sent again, which other orders were refused,
+    and the verdict on whether the history is linearizable.
     """
     first_order = put(document(1), 0)
     while first_order not in operators.taken:
@@ -285,8 +285,8 @@
         patch_of_first = patch(change, first)
         assert await operators.send(patch_of_first) is Outcome.TAKEN
         assert await operators.send(put(second, 3)) is Outcome.TAKEN
-        # The same version number with other contents: made from the same base as before, from the newest version, and from
-        # versions that never existed.
+        # The same version number with other contents: made from the same base as before, from the newest version, and
+        # from versions that never existed.
         other = document(3) | {"limits": {"idleMs": 1000}}
         for base in (1, 3, 5, 4, 99):
             assert await operators.send(put(other, base)) is Outcome.REFUSED
@@ -392,7 +392,7 @@
 
     def apply(self: ConfigurationChange, state: State) -> Result[State, Fault]:
         result = original(self, state)
-        return Ok(state) if isinstance(result, Err) and result.unwrap_err().code == OLD else result
+        return Ok(state) if isinstance(result, Err) and result.unwrap_err().code == PRECONDITION_FAILED else result
 
     monkeypatch.setattr(ConfigurationChange, "__call__", apply)
 
--- a/tests/gateway/test_load_exchange.py
+++ b/tests/gateway/test_load_exchange.py
@@ -13,7 +13,7 @@
 from postpass.routing.load_picture import IDLE, WorkerUse
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.rpc.peer_links import PeerLinks
-from postpass.runtime.errors import SLOW, Fault
+from postpass.runtime.errors import TIMED_OUT, Fault
 from sim.loop import SimLoop, run_sim
 
 
@@ -62,7 +62,7 @@
         self.fleet.messages += 1
         if {address, self.name} & self.fleet.down:
             await asyncio.sleep(limit)
-            return Err(Fault("connect", address, "down", SLOW, unsent=True))
+            return Err(Fault("connect", address, "down", TIMED_OUT, unsent=True))
         return await self.fleet.exchanges[address].on_report(body)
 
 
--- a/tests/gateway/test_owner_client.py
+++ b/tests/gateway/test_owner_client.py
@@ -32,6 +32,6 @@
         for api in apis:
             started_at = now()
             assert (await api.results(name, 0, 0.0)).is_ok()
-            assert now() - started_at < fleet.boxes["e1"].daemon.settings.bounds.detect * 2  # type: ignore[union-attr]
+            assert now() - started_at < fleet.boxes["e1"].daemon.settings.bounds.detection_time * 2  # type: ignore[union-attr]
 
     run_with_fleet(check)
--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -235,7 +235,8 @@
         assert (await scene.ask("/i"))[0] == 404
         assert (await scene.ask("/l/x"))[0] == 503
         scene.relay.unready = lambda: "no news"
-        # Right after the edge's start, control may be starting as well and be ready soon; later, only this edge isn't ready.
+        # Right after the edge's start, control may be starting as well and be ready soon; later, only this edge isn't
+        # ready.
         for least, most, wait in ((0.37, 0.76, 0.5), (1.1, 2.1, 2.0), (0.37, 0.63, 0.0)):
             for path in ("/i/x", "/none/"):
                 status, head, _, _ = await scene.ask(path)
@@ -520,7 +521,7 @@
         assert scene.ran[0] == failed
         reported_use = scene.relay.workers.own_use()
         assert reported_use["w1"] == WorkerUse(failed=1) and reported_use["w2"] == WorkerUse(answered=1)
-        await asyncio.sleep(scene.relay.settings.bounds.exchange * OUTCOME_INTERVALS * 2)
+        await asyncio.sleep(scene.relay.settings.bounds.load_exchange_interval * OUTCOME_INTERVALS * 2)
         assert scene.relay.workers.own_use() == {}
 
     play({"w1": refusing("500 Oops"), "w2": answer_ok}, main)
--- a/tests/replication/test_cover_watch.py
+++ b/tests/replication/test_cover_watch.py
@@ -12,7 +12,7 @@
 from sim.loop import SimLoop, run_sim
 from tests.support.announced import Fleet
 
-DETECT = 12.0 / 8  # `bounds.detect` of the fleet
+DETECT = 12.0 / 8  # `bounds.detection_time` of the fleet
 
 
 def store_of(fleet: Fleet, name: str) -> Store:
--- a/tests/replication/test_handover.py
+++ b/tests/replication/test_handover.py
@@ -9,7 +9,7 @@
 from tests.support.announced import Fleet
 
 PARTITIONS = 8
-DETECT = 12.0 / 8  # `bounds.detect` of the fleet
+DETECT = 12.0 / 8  # `bounds.detection_time` of the fleet
 
 
 async def settled_fleet(loop: SimLoop) -> Fleet:
--- a/tests/rpc/test_codec.py
+++ b/tests/rpc/test_codec.py
@@ -5,7 +5,7 @@
 from thriftpy2.thrift import TMessageType
 
 from postpass.rpc.codec import IDL, decode_fault, encode_body, encode_fault, encode_message, is_oneway, pack, unpack
-from postpass.runtime.errors import SLOW, Fault
+from postpass.runtime.errors import TIMED_OUT, Fault
 
 
 def test_the_encoding_of_a_message() -> None:
@@ -20,8 +20,10 @@
 
 
 def test_faults_lose_only_what_the_sender_of_a_request_knows() -> None:
-    fault = Fault("show", "s1", "late", SLOW, hint="later", unsent=True, unsure=True)
-    assert decode_fault(unpack(IDL.Fault, pack(encode_fault(fault)))) == Fault("show", "s1", "late", SLOW, hint="later")
+    fault = Fault("show", "s1", "late", TIMED_OUT, hint="later", unsent=True, unsure=True)
+    assert decode_fault(unpack(IDL.Fault, pack(encode_fault(fault)))) == Fault(
+        "show", "s1", "late", TIMED_OUT, hint="later"
+    )
 
 
 def test_only_the_stream_and_its_acknowledgements_are_oneway() -> None:
--- a/tests/rpc/test_peer_links.py
+++ b/tests/rpc/test_peer_links.py
@@ -13,7 +13,7 @@
 from postpass.rpc.connection import Link
 from postpass.rpc.peer_links import PeerLinks
 from postpass.rpc.peer_server import PeerServer
-from postpass.runtime.errors import SLOW, Fault
+from postpass.runtime.errors import TIMED_OUT, Fault
 
 
 def test_releases_without_a_common_wire_version_get_a_fault_with_both_version_ranges() -> None:
@@ -97,7 +97,7 @@
         return await loop.create_task(send_requests(), context=client.context())
 
     assert run_sim(main) == [
-        Ok({"t": 1}), Ok({"t": 2}), b"", Err(Fault("show", "2", "late", 504)), SLOW, "no such duty here", [1, 2, 3],
+        Ok({"t": 1}), Ok({"t": 2}), b"", Err(Fault("show", "2", "late", 504)), TIMED_OUT, "no such duty here", [1, 2, 3],
     ]  # fmt: skip
 
 
--- a/tests/runtime/test_errors.py
+++ b/tests/runtime/test_errors.py
@@ -4,11 +4,11 @@
 
 import json
 
-from postpass.runtime.errors import FULL, ErrorCode, Fault
+from postpass.runtime.errors import NO_SPACE, ErrorCode, Fault
 
 
 def test_fault_names_step_and_peer() -> None:
-    fault = Fault("submit", "s1", "no disk", FULL)
+    fault = Fault("submit", "s1", "no disk", NO_SPACE)
     assert str(fault) == "submit at s1: no disk"
     assert fault.as_json() == {"step": "submit", "peer": "s1", "why": "no disk"}
 
--- a/tests/sim/test_broken_variants.py
+++ b/tests/sim/test_broken_variants.py
@@ -36,7 +36,7 @@
 from postpass.replication.reconfiguration import Reconfiguration
 from postpass.routing import live_choice
 from postpass.runtime.environment import now
-from postpass.runtime.errors import LACK, SLOW, Fault
+from postpass.runtime.errors import NOT_FOUND, TIMED_OUT, Fault
 from postpass.storage.segmented_log import SegmentedLog
 from sim.announced import module
 from sim.rules import CHECKS
@@ -205,7 +205,7 @@
     async def results(self: JobService, body: Any) -> Any:
         got = await plain(self, body)
         late = isinstance(got, Ok) and got.unwrap()["next"] >= got.unwrap()["total"]
-        return Err(Fault("results", self.store.settings.name, "no such lot", LACK)) if late else got
+        return Err(Fault("results", self.store.settings.name, "no such lot", NOT_FOUND)) if late else got
 
     mp.setattr(JobService, "on_results", results)
 
@@ -295,7 +295,7 @@
 
     async def on_order(self: ControlPlane, body: Any) -> Any:
         got = await plain(self, body)
-        return Err(Fault("order", self.settings.name, "busy", SLOW)) if now() > LEAD else got
+        return Err(Fault("order", self.settings.name, "busy", TIMED_OUT)) if now() > LEAD else got
 
     mp.setattr(ControlPlane, "on_order", on_order)
 
@@ -305,7 +305,7 @@
 
     async def beat(self: ControlPlane, who: str, standing: Any, seqno: int) -> Any:
         got = await plain(self, who, standing, seqno)
-        return Err(Fault("beat", self.settings.name, "busy", SLOW)) if standing["leave"] else got
+        return Err(Fault("beat", self.settings.name, "busy", TIMED_OUT)) if standing["leave"] else got
 
     mp.setattr(ControlPlane, "record_worker_heartbeat", beat)
 
@@ -389,7 +389,7 @@
 # --- liveness
 def budget_never_answers(mp: pytest.MonkeyPatch) -> None:
     async def reserve(self: QuotaService, body: dict[str, Any]) -> Any:
-        return Err(Fault("reserve", self.store.settings.name, "not now", SLOW))
+        return Err(Fault("reserve", self.store.settings.name, "not now", TIMED_OUT))
 
     mp.setattr(QuotaService, "on_reserve", reserve)
 
--- a/tests/storage/test_segmented_log.py
+++ b/tests/storage/test_segmented_log.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from postpass.rpc.codec import IDL
-from postpass.runtime.errors import FULL, FaultError
+from postpass.runtime.errors import NO_SPACE, FaultError
 from postpass.storage.segmented_log import SegmentedLog
 
 
@@ -53,7 +53,7 @@
     try:
         log.append([_entry(5, b"z" * 900)], vital=False)
     except FaultError as error:
-        assert error.fault.code == FULL
+        assert error.fault.code == NO_SPACE
     else:
         raise AssertionError("an entry that is not vital used the reserved bytes")
     log.append([_entry(5, b"z" * 900)], vital=True)
--- a/tests/support/membership_drill.py
+++ b/tests/support/membership_drill.py
@@ -29,7 +29,7 @@
 
 KINDS = ("kill", "power", "wipe", "freeze", "cut")
 SYNC = 5.0  # `bounds.sync` of the fleet
-DETECT = 1.5  # `bounds.detect`
+DETECT = 1.5  # `bounds.detection_time`
 RECOVER = 12.0  # `bounds.recover`
 PARTS = 8  # partitions of the fleet
 MOST_AWAY = 60.0  # longer than any loss lasts
@@ -248,7 +248,8 @@
             act()
             self.away -= 1
 
-        # Outside the struck host's own context, or the task would die with it when it strikes itself at one of its points.
+        # Outside the struck host's own context, or the task would die with it when it strikes itself at one of its
+        # points.
         self.fleet.loop.create_task(run(), context=contextvars.Context())
 
     async def lose(self, loss: Loss) -> None:
@@ -349,8 +350,8 @@
     def check_borne_without(self, name: str, when_asked: dict[str, str]) -> None:
         """A store may go for good: by the disks that are really there, is the next loss borne in each partition?
 
-        The answer was true if it was so at some moment between the question and the answer: a loss that strikes after the
-        question is itself the next loss."""
+        The answer was true if it was so at some moment between the question and the answer: a loss that strikes after
+        the question is itself the next loss."""
         zones = {n: x.settings.zone for n, x in self.fleet.nodes.items()}
         topology = Topology(zones, Tolerance(self.drill.lost, 1))
         moments = (when_asked, self.disks_there())
--- a/tests/tenants/share_world.py
+++ b/tests/tenants/share_world.py
@@ -1,8 +1,8 @@
 """A small simulated fleet with virtual time, for tests of the limits of tenants.
 
-It runs the real code of edges and homes over links that delay and lose messages. Hosts can be killed and frozen, links can be
-cut, and the ownership of the single partition moves from home to home; a home that was deposed doesn't know it until it asks
-for a confirmation. The requests that each edge admits are recorded.
+It runs the real code of edges and homes over links that delay and lose messages. Hosts can be killed and frozen, links
+can be cut, and the ownership of the single partition moves from home to home; a home that was deposed doesn't know it
+until it asks for a confirmation. The requests that each edge admits are recorded.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from postpass.replication.partition import Partition
 from postpass.rpc.codec import Body, PeerResponse
 from postpass.rpc.peer_links import PeerLinks
-from postpass.runtime.errors import MOVED, SLOW, Fault
+from postpass.runtime.errors import NOT_RESPONSIBLE, TIMED_OUT, Fault
 from postpass.tenants.edge_shares import EdgeShares
 from postpass.tenants.limits import quota_slack
 from postpass.tenants.messages import HOLDINGS
@@ -87,7 +87,7 @@
 
     def owned_partition(self, number: int, step: str) -> Result[Partition, Fault]:
         if not self.copy.owning:
-            return Err(Fault(step, self.name, "not the owner", MOVED))
+            return Err(Fault(step, self.name, "not the owner", NOT_RESPONSIBLE))
         return Ok(cast(Partition, self.copy))
 
     async def confirm(self, partition: Partition) -> bool:
@@ -124,7 +124,7 @@
         )
         done, _ = await asyncio.wait([exchange], timeout=limit)
         if not done:
-            return Err(Fault(verb, address, "no answer in time", SLOW))
+            return Err(Fault(verb, address, "no answer in time", TIMED_OUT))
         return exchange.result()
 
     async def exchange(self, address: str, verb: str, body: Body) -> PeerResponse:
@@ -213,7 +213,7 @@
 
     async def heartbeats(self, store: StoreStandIn, service: ShareService) -> None:
         while True:
-            await asyncio.sleep(self.bounds.beat)
+            await asyncio.sleep(self.bounds.heartbeat_interval)
             service.watch()
 
     def boot(self, name: str) -> None:
