--- a/tests/batch/test_quota_service.py
+++ b/tests/batch/test_quota_service.py
@@ -61,7 +61,9 @@
 
     def __init__(self, network: Network, name: str, number: int) -> None:
         self.network, self.configuration_view = network, network.view
-        self.settings = SimpleNamespace(name=name, bounds=SimpleNamespace(beat=HEARTBEAT_S, detect=5 * HEARTBEAT_S))
+        self.settings = SimpleNamespace(
+            name=name, bounds=SimpleNamespace(heartbeat_interval=HEARTBEAT_S, detection_time=5 * HEARTBEAT_S)
+        )
         self.background_tasks: set[asyncio.Task[None]] = set()
         self.partition = Partition(number, name, "disk", owner=name, epoch=1)
         self.partitions = {number: self.partition}
