--- a/postpass/batch/item_run.py
+++ b/postpass/batch/item_run.py
@@ -55,8 +55,8 @@
     capacity: RouteCapacity
     ended_items: Counter
     slot_freed: asyncio.Event
-    dialect: Dialect = field(default_factory=Dialect)
-    workers: Workers | None = None  # None: items of routes are not run here
+    dialect: Dialect = field(default_factory=Dialect)  # the header names that requests and responses use
+    workers: Workers | None = None  # the client that sends items of routes to workers; None: they are not run here
 
     # --- items of routes
     def route_admission_check(self, item: LeasedItem, pool: str, worker: str) -> str:
@@ -121,7 +121,7 @@
         await self.finish(item, ItemResult(ROUTE_STATUS[run_end], text, item.tries, output_checksum(text)))
 
     async def send_request(self, configuration: Configuration, route: Route, item: LeasedItem) -> RunEnd:
-        """Sends an item to its worker and appends the response to `item.text`.
+        """Sends an item to its worker, by the client `self.workers`, and appends the response to `item.text`.
 
         Returns how the run ended; raises FaultError if the response is not complete.
         """
--- a/postpass/batch/placement.py
+++ b/postpass/batch/placement.py
@@ -174,8 +174,12 @@
         return True
 
     def worker_for_request(self, item: LeasedItem, slots: Slots) -> str | None:
-        """Returns the worker for an item; None if none has a free slot."""
+        """Returns the worker for an item; None if none has a free slot.
+
+        Among workers with equally many free slots, items with the same shared prompt prefix go to the same one; so do
+        items of the same job if their headers name no prefix.
+        """
         if item.request is None:
             return None
-        key = prompt_prefix(item.request["headers"], self.runner.dialect) or item.job
-        return choose_item_worker(slots, key.encode(), self.capacity.options)
+        item_affinity_key = prompt_prefix(item.request["headers"], self.runner.dialect) or item.job
+        return choose_item_worker(slots, item_affinity_key.encode(), self.capacity.options)
--- a/postpass/control/leadership.py
+++ b/postpass/control/leadership.py
@@ -52,9 +52,10 @@
     async def heartbeat_as_primary(self, configuration: Configuration) -> None:
         """Sends the primary's heartbeat to all members, then steps down if no majority answered.
 
-        Otherwise starts `reconcile` where machines announce themselves, and renews the replica set if a backup or voter
-        has to be replaced. If none has to be, and the change of voters that came with this epoch is not complete yet,
-        tries to complete it.
+        Otherwise, where machines announce themselves, starts `reconcile`, which removes machines and workers that are no
+        longer heard from the registry and adjusts the number of copies. Renews the replica set if a backup or voter has
+        to be replaced. If none has to be, and the change of voters that came with this epoch is not complete yet, tries
+        to complete it.
         """
         bounds, epoch, replica_set = self.settings.bounds, self.epoch, self.replicated_state.replica_set
         answers = await self.send_heartbeats(epoch, configuration)
--- a/postpass/control/member.py
+++ b/postpass/control/member.py
@@ -94,8 +94,11 @@
             str, float
         ] = {}  # when each other control machine last sent its report of heartbeats
         self.first_heard: dict[str, float] = {}
+        # `reported_at` is when this member sent the newest of its heartbeat reports that reached the primary; while this
+        # member is the primary itself, `report` sets it to the present time again and again.
         self.leading_since = self.reported_at = 0.0
         self.leader = ""
+        # `epoch` is the epoch under which this member is the primary; 0 while it is not.
         self.vote_record, self.replicated_state, self.disk_id, self.epoch = VoteRecord(), ReplicatedState(), "", 0
         self.committed = CommittedState()
         self.leader_silent_since = 0.0
--- a/postpass/control/registry.py
+++ b/postpass/control/registry.py
@@ -145,12 +145,14 @@
     async def report(self) -> None:
         """Reports to the primary, again and again, which workers and machines this member has heard.
 
-        Without that, the primary would miss workers and machines whose heartbeats go to other members.
+        Without that, the primary would miss workers and machines whose heartbeats go to other members. `reported_at` is
+        when the newest report that reached the primary was sent.
         """
         bounds, period = self.settings.bounds, self.settings.beat / 2
         while True:
             await asyncio.sleep(period * (0.8 + 0.4 * self.environment.chance.random()))
             if self.epoch:
+                # This member is the primary itself (`epoch` is 0 while it is not), so it has its own report already.
                 self.reported_at = now()
                 continue
             address = self.peer_address(self.leader)
--- a/postpass/control/replica.py
+++ b/postpass/control/replica.py
@@ -254,8 +254,8 @@
         await self.append_to(None, epoch, name)
 
     async def send_heartbeats(self, epoch: int, configuration: Configuration) -> list[Acknowledgement]:
-        """Sends a heartbeat to all other members and returns the acknowledgements. Once most members have answered, the
-        rest are waited for only a short time."""
+        """Sends a heartbeat, which is an append without a state, to all other members and returns the acknowledgements.
+        Once most members have answered, the rest are waited for only a short time."""
         others = [n for n in self.members(configuration) if n != self.settings.name]
 
         def has_majority(responses: dict[str, Acknowledgement | None]) -> bool:
--- a/postpass/gateway/live_requests.py
+++ b/postpass/gateway/live_requests.py
@@ -247,6 +247,7 @@
             ):  # fmt: skip
                 piece_number = request.pieces_sent
                 if piece_number == 0:
+                    # The worker's first piece has arrived and is about to be sent to the client.
                     request.attempt_log = request.attempt_log.mark(AttemptState.FIRST)
                     edge.first_piece_seconds.labels(request.class_name).observe(now() - request.started_at)
                     await request.connection.start(200, STREAM_HEADERS)
--- a/postpass/membership/operator_changes.py
+++ b/postpass/membership/operator_changes.py
@@ -83,10 +83,10 @@
         return RetirementRefusal(NOT_FOUND, f"no store {name!r:.60}")
     if configuration["machines"][name].get("retire"):
         return None
-    zones = remaining_store_zones(configuration, name)
-    copies = safe_copies(zones, configuration["copies"], tolerance)
-    if copies < configuration["copies"] and not copies_keep_majority(zones, copies, tolerance):
-        reason = f"the {len(zones)} stores that would stay can't bear the loss of what may be lost at once"
+    store_zones = remaining_store_zones(configuration, name)  # one entry for each store, so zones may repeat
+    copies = safe_copies(store_zones, configuration["copies"], tolerance)
+    if copies < configuration["copies"] and not copies_keep_majority(store_zones, copies, tolerance):
+        reason = f"the {len(store_zones)} stores that would stay can't bear the loss of what may be lost at once"
         return RetirementRefusal(CONFLICT, reason)
     return None
 
@@ -100,8 +100,8 @@
     if present is None or present.get("retire"):
         return state
     machines = {**state.configuration["machines"], name: cast(Machine, {**present, "retire": True})}
-    zones = remaining_store_zones(state.configuration, name)
-    copies = safe_copies(zones, state.configuration["copies"], tolerance)
+    store_zones = remaining_store_zones(state.configuration, name)
+    copies = safe_copies(store_zones, state.configuration["copies"], tolerance)
     return with_parts(state, machines=machines, copies=copies)
 
 
--- a/postpass/replication/leadership_check.py
+++ b/postpass/replication/leadership_check.py
@@ -67,8 +67,9 @@
 
         It returns as soon as enough members have confirmed, or all have answered. A later epoch ends the ownership.
         """
-        voters = self.table.own_vote
-        if partition.is_ownership_confirmed(voters):
+        # The members that have confirmed so far, with their disks; this store itself is the first.
+        confirming_members = self.table.own_vote
+        if partition.is_ownership_confirmed(confirming_members):
             return partition.epoch == epoch
         confirmed = asyncio.Event()
 
@@ -80,8 +81,8 @@
                 return
             answer = HelloAnswer.decode(response.unwrap())
             if answer.accepted:
-                voters[name] = answer.disk
-                if partition.epoch == epoch and partition.is_ownership_confirmed(voters):
+                confirming_members[name] = answer.disk
+                if partition.epoch == epoch and partition.is_ownership_confirmed(confirming_members):
                     confirmed.set()
             elif answer.promised > epoch and partition.epoch == epoch:
                 self.table.step_down(partition, answer.promised)
--- a/postpass/routing/fair_share.py
+++ b/postpass/routing/fair_share.py
@@ -139,13 +139,13 @@
     The entries are sorted by their due times; `earliest` and `rate` are those of `split_by_fair_share`. Entries that can't
     be done in time any more are interleaved with the others (`interleave_overdue`).
     """
-    first_timely = bisect_left(demands, earliest, key=lambda demand: demand.due)
-    timely, postponed = split_by_fair_share(demands[first_timely:], earliest, rate)
-    timely, postponed = ([number + first_timely for number in group] for group in (timely, postponed))
+    first_not_overdue = bisect_left(demands, earliest, key=lambda demand: demand.due)
+    timely, postponed = split_by_fair_share(demands[first_not_overdue:], earliest, rate)
+    timely, postponed = ([number + first_not_overdue for number in group] for group in (timely, postponed))
     clients_over_share = {demands[number].client for number in postponed}
     # Clients that ask for no more than their share are served at once: if their entries waited until just before the due
     # time, they would have to share those last moments with clients that had all the time until then.
     within_share = [number for number in timely if demands[number].client not in clients_over_share]
     over_share = [number for number in timely if demands[number].client in clients_over_share]
-    in_time = within_share + order_by_turns(over_share, demands) + order_by_turns(postponed, demands)
-    return interleave_overdue(in_time, order_by_turns(range(first_timely), demands))
+    not_overdue = within_share + order_by_turns(over_share, demands) + order_by_turns(postponed, demands)
+    return interleave_overdue(not_overdue, order_by_turns(range(first_not_overdue), demands))
--- a/postpass/routing/item_order.py
+++ b/postpass/routing/item_order.py
@@ -34,18 +34,18 @@
     ordered = list(items)
     if not options.overdue_last:
         return ordered
-    in_time = [item for item in ordered if due(item) >= earliest]
-    return interleave_overdue(in_time, [item for item in ordered if due(item) < earliest])
+    not_overdue = [item for item in ordered if due(item) >= earliest]
+    return interleave_overdue(not_overdue, [item for item in ordered if due(item) < earliest])
 
 
-def interleave_overdue(in_time: Sequence[Entry], overdue: Sequence[Entry]) -> list[Entry]:
-    """Returns the entries that can be done in time, with overdue ones in between, and then the remaining overdue ones.
+def interleave_overdue(not_overdue: Sequence[Entry], overdue: Sequence[Entry]) -> list[Entry]:
+    """Returns the entries that are not overdue, with overdue ones in between, and then the remaining overdue ones.
 
     While there are both, one in `OVERDUE_EVERY` entries is an overdue one.
     """
     served: list[Entry] = []
     remaining_overdue = deque(overdue)
-    for item in in_time:
+    for item in not_overdue:
         served.append(item)
         if remaining_overdue and len(served) % OVERDUE_EVERY == OVERDUE_EVERY - 1:
             served.append(remaining_overdue.popleft())
