--- a/postpass/cli/doctor.py
+++ b/postpass/cli/doctor.py
@@ -1,6 +1,7 @@
-"""What `postpassctl doctor` finds: a pure function of two looks at the fleet, one after the other.
+"""The faults that `postpassctl doctor` finds, as a pure function of two snapshots of the fleet, taken one after the other.
 
-The codes D02 to D16 are told in `docs/operators.md`; D01, that the configuration can't be read, is the command's own.
+The codes D02 to D16 are described in `docs/operators.md`. D01, that the configuration can't be read, is reported by the
+command itself, since there is no snapshot without the configuration.
 """
 
 from __future__ import annotations
@@ -14,13 +15,16 @@
 from postpass.configuration.configuration import Machine
 from postpass.control.health import member_health, next_loss_problem
 
-MIN_FREE_SHARE = 0.1  # of a disk
+MIN_FREE_SHARE = 0.1  # of a disk's size
 MAX_REPLICA_LAG = 500  # records
 
 
 @dataclass(frozen=True)
 class Finding:
-    """One fault. Invariant: `remedy` tells what to do, in words that an operator can act on."""
+    """One fault: its code, the part of the fleet that has it, what is wrong, and what the operator can do about it.
+
+    Invariant: `remedy` describes what to do, in words that an operator can act on.
+    """
 
     code: str
     where: str
@@ -31,34 +35,38 @@
         return f"{self.code} {self.where}: {self.what}\n    remedy: {self.remedy}"
 
 
-def diagnose(first: FleetStatus, second: FleetStatus) -> list[Finding]:
-    """All faults of the second look, each once; the first look tells what has not moved since."""
+def diagnose(earlier_fleet: FleetStatus, later_fleet: FleetStatus) -> list[Finding]:
+    """Returns all faults of the second snapshot, each once; the first one shows what has made no progress since."""
     remedy = "start it, or declare it gone if it is lost for good"
-    findings = [Finding("D02", name, "does not answer", remedy) for name in second.names if name in second.unreachable]
-    for name, machine in second.machines.items():
-        findings += _machine_findings(name, machine, first, second)
-    findings += [*_partition_findings(second), *_control_findings(second), *_release_findings(second)]
-    findings += [*_standstill_findings(first, second), *_unkept_findings(first, second)]
-    # Several edges see the same worker: of findings about it the first is told.
-    once: dict[tuple[str, str, str], Finding] = {}
+    findings = [
+        Finding("D02", name, "does not answer", remedy) for name in later_fleet.names if name in later_fleet.unreachable
+    ]
+    for name, machine in later_fleet.machines.items():
+        findings += _machine_findings(name, machine, earlier_fleet, later_fleet)
+    findings += [*_partition_findings(later_fleet), *_control_findings(later_fleet), *_release_findings(later_fleet)]
+    findings += [*_stalled_findings(earlier_fleet, later_fleet), *_unacknowledged_findings(earlier_fleet, later_fleet)]
+    # Several edges may report the same fault of a worker: only the first of these findings is kept.
+    unique_findings: dict[tuple[str, str, str], Finding] = {}
     for finding in findings:
-        once.setdefault((finding.code, finding.where.split(" ")[-1], finding.what), finding)
-    return list(once.values())
-
-
-def _machine_findings(name: str, machine: MachineStatus, first: FleetStatus, second: FleetStatus) -> Iterator[Finding]:
-    """What is wrong with one machine that answers."""
-    before = first.machines.get(name)
-    was_behind = before is not None and before.revision == machine.revision < first.revision
-    if machine.revision < second.revision and was_behind:
-        yield Finding("D03", name, f"runs edition {machine.revision}, {second.revision} is in force",
+        unique_findings.setdefault((finding.code, finding.where.split(" ")[-1], finding.what), finding)
+    return list(unique_findings.values())
+
+
+def _machine_findings(
+    name: str, machine: MachineStatus, earlier_fleet: FleetStatus, later_fleet: FleetStatus
+) -> Iterator[Finding]:
+    """Yields the faults of one machine that answers."""
+    earlier_status = earlier_fleet.machines.get(name)
+    was_behind = earlier_status is not None and earlier_status.revision == machine.revision < earlier_fleet.revision
+    if machine.revision < later_fleet.revision and was_behind:
+        yield Finding("D03", name, f"runs edition {machine.revision}, {later_fleet.revision} is in force",
                       "see whether it reaches control or any neighbour; restart it if it was frozen")  # fmt: skip
-    configured = second.configuration["machines"][name]
+    configured = later_fleet.configuration["machines"][name]
     yield from _name_findings(name, machine, configured)
     yield from _settings_findings(name, machine, configured)
-    up, up_before = _up(machine, 1.0), _up(before, -1.0)
-    if up <= up_before and machine.control is None:
-        yield Finding("D06", name, "its own clock did not move, or it restarted between two looks",
+    uptime, earlier_uptime = _uptime(machine, 1.0), _uptime(earlier_status, -1.0)
+    if uptime <= earlier_uptime and machine.control is None:
+        yield Finding("D06", name, "its own clock did not move, or it restarted between the two snapshots",
                       "see its log; a frozen daemon must be woken or killed")  # fmt: skip
     if machine.store is not None:
         yield from _store_findings(name, machine.store)
@@ -68,12 +76,12 @@
             yield Finding("D12", f"{name} {key}", worker.barred, remedy)
 
 
-def _up(machine: MachineStatus | None, default: float) -> float:
+def _uptime(machine: MachineStatus | None, default: float) -> float:
     return default if machine is None or machine.up is None else machine.up
 
 
 def _name_findings(name: str, machine: MachineStatus, configured: Machine) -> Iterator[Finding]:
-    """Does another process answer at the machine's address, or go by its name?"""
+    """Yields a fault if another process answers at the machine's address, or uses its name."""
     if machine.name != name:
         yield Finding("D04", name, f"at {configured['http']} answers {machine.name}",
                       "two processes share an address or a name: correct one config")  # fmt: skip
@@ -82,14 +90,16 @@
 
 
 def _settings_findings(name: str, machine: MachineStatus, configured: Machine) -> Iterator[Finding]:
-    """Where a machine's own settings differ from what the configuration says of it."""
+    """Yields a fault for each of the machine's own settings that differs from its entry in the configuration."""
     if machine.name != name:
         return
     remedy = "make config and manifest agree, then restart it or apply"
-    wanted = {"peer": configured["peer"], "http": configured["http"], "area": configured["area"]}
+    configured_addresses = {"peer": configured["peer"], "http": configured["http"], "area": configured["area"]}
     for key, value in machine.addresses.items():
-        if value != wanted[key]:
-            yield Finding("D05", name, f"its config has {key} {value}, the manifest {wanted[key]}", remedy)
+        if value != configured_addresses[key]:
+            yield Finding(
+                "D05", name, f"its config has {key} {value}, the manifest {configured_addresses[key]}", remedy
+            )
     duties = [duty for duty in configured["duties"] if duty != "control"]
     if machine.duties is not None and sorted(machine.duties) != sorted(duties):
         what = f"its config has duties {list(machine.duties)}, the manifest {duties}"
@@ -97,7 +107,7 @@
 
 
 def _store_findings(name: str, store: StoreStatus) -> Iterator[Finding]:
-    """What is wrong with a store's disk, and with the replicas of the partitions that it owns."""
+    """Yields the faults of a store's disk, and of the replicas of the partitions that it owns."""
     if store.failure:
         yield Finding("D10", name, store.failure, "replace the disk; it is refilled from its peers")
     if store.free_bytes < max(store.size_bytes * MIN_FREE_SHARE, store.log_bytes * 2):
@@ -105,11 +115,11 @@
                       "give it a larger disk, shorten the retention, or retire the store")  # fmt: skip
     for partition in store.partitions:
         if partition.owning:
-            yield from _owned_findings(partition)
+            yield from _owned_partition_findings(partition)
 
 
-def _owned_findings(partition: PartitionStatus) -> Iterator[Finding]:
-    """What the owner of a partition tells of its replicas, and of losses."""
+def _owned_partition_findings(partition: PartitionStatus) -> Iterator[Finding]:
+    """Yields the faults that a partition's owner reports: replicas that don't answer or lag behind, and lost data."""
     where = f"partition {partition.number}"
     for name, replica in partition.replicas.items():
         lag = partition.last - replica.persisted
@@ -120,57 +130,57 @@
             yield Finding("D07", where, f"mirror {name} is {lag} records behind", "look at its disk and its links")
     if partition.losses:
         yield Finding("D13", where, f"more than is tolerated was lost, {partition.losses} time(s)",
-                      "tell callers to look their lots up; see event E125 in the owner's log")  # fmt: skip
+                      "tell clients to look their lots up; see event E125 in the owner's log")  # fmt: skip
 
 
 def _partition_findings(fleet: FleetStatus) -> Iterator[Finding]:
-    """Partitions without an owner, or with fewer members than the configuration wants."""
-    owned = {row.partition.number: row.partition for row in fleet.owned_partitions()}
-    copies = fleet.configuration["copies"]
+    """Yields the partitions without an owner, with too few members, or with a member whose new disk has no data yet."""
+    owned_partitions = {row.partition.number: row.partition for row in fleet.owned_partitions()}
+    wanted_members = fleet.configuration["copies"]
     for number in range(fleet.configuration["parts"]):
-        where, partition = f"partition {number}", owned.get(number)
+        where, partition = f"partition {number}", owned_partitions.get(number)
         if partition is None:
             yield Finding("D08", where, "has no owner", "start stores until most of its members run")
             continue
         members, replicas = partition.members, partition.replicas
-        if len(members) < copies:
-            yield Finding("D08", where, f"has {len(members)} members, the manifest wants {copies}",
+        if len(members) < wanted_members:
+            yield Finding("D08", where, f"has {len(members)} members, the manifest wants {wanted_members}",
                           "start or add stores; the owner takes them in once they are refilled")  # fmt: skip
         elif any(name in replicas and replicas[name].disk != disk for name, disk in members.items()):
             yield Finding("D08", where, "a member has a new disk and is not refilled yet", "wait; look again")
 
 
-def _standstill_findings(first: FleetStatus, second: FleetStatus) -> Iterator[Finding]:
-    """Partitions whose owner covers nothing more, though it has records to cover."""
-    before = {(row.owner, row.partition.number): row.partition for row in first.owned_partitions()}
-    for row in second.owned_partitions():
-        partition, earlier = row.partition, before.get((row.owner, row.partition.number))
-        if earlier is None or earlier.epoch != partition.epoch:
+def _stalled_findings(earlier_fleet: FleetStatus, later_fleet: FleetStatus) -> Iterator[Finding]:
+    """Yields the owned partitions in which no record became durably replicated between the snapshots, though some wait."""
+    earlier_partitions = {(row.owner, row.partition.number): row.partition for row in earlier_fleet.owned_partitions()}
+    for row in later_fleet.owned_partitions():
+        partition, earlier_partition = row.partition, earlier_partitions.get((row.owner, row.partition.number))
+        if earlier_partition is None or earlier_partition.epoch != partition.epoch:
             continue
-        if earlier.last > earlier.covered == partition.covered:
+        if earlier_partition.last > earlier_partition.covered == partition.covered:
             awaited = ", ".join(partition.awaited) or "nobody that is known"
             yield Finding("D15", f"partition {partition.number}",
                           f"covers nothing beyond {partition.covered} of {partition.last} at {row.owner}; waits for {awaited}",
                           "look at these stores, their disks and their links; jobs of this partition are not kept")  # fmt: skip
 
 
-def _unkept_findings(first: FleetStatus, second: FleetStatus) -> Iterator[Finding]:
-    """Partitions whose jobs got no acknowledgement between the two looks."""
-    new: Counter[int] = Counter()
-    for name, machine in second.machines.items():
-        earlier = first.machines.get(name)
+def _unacknowledged_findings(earlier_fleet: FleetStatus, later_fleet: FleetStatus) -> Iterator[Finding]:
+    """Yields the partitions for which edges submitted jobs between the snapshots that were not acknowledged."""
+    new_counts: Counter[int] = Counter()
+    for name, machine in later_fleet.machines.items():
+        earlier_status = earlier_fleet.machines.get(name)
         for number, count in machine.unkept_jobs.items():
-            # A process that began anew between the looks counts from nothing.
-            known = earlier.unkept_jobs.get(number, 0) if earlier is not None else count
-            new[number] += max(0, count - known)
-    for number, count in sorted(new.items()):
+            # A process that restarted between the snapshots counts from zero again.
+            earlier_count = earlier_status.unkept_jobs.get(number, 0) if earlier_status is not None else count
+            new_counts[number] += max(0, count - earlier_count)
+    for number, count in sorted(new_counts.items()):
         if count:
-            yield Finding("D16", f"partition {number}", f"{count} jobs were handed in and not kept just now",
+            yield Finding("D16", f"partition {number}", f"{count} jobs were submitted just now and not acknowledged",
                           "event E174 in the logs of the edges names who was asked, and why it failed")  # fmt: skip
 
 
 def _control_findings(fleet: FleetStatus) -> Iterator[Finding]:
-    """What is wrong with the control members, as each primary sees it."""
+    """Yields the faults of the control members, as each primary sees them."""
     members = fleet.control_members()
     primaries = [name for name, member in members.items() if member["leads"]]
     if not primaries:
@@ -183,7 +193,7 @@
 
 
 def _primary_findings(name: str, members: Mapping[str, Mapping[str, Any]]) -> Iterator[Finding]:
-    """What a primary of control tells of its backups and voters, and of losses."""
+    """Yields the faults that a primary of control reports of its backups and voters, and lost revisions."""
     primary = members[name]
     if not primary["backup"]:
         yield Finding("D11", "control", f"primary {name} has no backup", "start another control machine")
@@ -197,8 +207,8 @@
     if isolated:
         yield Finding("D11", "control", f"{', '.join(isolated)} lost touch with the primary and hands out nothing",
                       "look at its links and whether it runs; followers and operators go on to the others")  # fmt: skip
-    if flaw := next_loss_problem(members):
-        yield Finding("D11", "control", f"the next tolerated loss could not be borne: {flaw}",
+    if problem := next_loss_problem(members):
+        yield Finding("D11", "control", f"the next tolerated loss could not be borne: {problem}",
                       "bring the missing members back, or start new ones, before anything else is stopped")  # fmt: skip
     if primary["losses"]:
         yield Finding("D13", "control", f"acknowledged editions may have been lost, {primary['losses']} time(s)",
@@ -206,9 +216,9 @@
 
 
 def _release_findings(fleet: FleetStatus) -> Iterator[Finding]:
-    """Do daemons of several releases run?"""
+    """Yields a fault if daemons of different releases run."""
     releases = Counter(machine.release for machine in fleet.machines.values())
     if len(releases) > 1:
-        told = ", ".join(f"{release}: {count}" for release, count in sorted(releases.items()))
-        yield Finding("D14", "fleet", f"daemons of {len(releases)} releases run ({told})",
-                      "finish the roll-out, or take it back")  # fmt: skip
+        release_counts = ", ".join(f"{release}: {count}" for release, count in sorted(releases.items()))
+        yield Finding("D14", "fleet", f"daemons of {len(releases)} releases run ({release_counts})",
+                      "finish the roll-out, or roll it back")  # fmt: skip
--- a/postpass/cli/renamed_commands.py
+++ b/postpass/cli/renamed_commands.py
@@ -1,7 +1,7 @@
-"""The commands of release 0.2 under their earlier names, which go on working for one release.
+"""The commands of release 0.2 under their earlier names, which keep working for one release.
 
-Each prints one line on standard error that says what to call instead, and then does the same as the new one. Delete
-this module and its entry points in `pyproject.toml` with the release after the next.
+Each prints one line on standard error that gives the new name, and then does the same as the command of that name.
+Delete this module and its entry points in `pyproject.toml` in the release after the next.
 """
 
 from __future__ import annotations
@@ -9,29 +9,29 @@
 import sys
 
 
-def _warn(earlier: str, present: str) -> None:
-    print(f"{earlier}: this name goes away with the next release; call {present} instead", file=sys.stderr)
+def _print_rename_notice(earlier_name: str, present_name: str) -> None:
+    print(f"{earlier_name}: this name goes away with the next release; call {present_name} instead", file=sys.stderr)
 
 
 def ppd() -> None:
-    """The earlier name of `postpass-data-plane`."""
+    """Runs `postpass-data-plane` under its earlier name."""
     from postpass.daemon.commands import data_plane_main
 
-    _warn("ppd", "postpass-data-plane")
+    _print_rename_notice("ppd", "postpass-data-plane")
     data_plane_main("ppd")
 
 
 def ppc() -> None:
-    """The earlier name of `postpass-control-plane`."""
+    """Runs `postpass-control-plane` under its earlier name."""
     from postpass.daemon.commands import control_plane_main
 
-    _warn("ppc", "postpass-control-plane")
+    _print_rename_notice("ppc", "postpass-control-plane")
     control_plane_main("ppc")
 
 
 def pp() -> None:
-    """The earlier name of `postpassctl`."""
+    """Runs `postpassctl` under its earlier name."""
     from postpass.cli.main import main
 
-    _warn("pp", "postpassctl")
+    _print_rename_notice("pp", "postpassctl")
     main(program="pp")
--- a/postpass/cli/status.py
+++ b/postpass/cli/status.py
@@ -1,4 +1,4 @@
-"""What `postpassctl status` shows: pure functions of what the machines said."""
+"""The page that `postpassctl status` shows, as pure functions of the machines' status pages."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 def pending(fleet: FleetStatus) -> list[str]:
-    """Operations of the configuration, one a line: whether each is complete, and what it waits for if it isn't.
+    """Returns a line for each operation that the configuration asks for: whether it is complete, or what it waits for.
 
-    A revision that all machines run gets no line.
+    There is no line for the configuration itself once all machines run the revision in force.
     """
     owned = {o.partition.number: o for o in fleet.owned_partitions()}
     lines = [
@@ -29,14 +29,14 @@
 
 
 def _removal_line(fleet: FleetStatus, name: str, machine: Machine, owned: Mapping[int, OwnedPartition]) -> str:
-    """How far a machine is that is to be retired, or that is declared gone."""
+    """Returns the progress of retiring a machine, or of replacing one that was declared gone, as one line."""
     operation = "retire" if machine.get("retire") else "gone"
     member_of = sorted(number for number, o in owned.items() if name in o.partition.members)
     if member_of:
         return f"{operation} {name}: pending, still a member of partitions {member_of}"
-    unknown = fleet.configuration["parts"] - len(owned)
-    if unknown:
-        return f"{operation} {name}: pending, {unknown} partitions have no owner that could tell"
+    without_owner = fleet.configuration["parts"] - len(owned)
+    if without_owner:
+        return f"{operation} {name}: pending, {without_owner} partitions have no owner that could tell"
     unsynced = sorted(number for number, o in owned.items() if machine.get("retire") and not o.partition.fully_synced)
     if unsynced:
         return f"{operation} {name}: pending, not all members of partitions {unsynced} have synced that it left"
@@ -44,23 +44,23 @@
 
 
 def _evacuation_line(fleet: FleetStatus, zone: str, owned: Mapping[int, OwnedPartition]) -> str:
-    """How far a zone is that is to be evacuated."""
+    """Returns the progress of evacuating a zone, as one line."""
     configuration = fleet.configuration
-    busy = 0
+    edges_with_requests = 0
     for machine in fleet.machines.values():
         for key, worker in machine.workers.items():
             pool, server = key.split("/")[:2]
-            # One that the configuration no longer has is in no zone.
-            place = configuration["pools"][pool]["servers"].get(server) if worker.requests else None
-            busy += place is not None and place["area"] == zone
-    owning = sorted(number for number, o in owned.items() if configuration["machines"][o.owner]["area"] == zone)
-    if busy or owning:
-        return f"evacuate {zone}: pending, {busy} edges still have calls there, partitions owned there: {owning}"
+            # A worker that is no longer in the configuration is in no zone.
+            server_entry = configuration["pools"][pool]["servers"].get(server) if worker.requests else None
+            edges_with_requests += server_entry is not None and server_entry["area"] == zone
+    owned_in_zone = sorted(number for number, o in owned.items() if configuration["machines"][o.owner]["area"] == zone)
+    if edges_with_requests or owned_in_zone:
+        return f"evacuate {zone}: pending, {edges_with_requests} edges still have calls there, partitions owned there: {owned_in_zone}"
     return f"evacuate {zone}: complete"
 
 
 def overview(fleet: FleetStatus) -> list[str]:
-    """The whole page: machines, control members, partitions, and pending operations."""
+    """Returns the lines of the page: machines, control members, partitions, and the operations in progress."""
     lines = [
         f"manifest {fleet.configuration['name']} edition {fleet.revision}",
         "",
@@ -83,7 +83,7 @@
 
 
 def _machine_line(fleet: FleetStatus, name: str) -> str:
-    """A machine as a row of the table."""
+    """Returns a machine as a row of the table."""
     zone = fleet.configuration["machines"][name]["area"]
     if name in fleet.unreachable:
         return f"{name:10} {zone:8} {'-':>7} {'-':>8} UNREACHABLE {fleet.unreachable[name]}"
@@ -93,28 +93,28 @@
 
 
 def _machine_state(name: str, machine: MachineStatus) -> list[str]:
-    """What a machine does, and what it lacks."""
-    words = list(machine.duties or ()) or ["control"]
+    """Returns the duties of a machine, its role in control, and why it isn't ready if it isn't."""
+    labels = list(machine.duties or ()) or ["control"]
     if machine.control:
-        words = ["control", f"epoch {machine.control['epoch']}", _control_role(name, machine.control)]
+        labels = ["control", f"epoch {machine.control['epoch']}", _control_role(name, machine.control)]
         if machine.control["losses"]:
-            words.append(f"LOSSES {machine.control['losses']}")
+            labels.append(f"LOSSES {machine.control['losses']}")
     if machine.running_jobs is not None:
-        words.append(f"scheduling, {machine.running_jobs} running")
+        labels.append(f"scheduling, {machine.running_jobs} running")
     if machine.lack:
-        words.append(f"NOT READY: {machine.lack}")
-    return words
+        labels.append(f"NOT READY: {machine.lack}")
+    return labels
 
 
 def _control_role(name: str, control: Mapping[str, Any]) -> str:
-    """Releases up to 0.2.0 knew one backup."""
+    """Returns a control member's role; releases up to 0.2.0 report `backup`, a single name, instead of `backups`."""
     if control["leads"]:
         return "primary"
     return "backup" if name in control.get("backups", [control["backup"]]) else "witness"
 
 
 def _partition_line(row: OwnedPartition) -> str:
-    """A partition as a row of the table, with how many records each member is behind."""
+    """Returns a partition as a row of the table, with the number of records by which each member lags behind."""
     partition = row.partition
 
     def member(name: str) -> str:
--- a/postpass/cli/status_page.py
+++ b/postpass/cli/status_page.py
@@ -1,6 +1,6 @@
-"""What the status pages of a fleet's machines tell, as typed records read from their JSON.
+"""The status pages of a fleet's machines, as typed records parsed from their JSON.
 
-Pages of releases before this one may leave out what their records give a default for.
+Machines of earlier releases may leave out the fields for which a record has a default.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 
 @dataclass(frozen=True)
 class PartitionStatus:
-    """A partition at one store.
+    """A partition as one store reports it.
 
-    `members` gives the identity of each member's disk; `replicas` holds those of them that follow the owner;
-    `fully_synced` tells whether all members have synced the record that names them; `last` and `covered` are numbers
-    of records.
+    `last` is the number of the last record, and `covered` that of the last one that is durably replicated. `members` has
+    the identity of each member's disk, and `replicas` the members that replicate from the owner. `fully_synced` is
+    whether all members have synced the record that made them members.
     """
 
     number: int
@@ -41,11 +41,13 @@
     members: dict[str, str]
     replicas: dict[str, ReplicaStatus]
     fully_synced: bool = True
-    awaited: tuple[str, ...] = ()  # whose acknowledgements the first uncovered record lacks
+    awaited: tuple[
+        str, ...
+    ] = ()  # members whose acknowledgement is missing for the first record that isn't durably replicated
 
     @classmethod
     def from_json(cls, raw: Mapping[str, Any]) -> Self:
-        """The partition of a row of a store's page."""
+        """Parses a partition in the status of a store."""
         replicas = {
             name: ReplicaStatus(replica["persisted"], replica["silent"], replica["disk"])
             for name, replica in raw["mirrors"].items()
@@ -58,7 +60,7 @@
 
 @dataclass(frozen=True)
 class StoreStatus:
-    """A store: `failure` says why its disk may not be used, empty if it may; the sizes are in bytes."""
+    """A store: `failure` is why its disk can't be used, empty if it can; `log_bytes` is what its log takes of the disk."""
 
     failure: str
     free_bytes: int
@@ -68,14 +70,14 @@
 
     @classmethod
     def from_json(cls, raw: Mapping[str, Any]) -> Self:
-        """The store of a machine's page."""
+        """Parses the store in the status page of a machine."""
         partitions = tuple(PartitionStatus.from_json(row) for row in raw["parts"])
         return cls(raw["bad"], raw["free"], raw["size"], raw["held"], partitions)
 
 
 @dataclass(frozen=True)
 class WorkerStatus:
-    """A worker, as an edge sees it: `barred` says why it gets no requests, `requests` counts those of this edge."""
+    """A worker as an edge sees it: `barred` is why it gets no requests, and `requests` how many of this edge it has."""
 
     barred: str
     requests: int
@@ -85,9 +87,10 @@
 class MachineStatus:
     """A machine that answered.
 
-    `up` is how long its process runs by its own clock, in seconds; `lack` what it lacks to be ready; `addresses` holds
-    `peer`, `http` and `area` as far as it told them; `control` is what a control member says of itself, as
-    `postpass.control.health` reads it. What is None was not told.
+    `up` is for how many seconds its process has been running, by its own clock. `lack` is why it isn't ready, empty if
+    it is. `name_clash` describes another process that uses its name. `addresses` has `peer`, `http` and `area`, if they
+    were reported. `control` is the status of a control member, as `postpass.control.health` reads it. A field is None
+    if it wasn't reported.
     """
 
     name: str
@@ -103,12 +106,12 @@
     workers: dict[str, WorkerStatus] = field(default_factory=dict)
     unkept_jobs: dict[int, int] = field(
         default_factory=dict
-    )  # without an acknowledgement since the start, by partition
-    running_jobs: int | None = None  # at the machine that schedules, else None
+    )  # jobs that got no acknowledgement since the process started, by partition
+    running_jobs: int | None = None  # None except at the machine that runs the active scheduler
 
     @classmethod
     def from_json(cls, raw: Mapping[str, Any]) -> Self:
-        """The machine of its status page."""
+        """Parses the status page of a machine."""
         scheduler = raw.get("sched", {})
         duties = raw.get("duties")
         return cls(
@@ -130,7 +133,7 @@
 
 @dataclass(frozen=True)
 class OwnedPartition:
-    """A partition with the machine that owns it."""
+    """A partition and the name of the machine that owns it."""
 
     owner: str
     partition: PartitionStatus
@@ -138,8 +141,11 @@
 
 @dataclass(frozen=True)
 class FleetStatus:
-    """All machines at one moment: `machines` are those that answered, `unreachable` why each of the others didn't, and
-    `names` all of them in the configuration's order. `revision` is the one in force."""
+    """A snapshot of the fleet.
+
+    `revision` is that of the configuration in force. `names` has all machines in the configuration's order, `machines`
+    those that answered, and `unreachable` the reason why each of the others didn't.
+    """
 
     revision: int
     configuration: Configuration
@@ -149,7 +155,7 @@
 
     @classmethod
     def from_json(cls, raw: Mapping[str, Any]) -> Self:
-        """The fleet of what `fleet_client.fleet_status_pages` gathered."""
+        """Parses the result of `fleet_client.fleet_status_pages`."""
         pages = raw["machines"]
         return cls(
             revision=raw["edition"],
@@ -160,12 +166,12 @@
         )
 
     def owned_partitions(self) -> Iterator[OwnedPartition]:
-        """Every partition that a machine says it owns, in the order of the machines."""
+        """Yields each partition that a machine reports to own, in the order of the machines."""
         for name, machine in self.machines.items():
             for partition in machine.store.partitions if machine.store else ():
                 if partition.owning:
                     yield OwnedPartition(name, partition)
 
     def control_members(self) -> dict[str, Mapping[str, Any]]:
-        """What the control members say of themselves."""
+        """Returns the control status of each control member that answered, by name."""
         return {name: m.control for name, m in self.machines.items() if m.control is not None}
--- a/postpass/daemon/__init__.py
+++ b/postpass/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""A process of the fleet: its life, and what a data plane and a control plane are made of."""
+"""The daemons of the fleet: the life cycle that all share, and the parts of the data plane and the control plane."""
--- a/postpass/daemon/announcer.py
+++ b/postpass/daemon/announcer.py
@@ -1,4 +1,4 @@
-"""How a machine of an announced fleet tells control that it is there."""
+"""The registration of a machine with control, in fleets whose machines announce themselves."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from postpass.runtime.environment import Environment, gather_until, now
 from postpass.runtime.errors import REJECTED, Fault
 
-ASKED_AT_ONCE = 2  # one may be gone, and its silence must not hold this machine up
+MAX_CONCURRENT_ANNOUNCEMENTS = 2  # with one alone, a daemon that does not answer would delay the registration
 
 
 @dataclass(eq=False)
 class Announcer:
-    """Announces this start of a process until the configuration has it; owned by the daemon.
+    """Announces this machine to control until the configuration contains its present incarnation; owned by the daemon.
 
-    `incarnation` is the start of the process in milliseconds. `was_registered` is set once the configuration was seen
-    to hold this start, and stays so should it be dropped from there. `settings` is replaced by the daemon when its file
-    has changed.
+    `incarnation` identifies this run of the process: its start time in milliseconds since 1970. `was_registered` becomes
+    true once the configuration has contained this incarnation, and stays true if control removes it later. The daemon
+    replaces `settings` when its settings file has changed.
     """
 
     settings: Settings
@@ -38,7 +38,7 @@
     was_registered: bool = False
 
     def announcement(self) -> MachineAnnouncement:
-        """What this machine says of itself."""
+        """Returns the record of this machine that is sent to control: its name, addresses, duties and incarnation."""
         return {
             "name": self.settings.name, "area": self.settings.zone, "peer": self.settings.peer, "http": self.settings.http,
             "duties": list(self.settings.duties) or ["control"], "born": self.incarnation,
@@ -46,54 +46,63 @@
         }  # fmt: skip
 
     def is_registered(self) -> bool:
-        """Does the configuration hold this start now?"""
+        """Returns whether the configuration in force here contains this incarnation."""
         return is_registered(self.follower.configuration_view.manifest, self.announcement())
 
     def note_registration(self) -> bool:
-        """Has the configuration held this start, now or before?
+        """Updates `was_registered` from the configuration, and returns it.
 
-        Read off the configuration itself: the task that announces may be waiting for a neighbour that says nothing.
+        It is read from the configuration itself, since the task that announces may be waiting for a neighbour that
+        does not answer.
         """
         if not self.was_registered:
             self.was_registered = self.is_registered()
         return self.was_registered
 
     async def run(self) -> None:
-        """Announces this start until the configuration has it, and again should it be dropped from there; runs until
-        it is cancelled."""
+        """Announces this incarnation until the configuration contains it, and again if it is removed from there.
+
+        Runs until it is cancelled.
+        """
         bounds, view = self.settings.bounds, self.follower.configuration_view
         while True:
             if self.is_registered():
                 await view.wait(view.revision, bounds.recover)
                 continue
             addrs = [*self.follower.sources(), *self.partial_view.addresses()]
-            near = [addr for addr in dict.fromkeys(addrs) if addr != self.settings.peer]
-            if not near:
+            candidates = [addr for addr in dict.fromkeys(addrs) if addr != self.settings.peer]
+            if not candidates:
                 await asyncio.sleep(bounds.beat / 2)
                 continue
-            await self._announce_at(self.environment.chance.sample(near, min(ASKED_AT_ONCE, len(near))))
+            await self._announce_at(
+                self.environment.chance.sample(candidates, min(MAX_CONCURRENT_ANNOUNCEMENTS, len(candidates)))
+            )
             if not self.is_registered():
                 await asyncio.sleep(bounds.beat / 2 * (0.6 + 0.8 * self.environment.chance.random()))
 
     async def _announce_at(self, addrs: list[str]) -> None:
-        """Announces this start at several daemons at once; fetches the revision that has it from whoever answers."""
+        """Announces this incarnation to several daemons at once, and fetches the new revision from the one that answers."""
         bounds, view = self.settings.bounds, self.follower.configuration_view
-        asks = {
+        requests = {
             addr: self.peer_links.request(addr, "join", {"entry": self.announcement()}, bounds.follow * 2)
             for addr in addrs
         }
-        answers = await gather_until(asks, any_answered, 0.0)
-        for addr, answer in answers.items():
-            if isinstance(answer, Err) and answer.unwrap_err().peer == addr:
+        responses = await gather_until(requests, any_answered, 0.0)
+        for addr, response in responses.items():
+            if isinstance(response, Err) and response.unwrap_err().peer == addr:
                 self.follower.missed[addr] = now()
-            if isinstance(answer, Ok) and answer.unwrap()["edition"] > view.revision:
-                # The feed brings it in a moment, as a rule.
-                await view.wait(answer.unwrap()["edition"] - 1, bounds.beat / 8)
-                if answer.unwrap()["edition"] > view.revision:
+            if isinstance(response, Ok) and response.unwrap()["edition"] > view.revision:
+                # The feed usually delivers that revision within a moment; it is fetched only if it does not.
+                await view.wait(response.unwrap()["edition"] - 1, bounds.beat / 8)
+                if response.unwrap()["edition"] > view.revision:
                     await self.follower.fetch(addr)
 
     async def on_join(self, body: Body) -> PeerResponse:
-        """Passes another machine's announcement on to a control machine, once: whoever knows none asks any neighbour."""
+        """Forwards another machine's announcement to a control machine.
+
+        A machine that knows no control machine sends its announcement to any neighbour, so it may arrive here. It is
+        forwarded once only: a request with the key `hop` has been forwarded already and is rejected.
+        """
         addr = next((source for source in self.follower.sources() if source != self.settings.peer), "")
         if not addr or body.get("hop"):
             return Err(Fault("join", self.settings.name, "no control machine is known here", REJECTED))
--- a/postpass/daemon/commands.py
+++ b/postpass/daemon/commands.py
@@ -1,4 +1,4 @@
-"""The commands that run a daemon: `postpass-data-plane` and `postpass-control-plane`, one process a machine."""
+"""The commands that run a daemon, one process on each machine: `postpass-data-plane` and `postpass-control-plane`."""
 
 from __future__ import annotations
 
@@ -22,33 +22,33 @@
 LIST_FLAGS = ("seeds", "duties")
 
 
-def start(kind: type[DataPlane] | type[ControlPlane], path: str, flags: dict[str, Any]) -> int:
-    """Runs a daemon with the settings of a file and of flags, which win; returns its exit code.
+def start(daemon_class: type[DataPlane] | type[ControlPlane], config_path: str, flags: dict[str, Any]) -> int:
+    """Runs a daemon with the settings of a file, which flags override; returns its exit code.
 
-    Bad settings are told on standard error, one flaw a line, with `EXIT_BAD_SETTINGS`.
+    If the settings are invalid, it prints each error as a line on standard error and returns `EXIT_BAD_SETTINGS`.
     """
     logging.use_absl_handler()
     logging.set_verbosity(logging.INFO)
-    got = load(path, flags | _list_flags(flags), kind is ControlPlane)
-    if isinstance(got, Err):
-        for flaw in got.unwrap_err():
+    loaded = load(config_path, flags | _list_flags(flags), daemon_class is ControlPlane)
+    if isinstance(loaded, Err):
+        for flaw in loaded.unwrap_err():
             print(flaw, file=sys.stderr)
         return EXIT_BAD_SETTINGS
-    settings = got.unwrap()
+    settings = loaded.unwrap()
     try:
         disk = RealDisk(Path(settings.data), settings.disk_bytes) if settings.data else None
     except OSError as error:
-        print(f"{path or 'flags'}: data: {settings.data}: {error.strerror}", file=sys.stderr)
+        print(f"{config_path or 'flags'}: data: {settings.data}: {error.strerror}", file=sys.stderr)
         return EXIT_BAD_SETTINGS
 
-    def make() -> Daemon:
-        return kind(settings, Environment(disk=disk))
+    def make_daemon() -> Daemon:
+        return daemon_class(settings, Environment(disk=disk))
 
-    return run_daemon(make)
+    return run_daemon(make_daemon)
 
 
 def _list_flags(flags: dict[str, Any]) -> dict[str, list[Any]]:
-    """The flags that list several values, which fire gives as one string or as a tuple."""
+    """Returns the flags that take several values as lists; fire passes them as one string or as a tuple."""
     lists: dict[str, list[Any]] = {}
     for key in LIST_FLAGS:
         value = flags.get(key)
@@ -72,21 +72,29 @@
 ) -> int:
     """Runs the data plane of one machine until SIGTERM.
 
-    Exit codes: 0 clean, 1 cannot listen, 2 bad config, 3 a fault that it must not go on with.
+    Exit codes: 0 stopped as asked, 1 cannot listen, 2 invalid settings, 3 a fault after which it must not go on.
 
     Args:
-      config: JSON file with name, area, peer, http, seeds (three), duties, data, bounds.
+      config: JSON file of settings: name, area, peer, http, seeds (three), duties, data, bounds. Flags override it.
       name: this machine's name in the configuration.
-      area: the same as zone, which wins.
-      peer: IP:PORT for postpass's own processes.
-      http: IP:PORT for clients and operators.
-      seeds: three IP:PORT of other processes, with commas between them.
-      duties: edge, sched, store; commas between them.
-      data: folder for what the store duty keeps.
-      zone: the zone it stands in.
+      area: the older name of --zone; ignored if --zone is given.
+      peer: IP:PORT to listen on for other postpass processes.
+      http: IP:PORT to listen on for clients and operators.
+      seeds: three IP:PORT of other postpass processes, separated by commas.
+      duties: what this machine does: edge, sched, store, separated by commas.
+      data: directory in which the store duty keeps its data.
+      zone: the zone that this machine is in.
     """
-    place = area if zone is None else zone
-    flags = {"name": name, "area": place, "peer": peer, "http": http, "seeds": seeds, "duties": duties, "data": data}
+    zone_name = area if zone is None else zone
+    flags = {
+        "name": name,
+        "area": zone_name,
+        "peer": peer,
+        "http": http,
+        "seeds": seeds,
+        "duties": duties,
+        "data": data,
+    }
     return start(DataPlane, config, flags)
 
 
@@ -100,36 +108,39 @@
     data: str | None = None,
     zone: str | None = None,
 ) -> int:
-    """Runs one control machine until SIGTERM: it always keeps the votes of epochs, and is at times primary or backup.
+    """Runs one control machine until SIGTERM: it always votes on epochs, and may be the primary or a backup.
 
-    Exit codes: 0 clean, 1 cannot listen, 2 bad config, 3 a fault that it must not go on with.
+    Exit codes: 0 stopped as asked, 1 cannot listen, 2 invalid settings, 3 a fault after which it must not go on.
 
     Args:
-      config: JSON file with name, area, peer, http, seeds (three), data, bounds.
+      config: JSON file of settings: name, area, peer, http, seeds (three), data, bounds. Flags override it.
       name: this machine's name in the configuration.
-      area: the same as zone, which wins.
-      peer: IP:PORT for postpass's own processes.
-      http: IP:PORT for operators.
-      seeds: three IP:PORT of other processes, with commas between them.
-      data: folder for epochs and control state.
-      zone: the zone it stands in.
+      area: the older name of --zone; ignored if --zone is given.
+      peer: IP:PORT to listen on for other postpass processes.
+      http: IP:PORT to listen on for operators.
+      seeds: three IP:PORT of other postpass processes, separated by commas.
+      data: directory for the votes on epochs and the control state.
+      zone: the zone that this machine is in.
     """
-    place = area if zone is None else zone
-    flags = {"name": name, "area": place, "peer": peer, "http": http, "seeds": seeds, "data": data}
+    zone_name = area if zone is None else zone
+    flags = {"name": name, "area": zone_name, "peer": peer, "http": http, "seeds": seeds, "data": data}
     return start(ControlPlane, config, flags)
 
 
 def run_command(command: Callable[..., int], program: str) -> int:
-    """Runs a command with the flags of this process, under the name that its usage shows; returns the exit code."""
-    got = fire.Fire(command, name=program, serialize=lambda got: None if isinstance(got, int) else got)
-    return int(got) if isinstance(got, int) else 0
+    """Runs a command with the command-line arguments of this process, and returns its exit code.
+
+    `program` is the name of the command in the help text.
+    """
+    result = fire.Fire(command, name=program, serialize=lambda result: None if isinstance(result, int) else result)
+    return int(result) if isinstance(result, int) else 0
 
 
 def data_plane_main(program: str = "postpass-data-plane") -> None:
-    """The entry point of the data plane; exits with its code."""
+    """Runs `postpass-data-plane`, and exits the process with its exit code."""
     sys.exit(run_command(data_plane, program))
 
 
 def control_plane_main(program: str = "postpass-control-plane") -> None:
-    """The entry point of the control plane; exits with its code."""
+    """Runs `postpass-control-plane`, and exits the process with its exit code."""
     sys.exit(run_command(control_plane, program))
--- a/postpass/daemon/data_plane.py
+++ b/postpass/daemon/data_plane.py
@@ -1,4 +1,4 @@
-"""The data plane: one process a machine, with the duties its settings list."""
+"""The data plane: one process on each machine, which runs the duties that its settings list (edge, sched, store)."""
 
 from __future__ import annotations
 
@@ -33,16 +33,16 @@
 if TYPE_CHECKING:
     import aiohttp
 
-LEAVE_NOTICED = 2.5  # seconds until nobody passes new connections to an edge that says that it isn't ready
-GRACE_RESERVE = 1.0  # seconds of the grace period that are left for closing
+LEAVE_NOTICED = 2.5  # seconds until load balancers send no new connections to an edge that reports that it isn't ready
+GRACE_RESERVE = 1.0  # seconds of the grace period that are reserved for closing
 
 
 @dataclass(eq=False)
 class DataPlane(Daemon):
     """The daemon of a machine that serves requests, schedules jobs or stores records.
 
-    Invariant: a duty that the settings don't list has no object here. `session`, `worker_load` and `batch_worker_load`
-    are there once `open` is done, for the duties that use them.
+    Invariant: the attribute of a duty that the settings don't list is None. `open` sets `session`, `worker_load` and
+    `batch_worker_load` for the duties that use them; they don't exist before.
     """
 
     edge: Gateway | None = None
@@ -69,7 +69,7 @@
             self.store.election.known_epochs = self.gossip.partition_epochs
 
     async def open(self) -> None:
-        """Reads the store's disk, and makes what the other duties need."""
+        """Recovers the store from its disk, and creates the objects of the other duties."""
         if self.store is not None:
             await self.store.open()
             register_store_gauges(self.registry, self.store)
@@ -87,7 +87,7 @@
                 self._open_load_exchange()
 
     def _new_worker_load(self, session: aiohttp.ClientSession, peer_links: PeerLinks | None) -> WorkerLoad:
-        """The load of the workers, as one duty sees it; with `peer_links` it is shared between edges."""
+        """Returns the load of the workers as one duty sees it; with `peer_links` it is shared between edges."""
         return WorkerLoad(
             self.settings.name,
             self.environment,
@@ -98,7 +98,7 @@
         )
 
     def _open_edge(self, session: aiohttp.ClientSession) -> None:
-        """Makes the gateway and, in an announced fleet, the relay in front of it."""
+        """Creates the gateway and, in an announced fleet, the relay in front of it."""
         self.edge = Gateway(
             self.settings, self.environment, self.configuration_view, self.peer_links, self.worker_load, session,
             self.registry,
@@ -112,8 +112,11 @@
             self.relay.rate_limit = self.tenant_shares
 
     def _open_scheduler(self, session: aiohttp.ClientSession) -> None:
-        """Makes the scheduler, which sees the load of the workers by itself: what the edge of the same machine places is
-        live traffic to it."""
+        """Creates the scheduler.
+
+        It has a view of the workers' load of its own, because what the edge of the same machine sends to a worker is
+        live traffic from the scheduler's point of view.
+        """
         self.batch_worker_load = self._new_worker_load(session, None)
         self.scheduler = Scheduler(
             self.settings, self.environment, self.configuration_view, self.peer_links, self.batch_worker_load, session,
@@ -123,7 +126,7 @@
             self.scheduler.runner.workers = self.connection_pool = ConnectionPool()
 
     def _open_load_exchange(self) -> None:
-        """Lets the edge and the scheduler of an announced fleet go by what all have at the workers."""
+        """Makes the edge and the scheduler of an announced fleet take into account what all processes have at the workers."""
         exchange = LoadExchange(self.settings, self.configuration_view, self.peer_links, self.own_use)
         self.load_exchange = exchange
         Gauge(
@@ -138,13 +141,13 @@
                 exchange.wanted = lambda: self.scheduler is not None and self.scheduler.active
 
     def own_use(self) -> LoadReport:
-        """What this process has at each worker."""
+        """Returns what the edge and the scheduler of this process have running at each worker."""
         edge = self.relay.workers.own_use() if self.relay is not None else {}
         scheduler = self.scheduler.own_use() if self.scheduler is not None else {}
         return sum_reports([edge, scheduler]) if edge and scheduler else edge or scheduler
 
     def others_of_edge(self) -> LoadReport | None:
-        """What there is at the workers besides what the edge of this process has; None if that is not known."""
+        """Returns the load at the workers apart from that of this process's edge; None if it isn't known."""
         exchange = self.load_exchange
         if exchange is None or not exchange.is_fresh:
             return None
@@ -152,7 +155,7 @@
         return sum_reports([exchange.others, scheduler]) if scheduler else exchange.others
 
     def others_of_scheduler(self) -> LoadReport | None:
-        """What there is at the workers besides what the scheduler of this process has; None if that is not known."""
+        """Returns the load at the workers apart from that of this process's scheduler; None if it isn't known."""
         exchange = self.load_exchange
         if exchange is None or not exchange.is_fresh:
             return None
@@ -160,24 +163,31 @@
         return sum_reports([exchange.others, edge]) if edge else exchange.others
 
     def handlers(self) -> dict[str, Any]:
-        """The verbs of peers that the duties answer."""
-        mine: dict[str, Any] = {"floor": self.on_floor} if "edge" in self.settings.duties else {}
+        """Returns the handlers of the duties for requests of peers, by verb."""
+        handlers_by_verb: dict[str, Any] = {"floor": self.on_floor} if "edge" in self.settings.duties else {}
         if self.scheduler is not None:
-            mine |= {"wake": self.scheduler.on_wake}
+            handlers_by_verb |= {"wake": self.scheduler.on_wake}
         if self.tenant_shares is not None:
-            mine |= {HOLDINGS: self.tenant_shares.on_holdings}
-        return mine | (self.store.handlers() if self.store is not None else {})
+            handlers_by_verb |= {HOLDINGS: self.tenant_shares.on_holdings}
+        return handlers_by_verb | (self.store.handlers() if self.store is not None else {})
 
     async def on_floor(self, body: Body) -> PeerResponse:
-        """What this edge has read off the workers, for edges of its zone that don't ask them themselves; or, in an
-        announced fleet, what all have there, for one that tells what it has itself."""
+        """Answers a peer's question about the load of the workers.
+
+        The response is what this edge has read from the workers, for edges of its zone that don't poll them themselves.
+        In an announced fleet a peer reports its own load under the key `use`, and receives the load of all.
+        """
         if self.load_exchange is not None and "use" in body:
             return await self.load_exchange.on_report(body)
         return Ok({"spots": self.worker_load.as_json()})
 
     async def depart(self) -> None:
-        """Hands over: new requests go to other edges at once; the schedule, then the partitions, go to whoever comes
-        next. Kept connections get a moment in which their next request is told to go elsewhere, rather than being cut."""
+        """Hands over the work of this daemon: new requests at once to other edges, then scheduling to the next scheduler,
+        then the owned partitions to other stores.
+
+        Afterwards it waits a moment, so that clients with open connections receive an answer that sends their next
+        request elsewhere, instead of having the connection closed in the middle of a request.
+        """
         if self.edge is not None:
             self.edge.leave()
         if self.relay is not None:
@@ -187,52 +197,58 @@
         if self.store is not None:
             await self.store.leave()
         if self.edge is not None:
-            # Who passes connections on asks once a second and takes two misses to notice.
+            # A load balancer checks readiness once a second, and needs two failed checks to notice.
             await asyncio.sleep(self.settings.bounds.hand if self.relay is None else LEAVE_NOTICED)
         if self.scheduler is not None:
             await self.scheduler.drain()
 
     def kept_jobs(self, part: int) -> list[str]:
-        """Names of jobs of a partition that this edge has lately told a client to be accepted."""
+        """Returns the names of the partition's jobs that this edge has lately reported to a client as accepted."""
         if self.edge is None or self.configuration_view.manifest is None:
             return []
         return self.edge.recently_accepted_jobs(part)
 
     def ready(self) -> str:
-        """Empty if ready to serve; else what is lacking."""
+        """Returns why this daemon isn't ready to serve; empty if it is."""
         return "it is leaving" if self.leaving else self.unready()
 
     def unready(self) -> str:
-        """What is lacking to answer clients. One that leaves still answers them, unless it never came so far: without a
-        proved configuration it can't tell a request that no route fits from one that it doesn't know yet."""
-        lack = super().ready() or ("" if self.configuration_view.fresh else "no fresh news yet")
+        """Returns why this daemon can't answer clients; empty if it can.
+
+        A daemon that is leaving still answers them, unless it never became ready: without a configuration that is known
+        to be up to date it can't distinguish a request that no route matches from one whose route it doesn't know yet.
+        """
+        reason = super().ready() or ("" if self.configuration_view.fresh else "no fresh news yet")
         configuration = self.configuration_view.manifest
-        if not lack and self.relay is not None and configuration is not None and not configuration.get("routes"):
-            lack = "no routes yet"
-        return lack
+        if not reason and self.relay is not None and configuration is not None and not configuration.get("routes"):
+            reason = "no routes yet"
+        return reason
 
     def app(self) -> Any:
-        """The ASGI application; in an announced fleet the relay stands before it."""
-        inner = super().app()
+        """Returns the ASGI application; in an announced fleet the relay handles requests first and falls back to it."""
+        application = super().app()
         if self.relay is None:
-            return inner
-        self.relay.fallback, self.relay.unready = inner, self.unready
+            return application
+        self.relay.fallback, self.relay.unready = application, self.unready
         return self.relay
 
     @property
     def drain(self) -> float:
-        """How many seconds requests under way may take; of a grace period, what leaving in order leaves of it."""
+        """How many seconds requests in progress may take once nothing new is accepted.
+
+        If there is a grace period, it is what the other steps of an orderly exit leave of it.
+        """
         grace = self.settings.bounds.grace
         return self.settings.bounds.drain if grace == 0 else max(1.0, grace - LEAVE_NOTICED - GRACE_RESERVE)
 
     def protocol(self) -> Any:
-        """The HTTP protocol: in an announced fleet one whose limits on request heads the configuration sets."""
+        """Returns the HTTP protocol: in an announced fleet one whose limits on request heads the configuration sets."""
         if self.relay is None:
             return HTTP_PROTOCOL
         return limited_protocol(self.head_limits, self.settings.bounds.recover / 2)
 
     def head_limits(self) -> ConnectionLimits:
-        """The limits on request heads now: those of the configuration, or the defaults while there is none."""
+        """Returns the present limits on request heads: the configuration's, or the defaults while there is none."""
         configuration = self.configuration_view.manifest
         if configuration is None:
             return ConnectionLimits(LIMITS["head_bytes"], LIMITS["head_ms"] / 1000, LIMITS["idle_ms"] / 1000)
@@ -243,34 +259,34 @@
         )
 
     def http_routes(self) -> list[BaseRoute]:
-        """The HTTP routes for clients."""
+        """Returns the HTTP routes for clients."""
         return self.edge.routes() if self.edge is not None else []
 
     def tasks(self) -> list[Task]:
-        """What the duties run for as long as the process does."""
-        out: list[Task] = [self.follower.prove_fresh()]
+        """Returns the tasks of the duties, which run for as long as the process does."""
+        coroutines: list[Task] = [self.follower.prove_fresh()]
         if self.store is not None:
-            out += self.store.tasks()
+            coroutines += self.store.tasks()
         if self.edge is not None:
-            out += self.edge.tasks()
-            # Workers of an announced fleet are not asked for their state: it costs them, and control tells it.
-            out += [] if self.settings.announce else [self.worker_load.poll_loop(self.settings.bounds.probe)]
-            out += [serve_ready(self.settings.ready, lambda: not self.ready())] if self.settings.ready else []
+            coroutines += self.edge.tasks()
+            # Workers of an announced fleet aren't polled: polls cost them capacity, and control reports their state.
+            coroutines += [] if self.settings.announce else [self.worker_load.poll_loop(self.settings.bounds.probe)]
+            coroutines += [serve_ready(self.settings.ready, lambda: not self.ready())] if self.settings.ready else []
         if self.load_exchange is not None:
-            out.append(self.load_exchange.run())
+            coroutines.append(self.load_exchange.run())
         if self.tenant_shares is not None:
-            out.append(self.tenant_shares.run())
+            coroutines.append(self.tenant_shares.run())
         if self.scheduler is not None:
-            out += self.scheduler.tasks() + ([] if self.settings.announce else [self.watch_batch()])
-        return out
+            coroutines += self.scheduler.tasks() + ([] if self.settings.announce else [self.watch_batch()])
+        return coroutines
 
     async def watch_batch(self) -> None:
-        """The scheduler polls on its own, at its own pace: capacity that was lent must go back in time."""
+        """Polls the workers at the scheduler's own interval, so that slots lent to jobs return to live requests in time."""
         assert self.scheduler is not None
         await self.batch_worker_load.poll_loop(self.scheduler.poll_interval, ("model",))
 
     async def run(self) -> None:
-        """Runs from start to end, and closes what the duties hold open."""
+        """Runs the daemon until it has stopped, then closes the connections and files of the duties."""
         try:
             await super().run()
         finally:
@@ -288,5 +304,5 @@
                 self.tenant_shares.close()
 
     async def more_status(self) -> Body:
-        """What the duties add to the status page."""
+        """Returns the fields that the duties add to the status page."""
         return await duty_status(self.store, self.edge, self.scheduler)
--- a/postpass/daemon/data_plane_status.py
+++ b/postpass/daemon/data_plane_status.py
@@ -1,4 +1,4 @@
-"""What the data plane tells operators of its duties: gauges of the store, and the duties' part of the status page."""
+"""What operators can see of the data plane's duties: the gauges of the store, and the duties' fields of the status page."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 def owned_partitions(store: Store) -> list[Partition]:
-    """The partitions that this store owns now."""
+    """Returns the partitions that this store owns now."""
     return [partition for partition in store.partitions.values() if partition.owning]
 
 
 def unconfirmed_records(store: Store) -> int:
-    """Records of owned partitions beyond what is covered."""
+    """Returns how many records of owned partitions are not yet acknowledged as their stability predicate requires."""
     return sum(partition.record_log.last - partition.covered for partition in owned_partitions(store))
 
 
 def replica_lag(store: Store) -> int:
-    """How many records the furthest replica of an owned partition is behind."""
+    """Returns by how many records the slowest replica of an owned partition lags behind the owner."""
     return max(
         (
             partition.record_log.last - partition.acknowledgements.get(name, replica.disk, "persisted")
@@ -36,16 +36,16 @@
 
 
 def open_jobs(store: Store) -> int:
-    """Jobs of owned partitions that are not finished."""
+    """Returns how many jobs of owned partitions are not finished."""
     jobs = (job for partition in owned_partitions(store) for job in partition.view.jobs.values())
     return sum(int(job.state == "open" and not job.complete) for job in jobs)
 
 
 def register_store_gauges(registry: CollectorRegistry, store: Store) -> None:
-    """Registers the gauges of a store; each is read when the page is asked for."""
+    """Registers the gauges of a store; their values are computed when the metrics page is requested."""
 
-    def gauge(name: str, text: str, read: Callable[[], float]) -> None:
-        Gauge(f"postpass_{name}", text, registry=registry).set_function(read)
+    def gauge(name: str, description: str, current_value: Callable[[], float]) -> None:
+        Gauge(f"postpass_{name}", description, registry=registry).set_function(current_value)
 
     gauge("parts_owned", "Partitions owned here", lambda: len(owned_partitions(store)))
     gauge("records_not_covered", "Records of owned partitions beyond the frontier", lambda: unconfirmed_records(store))
@@ -72,20 +72,20 @@
 
 
 async def duty_status(store: Store | None, edge: Gateway | None, scheduler: Scheduler | None) -> Body:
-    """The part of the status page that the duties add; one that isn't there adds nothing."""
-    out: Body = {}
+    """Returns the fields that the duties add to the status page; a duty that is None adds nothing."""
+    status: Body = {}
     if store is not None:
-        out["store"] = (await store.on_parts({})).unwrap()
+        status["store"] = (await store.on_parts({})).unwrap()
     if edge is not None:
-        out["servers"] = worker_status(edge)
-        out["unkept"] = {str(number): count for number, count in sorted(edge.unkept_jobs.items())}
+        status["servers"] = worker_status(edge)
+        status["unkept"] = {str(number): count for number, count in sorted(edge.unkept_jobs.items())}
     if scheduler is not None:
-        out["sched"] = scheduler.status()
-    return out
+        status["sched"] = scheduler.status()
+    return status
 
 
 def worker_status(edge: Gateway) -> Body:
-    """What an edge knows of each worker, by pool and name."""
+    """Returns what an edge knows of each worker, by `pool/name`."""
     return {
         f"{pool}/{name}": {
             "barred": edge.worker_load.barred(pool, name, edge.admission.report_max_age),
--- a/postpass/daemon/health_endpoints.py
+++ b/postpass/daemon/health_endpoints.py
@@ -1,4 +1,4 @@
-"""The HTTP pages and the metrics that every daemon has for operators."""
+"""The HTTP endpoints and the metrics that every daemon has for operators."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 class EventCounts:
-    """The numbered events of the log, as a metric."""
+    """A Prometheus collector that counts the numbered events of the log."""
 
     def collect(self) -> Iterator[CounterMetricFamily]:
-        """The counts at this moment, in the order of their numbers."""
+        """Yields the present count of each event, in the order of their numbers."""
         family = CounterMetricFamily("postpass_events", "Events logged, by number", labels=["number"])
         for number, count in sorted(log_events.COUNTS.items()):
             family.add_metric([f"E{number:03d}"], count)
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class DaemonMetrics:
-    """The counters of every daemon: `shuffles` with neighbours and `polls` of the feed, each by its end."""
+    """The counters of every daemon: `shuffles` with neighbours and `polls` of the feed, each by result."""
 
     shuffles: Counter
     polls: Counter
@@ -44,11 +44,11 @@
     def register(
         cls, registry: CollectorRegistry, revision: Callable[[], float], neighbours: Callable[[], float]
     ) -> DaemonMetrics:
-        """Registers all metrics of a daemon, in the order in which the page shows them."""
-        edition = Gauge("postpass_edition", "Edition of the manifest in force", registry=registry)
-        edition.set_function(revision)
-        in_view = Gauge("postpass_neighbours", "Neighbours in the partial view", registry=registry)
-        in_view.set_function(neighbours)
+        """Registers all metrics of a daemon, in the order in which the metrics page lists them."""
+        revision_gauge = Gauge("postpass_edition", "Edition of the manifest in force", registry=registry)
+        revision_gauge.set_function(revision)
+        neighbour_gauge = Gauge("postpass_neighbours", "Neighbours in the partial view", registry=registry)
+        neighbour_gauge.set_function(neighbours)
         registry.register(EventCounts())
         return cls(
             Counter("postpass_shuffles", "Shuffles with neighbours", ["end"], registry=registry),
@@ -57,7 +57,7 @@
 
 
 class ObservedDaemon(Protocol):
-    """What the pages read of a daemon; `postpass.daemon.process.Daemon` is one."""
+    """What the endpoints read of a daemon; implemented by `postpass.daemon.process.Daemon`."""
 
     settings: Settings
     release: str
@@ -69,26 +69,26 @@
 
     @property
     def name_clash(self) -> str:
-        """Another process that goes by the same name; empty if none is known."""
+        """A description of another process that uses the same name; empty if none is known."""
         ...
 
     def ready(self) -> str:
-        """Empty if the daemon is ready to serve; else what is lacking."""
+        """Returns why the daemon isn't ready to serve; empty if it is."""
         ...
 
     async def more_status(self) -> Body:
-        """What the duties of the daemon add to the status page."""
+        """Returns the fields that the duties of the daemon add to the status page."""
         ...
 
 
 class HealthEndpoints:
-    """The pages `/health`, `/ready`, `/metrics` and `/v1/status` of one daemon."""
+    """The endpoints `/health`, `/ready`, `/metrics` and `/v1/status` of one daemon."""
 
     def __init__(self, daemon: ObservedDaemon) -> None:
         self.daemon = daemon
 
     def routes(self) -> list[BaseRoute]:
-        """The HTTP routes of the pages."""
+        """Returns the HTTP routes of the endpoints."""
         return [
             Route("/health", self.health),
             Route("/ready", self.ready),
@@ -102,17 +102,17 @@
         return JSONResponse({"name": daemon.settings.name, "status": "serving", "release": daemon.release})
 
     async def ready(self, _request: Request) -> Response:
-        """200 if the daemon is ready to serve, else 503 with what is lacking."""
-        lack = self.daemon.ready()
-        headers = {"retry-after": "1"} if lack else {}
-        return JSONResponse({"ready": not lack, "lack": lack}, 503 if lack else 200, headers=headers)
+        """Answers 200 if the daemon is ready to serve, else 503 with the reason why it isn't."""
+        reason = self.daemon.ready()
+        headers = {"retry-after": "1"} if reason else {}
+        return JSONResponse({"ready": not reason, "lack": reason}, 503 if reason else 200, headers=headers)
 
     async def metrics(self, _request: Request) -> Response:
-        """The metrics of the process, as Prometheus reads them."""
+        """Answers with the metrics of the process in the text format of Prometheus."""
         return PlainTextResponse(generate_latest(self.daemon.registry), media_type=METRICS_MEDIA_TYPE)
 
     async def status(self, _request: Request) -> Response:
-        """What `postpassctl status` shows: what each daemon tells, then what its duties add."""
+        """Answers with what `postpassctl status` shows: the fields of every daemon, then those that its duties add."""
         daemon, settings, view = self.daemon, self.daemon.settings, self.daemon.configuration_view
         return JSONResponse({
             "name": settings.name, "area": settings.zone, "peer": settings.peer, "http": settings.http,
--- a/postpass/daemon/process.py
+++ b/postpass/daemon/process.py
@@ -1,7 +1,8 @@
-"""The life of a daemon: start, supervised tasks, signals, and leaving in order.
+"""The life cycle of a daemon: start, supervised tasks, signals, and an orderly exit.
 
-What every daemon has is composed here: a port for peers, gossip with neighbours, a follower of the feed, and HTTP pages
-for operators. The data plane and the control plane add their duties by overriding methods of `Daemon`.
+The parts that every daemon has are created here: a server for requests of peers, gossip with neighbours, a follower of
+the configuration feed, and HTTP endpoints for operators. The data plane and the control plane add their duties by
+overriding methods of `Daemon`.
 """
 
 from __future__ import annotations
@@ -45,11 +46,11 @@
 class Daemon:
     """One process of the fleet.
 
-    States: starting (before `run` serves), serving, leaving (`stop` is set, `leaving` is true while what is done here is
-    handed over), closed (`closed` is set). Invariants: `stop` is set once and never cleared; a task that fails ends the
-    daemon, which `failed` then tells; `closed` follows `stop`.
+    States: starting (before `run` serves), serving, leaving (`stop` is set, and `leaving` is true while the work of this
+    daemon is handed over), closed (`closed` is set). Invariants: `stop` is set once and never cleared; a task that fails
+    ends the daemon, and `failed` then holds the fault; `closed` is set only after `stop`.
 
-    `read_config` reads the settings anew where they stand in a file that may change; None where they don't.
+    `read_config` reads the settings file again; None if the settings don't come from a file that may change.
     """
 
     settings: Settings
@@ -84,103 +85,107 @@
         )
 
     def _first_record(self) -> MemberRecord:
-        """What this daemon tells of itself by gossip before its first heartbeat."""
+        """Returns the record of this daemon that gossip spreads before its first heartbeat."""
         return MemberRecord(
             name=self.settings.name, peer=self.settings.peer, area=self.settings.zone,
             duties=list(self.settings.duties), inc=self.incarnation, beat=0, edition=0, release=self.release, disk="",
         )  # fmt: skip
 
-    # --- to be filled by the duties
+    # --- overridden by the data plane and the control plane
     def handlers(self) -> dict[str, Any]:
-        """The verbs of peers that the duties answer, with what answers them."""
+        """Returns the handlers of the duties for requests of peers, by verb."""
         return {}
 
     def http_routes(self) -> list[BaseRoute]:
-        """The HTTP routes that the duties add to those of every daemon."""
+        """Returns the HTTP routes that the duties add to those of every daemon."""
         return []
 
     def tasks(self) -> list[Task]:
-        """What the duties run for as long as the process does."""
+        """Returns the tasks of the duties, which run for as long as the process does."""
         return []
 
     async def open(self) -> None:
-        """Reads what is on disk, before anything is served."""
+        """Recovers the state that is on disk, before anything is served."""
 
     def ready(self) -> str:
-        """Empty if ready to serve; else what is lacking."""
+        """Returns why this daemon isn't ready to serve; empty if it is."""
         if self.configuration_view.manifest is None:
             return "no manifest yet"
-        # One that control doesn't know yet isn't counted by the others; if control can't be reached it serves all the same.
-        waits = (
+        # While control doesn't know this daemon, the others don't count on it. If control can't be reached in time, it serves
+        # all the same.
+        awaiting_registration = (
             self.settings.announce
             and not self.announcer.note_registration()
             and now() - self.started < self.settings.bounds.recover / 2
         )
-        return "not announced yet" if waits else ""
+        return "not announced yet" if awaiting_registration else ""
 
     async def depart(self) -> None:
-        """Hands over what only one daemon does; called once, when this one has been told to leave."""
+        """Hands over the work that only one daemon of the fleet may do; called once, when this daemon is to stop."""
 
     @property
     def leave_limit(self) -> float:
-        """How many seconds handing over may take."""
+        """How many seconds `depart` may take."""
         return self.settings.bounds.recover / 4
 
     @property
     def drain(self) -> float:
-        """How many seconds requests under way may take once nothing new is accepted."""
+        """How many seconds requests in progress may take once nothing new is accepted."""
         return self.settings.bounds.drain
 
     def protocol(self) -> Any:
-        """The HTTP protocol of the server, by its name or as a class."""
+        """Returns the HTTP protocol of the server, as a name or as a class."""
         return HTTP_PROTOCOL
 
     async def more_status(self) -> Body:
-        """What the duties add to the status page."""
+        """Returns the fields that the duties add to the status page."""
         return {}
 
     def app(self) -> Any:
-        """The ASGI application: the pages of every daemon and the routes of the duties."""
+        """Returns the ASGI application: the endpoints of every daemon and the routes of the duties."""
         from starlette.applications import Starlette
 
         return Starlette(routes=[*HealthEndpoints(self).routes(), *self.http_routes()])
 
     def kept_jobs(self, part: int) -> list[str]:
-        """Names of jobs of a partition that this daemon knows to have been accepted lately."""
+        """Returns the names of the partition's jobs that this daemon knows to have been accepted lately."""
         return []
 
-    # --- the settings, read again
+    # --- reloading the settings
     def reread(self) -> None:
-        """Takes over what may change while the process runs: the seeds. A file that can't be read changes nothing."""
+        """Reloads the settings file, and applies what may change while the process runs: the seeds.
+
+        A file that can't be read, or is invalid, changes nothing.
+        """
         if self.read_config is None:
             return
-        got = self.read_config()
-        if isinstance(got, Err):
-            log_events.emit(Event.SETTINGS_REJECTED, self.settings.name, flaws=got.unwrap_err()[:3])
+        loaded = self.read_config()
+        if isinstance(loaded, Err):
+            log_events.emit(Event.SETTINGS_REJECTED, self.settings.name, flaws=loaded.unwrap_err()[:3])
             return
-        seeds = got.unwrap().seeds
+        seeds = loaded.unwrap().seeds
         if seeds != self.settings.seeds:
             self.settings = replace(self.settings, seeds=seeds)
             self.follower.settings = self.gossip.settings = self.announcer.settings = self.settings
             log_events.emit(Event.SEEDS_CHANGED, self.settings.name, seeds=",".join(seeds))
 
     async def watch_config(self) -> None:
-        """Reads the settings again once in a while: the file may change without any signal."""
+        """Reloads the settings file at intervals, because it may change without a SIGHUP; runs until it is cancelled."""
         while True:
             await asyncio.sleep(self.settings.bounds.recover / 4)
             self.reread()
 
     # --- run
     async def run(self) -> None:
-        """Runs from start to end; raises OSError if it can't listen, and FaultError if it must not start."""
+        """Runs the daemon until it has stopped; raises OSError if it can't listen, and FaultError if it must not start."""
         self.started = now()
         await self.open()
-        port = PeerServer(self.settings.name, {
+        peer_server = PeerServer(self.settings.name, {
             "ping": self.on_ping, "shuffle": self.gossip.on_shuffle, "follow": self.on_follow,
             "join": self.announcer.on_join, **self.handlers(),
         })  # fmt: skip
-        await port.listen(self.settings.peer)
-        host, number = split_address(self.settings.http)
+        await peer_server.listen(self.settings.peer)
+        host, http_port = split_address(self.settings.http)
         tasks = [asyncio.create_task(self.guard(name, task)) for name, task in self._named_tasks()]
         log_events.emit(
             Event.STARTED,
@@ -190,16 +195,16 @@
             http=self.settings.http,
         )
         try:
-            await serve_http(self.app(), host, number, self.closed, self.drain, self.protocol())
+            await serve_http(self.app(), host, http_port, self.closed, self.drain, self.protocol())
         finally:
-            await port.close()
+            await peer_server.close()
             self.peer_links.close()
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
     def _named_tasks(self) -> list[tuple[str, Task]]:
-        """All that runs for as long as the process does, with the names that the log tells."""
+        """Returns all tasks that run for as long as the process does, with their names in the log."""
         return [
             ("gossip", self.gossip.run()),
             ("feed", self.follower.follow()),
@@ -211,7 +216,7 @@
         ]
 
     async def leave(self) -> None:
-        """Told to leave: hands over first; one that failed just goes."""
+        """Waits for `stop`, hands over the work of this daemon, and closes it; a daemon that failed hands nothing over."""
         await self.stop.wait()
         if self.failed is None:
             self.leaving = True
@@ -223,46 +228,50 @@
         self.closed.set()
 
     async def guard(self, name: str, task: Task) -> None:
-        """A task that ends with an error ends the daemon: better gone, and seen, than half alive."""
+        """Runs a task, and ends the daemon if it raises an error.
+
+        A process that has ended is noticed, whereas one that runs on with some of its tasks missing might not be.
+        """
         try:
             await task
         except asyncio.CancelledError:
             raise
-        except FaultError as stop:
-            fault = stop.fault
+        except FaultError as fault_error:
+            fault = fault_error.fault
             log_events.emit(
                 Event.TASK_FAILED, self.settings.name, task=name, step=fault.step, peer=fault.peer, why=fault.why
             )
             self._fail(fault)
         except Exception as error:
             log_events.emit(Event.TASK_FAILED, self.settings.name, task=name, why=repr(error))
-            logging.exception("task %s", name)
+            logging.exception("task %s failed", name)
             self._fail(Fault(name, self.settings.name, repr(error)))
 
     def _fail(self, fault: Fault) -> None:
-        """Ends the daemon without handing anything over."""
+        """Ends the daemon because of a fault, without handing anything over."""
         self.failed = fault
         self.stop.set()
         self.closed.set()
 
     def spawn(self, task: Task) -> None:
-        """Runs a coroutine beside the others; it is kept until it has ended."""
-        made = asyncio.create_task(task)
-        self.spawned.add(made)
-        made.add_done_callback(self.spawned.discard)
+        """Runs a coroutine in the background, and keeps a reference to its task until it has ended."""
+        background_task = asyncio.create_task(task)
+        self.spawned.add(background_task)
+        background_task.add_done_callback(self.spawned.discard)
 
     # --- peers
     @property
     def name_clash(self) -> str:
-        """Another process that goes by this one's name; empty if none is known."""
+        """A description of another process that uses this daemon's name; empty if none is known."""
         return self.gossip.name_clash
 
     async def on_ping(self, body: Body) -> PeerResponse:
-        """Answers for itself, or what else the ping asks for by its keys.
+        """Answers a ping with the state of this daemon, or with what the keys of the request ask for.
 
-        `heights`: the epochs of partitions. `kept`: the jobs of a partition that are known here. `fits`: what is wrong
-        with a configuration. `reach`: whether another daemon answers. `want`: holds the answer until that revision of
-        the configuration runs here, for `wait` seconds; it can be had from `at`.
+        `heights`: the highest known epochs of partitions. `kept`: the jobs of that partition that this daemon knows to
+        have been accepted lately. `fits`: the errors that this release finds in a configuration. `reach`: whether the
+        daemon at that address answers. `want`: delays the answer, for at most `wait` seconds, until that revision of the
+        configuration is in force here; it is fetched from the address `at`.
         """
         if "heights" in body:
             return Ok({"heights": self.gossip.partition_epochs})
@@ -274,7 +283,7 @@
             return await self._ping_for_another(body)
         view = self.configuration_view
         if body.get("want", 0) > view.revision:
-            # Control has accepted a newer revision and wants to know when it is in force here.
+            # Control has accepted a newer revision, and needs to know when it is in force here.
             self.spawn(self.follower.fetch(body["at"]))
             await view.wait(body["want"] - 1, min(float(body["wait"]), self.settings.bounds.manifest))
         return Ok({
@@ -283,67 +292,70 @@
         })  # fmt: skip
 
     async def _ping_for_another(self, body: Body) -> PeerResponse:
-        """Tells whether the daemon at `reach` answers, for one that can't reach it itself."""
-        limit = self.settings.bounds.beat
+        """Pings the daemon at the address `reach` for a peer that can't reach it, and answers whether it responded."""
+        timeout = self.settings.bounds.beat
         if body.get("want", 0) > self.configuration_view.revision and body.get("at"):
-            # Whom it reaches will fetch the revision from here.
-            await self.follower.fetch(body["at"], limit)
-        ask = {"want": body.get("want", 0), "at": self.settings.peer, "wait": limit * 0.9}
-        got = await self.peer_links.request(body["reach"], "ping", ask, limit)
-        if isinstance(got, Err):
-            return Ok({"reached": False, "refused": got.unwrap_err().hint == "refused"})
-        return Ok({"reached": True, "edition": got.unwrap()["edition"]})
+            # The pinged daemon will fetch the revision from this one.
+            await self.follower.fetch(body["at"], timeout)
+        ping = {"want": body.get("want", 0), "at": self.settings.peer, "wait": timeout * 0.9}
+        response = await self.peer_links.request(body["reach"], "ping", ping, timeout)
+        if isinstance(response, Err):
+            return Ok({"reached": False, "refused": response.unwrap_err().hint == "refused"})
+        return Ok({"reached": True, "edition": response.unwrap()["edition"]})
 
     async def on_follow(self, body: Body) -> PeerResponse:
-        """Answers a poll of the feed, held open until there is something to tell."""
+        """Answers a long poll of the configuration feed: waits for a newer revision, for as long as the poll allows."""
         poll = Poll.from_json(body)
         await self.configuration_view.wait(poll.after, poll.hold)
         return Ok(cast(Body, self.configuration_view.changes_since(poll.after)))
 
     def release_flaws(self, raw: Any) -> list[str]:
-        """What this release, with the plug-ins installed here, finds wrong with a configuration."""
+        """Returns the errors that this release, with the plug-ins installed here, finds in a configuration."""
         return check(raw).err() or []
 
     async def ask_kept_jobs(self, part: int) -> list[str]:
-        """All jobs of a partition that any machine knows to have been accepted lately; asked only after a loss."""
-        addrs, wait = self.configuration_view.addresses_of_others(), self.settings.bounds.beat
-        answers = await asyncio.gather(
-            *(self.peer_links.request(addr, "ping", {"kept": part}, wait) for addr in addrs if addr)
+        """Returns the names of the partition's jobs that any machine knows to have been accepted lately.
+
+        It asks all machines, and is called only after data of the partition was lost.
+        """
+        addrs, timeout = self.configuration_view.addresses_of_others(), self.settings.bounds.beat
+        responses = await asyncio.gather(
+            *(self.peer_links.request(addr, "ping", {"kept": part}, timeout) for addr in addrs if addr)
         )
         return sorted({
-            name for answer in answers if isinstance(answer, Ok) for name in answer.unwrap().get("lots", [])
+            name for response in responses if isinstance(response, Ok) for name in response.unwrap().get("lots", [])
         })  # fmt: skip
 
 
-def run_daemon(make: Callable[[], Daemon]) -> int:
+def run_daemon(make_daemon: Callable[[], Daemon]) -> int:
     """Runs a daemon until SIGTERM or SIGINT.
 
-    Returns the exit code: 0, `EXIT_CANNOT_LISTEN`, or `EXIT_FAULT` for a fault that it must not go on with.
+    Returns the exit code: 0, `EXIT_CANNOT_LISTEN`, or `EXIT_FAULT` after a fault with which it must not go on.
     """
     code = 0
 
     async def main() -> None:
         nonlocal code
-        daemon = make()
+        daemon = make_daemon()
         loop = asyncio.get_running_loop()
 
-        def leave(name: str) -> None:
-            log_events.emit(Event.STOPPING, daemon.settings.name, signal=name)
+        def leave(signal_name: str) -> None:
+            log_events.emit(Event.STOPPING, daemon.settings.name, signal=signal_name)
             daemon.stop.set()
 
-        for sig in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(sig, leave, sig.name)
+        for leave_signal in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(leave_signal, leave, leave_signal.name)
         loop.add_signal_handler(signal.SIGHUP, daemon.reread)
         try:
             await daemon.run()
         except OSError as error:
             logging.error("%s cannot start: %s", daemon.settings.name, error)
             code = EXIT_CANNOT_LISTEN
-        except FaultError as stop:
-            logging.error("%s left: %s", daemon.settings.name, stop)
+        except FaultError as fault_error:
+            logging.error("%s stopped after a fault: %s", daemon.settings.name, fault_error)
             code = EXIT_FAULT
         if daemon.failed is not None:
-            logging.error("%s left: %s", daemon.settings.name, daemon.failed)
+            logging.error("%s stopped after a fault: %s", daemon.settings.name, daemon.failed)
             code = EXIT_FAULT
 
     asyncio.run(main())
--- a/tests/cli/test_control_command.py
+++ b/tests/cli/test_control_command.py
@@ -1,4 +1,4 @@
-"""What the operator's tool does with control machines that lead nothing."""
+"""Tests of `postpassctl` against control machines of which none is a primary in contact with the others."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from postpass.cli.main import Commands
 from tests.control.test_health import _statuses
 
-STALE = (503, {"error": {"step": "read", "peer": "c1", "why": "out of touch"}})
+OUT_OF_TOUCH = (503, {"error": {"step": "read", "peer": "c1", "why": "out of touch"}})
 
 
-def door(answer: tuple[int, Any]) -> Any:
-    """A machine that answers every request alike."""
+def constant_response(answer: tuple[int, Any]) -> Any:
+    """Returns a connection handler that gives the same HTTP response to every request."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
@@ -30,43 +30,43 @@
     return serve
 
 
-def asked(answers: list[tuple[int, Any]], method: str, path: str) -> tuple[Answer, int]:
-    """What `ask` gives, and which of the machines answered it."""
+def ask_servers(answers: list[tuple[int, Any]], method: str, path: str) -> tuple[Answer, int]:
+    """Sends a request to servers with these responses; returns the answer, and the index of the server that gave it."""
 
     async def exchange() -> tuple[Answer, int]:
-        servers = [await asyncio.start_server(door(a), "127.0.0.1", 0) for a in answers]
+        servers = [await asyncio.start_server(constant_response(a), "127.0.0.1", 0) for a in answers]
         addrs = [f"127.0.0.1:{s.sockets[0].getsockname()[1]}" for s in servers]
-        got = await fleet_client.ask(addrs, method, path, None)
+        answer = await fleet_client.ask(addrs, method, path, None)
         for server in servers:
             server.close()
-        return got, addrs.index(got.addr)
+        return answer, addrs.index(answer.addr)
 
     return asyncio.run(exchange())
 
 
-def test_a_machine_without_contact_is_passed_over_for_what_may_be_repeated() -> None:
+def test_a_control_machine_without_contact_is_skipped_for_requests_that_may_be_repeated() -> None:
     for method in ("GET", "PUT"):
-        got, which = asked([STALE, (200, {"edition": 3})], method, "/v1/manifest")
-        assert (got.status, which) == (200, 1)
-    got, which = asked([STALE, STALE], "GET", "/v1/manifest")
-    assert got.status == 503 and which == 1
-    got, which = asked([STALE, (200, {})], "POST", "/v1/lots")
-    assert (got.status, which) == (503, 0)
+        answer, index = ask_servers([OUT_OF_TOUCH, (200, {"edition": 3})], method, "/v1/manifest")
+        assert (answer.status, index) == (200, 1)
+    answer, index = ask_servers([OUT_OF_TOUCH, OUT_OF_TOUCH], "GET", "/v1/manifest")
+    assert answer.status == 503 and index == 1
+    answer, index = ask_servers([OUT_OF_TOUCH, (200, {})], "POST", "/v1/lots")
+    assert (answer.status, index) == (503, 0)
 
 
-def test_status_shows_the_members_that_answer_where_none_leads(
+def test_status_shows_the_members_that_answer_if_none_is_primary(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    views = _statuses(3)
-    views["c1"]["leads"] = False
+    statuses = _statuses(3)
+    statuses["c1"]["leads"] = False
 
-    async def ask(where: list[str], _method: str, path: str, *_more: Any, **_options: Any) -> Answer:
+    async def ask(where: list[str], _method: str, path: str, *_arguments: Any, **_options: Any) -> Answer:
         if path == "/v1/manifest":
-            return Answer(*STALE, {"retry-after": "1"}, where[0])
+            return Answer(*OUT_OF_TOUCH, {"retry-after": "1"}, where[0])
         name = where[0].partition(":")[0]
         if name == "c3":
             raise CommandError(ExitCode.UNKNOWN, "c3: cannot be reached")
-        return Answer(200, {"name": name, "control": views[name]}, {}, where[0])
+        return Answer(200, {"name": name, "control": statuses[name]}, {}, where[0])
 
     monkeypatch.setattr(fleet_client, "ask", ask)
     assert Commands().status(control="c1:80,c2:80,c3:80") == ExitCode.UNKNOWN
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -10,19 +10,19 @@
 
 
 def test_bad_input_gets_a_line_and_a_code(tmp_path: Path, capsys: Any) -> None:
-    def run(*words: str) -> tuple[int, str]:
+    def run(*arguments: str) -> tuple[int, str]:
         try:
-            main(list(words))
-        except SystemExit as end:
-            return int(end.code or 0), capsys.readouterr().err
+            main(list(arguments))
+        except SystemExit as exit_error:
+            return int(exit_error.code or 0), capsys.readouterr().err
         raise AssertionError
 
-    bad = tmp_path / "m.json"
-    bad.write_text('{"name": 3}')
-    code, err = run("manifest", "check", str(bad))
-    assert code == ExitCode.REFUSED and "name: want a string, got 3" in err and "parts: missing" in err
+    invalid_file = tmp_path / "m.json"
+    invalid_file.write_text('{"name": 3}')
+    code, errors = run("manifest", "check", str(invalid_file))
+    assert code == ExitCode.REFUSED and "name: want a string, got 3" in errors and "parts: missing" in errors
     assert run("manifest", "check", "/no/such")[1].strip() == "postpassctl: /no/such: No such file or directory"
-    code, err = run("lot", "show", "x")
-    assert code == ExitCode.USAGE and "--edge" in err
-    code, err = run("lot", "show", "x", "--edge", "127.0.0.1:1")
-    assert code == ExitCode.UNKNOWN and "127.0.0.1:1" in err
+    code, errors = run("lot", "show", "x")
+    assert code == ExitCode.USAGE and "--edge" in errors
+    code, errors = run("lot", "show", "x", "--edge", "127.0.0.1:1")
+    assert code == ExitCode.UNKNOWN and "127.0.0.1:1" in errors
--- a/tests/cli/test_renamed_commands.py
+++ b/tests/cli/test_renamed_commands.py
@@ -1,4 +1,4 @@
-"""The commands under their earlier names: a line on standard error, and all else as under the present ones."""
+"""Tests that commands under their earlier names print a notice, and otherwise do the same as under the present ones."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 
 @pytest.fixture
 def run(monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]) -> Run:
-    """Runs an entry point with some flags; its exit code, standard output and standard error."""
+    """Returns a function that runs an entry point with flags, and returns exit code, standard output and standard error."""
 
     def run_entry_point(entry_point: Callable[[], None], flags: list[str]) -> tuple[int, str, str]:
         monkeypatch.setattr(sys, "argv", ["program", *flags])
-        with pytest.raises(SystemExit) as ended:
+        with pytest.raises(SystemExit) as exited:
             entry_point()
         out, err = capsys.readouterr()
-        return int(ended.value.code or 0), out, err
+        return int(exited.value.code or 0), out, err
 
     return run_entry_point
 
 
-def notice(earlier: str) -> str:
+def expected_notice(earlier: str) -> str:
     return f"{earlier}: this name goes away with the next release; call {EARLIER[earlier]} instead\n"
 
 
@@ -60,11 +60,11 @@
     monkeypatch.chdir(ROOT)
     present_code, present_out, present_err = run(PRESENT[earlier], flags)
     assert present_code == code
-    got_code, out, err = run(getattr(renamed_commands, earlier), flags)
-    assert got_code == code
-    # Reasons begin with the name of the command, so that under the earlier one they read as they did.
+    earlier_code, out, err = run(getattr(renamed_commands, earlier), flags)
+    assert earlier_code == code
+    # Error messages begin with the name under which the command was started, here the earlier one.
     assert out == present_out.replace("postpassctl: ", "pp: ")
-    assert err == notice(earlier) + present_err.replace("postpassctl: ", "pp: ")
+    assert err == expected_notice(earlier) + present_err.replace("postpassctl: ", "pp: ")
 
 
 @pytest.mark.parametrize("earlier", EARLIER)
@@ -77,20 +77,20 @@
 
 @pytest.mark.parametrize("command", [commands.data_plane, commands.control_plane])
 def test_a_zone_is_given_by_either_flag(monkeypatch: pytest.MonkeyPatch, command: Callable[..., int]) -> None:
-    seen: list[dict[str, Any]] = []
+    passed_flags: list[dict[str, Any]] = []
 
     def start(_kind: Any, _path: str, flags: dict[str, Any]) -> int:
-        seen.append(flags)
+        passed_flags.append(flags)
         return 0
 
     monkeypatch.setattr(commands, "start", start)
     for given in ({"zone": "a"}, {"area": "a"}, {"zone": "a", "area": "b"}):
         assert command(name="m", **given) == 0
-    assert [flags["area"] for flags in seen] == ["a", "a", "a"] and "zone" not in seen[0]
+    assert [flags["area"] for flags in passed_flags] == ["a", "a", "a"] and "zone" not in passed_flags[0]
 
 
-def test_the_configuration_goes_by_both_names(run: Run, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_configuration_commands_have_two_names(run: Run, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.chdir(ROOT)
-    words = ["check", "examples/kompressorlab.json"]
-    assert run(main.main, ["manifest", *words]) == run(main.main, ["configuration", *words])
-    assert run(main.main, ["configuration", *words])[0] == 0
+    arguments = ["check", "examples/kompressorlab.json"]
+    assert run(main.main, ["manifest", *arguments]) == run(main.main, ["configuration", *arguments])
+    assert run(main.main, ["configuration", *arguments])[0] == 0
