--- a/tests/cli/test_doctor.py
+++ b/tests/cli/test_doctor.py
@@ -17,7 +17,7 @@
         machine_status["up"] += 1
     assert diagnose(FleetStatus.from_json(healthy), FleetStatus.from_json(later)) == []
 
-    def finding_codes(change: Any, earlier_change: Any = None) -> set[str]:
+    def codes(change: Any, earlier_change: Any = None) -> set[str]:
         first_status, second_status = copy.deepcopy(healthy), copy.deepcopy(later)
         change(second_status)
         if earlier_change:
@@ -32,28 +32,26 @@
 
     silent = {n: {"persisted": 5, "silent": n == "s2", "full": False, "disk": n} for n in ("s2", "s3", "s4")}
     lagging = {n: {"persisted": -900, "silent": False, "full": False, "disk": n} for n in ("s2",)}
-    assert finding_codes(lambda s: s["machines"].update(e1={"unreachable": "x"})) == {"D02"}
-    assert finding_codes(machine("e1", edition=2), machine("e1", edition=2)) == {"D03"}
-    assert finding_codes(machine("e1", name="e2")) == {"D04"} and finding_codes(machine("e1", clash="x")) == {"D04"}
-    assert finding_codes(machine("e1", peer="127.0.0.1:1")) == {"D05"} and finding_codes(machine("e1", duties=[])) == {
-        "D05"
-    }
-    assert finding_codes(machine("e1", up=0.5)) == {"D06"}
-    assert finding_codes(partition(mirrors=silent)) == {"D07"} and finding_codes(partition(mirrors=lagging)) == {"D07"}
-    assert finding_codes(partition(owning=False)) == {"D08"} and finding_codes(partition(crew={"s1": "s1"})) == {"D08"}
-    assert finding_codes(lambda s: s["machines"]["s1"]["store"].update(free=1)) == {"D09"}
-    assert finding_codes(lambda s: s["machines"]["s1"]["store"].update(bad="sync failed")) == {"D10"}
-    assert finding_codes(lambda s: s["machines"]["c1"]["control"].update(leads=False)) == {"D11"}
-    assert finding_codes(lambda s: s["machines"]["c1"]["control"].update(backup="")) == {"D11"}
+    assert codes(lambda s: s["machines"].update(e1={"unreachable": "x"})) == {"D02"}
+    assert codes(machine("e1", edition=2), machine("e1", edition=2)) == {"D03"}
+    assert codes(machine("e1", name="e2")) == {"D04"} and codes(machine("e1", clash="x")) == {"D04"}
+    assert codes(machine("e1", peer="127.0.0.1:1")) == {"D05"} and codes(machine("e1", duties=[])) == {"D05"}
+    assert codes(machine("e1", up=0.5)) == {"D06"}
+    assert codes(partition(mirrors=silent)) == {"D07"} and codes(partition(mirrors=lagging)) == {"D07"}
+    assert codes(partition(owning=False)) == {"D08"} and codes(partition(crew={"s1": "s1"})) == {"D08"}
+    assert codes(lambda s: s["machines"]["s1"]["store"].update(free=1)) == {"D09"}
+    assert codes(lambda s: s["machines"]["s1"]["store"].update(bad="sync failed")) == {"D10"}
+    assert codes(lambda s: s["machines"]["c1"]["control"].update(leads=False)) == {"D11"}
+    assert codes(lambda s: s["machines"]["c1"]["control"].update(backup="")) == {"D11"}
     control = healthy["machines"]["c3"]["control"]
-    assert finding_codes(machine("c3", control=control | {"in_touch": False})) == {"D11"}
+    assert codes(machine("c3", control=control | {"in_touch": False})) == {"D11"}
     barred = {"gpu/w1": {"barred": "weights b, want a", "mine": 0, "weights": "b", "running": 0, "waiting": 0}}
-    assert finding_codes(machine("e1", servers=barred)) == {"D12"}
-    assert finding_codes(partition(losses=1)) == {"D13"}
-    assert finding_codes(machine("e1", release="0.2")) == {"D14"}
+    assert codes(machine("e1", servers=barred)) == {"D12"}
+    assert codes(partition(losses=1)) == {"D13"}
+    assert codes(machine("e1", release="0.2")) == {"D14"}
     behind = partition(last=9, covered=5, awaited=["s3"])
-    assert finding_codes(behind, behind) == {"D15"}
-    assert finding_codes(behind) == set() and finding_codes(partition(last=9, covered=6), behind) == set()
-    assert finding_codes(partition(last=9, covered=5, epoch=99), behind) == set()
+    assert codes(behind, behind) == {"D15"}
+    assert codes(behind) == set() and codes(partition(last=9, covered=6), behind) == set()
+    assert codes(partition(last=9, covered=5, epoch=99), behind) == set()
     unkept = machine("e1", unkept={"3": 2})
-    assert finding_codes(unkept) == {"D16"} and finding_codes(unkept, unkept) == set()
+    assert codes(unkept) == {"D16"} and codes(unkept, unkept) == set()
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: what is taken of it, and every way in which it is refused."""
+"""Tests of the translation of the platform's configuration, and of the errors for each kind of invalid document."""
 
 from __future__ import annotations
 
@@ -33,23 +33,23 @@
 
 
 def test_a_document_becomes_routes_pools_and_limits() -> None:
-    terms = adapter("configuration").operator_configuration(document(7)).unwrap()
-    assert terms["version"] == 7 and list(terms["routes"]) == ["r1", "r2", "r3"]
-    r1, r2, r3 = terms["routes"].values()
+    configured = adapter("configuration").operator_configuration(document(7)).unwrap()
+    assert configured["version"] == 7 and list(configured["routes"]) == ["r1", "r2", "r3"]
+    r1, r2, r3 = configured["routes"].values()
     assert r1["host"] == "x.example" and r1["split"] == [{"pool": "llm", "weight": 90}, {"pool": "old", "weight": 10}]
     assert (r1["timeout"], r1["target"], r1["gap"], r1["resumable"], r1["tokens"]) == (5.0, 0.25, 0.3, True, True)
     assert r2["split"] == [{"pool": "app", "weight": 1}] and not r2["resumable"]
     assert (r3["kind"], r3["quota"], r3["due"], r3["expire"], r3["tries"]) == ("lot", 1100000, 8.0, 20.0, 3)
-    assert terms["pools"]["llm"] == {
+    assert configured["pools"]["llm"] == {
         "kind": "model", "servers": {}, "health": "/health", "conns": 230, "cold_rate": 32.0, "kv": 232000,
     }  # fmt: skip
-    assert terms["limits"] == {"head_bytes": 16384, "body_bytes": 4194304, "head_ms": 3000, "idle_ms": 15000}
+    assert configured["limits"] == {"head_bytes": 16384, "body_bytes": 4194304, "head_ms": 3000, "idle_ms": 15000}
 
 
-def bad(change: Any) -> dict[str, Any]:
-    doc = copy.deepcopy(document(7))
-    change(doc)
-    return doc
+def changed_document(change: Any) -> dict[str, Any]:
+    changed = copy.deepcopy(document(7))
+    change(changed)
+    return changed
 
 
 @pytest.mark.parametrize(
@@ -74,21 +74,21 @@
         (lambda d: d["limits"].update(idleMs=0), "limits.idleMs"),
     ],
 )
-def test_an_invalid_document_is_refused_with_the_path(change: Any, path: str) -> None:
-    found = adapter("configuration").operator_configuration(bad(change)).unwrap_err()
-    assert found[0].split(":")[0] == path
+def test_an_invalid_document_is_rejected_with_the_path_of_its_error(change: Any, path: str) -> None:
+    errors = adapter("configuration").operator_configuration(changed_document(change)).unwrap_err()
+    assert errors[0].split(":")[0] == path
 
 
-def test_a_patch_puts_named_items_in_place_and_removes_others() -> None:
-    m = adapter("configuration")
-    new = document(7)["routes"][1] | {"timeoutMs": 900}
+def test_a_patch_replaces_and_adds_named_items_and_removes_others() -> None:
+    configuration_module = adapter("configuration")
+    replacement = document(7)["routes"][1] | {"timeoutMs": 900}
     added = document(7)["routes"][1] | {"name": "r9", "prefix": "/nine/"}
-    change = {"version": 9, "upsert": {"routes": [new, added]}, "remove": {"routes": ["r1", "none"]}}
-    got = m.patched(document(7), change).unwrap()
-    assert [r["name"] for r in got["routes"]] == ["r2", "r3", "r9"] and got["routes"][0]["timeoutMs"] == 900
-    assert got["version"] == 9 and got["services"] == document(7)["services"]
-    odd: list[Any] = [
+    change = {"version": 9, "upsert": {"routes": [replacement, added]}, "remove": {"routes": ["r1", "none"]}}
+    merged = configuration_module.patched(document(7), change).unwrap()
+    assert [r["name"] for r in merged["routes"]] == ["r2", "r3", "r9"] and merged["routes"][0]["timeoutMs"] == 900
+    assert merged["version"] == 9 and merged["services"] == document(7)["services"]
+    malformed_changes: list[Any] = [
         [], {"version": "9"}, {"version": 9, "upsert": {"routes": [{"host": "x"}]}}, {"version": 9, "remove": 4},
         {"version": 9, "remove": {"limits": []}},
     ]  # fmt: skip
-    assert all(m.patched(document(7), change).is_err() for change in odd)
+    assert all(configuration_module.patched(document(7), change).is_err() for change in malformed_changes)
--- a/tests/platform/test_job_keys.py
+++ b/tests/platform/test_job_keys.py
@@ -1,4 +1,4 @@
-"""Jobs by the keys of tenants: the platform's pages of an edge, the owners behind it, and the items at workers."""
+"""Tests of access to jobs by tenants' keys, through the platform's routes of an edge, the owners, and the workers."""
 
 from __future__ import annotations
 
@@ -20,41 +20,41 @@
 from tests.batch.test_job_service import FakeWorkers, job_json, run_with_fleet
 from tests.gateway.test_relay_keys import tenant
 
-TWO = {"t1": tenant("k1", "k2"), "t2": tenant("k3")}
-LOT, ITEM = "/-/lots/l1", "/-/items/l1?id=i0a"
+TWO_TENANTS = {"t1": tenant("k1", "k2"), "t2": tenant("k3")}
+JOB_PATH, ITEM_PATH = "/-/lots/l1", "/-/items/l1?id=i0a"
 
 
 class Edge:
-    """The pages of one edge as an ASGI app, and a client that calls them."""
+    """One edge of a simulated fleet with the platform's routes for jobs, and a client that sends requests to it."""
 
     def __init__(self, fleet: SimFleet, api: JobApi) -> None:
         self.fleet = fleet
         edge = api.edge
         self.relay = Relay(edge.settings, edge.environment, edge.configuration_view, Dialect(), CollectorRegistry())
-        pages = module("clients").JobRoutes(api, self.relay.job_client)
-        edge.extra_routes = pages.paths()
-        self.relay.job_handler, self.relay.fallback = pages.post, Starlette(routes=edge.routes())
+        job_routes = module("clients").JobRoutes(api, self.relay.job_client)
+        edge.extra_routes = job_routes.paths()
+        self.relay.job_handler, self.relay.fallback = job_routes.post, Starlette(routes=edge.routes())
         self.view = edge.configuration_view
 
     async def configure(self, tenants: Any, **route: Any) -> None:
-        """Puts other tenants in force at this edge and all daemons; None: there are none."""
-        old: Any = self.fleet.configuration
-        new = {key: value for key, value in old.items() if key != "tenants"}
-        new["routes"] = {"r": old["routes"]["r"] | route}
-        new |= {} if tenants is None else {"tenants": tenants}
-        want = await self.fleet.apply(new, self.view.revision)
-        assert want is not None
-        while self.view.revision < want:
+        """Applies a configuration with these tenants (None: without tenants), and waits until it is in force at this edge."""
+        old_configuration: Any = self.fleet.configuration
+        new_configuration = {key: value for key, value in old_configuration.items() if key != "tenants"}
+        new_configuration["routes"] = {"r": old_configuration["routes"]["r"] | route}
+        new_configuration |= {} if tenants is None else {"tenants": tenants}
+        revision = await self.fleet.apply(new_configuration, self.view.revision)
+        assert revision is not None
+        while self.view.revision < revision:
             await asyncio.sleep(0.05)
 
     async def ask(
-        self, method: str, target: str, key: str = "", body: bytes = b"", named: str = ""
+        self, method: str, target: str, key: str = "", body: bytes = b"", client_name: str = ""
     ) -> tuple[int, Any, dict[str, str]]:
-        """Status, JSON or bytes, and headers of the answer."""
+        """Sends a request; returns the status, the JSON or the bytes of the body, and the headers of the response."""
         path, _, query = target.partition("?")
         headers = [(b"host", b"h.example"), (b"x-call-id", b"l1"), (b"postpass-attempt-id", b"l1")]
         headers += [(b"authorization", b"Bearer " + key.encode())] if key else []
-        headers += [(b"x-caller", named.encode())] if named else []
+        headers += [(b"x-caller", client_name.encode())] if client_name else []
         scope = {
             "type": "http", "http_version": "1.1", "method": method, "path": path, "raw_path": path.encode(), "root_path": "",
             "query_string": query.encode(), "headers": headers, "scheme": "http", "server": ("h.example", 80),
@@ -69,24 +69,26 @@
 
         await self.relay(scope, receive, send)  # type: ignore[arg-type]
         data = b"".join(message.get("body", b"") for message in sent[1:])
-        got = {name.decode().lower(): value.decode() for name, value in sent[0]["headers"]}
-        is_json = got.get("content-type") == "application/json"
-        return sent[0]["status"], json.loads(data) if is_json else data, got
+        response_headers = {name.decode().lower(): value.decode() for name, value in sent[0]["headers"]}
+        is_json = response_headers.get("content-type") == "application/json"
+        return sent[0]["status"], json.loads(data) if is_json else data, response_headers
 
     async def status(self, method: str, target: str, key: str = "", body: bytes = b"") -> int:
         return (await self.ask(method, target, key, body))[0]
 
     async def states(self, key: str) -> list[str]:
-        """The states of all items of the job, once there are results of all."""
+        """Returns the states of all items of the job, once all have results."""
         async with asyncio.timeout(10.0):
             while True:
-                status, page, _ = await self.ask("GET", LOT, key)
+                status, page, _ = await self.ask("GET", JOB_PATH, key)
                 if status == 200 and len(page["results"]) == page["total"]:
                     return [row["state"] for row in page["results"]]
                 await asyncio.sleep(0.1)
 
 
-def play(check: Callable[[Edge, Edge, FakeWorkers], Awaitable[None]], tenants: Any = TWO, **route: Any) -> None:
+def run_with_two_edges(
+    check: Callable[[Edge, Edge, FakeWorkers], Awaitable[None]], tenants: Any = TWO_TENANTS, **route: Any
+) -> None:
     async def with_edges(fleet: SimFleet, apis: list[JobApi], workers: FakeWorkers) -> None:
         one, two = Edge(fleet, apis[0]), Edge(fleet, apis[1])
         if tenants is not None:
@@ -99,78 +101,78 @@
 
 
 class Test_a_job:
-    def test_is_its_tenants_at_every_edge_and_by_each_of_its_keys(self) -> None:
+    def test_belongs_to_its_tenant_at_every_edge_and_by_each_of_the_tenants_keys(self) -> None:
         async def check(one: Edge, two: Edge, workers: FakeWorkers) -> None:
             workers.full = True
             assert await one.status("POST", "/lot/x", "k1", job_json("a", "b")) == 202
             assert await two.status("POST", "/lot/x", "k2", job_json("a", "b")) == 202  # the same one again
             assert await two.status("POST", "/lot/x", "k3", job_json("a", "b")) == 409
-            assert [await two.status("GET", LOT, key) for key in ("k1", "k2", "k3")] == [200, 200, 404]
-            assert [await two.status("GET", ITEM, key) for key in ("k1", "k2", "k3")] == [200, 200, 404]
-            assert await one.status("DELETE", LOT, "k3") == 404
+            assert [await two.status("GET", JOB_PATH, key) for key in ("k1", "k2", "k3")] == [200, 200, 404]
+            assert [await two.status("GET", ITEM_PATH, key) for key in ("k1", "k2", "k3")] == [200, 200, 404]
+            assert await one.status("DELETE", JOB_PATH, "k3") == 404
             workers.full = False
             assert await two.states("k2") == ["done", "done"] and len(workers.runs) == 2
-            assert [await one.status("DELETE", LOT, key) for key in ("k1", "k2")] == [200, 200]
+            assert [await one.status("DELETE", JOB_PATH, key) for key in ("k1", "k2")] == [200, 200]
 
-        play(check)
+        run_with_two_edges(check)
 
-    def test_needs_a_known_key_for_each_call(self) -> None:
+    def test_needs_a_known_key_for_each_request(self) -> None:
         async def check(one: Edge, two: Edge, workers: FakeWorkers) -> None:
             assert await one.status("POST", "/lot/x", "k1", job_json("a")) == 202
-            calls = [("POST", "/lot/x"), ("GET", LOT), ("GET", ITEM), ("DELETE", LOT)]
-            for method, target in calls:
+            requests = [("POST", "/lot/x"), ("GET", JOB_PATH), ("GET", ITEM_PATH), ("DELETE", JOB_PATH)]
+            for method, target in requests:
                 for key in ("", "k4", "k1 k1", "t1"):
                     status, body, headers = await two.ask(method, target, key, job_json("a"))
                     assert (status, body, headers["www-authenticate"]) == (401, {"error": "no known key"}, "Bearer")
             assert await two.states("k1") == ["done"]
 
-        play(check)
+        run_with_two_edges(check)
 
-    def test_goes_on_when_the_key_that_brought_it_is_taken_away(self) -> None:
+    def test_continues_when_the_key_that_submitted_it_is_removed(self) -> None:
         async def check(one: Edge, two: Edge, workers: FakeWorkers) -> None:
             workers.full = True
             assert await one.status("POST", "/lot/x", "k1", job_json("a", "b")) == 202
             await one.configure({"t1": tenant("k2"), "t2": tenant("k1")})
             workers.full = False
-            assert [await one.status("GET", LOT, key) for key in ("k1", "k2", "k3")] == [404, 200, 401]
+            assert [await one.status("GET", JOB_PATH, key) for key in ("k1", "k2", "k3")] == [404, 200, 401]
             assert await one.states("k2") == ["done", "done"]
 
-        play(check)
+        run_with_two_edges(check)
 
-    def test_goes_on_without_its_tenant_and_is_read_once_that_is_back(self) -> None:
+    def test_continues_without_its_tenant_and_is_readable_once_the_tenant_is_back(self) -> None:
         async def check(one: Edge, two: Edge, workers: FakeWorkers) -> None:
             workers.full = True
             assert await one.status("POST", "/lot/x", "k1", job_json("a")) == 202
-            await one.configure({"t2": TWO["t2"]})
+            await one.configure({"t2": TWO_TENANTS["t2"]})
             workers.full = False
-            assert [await one.status("GET", LOT, key) for key in ("k1", "k3")] == [401, 404]
+            assert [await one.status("GET", JOB_PATH, key) for key in ("k1", "k3")] == [401, 404]
             await asyncio.sleep(2.0)
             assert len(workers.runs) == 1
-            await one.configure({"t1": tenant("k5"), "t2": TWO["t2"]})
+            await one.configure({"t1": tenant("k5"), "t2": TWO_TENANTS["t2"]})
             assert await one.states("k5") == ["done"]
 
-        play(check)
+        run_with_two_edges(check)
 
-    def test_that_was_kept_before_there_were_tenants_is_read_by_any_of_them(self) -> None:
+    def test_that_was_accepted_before_there_were_tenants_is_readable_by_any_of_them(self) -> None:
         async def check(one: Edge, two: Edge, workers: FakeWorkers) -> None:
             assert await one.status("POST", "/lot/x", "", job_json("a")) == 202
-            await one.configure(TWO)
-            assert await one.status("GET", LOT) == 401
+            await one.configure(TWO_TENANTS)
+            assert await one.status("GET", JOB_PATH) == 401
             assert await one.states("k3") == await one.states("k1") == ["done"]
 
-        play(check, tenants=None)
+        run_with_two_edges(check, tenants=None)
 
     @pytest.mark.parametrize(
         ("before", "key_before", "after", "key_after"),
         [
-            ((None, False), "", (TWO, False), "k1"),
-            ((TWO, False), "k1", (None, False), ""),
-            ((TWO, False), "k1", (TWO, True), "k1"),
-            ((TWO, True), "k1", (TWO, False), "k1"),
+            ((None, False), "", (TWO_TENANTS, False), "k1"),
+            ((TWO_TENANTS, False), "k1", (None, False), ""),
+            ((TWO_TENANTS, False), "k1", (TWO_TENANTS, True), "k1"),
+            ((TWO_TENANTS, True), "k1", (TWO_TENANTS, False), "k1"),
         ],
         ids=["tenants came", "tenants went", "route became public", "route is public no more"],
     )
-    def test_that_comes_again_is_the_same_though_its_client_needs_no_key_any_more_or_needs_one_now(
+    def test_submitted_again_is_the_same_job_though_its_client_needs_no_key_any_more_or_needs_one_now(
         self, before: tuple[Any, bool], key_before: str, after: tuple[Any, bool], key_after: str
     ) -> None:
         async def check(one: Edge, two: Edge, workers: FakeWorkers) -> None:
@@ -184,43 +186,43 @@
             await asyncio.sleep(2.0)
             assert len(workers.runs) == 2
 
-        play(check, tenants=None)
+        run_with_two_edges(check, tenants=None)
 
     def test_of_a_public_route_needs_no_key(self) -> None:
         async def check(one: Edge, two: Edge, workers: FakeWorkers) -> None:
             assert await one.status("POST", "/lot/x", "", job_json("a")) == 202
             assert await two.states("") == await two.states("k4") == ["done"]
-            assert await two.status("DELETE", LOT) == 200
+            assert await two.status("DELETE", JOB_PATH) == 200
 
-        play(check, public=True)
+        run_with_two_edges(check, public=True)
 
     def test_is_answered_503_while_its_edge_is_not_ready_whatever_the_key(self) -> None:
         async def check(one: Edge, two: Edge, workers: FakeWorkers) -> None:
             one.view.fresh = False
             one.relay.unready = lambda: "no fresh news yet"
-            for method, target in (("POST", "/lot/x"), ("GET", LOT), ("GET", ITEM), ("DELETE", LOT)):
+            for method, target in (("POST", "/lot/x"), ("GET", JOB_PATH), ("GET", ITEM_PATH), ("DELETE", JOB_PATH)):
                 status, _, headers = await one.ask(method, target, "k4", job_json("a"))
                 assert status == 503 and float(headers["retry-after"]) > 0
 
-        play(check)
+        run_with_two_edges(check)
 
 
-class Test_the_pages_that_know_no_keys:
+class Test_the_routes_that_check_no_keys:
     def test_show_and_end_no_job_of_a_tenant(self) -> None:
-        """They go by a name that clients give themselves."""
+        """These routes identify a client by a name that it chooses itself, so they must not give access to tenants' jobs."""
 
         async def check(one: Edge, two: Edge, workers: FakeWorkers) -> None:
             workers.full = True
             assert await one.status("POST", "/lot/x", "k1", job_json("a")) == 202
             for method, target in (("GET", "/results"), ("GET", ""), ("DELETE", "")):
-                status, body, _ = await two.ask(method, "/v1/lots/l1" + target, named="t1")
+                status, body, _ = await two.ask(method, "/v1/lots/l1" + target, client_name="t1")
                 assert status == 404 and "items" not in body and "results" not in body
             submitted = json.dumps({"class": "summary", "items": ["x"], "within": 60}).encode()
             assert await two.status("POST", "/v1/lots", body=submitted) == 404
             workers.full = False
             assert await two.states("k1") == ["done"]
 
-        play(check)
+        run_with_two_edges(check)
 
     def test_serve_as_before_without_tenants(self) -> None:
         async def check(one: Edge, two: Edge, workers: FakeWorkers) -> None:
@@ -228,41 +230,41 @@
             assert await two.states("") == ["done"]
             assert await two.status("GET", "/v1/lots/l1/results") == 200
 
-        play(check, tenants=None)
+        run_with_two_edges(check, tenants=None)
 
 
 class Test_an_item:
-    def test_goes_with_the_name_of_its_jobs_tenant_and_without_keys(self) -> None:
+    def test_is_sent_with_the_name_of_its_jobs_tenant_and_without_keys(self) -> None:
         async def check(one: Edge, two: Edge, workers: FakeWorkers) -> None:
-            request, heads = workers.request, list[Any]()
+            request, item_headers = workers.request, list[Any]()
 
-            async def noting(*of: Any, **more: Any) -> Any:
-                heads.append([(name.lower(), value) for name, value in of[3]])
-                return await request(*of, **more)
+            async def recording_request(*arguments: Any, **options: Any) -> Any:
+                item_headers.append([(name.lower(), value) for name, value in arguments[3]])
+                return await request(*arguments, **options)
 
-            workers.request = noting  # type: ignore[method-assign]
+            workers.request = recording_request  # type: ignore[method-assign]
             body = json.loads(job_json("cut"))
             body["items"][0]["headers"] = {"X-Tenant": "t2", "Authorization": "Bearer k1", "x-model": "m"}
             assert await one.status("POST", "/lot/x", "k1", json.dumps(body).encode()) == 202
             assert await one.states("k1") == ["done"]
-            assert len(heads) >= 2  # the first run was cut
-            for head in heads:
-                assert [value for name, value in head if name == b"x-tenant"] == [b"t1"]
-                assert b"authorization" not in dict(head) and dict(head)[b"x-model"] == b"m"
+            assert len(item_headers) >= 2  # the first run was cut
+            for headers in item_headers:
+                assert [value for name, value in headers if name == b"x-tenant"] == [b"t1"]
+                assert b"authorization" not in dict(headers) and dict(headers)[b"x-model"] == b"m"
 
-        play(check)
+        run_with_two_edges(check)
 
 
-def test_a_job_without_tenants_is_kept_as_before() -> None:
+def test_a_job_without_tenants_is_stored_without_a_client() -> None:
     async def check(one: Edge, two: Edge, workers: FakeWorkers) -> None:
         assert await one.status("POST", "/lot/x", "", job_json("a")) == 202
-        kept = [
+        job_bodies = [
             job.body
             for box in one.fleet.boxes.values()
             if isinstance(box.daemon, DataPlane) and box.daemon.store is not None
             for partition in box.daemon.store.partitions.values()
             for job in partition.view.jobs.values()
         ]
-        assert kept and not any("caller" in body for body in kept)
+        assert job_bodies and not any("caller" in body for body in job_bodies)
 
-    play(check, tenants=None)
+    run_with_two_edges(check, tenants=None)
--- a/tests/platform/test_operators.py
+++ b/tests/platform/test_operators.py
@@ -1,4 +1,4 @@
-"""The pages of operators and workers: what is read of a heartbeat, and what is skipped or refused."""
+"""Tests of the HTTP routes for operators and workers: which fields of a heartbeat are read, skipped or rejected."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class RecordedControl:
-    """Stands in for a control member: takes everything, and keeps it."""
+    """A fake control member that accepts every request and records it in `calls`."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[Any, ...]] = []
@@ -34,7 +34,7 @@
 
 
 def ask(method: str, path: str, body: bytes, headers: dict[str, str] | None = None) -> tuple[int, Any, RecordedControl]:
-    """Status and body that a control member answers, and what it handed on."""
+    """Sends a request to the routes; returns the status and body of the response, and the control member that recorded it."""
     control = RecordedControl()
     app = Starlette(routes=adapter("operators").ControlRoutes(control).routes())
     sent: list[Any] = []
@@ -55,38 +55,38 @@
     return sent[0]["status"], json.loads(text) if text else None, control
 
 
-def heartbeat(**other: Any) -> tuple[int, Any, RecordedControl]:
-    return ask("PUT", f"/-/workers/{WORKER}", json.dumps(HEARTBEAT | other).encode())
+def heartbeat(**changed_fields: Any) -> tuple[int, Any, RecordedControl]:
+    return ask("PUT", f"/-/workers/{WORKER}", json.dumps(HEARTBEAT | changed_fields).encode())
 
 
-def announced(**other: Any) -> dict[str, Any]:
+def expected_announcement(**changed_fields: Any) -> dict[str, Any]:
     expected = {"pool": "llm", "url": "http://10.128.0.9:8080", "area": "a", "slots": 24, "leave": False, "cold": False}
-    return expected | other
+    return expected | changed_fields
 
 
 @pytest.mark.parametrize("value", ANY_JSON, ids=repr)
 def test_a_field_of_a_heartbeat_that_is_not_read_is_skipped_whatever_its_type(value: Any) -> None:
-    unread = ("later", "phase", "models", "version")
-    status, _, control = heartbeat(**dict.fromkeys(unread, value))
+    unread_fields = ("later", "phase", "models", "version")
+    status, _, control = heartbeat(**dict.fromkeys(unread_fields, value))
     assert status == 200
-    assert control.calls == [("record_worker_heartbeat", WORKER, announced(), 4)]
+    assert control.calls == [("record_worker_heartbeat", WORKER, expected_announcement(), 4)]
 
 
 def test_numbers_of_a_heartbeat_may_have_a_point_and_null_counts_as_not_set() -> None:
-    for other, expected, seqno in (
-        ({"slots": 24.0, "seqno": 9.0}, announced(), 9),
-        ({"slots": 24.7}, announced(), 4),
-        ({"slots": 0}, announced(slots=1), 4),
-        ({"warmLeftMs": 0.5}, announced(cold=True), 4),
-        ({"warmLeftMs": None, "seqno": None}, announced(), 0),
-        ({"state": "draining"}, announced(leave=True), 4),
+    for changed_fields, expected, seqno in (
+        ({"slots": 24.0, "seqno": 9.0}, expected_announcement(), 9),
+        ({"slots": 24.7}, expected_announcement(), 4),
+        ({"slots": 0}, expected_announcement(slots=1), 4),
+        ({"warmLeftMs": 0.5}, expected_announcement(cold=True), 4),
+        ({"warmLeftMs": None, "seqno": None}, expected_announcement(), 0),
+        ({"state": "draining"}, expected_announcement(leave=True), 4),
     ):
-        status, _, control = heartbeat(**other)
-        assert (status, control.calls) == (200, [("record_worker_heartbeat", WORKER, expected, seqno)]), other
+        status, _, control = heartbeat(**changed_fields)
+        assert (status, control.calls) == (200, [("record_worker_heartbeat", WORKER, expected, seqno)]), changed_fields
 
 
 @pytest.mark.parametrize(
-    ("key", "value", "flaw"),
+    ("key", "value", "error"),
     [
         ("service", 4, "service: want a string, got 4"),
         ("addr", None, "addr: missing, want a string"),
@@ -96,20 +96,20 @@
         ("seqno", "4", "seqno: want a whole number, got '4'"),
     ],
 )
-def test_a_heartbeat_with_a_wrong_type_in_a_field_that_is_read_is_refused_by_name(
-    key: str, value: Any, flaw: str
+def test_a_heartbeat_with_a_wrong_type_in_a_field_that_is_read_is_rejected_with_the_name_of_the_field(
+    key: str, value: Any, error: str
 ) -> None:
     status, body, control = heartbeat(**{key: value})
-    assert (status, body["error"], control.calls) == (400, flaw, [])
+    assert (status, body["error"], control.calls) == (400, error, [])
 
 
-def test_what_is_no_object_is_refused() -> None:
+def test_a_heartbeat_that_is_not_an_object_is_rejected() -> None:
     for body in (b"[]", b"3", b"null", b'"x"', b"{"):
         assert ask("PUT", f"/-/workers/{WORKER}", body)[0] == 400
 
 
 @pytest.mark.parametrize("body", [b"", b"{}", b'{"overS":10,"later":[1]}', b"[null]", b"not json"])
-def test_an_order_without_a_body_of_its_own_takes_any(body: bytes) -> None:
+def test_a_request_that_needs_no_body_accepts_any(body: bytes) -> None:
     status, _, control = ask("POST", "/-/retire/store-a-1", body)
     assert (status, control.calls) == (200, [("retire", "store-a-1")])
     status, _, control = ask("POST", "/-/evac/a", body)
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file as a config: what is read, what is refused, with path, expected type and value."""
+"""Tests of the translation of the platform's settings file, and of its errors: path, expected type and value."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 
 def adapter(name: str) -> ModuleType:
-    """A module of `platform/`, which is no package."""
+    """Imports a module of `platform/`, which is not a package, by its file."""
     if str(FOLDER) not in sys.path:
         sys.path.append(str(FOLDER))
     spec = importlib.util.spec_from_file_location(name, FOLDER / f"{name}.py")
     assert spec is not None and spec.loader is not None
-    made = importlib.util.module_from_spec(spec)
-    sys.modules[name] = made
-    spec.loader.exec_module(made)
-    return made
+    loaded_module = importlib.util.module_from_spec(spec)
+    sys.modules[name] = loaded_module
+    spec.loader.exec_module(loaded_module)
+    return loaded_module
 
 
 def settings_file() -> dict[str, Any]:
@@ -39,7 +39,7 @@
     }  # fmt: skip
 
 
-def test_an_edge_takes_its_place_from_the_file() -> None:
+def test_the_settings_of_an_edge_are_read_from_the_file() -> None:
     settings = adapter("settings").settings_of("edge", settings_file() | {"later": {"added": 1}}).unwrap()
     assert (settings.name, settings.zone, settings.zones, settings.duties) == ("edge-a-1", "a", ("a", "b"), ("edge",))
     assert (settings.peer, settings.http, settings.ready) == ("10.1.0.35:7660", "10.1.0.35:8144", "10.1.0.35:8140")
@@ -54,41 +54,43 @@
     assert (settings.bounds.leave, settings.bounds.recover, settings.bounds.sync) == (2.5, 15, 4.7)
 
 
-def test_a_store_keeps_files_and_a_core_answers_operators() -> None:
-    of = adapter("settings").settings_of
+def test_a_store_has_a_data_directory_and_a_core_an_address_for_operators() -> None:
+    settings_of = adapter("settings").settings_of
     raw = settings_file() | {"listen": {}, "dataDir": "/data/x", "limits": {"diskMb": 100}}
-    store = of("store", raw).unwrap()
+    store = settings_of("store", raw).unwrap()
     assert (store.duties, store.http, store.data, store.disk_bytes) == (
         ("store", "sched"), "10.1.0.35:7661", "/data/x", 95_000_000,
     )  # fmt: skip
-    core = of("core", raw | {"listen": {"ctl": "10.1.0.35:8146"}}).unwrap()
+    core = settings_of("core", raw | {"listen": {"ctl": "10.1.0.35:8146"}}).unwrap()
     assert (core.duties, core.http, core.ready) == ((), "10.1.0.35:8146", "")
 
 
-def test_each_flaw_is_one_line_with_path_want_and_value() -> None:
-    of = adapter("settings").settings_of
-    assert of("door", settings_file()).unwrap_err() == ["role: want one of edge, store, core, got 'door'"]
-    assert of("edge", []).unwrap_err() == ["(top): want an object, got []"]
-    bad = settings_file() | {"portRange": ["x", 2], "bootstrap": "yes", "tolerate": {"servers": "one"}}
-    assert of("edge", bad).unwrap_err() == [
+def test_each_error_is_one_line_with_path_expected_type_and_value() -> None:
+    settings_of = adapter("settings").settings_of
+    assert settings_of("door", settings_file()).unwrap_err() == ["role: want one of edge, store, core, got 'door'"]
+    assert settings_of("edge", []).unwrap_err() == ["(top): want an object, got []"]
+    invalid_file = settings_file() | {"portRange": ["x", 2], "bootstrap": "yes", "tolerate": {"servers": "one"}}
+    assert settings_of("edge", invalid_file).unwrap_err() == [
         "portRange[0]: want a whole number, got 'x'",
         "bootstrap: want true or false, got 'yes'",
         "tolerate.servers: want a whole number, got 'one'",
     ]
-    assert of("core", settings_file()).unwrap_err() == [
+    assert settings_of("core", settings_file()).unwrap_err() == [
         "listen.ctl: missing, want an address",
         "dataDir: missing, want a folder",
     ]
-    assert of("edge", settings_file() | {"seeds": []}).unwrap_err() == ["seeds: want one to three addresses, got 0"]
+    assert settings_of("edge", settings_file() | {"seeds": []}).unwrap_err() == [
+        "seeds: want one to three addresses, got 0"
+    ]
 
 
-def test_a_file_that_cannot_be_read_names_itself() -> None:
+def test_the_error_for_an_unreadable_file_names_the_file() -> None:
     assert adapter("settings").load("edge", "/no/such").unwrap_err() == [
         "/no/such: cannot be read: No such file or directory"
     ]
 
 
-# The bounds of a deployment with tenants; `revoked` tells of a rule, and is no number.
+# The bounds of a deployment with tenants; `revoked` is true or false, where the other bounds are numbers.
 BOUNDS_WITH_TENANTS: dict[str, Any] = {
     "seedLagS": 3, "reuseS": 2, "contactMs": 4000, "ackMs": 5000, "syncS": 6, "drainMs": 2500, "graceS": 8,
     "lossSlackMs": 200, "applyMs": 2500, "revertMs": 250, "skewMs": 6000, "revoked": False, "revokeMs": 5000,
@@ -99,8 +101,8 @@
 
 
 def shared_settings_file(role: str) -> dict[str, Any]:
-    """The file of each class of machines in a deployment with tenants."""
-    listens = {
+    """Returns the settings file of a role in a deployment with tenants."""
+    addresses = {
         "edge": {"front": "10.1.0.10:8628", "ready": "10.1.0.10:8624"},
         "store": {},
         "core": {"ctl": "10.1.0.16:8629"},
@@ -108,7 +110,7 @@
     return settings_file() | {
         "role": f"my-{role}", "class": role, "serves": [{"edge": "edge", "store": "store", "core": "ctl"}[role]],
         "zones": {"sal-nord": "midtjylland", "sal-syd": "midtjylland", "sal-oest": "midtjylland"}, "zone": "sal-nord",
-        "listen": listens[role], "quorum": role != "edge", "dataDir": None if role == "edge" else "/data/postpass",
+        "listen": addresses[role], "quorum": role != "edge", "dataDir": None if role == "edge" else "/data/postpass",
         "limits": {"cpuShare": 0.172, "ncpu": 1, "ramMb": 200, "maxFds": 4100, "netMbps": 15.0, "diskMb": 110},
         "discovery": "join", "entry": "vip", "tolerate": {"servers": 2, "zones": 1, "regions": 0},
         "contracts": ["base", "drain", "config", "tenants", "quota", "batch"], "bounds": BOUNDS_WITH_TENANTS,
@@ -116,7 +118,7 @@
 
 
 def tables(value: Any) -> Iterator[dict[str, Any]]:
-    """Every object of a JSON value, at any depth."""
+    """Yields every object in a JSON value, at any depth."""
     if isinstance(value, dict):
         yield value
         for part in value.values():
@@ -137,38 +139,38 @@
 @pytest.mark.parametrize("role", ["edge", "store", "core"])
 @pytest.mark.parametrize("value", ANY_JSON, ids=repr)
 def test_a_field_that_is_not_read_is_skipped_at_every_depth_whatever_its_type(role: str, value: Any) -> None:
-    of = adapter("settings").settings_of
+    settings_of = adapter("settings").settings_of
     raw = shared_settings_file(role)
-    expected = of(role, raw).unwrap()
+    expected = settings_of(role, raw).unwrap()
     for i in range(len(list(tables(raw)))):
         file = copy.deepcopy(raw)
         table = list(tables(file))[i]
-        if table != file["zones"]:  # its keys are names of zones
+        if table != file["zones"]:  # an added key would be one more zone, since its keys are the names of the zones
             table["laterField"] = copy.deepcopy(value)
-            assert of(role, file).unwrap() == expected
-    # What stands in the file of this release but isn't read may change its type as well.
-    unread = ("role", "class", "serves", "region", "quorum", "discovery", "entry", "contracts")
-    assert of(role, raw | dict.fromkeys(unread, value)).unwrap() == expected
+            assert settings_of(role, file).unwrap() == expected
+    # Fields that the file of this release has but that aren't read may change their types, too.
+    unread_fields = ("role", "class", "serves", "region", "quorum", "discovery", "entry", "contracts")
+    assert settings_of(role, raw | dict.fromkeys(unread_fields, value)).unwrap() == expected
     for key in ("revoked", "seedLagS", "warmExcess"):
-        assert of(role, raw | {"bounds": raw["bounds"] | {key: value}}).unwrap() == expected
+        assert settings_of(role, raw | {"bounds": raw["bounds"] | {key: value}}).unwrap() == expected
 
 
 def test_null_counts_as_not_set_and_a_whole_number_may_have_a_point() -> None:
-    of = adapter("settings").settings_of
+    settings_of = adapter("settings").settings_of
     raw = settings_file()
     nulls = raw | {"limits": None, "tolerate": {"servers": None, "zones": 1.0}, "portRange": [7660.0, 7675.0]}
-    settings = of("edge", nulls | {"bounds": raw["bounds"] | {"graceS": None}}).unwrap()
+    settings = settings_of("edge", nulls | {"bounds": raw["bounds"] | {"graceS": None}}).unwrap()
     assert (settings.disks_lost, settings.zones_lost, settings.peer) == (1, 1, "10.1.0.35:7660")
 
 
 def test_a_field_that_is_read_is_still_checked_with_its_own_type() -> None:
-    of = adapter("settings").settings_of
-    bad = settings_file() | {"bounds": {"recoverS": False, "quotaExcess": "0.1"}, "dataDir": 4}
-    assert of("edge", bad).unwrap_err() == [
+    settings_of = adapter("settings").settings_of
+    invalid_file = settings_file() | {"bounds": {"recoverS": False, "quotaExcess": "0.1"}, "dataDir": 4}
+    assert settings_of("edge", invalid_file).unwrap_err() == [
         "dataDir: want a string, got 4",
         "bounds.recoverS: want a number, got False",
         "bounds.quotaExcess: want a number, got '0.1'",
     ]
     missing = settings_file()
     del missing["bounds"]
-    assert of("edge", missing).unwrap_err() == ["bounds: missing, want an object"]
+    assert settings_of("edge", missing).unwrap_err() == ["bounds: missing, want an object"]
--- a/tests/platform/test_tenants.py
+++ b/tests/platform/test_tenants.py
@@ -1,4 +1,4 @@
-"""Tenants in the platform's configuration: what becomes of them, what makes them invalid, and how patches change them."""
+"""Tests of the tenants in the platform's configuration: their translation, the errors in them, and patches of them."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 
 def with_tenants(version: int = 7) -> dict[str, Any]:
-    made = document(version) | {"tenants": tenants()}
-    made["routes"][1]["public"] = True
-    made["routes"][2]["public"] = False
-    return made
+    raw_document = document(version) | {"tenants": tenants()}
+    raw_document["routes"][1]["public"] = True
+    raw_document["routes"][2]["public"] = False
+    return raw_document
 
 
-def read(raw: Any) -> Any:
+def translate(raw: Any) -> Any:
     return adapter("configuration").operator_configuration(raw)
 
 
@@ -38,7 +38,7 @@
 
 
 def test_tenants_are_read_with_digests_in_place_of_keys() -> None:
-    configured = read(with_tenants()).unwrap()
+    configured = translate(with_tenants()).unwrap()
     assert configured["tenants"] == {
         "huka270": {"keys": [digest(KEY_A), digest(KEY_B)], "rate": 63.0, "burst": 6.5, "rank": 1},
         "lano118": {"keys": [digest(KEY_C)], "rate": 0.0, "burst": 0.0},
@@ -48,28 +48,28 @@
 
 
 def test_a_document_without_tenants_has_none_and_one_with_an_empty_list_has_an_empty_table() -> None:
-    assert "tenants" not in read(document(7)).unwrap()
-    assert "tenants" not in read(document(7) | {"tenants": None}).unwrap()
-    assert read(document(7) | {"tenants": []}).unwrap()["tenants"] == {}
+    assert "tenants" not in translate(document(7)).unwrap()
+    assert "tenants" not in translate(document(7) | {"tenants": None}).unwrap()
+    assert translate(document(7) | {"tenants": []}).unwrap()["tenants"] == {}
 
 
-def test_a_key_that_stands_twice_in_one_tenant_counts_once() -> None:
+def test_a_key_that_is_listed_twice_in_one_tenant_counts_once() -> None:
     raw = document(7) | {"tenants": [{"name": "t", "keys": [KEY_A, KEY_A, KEY_B]}]}
-    assert read(raw).unwrap()["tenants"]["t"]["keys"] == [digest(KEY_A), digest(KEY_B)]
+    assert translate(raw).unwrap()["tenants"]["t"]["keys"] == [digest(KEY_A), digest(KEY_B)]
 
 
 @pytest.mark.parametrize("value", ANY_JSON, ids=repr)
 def test_a_field_that_is_not_read_is_skipped_at_every_depth_whatever_its_type(value: Any) -> None:
     raw = with_tenants()
-    expected = read(raw).unwrap()
+    expected = translate(raw).unwrap()
     for i in range(len(list(tables(raw)))):
         changed = copy.deepcopy(raw)
         list(tables(changed))[i]["laterField"] = copy.deepcopy(value)
-        assert read(changed).unwrap() == expected
-    unread = {"proto": value, "tls": value, "warmupS": value}
-    services = [service | unread for service in raw["services"]]
+        assert translate(changed).unwrap() == expected
+    unread_fields = {"proto": value, "tls": value, "warmupS": value}
+    services = [service | unread_fields for service in raw["services"]]
     services[0]["engine"] = services[0]["engine"] | {"slots": value, "models": value, "interval": value}
-    assert read(raw | {"services": services, "homes": value, "regionsOk": value}).unwrap() == expected
+    assert translate(raw | {"services": services, "homes": value, "regionsOk": value}).unwrap() == expected
 
 
 def test_null_counts_as_not_set_and_a_whole_number_may_have_a_point() -> None:
@@ -77,7 +77,7 @@
     raw["tenants"][0] |= {"prio": 1.0, "rateS": None, "burst": None}
     raw["routes"][0] |= {"prio": 0.0, "tries": 2.0, "public": None, "maxQueued": None}
     raw["version"] = 7.0
-    configured = read(raw).unwrap()
+    configured = translate(raw).unwrap()
     assert configured["tenants"]["huka270"] == {
         "keys": [digest(KEY_A), digest(KEY_B)], "rate": 0.0, "burst": 0.0, "rank": 1,
     }  # fmt: skip
@@ -107,14 +107,14 @@
 def test_an_invalid_tenant_is_refused_with_the_path_and_without_its_keys(change: Any, error: str) -> None:
     raw = with_tenants()
     change(raw["tenants"])
-    found = read(raw).unwrap_err()
-    assert found == [error]
-    assert not any(key in found[0] for key in (KEY_A, KEY_B, KEY_C))
+    errors = translate(raw).unwrap_err()
+    assert errors == [error]
+    assert not any(key in errors[0] for key in (KEY_A, KEY_B, KEY_C))
 
 
-def test_a_document_that_is_none_is_refused_without_what_it_holds() -> None:
-    assert read([{"keys": [KEY_A]}]).unwrap_err() == ["(top): want an object"]
-    assert read(document(7) | {"tenants": {"t": KEY_A}}).unwrap_err() == ["tenants: want a list"]
+def test_the_errors_in_a_malformed_document_do_not_show_its_contents() -> None:
+    assert translate([{"keys": [KEY_A]}]).unwrap_err() == ["(top): want an object"]
+    assert translate(document(7) | {"tenants": {"t": KEY_A}}).unwrap_err() == ["tenants: want a list"]
 
 
 def patched(source: Any, **change: Any) -> Any:
@@ -124,41 +124,45 @@
 def test_a_patch_adds_replaces_and_removes_tenants() -> None:
     changed = {"name": "huka270", "keys": [KEY_B]}
     added = {"name": "piru400", "keys": [], "rateS": 4}
-    got = patched(
+    merged = patched(
         with_tenants(), upsert={"tenants": [changed, added]}, remove={"tenants": ["lano118", "none"]}
     ).unwrap()
-    assert got["tenants"] == [changed, added] and got["version"] == 9
-    assert got["routes"] == with_tenants()["routes"] and got["services"] == with_tenants()["services"]
-    # A tenant is replaced whole: what the patch leaves out isn't set any more.
-    assert read(got).unwrap()["tenants"]["huka270"] == {"keys": [digest(KEY_B)], "rate": 0.0, "burst": 0.0}
+    assert merged["tenants"] == [changed, added] and merged["version"] == 9
+    assert merged["routes"] == with_tenants()["routes"] and merged["services"] == with_tenants()["services"]
+    # A patch replaces the complete tenant: a field that the patch leaves out isn't set any more.
+    assert translate(merged).unwrap()["tenants"]["huka270"] == {
+        "keys": [digest(KEY_B)],
+        "rate": 0.0,
+        "burst": 0.0,
+    }
 
 
-def test_a_patch_of_other_things_neither_makes_nor_takes_away_tenants() -> None:
+def test_a_patch_of_something_else_neither_adds_nor_removes_tenants() -> None:
     changes: list[dict[str, Any]] = [
         {}, {"remove": {"tenants": ["huka270"]}}, {"upsert": {"tenants": []}}, {"upsert": {"tenants": None}},
     ]  # fmt: skip
     for change in changes:
         assert "tenants" not in patched(document(7), **change).unwrap()
     assert patched(with_tenants(), remove={"routes": ["r1"]}).unwrap()["tenants"] == tenants()
-    none_left = patched(with_tenants(), remove={"tenants": ["huka270", "lano118"]}).unwrap()
-    assert none_left["tenants"] == []
+    without_items = patched(with_tenants(), remove={"tenants": ["huka270", "lano118"]}).unwrap()
+    assert without_items["tenants"] == []
     assert patched(document(7), upsert={"tenants": tenants()}).unwrap()["tenants"] == tenants()
 
 
 def test_a_patch_changes_a_list_that_is_not_read_and_keeps_it_in_the_document() -> None:
     source = with_tenants() | {"zones": [{"name": "a", "x": 1}, {"name": "b"}, {"nameless": True}], "odd": {"a": 1}}
-    got = patched(source, upsert={"zones": [{"name": "b", "x": 2}, {"name": "c"}]}, remove={"zones": ["a"]}).unwrap()
-    assert got["zones"] == [{"name": "b", "x": 2}, {"nameless": True}, {"name": "c"}] and got["odd"] == {"a": 1}
+    merged = patched(source, upsert={"zones": [{"name": "b", "x": 2}, {"name": "c"}]}, remove={"zones": ["a"]}).unwrap()
+    assert merged["zones"] == [{"name": "b", "x": 2}, {"nameless": True}, {"name": "c"}] and merged["odd"] == {"a": 1}
     assert patched(source, upsert={"quotas": [{"name": "q"}]}).unwrap()["quotas"] == [{"name": "q"}]
     assert "quotas" not in patched(source, remove={"quotas": ["q"]}).unwrap()
 
 
 @pytest.mark.parametrize("value", ANY_JSON, ids=repr)
-def test_a_patch_with_a_part_that_is_not_read_is_taken_beside_one_that_is(value: Any) -> None:
+def test_a_patch_of_something_that_is_read_may_also_change_anything_that_is_not(value: Any) -> None:
     route = document(7)["routes"][0] | {"timeoutMs": 900}
     change = {"upsert": {"routes": [route], "later": value}, "remove": {"later2": value}, "later3": value}
-    got = patched(with_tenants(), **change).unwrap()
-    assert got["routes"][0]["timeoutMs"] == 900 and read(got).is_ok()
+    merged = patched(with_tenants(), **change).unwrap()
+    assert merged["routes"][0]["timeoutMs"] == 900 and translate(merged).is_ok()
 
 
 @pytest.mark.parametrize(
@@ -179,5 +183,5 @@
         ({"version": 9.5}, "version: missing, want a whole number"),
     ],
 )  # fmt: skip
-def test_a_malformed_patch_is_refused_without_what_it_holds(change: Any, error: str) -> None:
+def test_the_errors_in_a_malformed_patch_do_not_show_its_contents(change: Any, error: str) -> None:
     assert patched(with_tenants(), **change).unwrap_err() == [error]
