--- a/postpass/daemon/announcer.py
+++ b/postpass/daemon/announcer.py
@@ -72,19 +72,19 @@
             addrs = [*self.follower.sources(), *self.partial_view.addresses()]
             candidates = [addr for addr in dict.fromkeys(addrs) if addr != self.settings.peer]
             if not candidates:
-                await asyncio.sleep(bounds.beat / 2)
+                await asyncio.sleep(bounds.heartbeat_interval / 2)
                 continue
             await self._announce_at(
                 self.environment.chance.sample(candidates, min(MAX_CONCURRENT_ANNOUNCEMENTS, len(candidates)))
             )
             if not self.is_registered():
-                await asyncio.sleep(bounds.beat / 2 * (0.6 + 0.8 * self.environment.chance.random()))
+                await asyncio.sleep(bounds.heartbeat_interval / 2 * (0.6 + 0.8 * self.environment.chance.random()))
 
     async def _announce_at(self, addrs: list[str]) -> None:
         """Announces this incarnation to several daemons at once, and fetches the new revision from the one that answers."""
         bounds, view = self.settings.bounds, self.follower.configuration_view
         requests = {
-            addr: self.peer_links.request(addr, "join", {"entry": self.announcement()}, bounds.follow * 2)
+            addr: self.peer_links.request(addr, "join", {"entry": self.announcement()}, bounds.feed_interval * 2)
             for addr in addrs
         }
         responses = await gather_until(requests, any_answered, 0.0)
@@ -93,7 +93,7 @@
                 self.follower.missed[addr] = now()
             if isinstance(response, Ok) and response.unwrap()["edition"] > view.revision:
                 # The feed usually delivers that revision within a moment; it is fetched only if it does not.
-                await view.wait(response.unwrap()["edition"] - 1, bounds.beat / 8)
+                await view.wait(response.unwrap()["edition"] - 1, bounds.heartbeat_interval / 8)
                 if response.unwrap()["edition"] > view.revision:
                     await self.follower.fetch(addr)
 
@@ -106,4 +106,4 @@
         addr = next((source for source in self.follower.sources() if source != self.settings.peer), "")
         if not addr or body.get("hop"):
             return Err(Fault("join", self.settings.name, "no control machine is known here", REJECTED))
-        return await self.peer_links.request(addr, "join", body | {"hop": 1}, self.settings.bounds.follow)
+        return await self.peer_links.request(addr, "join", body | {"hop": 1}, self.settings.bounds.feed_interval)
--- a/postpass/daemon/data_plane.py
+++ b/postpass/daemon/data_plane.py
@@ -93,7 +93,7 @@
             self.environment,
             self.configuration_view,
             session,
-            self.settings.bounds.deaf,
+            self.settings.bounds.isolation_time,
             peer_links=peer_links,
         )
 
@@ -136,9 +136,9 @@
             self.relay.workers.others_load = self.others_of_edge
         if self.scheduler is not None:
             self.scheduler.route_capacity.live_load = self.others_of_scheduler
-            exchange.updated = self.scheduler.on_load_update
+            exchange.on_update = self.scheduler.on_load_update
             if self.relay is None:
-                exchange.wanted = lambda: self.scheduler is not None and self.scheduler.active
+                exchange.is_needed = lambda: self.scheduler is not None and self.scheduler.active
 
     def own_use(self) -> LoadReport:
         """Returns what the edge and the scheduler of this process have running at each worker."""
@@ -198,7 +198,7 @@
             await self.store.leave()
         if self.edge is not None:
             # A load balancer checks readiness once a second, and needs two failed checks to notice.
-            await asyncio.sleep(self.settings.bounds.hand if self.relay is None else LEAVE_NOTICED)
+            await asyncio.sleep(self.settings.bounds.leave_notice if self.relay is None else LEAVE_NOTICED)
         if self.scheduler is not None:
             await self.scheduler.drain()
 
@@ -239,7 +239,7 @@
         If there is a grace period, it is what the other steps of an orderly exit leave of it.
         """
         grace = self.settings.bounds.grace
-        return self.settings.bounds.drain if grace == 0 else max(1.0, grace - LEAVE_NOTICED - GRACE_RESERVE)
+        return self.settings.bounds.drain_time if grace == 0 else max(1.0, grace - LEAVE_NOTICED - GRACE_RESERVE)
 
     def protocol(self) -> Any:
         """Returns the HTTP protocol: in an announced fleet one whose limits on request heads the configuration sets."""
@@ -270,7 +270,9 @@
         if self.edge is not None:
             coroutines += self.edge.tasks()
             # Workers of an announced fleet aren't polled: polls cost them capacity, and control reports their state.
-            coroutines += [] if self.settings.announce else [self.worker_load.poll_loop(self.settings.bounds.probe)]
+            coroutines += (
+                [] if self.settings.announce else [self.worker_load.poll_loop(self.settings.bounds.probe_interval)]
+            )
             coroutines += [serve_ready(self.settings.ready, lambda: not self.ready())] if self.settings.ready else []
         if self.load_exchange is not None:
             coroutines.append(self.load_exchange.run())
--- a/postpass/daemon/gossip.py
+++ b/postpass/daemon/gossip.py
@@ -47,8 +47,8 @@
     name_clash: str = ""
 
     async def run(self) -> None:
-        """Shuffles at random intervals around the bound `follow`; runs until it is cancelled."""
-        interval, namesake_address = self.settings.bounds.follow, ""
+        """Shuffles at random intervals around the bound `feed_interval`; runs until it is cancelled."""
+        interval, namesake_address = self.settings.bounds.feed_interval, ""
         while True:
             await asyncio.sleep(interval * (0.7 + 0.6 * self.environment.chance.random()))
             self.next_own_record()
@@ -64,7 +64,7 @@
     async def _greet_namesake(self, addr: str) -> None:
         """Exchanges records with the process at another address that has the same name, so that both notice the clash."""
         body: Body = {"cards": [self.partial_view.own_record]}
-        response = await self.peer_links.request(addr, "shuffle", body, self.settings.bounds.follow)
+        response = await self.peer_links.request(addr, "shuffle", body, self.settings.bounds.feed_interval)
         if isinstance(response, Ok):
             self.note_name_clash(response.unwrap()["cards"])
 
@@ -76,7 +76,7 @@
             return
         requested_at = now()
         body: Body = {"cards": offered_records, "heights": self.partition_epochs}
-        response = await self.peer_links.request(addr, "shuffle", body, self.settings.bounds.follow)
+        response = await self.peer_links.request(addr, "shuffle", body, self.settings.bounds.feed_interval)
         self.shuffles.labels("ok" if isinstance(response, Ok) else "failed").inc()
         if isinstance(response, Err):
             if neighbour is not None:
@@ -118,7 +118,7 @@
         neighbours = sorted(self.partial_view.neighbours.items())
         others = [other.record["peer"] for other_name, other in neighbours if other_name != name]
         helpers = self.environment.chance.sample(others, min(MAX_PROBE_HELPERS, len(others)))
-        timeout = self.settings.bounds.beat * 2
+        timeout = self.settings.bounds.heartbeat_interval * 2
         responses = await asyncio.gather(
             *(self.peer_links.request(helper, "ping", {"reach": addr}, timeout) for helper in helpers)
         )
@@ -137,7 +137,7 @@
 
     async def ask_epochs(self) -> int:
         """Asks all machines for the epochs that they know, takes them over, and returns how many machines answered."""
-        addrs, timeout = self.follower.configuration_view.addresses_of_others(), self.settings.bounds.beat
+        addrs, timeout = self.follower.configuration_view.addresses_of_others(), self.settings.bounds.heartbeat_interval
         responses = await asyncio.gather(
             *(self.peer_links.request(addr, "ping", {"heights": 1}, timeout) for addr in addrs if addr)
         )
--- a/postpass/daemon/process.py
+++ b/postpass/daemon/process.py
@@ -131,7 +131,7 @@
     @property
     def drain(self) -> float:
         """How many seconds requests in progress may take once nothing new is accepted."""
-        return self.settings.bounds.drain
+        return self.settings.bounds.drain_time
 
     def protocol(self) -> Any:
         """Returns the HTTP protocol of the server, as a name or as a class."""
@@ -293,7 +293,7 @@
 
     async def _ping_for_another(self, body: Body) -> PeerResponse:
         """Pings the daemon at the address `reach` for a peer that can't reach it, and answers whether it responded."""
-        timeout = self.settings.bounds.beat
+        timeout = self.settings.bounds.heartbeat_interval
         if body.get("want", 0) > self.configuration_view.revision and body.get("at"):
             # The pinged daemon will fetch the revision from this one.
             await self.follower.fetch(body["at"], timeout)
@@ -318,7 +318,7 @@
 
         It asks all machines, and is called only after data of the partition was lost.
         """
-        addrs, timeout = self.configuration_view.addresses_of_others(), self.settings.bounds.beat
+        addrs, timeout = self.configuration_view.addresses_of_others(), self.settings.bounds.heartbeat_interval
         responses = await asyncio.gather(
             *(self.peer_links.request(addr, "ping", {"kept": part}, timeout) for addr in addrs if addr)
         )
--- a/tests/batch/test_quota_service.py
+++ b/tests/batch/test_quota_service.py
@@ -18,7 +18,7 @@
 from postpass.replication.partition import Partition
 from postpass.replication.record_log import Record
 from postpass.rpc.codec import Body, PeerResponse
-from postpass.runtime.errors import CROWD, MOVED, SLOW, Fault
+from postpass.runtime.errors import NOT_RESPONSIBLE, TIMED_OUT, TOO_MANY_REQUESTS, Fault
 from sim.loop import SimLoop, run_sim
 
 PARTITIONS = 3
@@ -61,7 +61,9 @@
 
     def __init__(self, network: Network, name: str, number: int) -> None:
         self.network, self.configuration_view = network, network.view
-        self.settings = SimpleNamespace(name=name, bounds=SimpleNamespace(beat=HEARTBEAT_S, detect=5 * HEARTBEAT_S))
+        self.settings = SimpleNamespace(
+            name=name, bounds=SimpleNamespace(heartbeat_interval=HEARTBEAT_S, detection_time=5 * HEARTBEAT_S)
+        )
         self.background_tasks: set[asyncio.Task[None]] = set()
         self.partition = Partition(number, name, "disk", owner=name, epoch=1)
         self.partitions = {number: self.partition}
@@ -70,7 +72,7 @@
     def owned_partition(self, number: int, step: str) -> Result[Partition, Fault]:
         if number == self.partition.id:
             return Ok(self.partition)
-        return Err(Fault(step, self.settings.name, "not the owner", MOVED, f"s{number}"))
+        return Err(Fault(step, self.settings.name, "not the owner", NOT_RESPONSIBLE, f"s{number}"))
 
     async def confirm(self, partition: Partition) -> bool:
         await asyncio.sleep(0.001)
@@ -80,12 +82,12 @@
         await asyncio.sleep(0.001)
         store = self.network.stores[name]
         if name in self.network.unreachable:
-            return Err(Fault(verb, name, "no answer", SLOW))
+            return Err(Fault(verb, name, "no answer", TIMED_OUT))
         handler = {"reserve": store.quota.on_reserve, "waiting": store.quota.on_waiting}[verb]
         answer = await handler(json.loads(json.dumps(body)))
         self.network.request_counts[verb] += isinstance(answer, Ok)
         if self.network.lose_answer(verb, body):
-            return Err(Fault(verb, name, "no answer", SLOW))
+            return Err(Fault(verb, name, "no answer", TIMED_OUT))
         return answer
 
     async def reserve(self, key: BudgetKey, tokens: int) -> Fault | None:
@@ -147,7 +149,7 @@
         network.request_counts.clear()
         owner = network.owner(1)
         faults = await asyncio.gather(*(owner.reserve(key, 90) for key in others), owner.reserve(FIRM, 50))
-        assert faults[:-1] == [None] * len(others) and faults[-1] is not None and faults[-1].code == CROWD
+        assert faults[:-1] == [None] * len(others) and faults[-1] is not None and faults[-1].code == TOO_MANY_REQUESTS
         assert network.request_counts["waiting"] == PARTITIONS
 
     run_simulated(main)
--- a/tests/platform/test_job_keys.py
+++ b/tests/platform/test_job_keys.py
@@ -31,7 +31,7 @@
         self.fleet = fleet
         edge = api.edge
         self.relay = Relay(edge.settings, edge.environment, edge.configuration_view, Dialect(), CollectorRegistry())
-        job_routes = module("clients").JobRoutes(api, self.relay.job_client)
+        job_routes = module("clients").JobRoutes(api, self.relay.authenticate_job_client)
         edge.extra_routes = job_routes.paths()
         self.relay.job_handler, self.relay.fallback = job_routes.post, Starlette(routes=edge.routes())
         self.view = edge.configuration_view
--- a/tests/sim/test_broken_variants.py
+++ b/tests/sim/test_broken_variants.py
@@ -36,7 +36,7 @@
 from postpass.replication.reconfiguration import Reconfiguration
 from postpass.routing import live_choice
 from postpass.runtime.environment import now
-from postpass.runtime.errors import LACK, SLOW, Fault
+from postpass.runtime.errors import NOT_FOUND, TIMED_OUT, Fault
 from postpass.storage.segmented_log import SegmentedLog
 from sim.announced import module
 from sim.rules import CHECKS
@@ -170,7 +170,7 @@
 
 # --- leaving in order
 def bars_nobody(mp: pytest.MonkeyPatch) -> None:
-    mp.setattr(WorkerSelection, "barred", lambda *_: False)
+    mp.setattr(WorkerSelection, "is_barred", lambda *_: False)
 
 
 def leaves_at_once(mp: pytest.MonkeyPatch) -> None:
@@ -205,7 +205,7 @@
     async def results(self: JobService, body: Any) -> Any:
         got = await plain(self, body)
         late = isinstance(got, Ok) and got.unwrap()["next"] >= got.unwrap()["total"]
-        return Err(Fault("results", self.store.settings.name, "no such lot", LACK)) if late else got
+        return Err(Fault("results", self.store.settings.name, "no such lot", NOT_FOUND)) if late else got
 
     mp.setattr(JobService, "on_results", results)
 
@@ -222,19 +222,19 @@
             )
 
     mp.setattr(ControlPlane, "open", opened)
-    mp.setattr(WorkerSelection, "barred", lambda self, configuration, server: bool(server.get("leave")))
+    mp.setattr(WorkerSelection, "is_barred", lambda self, configuration, server: bool(server.get("leave")))
 
 
 # --- configuration
 def keeps_the_first_routes(mp: pytest.MonkeyPatch) -> None:
-    plain = WorkerSelection.learn
+    plain = WorkerSelection.apply_configuration
 
-    def learn(self: WorkerSelection, configuration: Any) -> None:
+    def apply_configuration(self: WorkerSelection, configuration: Any) -> None:
         table = self.table
         plain(self, configuration)
         self.table = table if table.hosts else self.table
 
-    mp.setattr(WorkerSelection, "learn", learn)
+    mp.setattr(WorkerSelection, "apply_configuration", apply_configuration)
     mp.setattr(WorkerSelection, "check_admission", lambda *_: "")
 
 
@@ -295,7 +295,7 @@
 
     async def on_order(self: ControlPlane, body: Any) -> Any:
         got = await plain(self, body)
-        return Err(Fault("order", self.settings.name, "busy", SLOW)) if now() > LEAD else got
+        return Err(Fault("order", self.settings.name, "busy", TIMED_OUT)) if now() > LEAD else got
 
     mp.setattr(ControlPlane, "on_order", on_order)
 
@@ -305,7 +305,7 @@
 
     async def beat(self: ControlPlane, who: str, standing: Any, seqno: int) -> Any:
         got = await plain(self, who, standing, seqno)
-        return Err(Fault("beat", self.settings.name, "busy", SLOW)) if standing["leave"] else got
+        return Err(Fault("beat", self.settings.name, "busy", TIMED_OUT)) if standing["leave"] else got
 
     mp.setattr(ControlPlane, "record_worker_heartbeat", beat)
 
@@ -317,7 +317,7 @@
 
     async def run(self: Relay, request: Any) -> None:
         await plain(self, request)
-        if request.begun and request.attempt_log.last.state != "done":
+        if request.answer_begun and request.attempt_log.last.state != "done":
             await request.send({"type": "http.response.body", "body": b""})
 
     mp.setattr(Relay, "run", run)
@@ -389,7 +389,7 @@
 # --- liveness
 def budget_never_answers(mp: pytest.MonkeyPatch) -> None:
     async def reserve(self: QuotaService, body: dict[str, Any]) -> Any:
-        return Err(Fault("reserve", self.store.settings.name, "not now", SLOW))
+        return Err(Fault("reserve", self.store.settings.name, "not now", TIMED_OUT))
 
     mp.setattr(QuotaService, "on_reserve", reserve)
 
