--- a/postpass/cli/doctor.py
+++ b/postpass/cli/doctor.py
@@ -71,13 +71,13 @@
     if machine.store is not None:
         yield from _store_findings(name, machine.store)
     for key, worker in machine.workers.items():
-        if worker.barred.startswith("weights"):
+        if worker.blocked_reason.startswith("weights"):
             remedy = "load the right weights, or correct them in the manifest"
-            yield Finding("D12", f"{name} {key}", worker.barred, remedy)
+            yield Finding("D12", f"{name} {key}", worker.blocked_reason, remedy)
 
 
 def _uptime(machine: MachineStatus | None, default: float) -> float:
-    return default if machine is None or machine.up is None else machine.up
+    return default if machine is None or machine.uptime_s is None else machine.uptime_s
 
 
 def _name_findings(name: str, machine: MachineStatus, configured: Machine) -> Iterator[Finding]:
@@ -158,7 +158,7 @@
         if earlier_partition is None or earlier_partition.epoch != partition.epoch:
             continue
         if earlier_partition.last > earlier_partition.covered == partition.covered:
-            awaited = ", ".join(partition.awaited) or "nobody that is known"
+            awaited = ", ".join(partition.awaited_members) or "nobody that is known"
             yield Finding("D15", f"partition {partition.number}",
                           f"covers nothing beyond {partition.covered} of {partition.last} at {row.owner}; waits for {awaited}",
                           "look at these stores, their disks and their links; jobs of this partition are not kept")  # fmt: skip
--- a/postpass/cli/fleet_client.py
+++ b/postpass/cli/fleet_client.py
@@ -60,7 +60,7 @@
         """The revision of the configuration, from the response's entity tag."""
         return self.headers["etag"].strip('"')
 
-    def refusal(self) -> str:
+    def error_line(self) -> str:
         """Returns why the machine rejected the request, as one line."""
         error = self.body.get("error", {}) if isinstance(self.body, dict) else {}
         why = error.get("why", str(self.body)[:MAX_BODY_SHOWN])
@@ -92,7 +92,7 @@
     return addresses(flag_value, "POSTPASS_EDGE", "edge")
 
 
-async def ask(
+async def request_from_any(
     addrs: list[str],
     method: str,
     path: str,
@@ -145,7 +145,7 @@
 
 async def read_configuration(addrs: list[str]) -> Answer:
     """Asks control machines for the configuration in force; the response may be an error, so callers check its status."""
-    return await ask(addrs, "GET", CONFIGURATION_PATH)
+    return await request_from_any(addrs, "GET", CONFIGURATION_PATH)
 
 
 async def control_status_pages(addrs: list[str]) -> dict[str, Any]:
@@ -153,7 +153,7 @@
 
     async def read_control_status(addr: str) -> Any:
         try:
-            return (await ask([addr], "GET", STATUS_PATH, timeout_s=STATUS_TIMEOUT_S)).body
+            return (await request_from_any([addr], "GET", STATUS_PATH, timeout_s=STATUS_TIMEOUT_S)).body
         except CommandError:
             return None
 
@@ -169,11 +169,11 @@
     """
     answer = await read_configuration(addrs)
     if answer.status != 200:
-        raise CommandError(ExitCode.UNKNOWN, answer.refusal())
+        raise CommandError(ExitCode.UNKNOWN, answer.error_line())
 
     async def read_status_page(machine: dict[str, Any]) -> Any:
         try:
-            return (await ask([machine["http"]], "GET", STATUS_PATH, timeout_s=STATUS_TIMEOUT_S)).body
+            return (await request_from_any([machine["http"]], "GET", STATUS_PATH, timeout_s=STATUS_TIMEOUT_S)).body
         except CommandError as error:
             return {"unreachable": f"{program}: {error.reason}"}
 
--- a/postpass/cli/main.py
+++ b/postpass/cli/main.py
@@ -86,7 +86,7 @@
         """
         answer = asyncio.run(fleet_client.read_configuration(control_addresses(control)))
         if answer.status != 200:
-            raise CommandError(ExitCode.REFUSED if answer.status == 404 else ExitCode.UNKNOWN, answer.refusal())
+            raise CommandError(ExitCode.REFUSED if answer.status == 404 else ExitCode.UNKNOWN, answer.error_line())
         print(f"edition {answer.revision}", file=sys.stderr)
         write_json(out, answer.body)
         return ExitCode.OK
@@ -105,7 +105,7 @@
             return ExitCode.REFUSED
         addrs, headers = control_addresses(control), {"if-match": f'"{edition}"'}
         path = fleet_client.CONFIGURATION_PATH
-        answer = asyncio.run(fleet_client.ask(addrs, "PUT", path, configuration.unwrap(), headers))
+        answer = asyncio.run(fleet_client.request_from_any(addrs, "PUT", path, configuration.unwrap(), headers))
         if answer.status == 200:
             print(f"edition {answer.body['edition']} is in force")
             return ExitCode.OK
@@ -119,13 +119,13 @@
             reason = f"edition {answer.revision} is in force, this was made from {edition}; get it anew"
             raise CommandError(ExitCode.REFUSED, reason)
         print_errors(answer.body.get("flaws", []) if isinstance(answer.body, dict) else [])
-        raise CommandError(ExitCode.REFUSED if answer.status < 500 else ExitCode.UNKNOWN, answer.refusal())
+        raise CommandError(ExitCode.REFUSED if answer.status < 500 else ExitCode.UNKNOWN, answer.error_line())
 
     def diff(self, file: str, control: str = "") -> int:
         """Shows what applying a manifest file would change; exits with 1 if there are changes, 0 if there are none."""
         answer = asyncio.run(fleet_client.read_configuration(control_addresses(control)))
         if answer.status != 200:
-            raise CommandError(ExitCode.UNKNOWN, answer.refusal())
+            raise CommandError(ExitCode.UNKNOWN, answer.error_line())
         changes = delta(answer.body, read_json(file))
         for change in changes:
             value = json.dumps(change[1], ensure_ascii=False) if len(change) > 1 else "(dropped)"
@@ -170,15 +170,17 @@
           client: your name as a client; a lot that is sent under a name can be read under that name only.
         """
         headers = {"x-caller": client or caller}
-        answer = asyncio.run(fleet_client.ask(edge_addresses(edge), "POST", JOBS_PATH, read_json(file), headers))
+        answer = asyncio.run(
+            fleet_client.request_from_any(edge_addresses(edge), "POST", JOBS_PATH, read_json(file), headers)
+        )
         if answer.status == 201:
             print(f"{answer.body['id']} {answer.body['state']}")
             return ExitCode.OK
         state = answer.body.get("error", {}).get("state", "") if isinstance(answer.body, dict) else ""
         if state == "unknown":
             hint = f"ask with: {self._program} lot show {answer.body['error']['id']}"
-            raise CommandError(ExitCode.UNKNOWN, f"{answer.refusal()}; {hint}")
-        raise CommandError(ExitCode.REFUSED, answer.refusal())
+            raise CommandError(ExitCode.UNKNOWN, f"{answer.error_line()}; {hint}")
+        raise CommandError(ExitCode.REFUSED, answer.error_line())
 
     @SetParseFns(lot=str)
     def show(self, lot: str, edge: str = "", caller: str = "", client: str = "") -> int:
@@ -211,9 +213,11 @@
 
 def _request_job(method: str, path: str, edge: str, client: str) -> Any:
     """Sends a request about a job to an edge, and returns the body of its response; raises CommandError if it is an error."""
-    answer: Answer = asyncio.run(fleet_client.ask(edge_addresses(edge), method, path, None, {"x-caller": client}))
+    answer: Answer = asyncio.run(
+        fleet_client.request_from_any(edge_addresses(edge), method, path, None, {"x-caller": client})
+    )
     if answer.status != 200:
-        raise CommandError(ExitCode.UNKNOWN if answer.status >= 500 else ExitCode.REFUSED, answer.refusal())
+        raise CommandError(ExitCode.UNKNOWN if answer.status >= 500 else ExitCode.REFUSED, answer.error_line())
     return answer.body
 
 
--- a/postpass/cli/status.py
+++ b/postpass/cli/status.py
@@ -101,8 +101,8 @@
             labels.append(f"LOSSES {machine.control['losses']}")
     if machine.running_jobs is not None:
         labels.append(f"scheduling, {machine.running_jobs} running")
-    if machine.lack:
-        labels.append(f"NOT READY: {machine.lack}")
+    if machine.unready_reason:
+        labels.append(f"NOT READY: {machine.unready_reason}")
     return labels
 
 
--- a/postpass/cli/status_page.py
+++ b/postpass/cli/status_page.py
@@ -41,7 +41,7 @@
     members: dict[str, str]
     replicas: dict[str, ReplicaStatus]
     fully_synced: bool = True
-    awaited: tuple[
+    awaited_members: tuple[
         str, ...
     ] = ()  # members whose acknowledgement is missing for the first record that isn't durably replicated
 
@@ -77,9 +77,9 @@
 
 @dataclass(frozen=True)
 class WorkerStatus:
-    """A worker as an edge sees it: `barred` is why it gets no requests, and `requests` how many of this edge it has."""
+    """A worker as an edge sees it: `blocked_reason` is why it gets no requests, and `requests` how many of this edge it has."""
 
-    barred: str
+    blocked_reason: str
     requests: int
 
 
@@ -87,7 +87,7 @@
 class MachineStatus:
     """A machine that answered.
 
-    `up` is for how many seconds its process has been running, by its own clock. `lack` is why it isn't ready, empty if
+    `uptime_s` is for how many seconds its process has been running, by its own clock. `unready_reason` is why it isn't ready, empty if
     it is. `name_clash` describes another process that uses its name. `addresses` has `peer`, `http` and `area`, if they
     were reported. `control` is the status of a control member, as `postpass.control.health` reads it. A field is None
     if it wasn't reported.
@@ -96,10 +96,10 @@
     name: str
     revision: int
     release: str
-    lack: str
+    unready_reason: str
     name_clash: str
     duties: tuple[str, ...] | None
-    up: float | None
+    uptime_s: float | None
     addresses: dict[str, str]
     store: StoreStatus | None = None
     control: Mapping[str, Any] | None = None
@@ -118,10 +118,10 @@
             name=raw["name"],
             revision=raw["edition"],
             release=raw["release"],
-            lack=raw.get("ready", ""),
+            unready_reason=raw.get("ready", ""),
             name_clash=raw.get("clash", ""),
             duties=None if duties is None else tuple(duties),
-            up=raw.get("up"),
+            uptime_s=raw.get("up"),
             addresses={key: raw[key] for key in ("peer", "http", "area") if key in raw},
             store=StoreStatus.from_json(raw["store"]) if raw.get("store") else None,
             control=raw.get("control"),
--- a/postpass/control/api.py
+++ b/postpass/control/api.py
@@ -143,7 +143,7 @@
             {"edition": answer.revision} | unconfirmed_field, status, headers=entity_tag(answer.revision)
         )
 
-    async def more_status(self) -> Body:
+    async def duty_status_fields(self) -> Body:
         """Returns what a control member's status has beside the status that every daemon reports."""
         seconds_since_contact = round(now() - self.last_contact(), 3)
         return {
--- a/postpass/control/contact.py
+++ b/postpass/control/contact.py
@@ -51,7 +51,7 @@
         yet and so has no primary."""
         if self.epoch or self.known_configuration() is None or self.is_renewing_replica_set():
             return False
-        return now() - max(self.last_contact(), self.started) > self.settings.bounds.contact_lease
+        return now() - max(self.last_contact(), self.started_at) > self.settings.bounds.contact_lease
 
     def is_renewing_replica_set(self) -> bool:
         """Returns whether this is the primary while it takes another backup or voter by a new epoch; for a moment it
--- a/postpass/control/leadership.py
+++ b/postpass/control/leadership.py
@@ -188,7 +188,7 @@
 
         A primary hands over to a backup, which then takes a backup of its own; if no backup takes over, the primary
         first takes another backup. A backup waits until the primary has replaced it; the primary learns with its next
-        heartbeat that this member leaves. The time for all this is limited by `leave_limit`.
+        heartbeat that this member leaves. The time for all this is limited by `depart_time_limit`.
         """
         handed_over = False
         while self.epoch or self.others_need_this_member():
@@ -207,9 +207,9 @@
             await asyncio.sleep(self.settings.bounds.heartbeat_interval / 4)
 
     @property
-    def leave_limit(self) -> float:
+    def depart_time_limit(self) -> float:
         """Seconds for which this member waits until others hold what it holds; then it ends in any case, its disk as it is."""
-        return max(super().leave_limit, self.settings.bounds.grace * 0.75)
+        return max(super().depart_time_limit, self.settings.bounds.grace * 0.75)
 
     def others_need_this_member(self) -> bool:
         """Returns whether the others still depend on this member's copy or vote, by the newest epoch that it granted."""
--- a/postpass/control/member.py
+++ b/postpass/control/member.py
@@ -269,10 +269,10 @@
         fault."""
         self.disk_failure = why
         log_events.emit(Event.DISK_FAILED, self.settings.name, why=why)
-        self.failed = Fault("sync", self.settings.name, why)
+        self.fatal_fault = Fault("sync", self.settings.name, why)
         self.stop.set()
         self.closed.set()
-        return self.failed
+        return self.fatal_fault
 
     def vote_answer(self, accepted: bool) -> VoteAnswer:
         """Returns the answer to a request for a vote, with what this member has promised and stores."""
--- a/postpass/daemon/data_plane.py
+++ b/postpass/daemon/data_plane.py
@@ -33,7 +33,9 @@
 if TYPE_CHECKING:
     import aiohttp
 
-LEAVE_NOTICED = 2.5  # seconds until load balancers send no new connections to an edge that reports that it isn't ready
+UNREADY_DETECTION_DELAY = (
+    2.5  # seconds until load balancers send no new connections to an edge that reports that it isn't ready
+)
 GRACE_RESERVE = 1.0  # seconds of the grace period that are reserved for closing
 
 
@@ -133,9 +135,9 @@
             "postpass_load_picture_age_seconds", "Age of what is known of the load of others", registry=self.registry
         ).set_function(lambda: exchange.age)
         if self.relay is not None:
-            self.relay.workers.others_load = self.others_of_edge
+            self.relay.workers.others_load = self.load_besides_edge
         if self.scheduler is not None:
-            self.scheduler.route_capacity.live_load = self.others_of_scheduler
+            self.scheduler.route_capacity.live_load = self.load_besides_scheduler
             exchange.on_update = self.scheduler.on_load_update
             if self.relay is None:
                 exchange.is_needed = lambda: self.scheduler is not None and self.scheduler.active
@@ -146,7 +148,7 @@
         scheduler = self.scheduler.own_use() if self.scheduler is not None else {}
         return sum_reports([edge, scheduler]) if edge and scheduler else edge or scheduler
 
-    def others_of_edge(self) -> LoadReport | None:
+    def load_besides_edge(self) -> LoadReport | None:
         """Returns the load at the workers apart from that of this process's edge; None if it isn't known."""
         exchange = self.load_exchange
         if exchange is None or not exchange.is_fresh:
@@ -154,7 +156,7 @@
         scheduler = self.scheduler.own_use() if self.scheduler is not None else {}
         return sum_reports([exchange.others, scheduler]) if scheduler else exchange.others
 
-    def others_of_scheduler(self) -> LoadReport | None:
+    def load_besides_scheduler(self) -> LoadReport | None:
         """Returns the load at the workers apart from that of this process's scheduler; None if it isn't known."""
         exchange = self.load_exchange
         if exchange is None or not exchange.is_fresh:
@@ -198,11 +200,11 @@
             await self.store.leave()
         if self.edge is not None:
             # A load balancer checks readiness once a second, and needs two failed checks to notice.
-            await asyncio.sleep(self.settings.bounds.leave_notice if self.relay is None else LEAVE_NOTICED)
+            await asyncio.sleep(self.settings.bounds.leave_notice if self.relay is None else UNREADY_DETECTION_DELAY)
         if self.scheduler is not None:
             await self.scheduler.drain()
 
-    def kept_jobs(self, part: int) -> list[str]:
+    def recently_accepted_jobs(self, part: int) -> list[str]:
         """Returns the names of the partition's jobs that this edge has lately reported to a client as accepted."""
         if self.edge is None or self.configuration_view.manifest is None:
             return []
@@ -239,7 +241,9 @@
         If there is a grace period, it is what the other steps of an orderly exit leave of it.
         """
         grace = self.settings.bounds.grace
-        return self.settings.bounds.drain_time if grace == 0 else max(1.0, grace - LEAVE_NOTICED - GRACE_RESERVE)
+        return (
+            self.settings.bounds.drain_time if grace == 0 else max(1.0, grace - UNREADY_DETECTION_DELAY - GRACE_RESERVE)
+        )
 
     def protocol(self) -> Any:
         """Returns the HTTP protocol: in an announced fleet one whose limits on request heads the configuration sets."""
@@ -305,6 +309,6 @@
             if self.tenant_shares is not None:
                 self.tenant_shares.close()
 
-    async def more_status(self) -> Body:
+    async def duty_status_fields(self) -> Body:
         """Returns the fields that the duties add to the status page."""
         return await duty_status(self.store, self.edge, self.scheduler)
--- a/postpass/daemon/health_endpoints.py
+++ b/postpass/daemon/health_endpoints.py
@@ -62,7 +62,7 @@
     settings: Settings
     release: str
     leaving: bool
-    started: float
+    started_at: float
     registry: CollectorRegistry
     configuration_view: ConfigurationView
     partial_view: PartialView
@@ -76,7 +76,7 @@
         """Returns why the daemon isn't ready to serve; empty if it is."""
         ...
 
-    async def more_status(self) -> Body:
+    async def duty_status_fields(self) -> Body:
         """Returns the fields that the duties of the daemon add to the status page."""
         ...
 
@@ -118,6 +118,6 @@
             "name": settings.name, "area": settings.zone, "peer": settings.peer, "http": settings.http,
             "duties": list(settings.duties), "release": daemon.release, "edition": view.revision,
             "fresh": view.fresh, "leaving": daemon.leaving, "deaf": view.is_isolated(settings.bounds.isolation_time),
-            "up": round(now() - daemon.started, 3), "ready": daemon.ready(), "clash": daemon.name_clash,
-            "neighbours": sorted(daemon.partial_view.neighbours), **await daemon.more_status(),
+            "up": round(now() - daemon.started_at, 3), "ready": daemon.ready(), "clash": daemon.name_clash,
+            "neighbours": sorted(daemon.partial_view.neighbours), **await daemon.duty_status_fields(),
         })  # fmt: skip
--- a/postpass/daemon/process.py
+++ b/postpass/daemon/process.py
@@ -48,7 +48,7 @@
 
     States: starting (before `run` serves), serving, leaving (`stop` is set, and `leaving` is true while the work of this
     daemon is handed over), closed (`closed` is set). Invariants: `stop` is set once and never cleared; a task that fails
-    ends the daemon, and `failed` then holds the fault; `closed` is set only after `stop`.
+    ends the daemon, and `fatal_fault` then holds the fault; `closed` is set only after `stop`.
 
     `read_config` reads the settings file again; None if the settings don't come from a file that may change.
     """
@@ -66,10 +66,10 @@
         self.configuration_view = ConfigurationView(settings.name)
         self.peer_links = PeerLinks()
         self.incarnation = int(environment.wall() * 1000)
-        self.started = 0.0
+        self.started_at = 0.0
         self.partial_view = PartialView(self._first_record(), environment.chance)
         self.registry = CollectorRegistry()
-        self.failed: Fault | None = None
+        self.fatal_fault: Fault | None = None
         self.spawned: set[asyncio.Task[None]] = set()
         metrics = DaemonMetrics.register(
             self.registry, lambda: self.configuration_view.revision, lambda: len(self.partial_view.neighbours)
@@ -116,7 +116,7 @@
         awaiting_registration = (
             self.settings.announce
             and not self.announcer.note_registration()
-            and now() - self.started < self.settings.bounds.recover / 2
+            and now() - self.started_at < self.settings.bounds.recover / 2
         )
         return "not announced yet" if awaiting_registration else ""
 
@@ -124,7 +124,7 @@
         """Hands over the work that only one daemon of the fleet may do; called once, when this daemon is to stop."""
 
     @property
-    def leave_limit(self) -> float:
+    def depart_time_limit(self) -> float:
         """How many seconds `depart` may take."""
         return self.settings.bounds.recover / 4
 
@@ -137,7 +137,7 @@
         """Returns the HTTP protocol of the server, as a name or as a class."""
         return HTTP_PROTOCOL
 
-    async def more_status(self) -> Body:
+    async def duty_status_fields(self) -> Body:
         """Returns the fields that the duties add to the status page."""
         return {}
 
@@ -147,12 +147,12 @@
 
         return Starlette(routes=[*HealthEndpoints(self).routes(), *self.http_routes()])
 
-    def kept_jobs(self, part: int) -> list[str]:
+    def recently_accepted_jobs(self, part: int) -> list[str]:
         """Returns the names of the partition's jobs that this daemon knows to have been accepted lately."""
         return []
 
     # --- reloading the settings
-    def reread(self) -> None:
+    def reload_settings(self) -> None:
         """Reloads the settings file, and applies what may change while the process runs: the seeds.
 
         A file that can't be read, or is invalid, changes nothing.
@@ -169,16 +169,16 @@
             self.follower.settings = self.gossip.settings = self.announcer.settings = self.settings
             log_events.emit(Event.SEEDS_CHANGED, self.settings.name, seeds=",".join(seeds))
 
-    async def watch_config(self) -> None:
+    async def watch_settings_file(self) -> None:
         """Reloads the settings file at intervals, because it may change without a SIGHUP; runs until it is cancelled."""
         while True:
             await asyncio.sleep(self.settings.bounds.recover / 4)
-            self.reread()
+            self.reload_settings()
 
     # --- run
     async def run(self) -> None:
         """Runs the daemon until it has stopped; raises OSError if it can't listen, and FaultError if it must not start."""
-        self.started = now()
+        self.started_at = now()
         await self.open()
         peer_server = PeerServer(self.settings.name, {
             "ping": self.on_ping, "shuffle": self.gossip.on_shuffle, "follow": self.on_follow,
@@ -186,7 +186,7 @@
         })  # fmt: skip
         await peer_server.listen(self.settings.peer)
         host, http_port = split_address(self.settings.http)
-        tasks = [asyncio.create_task(self.guard(name, task)) for name, task in self._named_tasks()]
+        tasks = [asyncio.create_task(self.run_supervised(name, task)) for name, task in self._named_tasks()]
         log_events.emit(
             Event.STARTED,
             self.settings.name,
@@ -210,7 +210,7 @@
             ("feed", self.follower.follow()),
             ("listen", self.follower.watch_contact()),
             ("leave", self.leave()),
-            *([("config", self.watch_config())] if self.read_config is not None else []),
+            *([("config", self.watch_settings_file())] if self.read_config is not None else []),
             *([("announce", self.announcer.run())] if self.settings.announce else []),
             *((getattr(task, "__name__", "task"), task) for task in self.tasks()),
         ]
@@ -218,16 +218,16 @@
     async def leave(self) -> None:
         """Waits for `stop`, hands over the work of this daemon, and closes it; a daemon that failed hands nothing over."""
         await self.stop.wait()
-        if self.failed is None:
+        if self.fatal_fault is None:
             self.leaving = True
             log_events.emit(Event.HANDING_OVER, self.settings.name)
             try:
-                await asyncio.wait_for(self.depart(), self.leave_limit)
+                await asyncio.wait_for(self.depart(), self.depart_time_limit)
             except (TimeoutError, FaultError):
                 pass
         self.closed.set()
 
-    async def guard(self, name: str, task: Task) -> None:
+    async def run_supervised(self, name: str, task: Task) -> None:
         """Runs a task, and ends the daemon if it raises an error.
 
         A process that has ended is noticed, whereas one that runs on with some of its tasks missing might not be.
@@ -249,7 +249,7 @@
 
     def _fail(self, fault: Fault) -> None:
         """Ends the daemon because of a fault, without handing anything over."""
-        self.failed = fault
+        self.fatal_fault = fault
         self.stop.set()
         self.closed.set()
 
@@ -276,9 +276,9 @@
         if "heights" in body:
             return Ok({"heights": self.gossip.partition_epochs})
         if "kept" in body:
-            return Ok({"lots": self.kept_jobs(int(body["kept"]))})
+            return Ok({"lots": self.recently_accepted_jobs(int(body["kept"]))})
         if "fits" in body:
-            return Ok({"flaws": self.release_flaws(body["fits"])})
+            return Ok({"flaws": self.release_errors(body["fits"])})
         if "reach" in body:
             return await self._ping_for_another(body)
         view = self.configuration_view
@@ -309,7 +309,7 @@
         await self.configuration_view.wait(poll.after, poll.hold)
         return Ok(cast(Body, self.configuration_view.changes_since(poll.after)))
 
-    def release_flaws(self, raw: Any) -> list[str]:
+    def release_errors(self, raw: Any) -> list[str]:
         """Returns the errors that this release, with the plug-ins installed here, finds in a configuration."""
         return check(raw).err() or []
 
@@ -345,7 +345,7 @@
 
         for leave_signal in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(leave_signal, leave, leave_signal.name)
-        loop.add_signal_handler(signal.SIGHUP, daemon.reread)
+        loop.add_signal_handler(signal.SIGHUP, daemon.reload_settings)
         try:
             await daemon.run()
         except OSError as error:
@@ -354,8 +354,8 @@
         except FaultError as fault_error:
             logging.error("%s stopped after a fault: %s", daemon.settings.name, fault_error)
             code = EXIT_FAULT
-        if daemon.failed is not None:
-            logging.error("%s stopped after a fault: %s", daemon.settings.name, daemon.failed)
+        if daemon.fatal_fault is not None:
+            logging.error("%s stopped after a fault: %s", daemon.settings.name, daemon.fatal_fault)
             code = EXIT_FAULT
 
     asyncio.run(main())
--- a/tests/cli/test_control_command.py
+++ b/tests/cli/test_control_command.py
@@ -36,7 +36,7 @@
     async def exchange() -> tuple[Answer, int]:
         servers = [await asyncio.start_server(constant_response(a), "127.0.0.1", 0) for a in answers]
         addrs = [f"127.0.0.1:{s.sockets[0].getsockname()[1]}" for s in servers]
-        answer = await fleet_client.ask(addrs, method, path, None)
+        answer = await fleet_client.request_from_any(addrs, method, path, None)
         for server in servers:
             server.close()
         return answer, addrs.index(answer.addr)
@@ -60,7 +60,7 @@
     statuses = _statuses(3)
     statuses["c1"]["leads"] = False
 
-    async def ask(where: list[str], _method: str, path: str, *_arguments: Any, **_options: Any) -> Answer:
+    async def request_from_any(where: list[str], _method: str, path: str, *_arguments: Any, **_options: Any) -> Answer:
         if path == "/v1/manifest":
             return Answer(*OUT_OF_TOUCH, {"retry-after": "1"}, where[0])
         name = where[0].partition(":")[0]
@@ -68,7 +68,7 @@
             raise CommandError(ExitCode.UNKNOWN, "c3: cannot be reached")
         return Answer(200, {"name": name, "control": statuses[name]}, {}, where[0])
 
-    monkeypatch.setattr(fleet_client, "ask", ask)
+    monkeypatch.setattr(fleet_client, "request_from_any", request_from_any)
     assert Commands().status(control="c1:80,c2:80,c3:80") == ExitCode.UNKNOWN
     lines = capsys.readouterr().out.splitlines()
     assert "out of touch" in lines[0] and lines[2].startswith("c1") and lines[3].startswith("c2")
--- a/tests/control/test_feed.py
+++ b/tests/control/test_feed.py
@@ -293,7 +293,7 @@
             disk.stall = 1e6
             first = asyncio.create_task(fleet.ask(name, lambda c: c.query_retirement("s1")))
             await asyncio.sleep(0.1)
-            status = (await fleet.ask(name, lambda c: c.more_status()))["control"]
+            status = (await fleet.ask(name, lambda c: c.duty_status_fields()))["control"]
             second = asyncio.create_task(fleet.ask(name, lambda c: c.query_retirement("s1")))
             await asyncio.sleep(0.1)
             answers = [t.result() for t in (first, second) if t.done()]
--- a/tests/sim/test_broken_variants.py
+++ b/tests/sim/test_broken_variants.py
@@ -175,7 +175,7 @@
 
 def leaves_at_once(mp: pytest.MonkeyPatch) -> None:
     mp.setattr(DataPlane, "drain", property(lambda self: 0.0))
-    mp.setattr("postpass.daemon.data_plane.LEAVE_NOTICED", 0.0)
+    mp.setattr("postpass.daemon.data_plane.UNREADY_DETECTION_DELAY", 0.0)
     plain = Daemon.depart
 
     async def depart(self: Daemon) -> None:
--- a/tests/sim/test_interface.py
+++ b/tests/sim/test_interface.py
@@ -245,14 +245,16 @@
     async def check(world: SimFleet, say: Say) -> None:
         older = world.boxes["e2"].daemon
         assert older is not None
-        older.release_flaws = lambda raw: ["pools.gpu.offsets: unknown key"] if "offsets" in raw["pools"]["gpu"] else []  # type: ignore[method-assign]
+        older.release_errors = lambda raw: (  # type: ignore[method-assign]
+            ["pools.gpu.offsets: unknown key"] if "offsets" in raw["pools"]["gpu"] else []
+        )
         new = changed(world.configuration, "pools.gpu.offsets", False)
         got = await say("PUT", "/v1/manifest", new, {"if-match": '"1"'}, to="c2")
         assert got[0] == 400
         assert got[1]["flaws"] == ["machines.e2: it does not know this manifest: pools.gpu.offsets: unknown key"]
         plain_one = changed(world.configuration, "classes.ask.deadline", 14)
         assert (await say("PUT", "/v1/manifest", plain_one, {"if-match": '"1"'}, to="c2"))[0] == 200
-        older.release_flaws = lambda raw: []  # type: ignore[method-assign]
+        older.release_errors = lambda raw: []  # type: ignore[method-assign]
         assert (await say("PUT", "/v1/manifest", new, {"if-match": '"2"'}, to="c3"))[0] == 200
 
     with_fleet(check)
