--- a/sim/broken.py
+++ b/sim/broken.py
@@ -23,7 +23,7 @@
 from postpass.gateway.attempts import Action, Decision
 from postpass.gateway.worker_load import WorkerLoad
 from postpass.replication.partition import Partition
-from postpass.runtime.errors import OLD, REJECTED, Fault, FaultError
+from postpass.runtime.errors import PRECONDITION_FAILED, REJECTED, Fault, FaultError
 from postpass.worker_api import openai
 
 Patch = Callable[[pytest.MonkeyPatch], None]
@@ -31,7 +31,7 @@
 
 def acknowledges_unreplicated_jobs(monkeypatch: pytest.MonkeyPatch) -> None:
     """Acknowledges a job as kept as soon as the owner has it in memory."""
-    monkeypatch.setattr(Partition, "reach", lambda self, text="": self.record_log.last)
+    monkeypatch.setattr(Partition, "frontier", lambda self, text="": self.record_log.last)
 
 
 def last_result_wins(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -166,7 +166,7 @@
 
     async def apply(self: ControlPlane, body: dict[str, Any]) -> Any:
         response = await original(self, body)
-        if isinstance(response, Err) and response.unwrap_err().code == OLD:
+        if isinstance(response, Err) and response.unwrap_err().code == PRECONDITION_FAILED:
             return await original(self, body | {"base": int(response.unwrap_err().hint)})
         return response
 
--- a/sim/points.py
+++ b/sim/points.py
@@ -124,21 +124,21 @@
     )
     original_init = peer_server.PeerServer.__init__
 
-    def tapped_put(self: connection.Link, name: str, *arguments: Any) -> int:
-        hit(f"sends.{name}", self.address)
-        return original_put(self, name, *arguments)
+    def tapped_put(self: connection.Link, verb: str, *arguments: Any) -> int:
+        hit(f"sends.{verb}", self.address)
+        return original_put(self, verb, *arguments)
 
-    async def tapped_request(self: connection.Link, name: str, body: Any, limit: float) -> Any:
-        response = await original_request(self, name, body, limit)
+    async def tapped_request(self: connection.Link, verb: str, body: Any, limit: float) -> Any:
+        response = await original_request(self, verb, body, limit)
         if response.is_ok():
-            hit(f"hears.{name}", self.address)
+            hit(f"hears.{verb}", self.address)
         return response
 
     async def tapped_respond(
-        self: peer_server.PeerServer, name: str, sequence: int, argument: Any, writer: Any
+        self: peer_server.PeerServer, verb: str, sequence: int, argument: Any, writer: Any
     ) -> None:
-        hit(f"takes.{name}")
-        await original_respond(self, name, sequence, argument, writer)
+        hit(f"takes.{verb}")
+        await original_respond(self, verb, sequence, argument, writer)
 
     def tapped_emit(number: int, process: str, /, **details: object) -> None:
         original_emit(number, process, **details)
@@ -147,13 +147,13 @@
     def tapped_init(self: peer_server.PeerServer, *args: Any, **options: Any) -> None:
         original_init(self, *args, **options)
 
-        def with_points(name: str, handler: peer_server.Handler) -> peer_server.Handler:
+        def with_points(verb: str, handler: peer_server.Handler) -> peer_server.Handler:
             async def run_handler(message: Any) -> Any:
-                if codec.is_oneway(name):
-                    hit(f"takes.{name}")
+                if codec.is_oneway(verb):
+                    hit(f"takes.{verb}")
                     return await handler(message)
                 response = await handler(message)
-                hit(f"answers.{name}")
+                hit(f"answers.{verb}")
                 return response
 
             return run_handler
