--- a/postpass/gateway/attempts.py
+++ b/postpass/gateway/attempts.py
@@ -176,9 +176,9 @@
     """Returns the next action for a relayed request.
 
     Parameters: `repeatable`: it may run more than once; `resumable`: another worker can continue the answer where the
-    last one stopped; `answer_begun`: a part of an answer was sent to the client; `search_until`: until when other workers are
-    tried as long as none has accepted it; `deadline`: when it must have ended (like `now` and `search_until` in seconds
-    of the loop's clock); `max_runs`: how many workers may have started to process it; `key_status`: whether the key of
+    last one stopped; `answer_begun`: a part of an answer was sent to the client; `search_until`: until when other
+    workers are tried as long as none has accepted it; `deadline`: when it must have ended (like `now` and
+    `search_until` in seconds of the loop's clock); `max_runs`: how many workers may have started to process it; `key_status`: whether the key of
     its client is still valid.
     """
     last = attempt_log.last
--- a/postpass/gateway/connection_pool.py
+++ b/postpass/gateway/connection_pool.py
@@ -56,8 +56,10 @@
                     del table[connection.addr]
 
     def take_idle(self, addr: str) -> UpstreamConnection | None:
-        """Removes and returns the idle connection that was used last, or None if there is none that the worker is sure to
-        have kept open. Closes those that may have been closed by the worker."""
+        """Removes and returns the idle connection that was used last, or returns None if there is none.
+
+        Closes and skips those that the worker may have closed in the meantime.
+        """
         now = asyncio.get_running_loop().time()
         while idle := self.idle.get(addr):
             connection = idle.pop()
@@ -201,7 +203,7 @@
             self.probe_passed_at[addr] = loop.time()
         except FaultError as error:
             if error.fault.code != SLOW or self.last_received <= silent_since:
-                # A reset shows that the host is alive; and if nothing was received from any worker, this side may be cut off.
+                # A reset shows that the host is alive; if nothing was received from any worker, this side may be cut off.
                 self.probe_passed_at[addr] = loop.time()
                 return
             for connection in list(self.opened.get(addr, ())):
--- a/postpass/gateway/http_headers.py
+++ b/postpass/gateway/http_headers.py
@@ -1,4 +1,4 @@
-"""Reads HTTP headers, and selects those that are passed on between client and worker. Headers are lists of byte pairs."""
+"""HTTP headers as lists of byte pairs: reads them, and selects those passed on between client and worker."""
 
 from __future__ import annotations
 
--- a/postpass/gateway/load_exchange.py
+++ b/postpass/gateway/load_exchange.py
@@ -1,8 +1,8 @@
 """Exchanges the load of workers between edges and schedulers, through the hubs of `routing.load_picture`.
 
-Each daemon reports its own counts several times a second and receives the sum of all others; no request waits for that. A
-daemon that reaches no hub decides by its own counts alone. A lost or late message costs one interval, because each report
-replaces the sender's previous one.
+Each daemon reports its own counts several times a second and receives the sum of all; no request waits for that.
+A daemon that reaches no hub decides by its own counts alone. A lost or late message costs one interval, because each
+report replaces the sender's previous one.
 """
 
 from __future__ import annotations
@@ -118,8 +118,10 @@
             table.forget_before(oldest)
 
     def _exchange_as_member(self) -> None:
-        """Reports to the first hub that isn't skipped, unless the previous report to it is still pending; acts as a hub if
-        that is this daemon."""
+        """Reports to the first hub that isn't skipped, unless the previous report to it is still pending.
+
+        Acts as a hub if that is this daemon.
+        """
         current_time = now()
         for name in self.preferred_hubs:
             if name == self.settings.name:
@@ -131,8 +133,10 @@
                 return
 
     def _exchange_as_hub(self) -> None:
-        """Updates `others` from its members' reports, and exchanges sums with the other hubs that haven't sent theirs
-        recently."""
+        """Updates `others` from its members' reports, and exchanges sums with other hubs.
+
+        Of two hubs, the one with the lesser name starts the exchange; the other one only if it got no sum recently.
+        """
         current_time = now()
         self._set_picture(sum_reports([self.members.total, self.hub_sums.total]))
         for name in self.all_hubs:
@@ -156,7 +160,7 @@
         self.pending_requests.pop(name, None)
 
     async def _send_request(self, name: str, body: Body) -> Body | None:
-        """Sends a request to a hub and returns its answer; None if there was none, and then the hub is skipped for a while."""
+        """Sends a request to a hub; returns its answer, or None if there was none. Such a hub is skipped for a while."""
         addr = self.configuration_view.addr(name)
         limit = self.interval * LIMIT_INTERVALS
         response = await self.peer_links.request(addr, LOAD_VERB, body, limit) if addr else None
--- a/postpass/gateway/relay.py
+++ b/postpass/gateway/relay.py
@@ -193,8 +193,7 @@
         await self.answer(send, 503, self.retry_after(retry_delay))
 
     def retry_after(self, retry_delay: float) -> tuple[bytes, bytes]:
-        """Returns the header that asks clients to retry after about `retry_delay` seconds, spread so that they don't all
-        retry at once."""
+        """Returns the header that asks clients to retry after about `retry_delay` seconds, but not all at once."""
         return b"retry-after", b"%.3f" % (retry_delay * (0.75 + 0.5 * self.environment.chance.random()))
 
     # --- handling a request
@@ -335,8 +334,10 @@
                 exchange.close()
 
     def _check_admission(self, request: RelayedRequest, pool_name: str, worker_name: str, addr: str) -> str:
-        """Returns why the request must not be sent now, or an empty string if it may. Called right before the first byte is
-        sent."""
+        """Returns why the request must not be sent now, or an empty string if it may.
+
+        Called right before the first byte is sent.
+        """
         if not request.answer_begun and self.clients.standing(request.route, request.client) is not KeyStatus.VALID:
             return "its client's key has changed"
         return self.workers.check_admission(request, pool_name, worker_name, addr)
@@ -361,7 +362,7 @@
         await self.read_refusal(exchange)
         request.attempt_log = request.attempt_log.mark(AttemptState.REJECTED, f"{exchange.status}")
         if check_result.proof is Proof.OTHER_WORKER:
-            # If the client asks for a version of the weights, the same status means that this worker has another version.
+            # If the client asks for a version of the weights, the same status means that the worker has another one.
             if not any(header == self.names.want_version for header, _ in request.headers):
                 self._avoid(worker_name, health, "another worker answers there")
         else:
--- a/postpass/gateway/relayed_request.py
+++ b/postpass/gateway/relayed_request.py
@@ -23,8 +23,8 @@
 class RelayedRequest:
     """One relayed request in progress. Owner: the task of `Relay.relay`.
 
-    Invariant: `answer_begun` is set once any part of an answer was sent to the client; if the answer is then cut off, only
-    complete events of a run that continues it exactly are sent after it. Times are seconds of the loop's clock.
+    Invariant: `answer_begun` is set once any part of an answer was sent to the client; if the answer is then cut off,
+    only complete events of a run that continues it exactly are sent after it. Times are seconds of the loop's clock.
     """
 
     route_name: str
@@ -72,8 +72,10 @@
 
     @property
     def patience(self) -> float:
-        """The seconds of silence after which the worker is probed, so that a repeatable request can still be done in time
-        elsewhere; 0 for other requests."""
+        """The seconds of silence after which the worker is probed; 0 if the request isn't repeatable.
+
+        They are short enough that the request can still be done in time elsewhere.
+        """
         if not self.repeatable:
             return 0.0
         return min(self.route["target"], self.route["gap"] or self.route["target"]) * PATIENCE
@@ -97,7 +99,7 @@
     names: HeaderNames, route_name: str, route: Route, client: ClientIdentity, scope: Scope, body: bytes,
     started_at: float, deadline: float, send: Send,
 ) -> RelayedRequest:  # fmt: skip
-    """Returns a client's request as it is sent to workers. `started_at` and `deadline` are seconds of the loop's clock."""
+    """Returns a client's request as it is sent to workers. Its times are seconds of the loop's clock."""
     headers: Headers = scope["headers"]
     query = scope["query_string"]
     target = scope.get("extensions", {}).get("target") or scope["raw_path"] + (b"?" + query if query else b"")
@@ -119,7 +121,7 @@
 
 
 def attempt_headers(names: HeaderNames, request: RelayedRequest, worker: str, seconds_left: float) -> Headers:
-    """Returns the request's headers with those of one attempt added: the worker, the deadline, and where to continue."""
+    """Returns the request's headers and those of one attempt: the worker, the deadline, and where to continue."""
     headers = [
         *request.headers, (names.want_worker, worker.encode()),
         (names.deadline_ms, b"%d" % max(1, int(seconds_left * 1000))),
--- a/postpass/gateway/upstream_connection.py
+++ b/postpass/gateway/upstream_connection.py
@@ -46,8 +46,8 @@
 
 
 def configure_socket(sock: socket.socket, silence_timeout: float) -> None:
-    """Sets the socket's options so that a dead or unreachable peer is noticed after about `silence_timeout` seconds, also while
-    nothing is written."""
+    """Sets the socket's options so that a dead or unreachable peer is noticed after about `silence_timeout` seconds,
+    also while nothing is written."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     probe_interval = max(1, round(silence_timeout / 3))
@@ -86,7 +86,7 @@
         """Removes a connection that is being closed."""
 
     def schedule_probes(self, patience: float) -> None:
-        """Makes sure that workers are checked for silence, for an exchange that may be silent for `patience` seconds."""
+        """Schedules a check for silent workers, for an exchange that may be silent for `patience` seconds."""
 
 
 class Exchange:
@@ -193,8 +193,8 @@
 class UpstreamConnection(asyncio.Protocol):
     """One connection to a worker. Owner: its pool.
 
-    Invariants: it has at most one exchange at a time; bytes that arrive while it has none close it. Times are seconds of
-    the loop's clock.
+    Invariants: it has at most one exchange at a time; bytes that arrive while it has none close it. Times are seconds
+    of the loop's clock.
     """
 
     def __init__(self, addr: str, pool: Pool) -> None:
@@ -206,7 +206,7 @@
         self.idle_seconds = DEFAULT_IDLE  # for which the worker is sure to keep it open while idle
         self.usable_until = 0.0  # while idle: until when it may be used again
         self.last_received = 0.0  # when something was last received, or when the request was sent
-        self.patience = 0.0  # seconds of silence after which the worker is probed; 0: it is never probed, and its answer is waited for
+        self.patience = 0.0  # seconds of silence after which the worker is probed; 0: never, its answer is waited for
         self.bodiless = False  # the answer has no body, because the request's method is HEAD
         self.head_bytes = 0
         self.phase = Phase.NOTHING
--- a/postpass/gateway/worker_health.py
+++ b/postpass/gateway/worker_health.py
@@ -6,7 +6,7 @@
 
 from postpass.routing.cold_workers import TokenBucket
 
-FULL_SECONDS = 0.05  # for so long a worker that rejected a request is tried only after all others
+FULL_SECONDS = 0.05  # for so long a worker that rejected a request is tried last
 MIN_AVOID_SECONDS, MAX_AVOID_SECONDS = 0.1, 1.0  # after a broken connection; doubles with each
 MIN_SILENT_AVOID_SECONDS, MAX_SILENT_AVOID_SECONDS = 1.0, 4.0  # the same if the worker sent nothing at all
 LAG_WEIGHT = 0.1  # weight of the newest answer in the smoothed lag
--- a/postpass/gateway/worker_load.py
+++ b/postpass/gateway/worker_load.py
@@ -1,7 +1,7 @@
 """The load of workers as one process sees it: what they report about themselves, and how much each may be given.
 
-Workers are polled (`WorkerLoad.poll_loop`) in fleets whose machines are listed rather than announce themselves. If there
-are many edges, a few in each zone poll for all, and the others copy their results.
+Workers are polled (`WorkerLoad.poll_loop`) in fleets whose machines are listed rather than announce themselves. If
+there are many edges, a few in each zone poll for all, and the others copy their results.
 """
 
 from __future__ import annotations
@@ -77,7 +77,7 @@
 
 
 def integer_share(total: int, position: int, shares: int) -> int:
-    """Returns one of the `shares` into which `total` is split, so that they add up to it exactly; 0 shares: all of it."""
+    """Returns one of the `shares` into which `total` is split so that they add up to it exactly; 0 shares: all."""
     return total // shares + (1 if position % shares < total % shares else 0) if shares else total
 
 
@@ -274,8 +274,10 @@
 
     # --- how much may be placed on workers
     def barred_reason(self, pool: str, name: str, max_age: float) -> str:
-        """Returns why a worker gets no new requests, or an empty string if it may. `max_age`: seconds for which a poll is
-        valid."""
+        """Returns why a worker gets no new requests, or an empty string if it may.
+
+        `max_age`: seconds for which a poll is valid.
+        """
         configuration = self.configuration_view.manifest
         server = configuration["pools"].get(pool, {"servers": {}})["servers"].get(name) if configuration else None  # type: ignore[call-overload]
         if configuration is None or server is None:
@@ -316,8 +318,8 @@
         """
         slots = self.usable_slots(pool, name)
         total = math.ceil(slots * OVERCOMMIT) if self.warm_part(pool, name) >= 1 else slots
-        # The remainder of one worker is dealt out from the edge where that of the previous worker ended, so that no edge
-        # is left out while another has two more than it.
+        # The remainder of one worker starts at the edge where that of the previous worker ended, so that no edge is
+        # left out while another has two more than it.
         servers = self.configuration["pools"][pool]["servers"]
         offset = sum(math.ceil(s["slots"] * OVERCOMMIT) % edges for n, s in servers.items() if n < name)
         return integer_share(total, (rank - offset) % edges, edges)
--- a/postpass/gateway/worker_selection.py
+++ b/postpass/gateway/worker_selection.py
@@ -1,4 +1,4 @@
-"""Chooses the worker for a relayed request, by the configuration in force and by what this edge knows of the workers."""
+"""Chooses the worker for a relayed request, by the configuration in force and what this edge knows of the workers."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
             self.apply_configuration(configuration)
 
     def apply_configuration(self, configuration: Configuration) -> None:
-        """Applies a new revision of the configuration: derives routes, edges and senders, and forgets removed workers."""
+        """Derives routes, edges and senders from a new revision of the configuration, and forgets removed workers."""
         self.table, self.revision = route_table_of(configuration), self.configuration_view.revision
         machines = {n: m for n, m in configuration["machines"].items() if not m.get("gone")}
         self.edges = sorted(n for n, m in machines.items() if "edge" in m["duties"])
--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -41,8 +41,8 @@
         try:
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
-                found = re.search(rb"content-length: (\d+)", head)
-                body = await reader.readexactly(int(found[1])) if found else b""
+                length_match = re.search(rb"content-length: (\d+)", head)
+                body = await reader.readexactly(int(length_match[1])) if length_match else b""
                 self.seen.append(head + body)
                 await self.play(self, len(self.seen), head, writer)
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -50,8 +50,8 @@
 
 
 def header_value(head: bytes, name: str) -> str:
-    found = re.search(rb"\r\n" + name.encode() + rb": ([^\r]*)", head)
-    return found[1].decode() if found else ""
+    value_match = re.search(rb"\r\n" + name.encode() + rb": ([^\r]*)", head)
+    return value_match[1].decode() if value_match else ""
 
 
 def reply(head: bytes, body: bytes = b"ok", status: str = "200 OK", *more: str, seal: bool = True) -> bytes:
@@ -235,7 +235,7 @@
         assert (await scene.ask("/i"))[0] == 404
         assert (await scene.ask("/l/x"))[0] == 503
         scene.relay.unready = lambda: "no news"
-        # Right after the edge's start, control may be starting as well and be ready soon; later, only this edge isn't ready.
+        # Right after the start, control may be starting as well and be ready soon; later, only this edge isn't ready.
         for least, most, wait in ((0.37, 0.76, 0.5), (1.1, 2.1, 2.0), (0.37, 0.63, 0.0)):
             for path in ("/i/x", "/none/"):
                 status, head, _, _ = await scene.ask(path)
@@ -273,7 +273,7 @@
 
 @pytest.mark.parametrize("wanted", [True, False])
 def test_a_worker_with_other_weights_than_a_client_wants_is_not_avoided(wanted: bool) -> None:
-    """A 421 means that the address belongs to another worker, so it is avoided, unless the client asked for a version."""
+    """A 421 means that the address belongs to another worker; it is avoided unless the client asked for a version."""
     headers: dict[str, Any] = {"x_want_version": "7"} if wanted else {}
 
     async def main(scene: Scene) -> None:
@@ -431,8 +431,8 @@
             reader, writer = await send(ASK % 0)
             await asyncio.sleep(after)
             writer.write(b"\x00junk\r\n\r\n")
-            status, head, body, whole = await read_answer(reader)
-            assert (status, head["x-seal"], body, whole) == (200, "s1", b"whole body", True)
+            status, head, body, complete = await read_answer(reader)
+            assert (status, head["x-seal"], body, complete) == (200, "s1", b"whole body", True)
             assert await reader.read() == b""
         # Junk in place of a request, or of the rest of one, is answered with 400.
         reader, _ = await send(b"\x00junk\r\n\r\n")
@@ -464,18 +464,18 @@
         async def refused(data: bytes, status: int, within: float) -> None:
             began = scene.loop.clock
             reader, writer = await send(data)
-            answered_status, head, _, whole = await read_answer(reader)
-            assert (answered_status, whole) == (status, True) and 0 < float(head["retry-after"]) < 2.1
+            answered_status, head, _, complete = await read_answer(reader)
+            assert (answered_status, complete) == (status, True) and 0 < float(head["retry-after"]) < 2.1
             assert scene.loop.clock - began < within
             writer.close()
 
-        whole = ASK % 0
-        await refused(whole, 503, 0.1)  # all workers are full
-        await refused(whole.replace(b"x-call-id", b"x-deadline-ms: 0\r\nx-call-id"), 503, 0.1)
-        await refused(whole[:-9], 408, 0.6)  # the rest of the head never arrives
+        request_bytes = ASK % 0
+        await refused(request_bytes, 503, 0.1)  # all workers are full
+        await refused(request_bytes.replace(b"x-call-id", b"x-deadline-ms: 0\r\nx-call-id"), 503, 0.1)
+        await refused(request_bytes[:-9], 408, 0.6)  # the rest of the head never arrives
         late = (ASK % 9).replace(b"x-call-id", b"x-deadline-ms: 300\r\nx-call-id")
         await refused(late + b"half", 408, 0.4)  # the rest of the body never arrives
-        await refused(whole.replace(b"/o/x", b"/l/x"), 503, 0.1)  # there is no handler of jobs
+        await refused(request_bytes.replace(b"/o/x", b"/l/x"), 503, 0.1)  # there is no handler of jobs
         scene.relay.unready = lambda: "no news"
         for path in (b"/o/x", b"/none"):
             await refused(
@@ -483,7 +483,7 @@
             )  # an edge that isn't ready answers before it has read the body
         scene.relay.unready = lambda: ""
         scene.change(lambda m: m["pools"]["p"]["servers"].clear())
-        await refused(whole, 503, 0.1)  # there is no worker
+        await refused(request_bytes, 503, 0.1)  # there is no worker
 
     play({"w1": FULL, "w2": refusing("429 Slow", "X-Not-Run: 1")}, main, ConnectionLimits(300, 0.5, 1.0))
 
@@ -582,8 +582,8 @@
         task = asyncio.create_task(scene.ask("/r/x", x_prompt_prefix="a:5,b:6"))
         await asyncio.sleep(0.05)
         scene.change(lambda m: m["pools"]["p"]["servers"]["w2"].pop("leave"))
-        status, head, body, whole = await task
-        assert (status, head["x-seal"], body, whole) == (200, "s1", b"".join(map(event, range(5))), True)
+        status, head, body, complete = await task
+        assert (status, head["x-seal"], body, complete) == (200, "s1", b"".join(map(event, range(5))), True)
         assert (
             header_value(scene.workers[1].seen[0], "last-event-id") == "1"
             and header_value(scene.workers[1].seen[0], "x-urgency") == "1"
@@ -611,7 +611,7 @@
         await asyncio.sleep(0.1)
         writer.close()
 
-    async def whole(_w: Worker, _n: int, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def complete_answer(_w: Worker, _n: int, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(stream_head(head).replace(b"s1", b"s2") + chunk(event(0)) + b"0\r\n\r\n")
 
     async def main(scene: Scene) -> None:
@@ -620,7 +620,7 @@
             assert (status, head["x-seal"], body, done) == (200, "s2", event(0), True)
             await asyncio.sleep(2)
 
-    play({"w1": empty, "w2": whole}, main)
+    play({"w1": empty, "w2": complete_answer}, main)
 
 
 def test_a_request_is_cancelled_when_its_client_disconnects() -> None:
@@ -866,8 +866,8 @@
                 scene.loop.kill(scene.hosts[0], silent=True)
             began = scene.loop.clock
             for task in tasks:
-                status, _, body, whole = await task
-                assert (status, body, whole) == (200, b"".join(map(event, range(20))), True)
+                status, _, body, complete = await task
+                assert (status, body, complete) == (200, b"".join(map(event, range(20))), True)
             assert scene.loop.clock - began < 1.5
             first, second = scene.ran
             assert first + second == 8 + (first if dark else 0) and 0 < first < 8
--- a/tests/gateway/test_upstream_connection.py
+++ b/tests/gateway/test_upstream_connection.py
@@ -1,4 +1,4 @@
-"""Tests requests to simulated workers on the simulated loop: what is proved about each, and which connections are kept."""
+"""Tests requests to simulated workers: what is proved about each, and which connections are kept."""
 
 from __future__ import annotations
 
@@ -10,9 +10,8 @@
 from postpass.runtime.errors import FaultError
 from sim.loop import Host, SimLoop, run_sim
 
-Play = Callable[
-    [int, int, bytes, asyncio.StreamWriter], Awaitable[None]
-]  # number of the connection, number of the request on it, head, writer
+# Answers a request. Parameters: number of the connection, number of the request on it, head of the request, writer.
+Play = Callable[[int, int, bytes, asyncio.StreamWriter], Awaitable[None]]
 
 
 class Worker:
