--- a/postpass/gateway/answer_delivery.py
+++ b/postpass/gateway/answer_delivery.py
@@ -89,8 +89,8 @@
 
         `joined`: its body may be joined from several runs, so its length isn't known.
         """
-        unsized = joined or exchange.status in BODILESS
-        excluded = RESPONSE_CONNECTION_HEADERS | {b"content-length"} if unsized else RESPONSE_CONNECTION_HEADERS
+        length_unknown = joined or exchange.status in BODILESS
+        excluded = RESPONSE_CONNECTION_HEADERS | {b"content-length"} if length_unknown else RESPONSE_CONNECTION_HEADERS
         headers = end_to_end(exchange.headers, excluded)
         if self.is_leaving():
             headers.append((b"connection", b"close"))
--- a/postpass/gateway/connection_pool.py
+++ b/postpass/gateway/connection_pool.py
@@ -37,16 +37,16 @@
         default_factory=dict
     )  # by address: end of the last probe that didn't show a failure
 
-    def put(self, connection: UpstreamConnection) -> None:
+    def keep_idle(self, connection: UpstreamConnection) -> None:
         """Keeps an idle connection for later requests; closes those of its address that have been idle too long."""
         now = asyncio.get_running_loop().time()
         connection.usable_until = now + connection.idle_seconds
         idle = self.idle.setdefault(connection.addr, [])
         while idle and idle[0].usable_until < now:
-            idle[0].drop()
+            idle[0].abort()
         idle.append(connection)
 
-    def forget(self, connection: UpstreamConnection) -> None:
+    def remove(self, connection: UpstreamConnection) -> None:
         """Removes a connection that is being closed."""
         for table in (self.idle, self.opened):
             connections = table.get(connection.addr)
@@ -65,9 +65,9 @@
             connection = idle.pop()
             if not idle:
                 del self.idle[addr]
-            if connection.usable_until >= now and connection.usable():
+            if connection.usable_until >= now and connection.is_open():
                 return connection
-            connection.drop()
+            connection.abort()
         return None
 
     def busy_count(self, addr: str) -> int:
@@ -92,11 +92,11 @@
                 await loop.create_connection(lambda: connection, host, port)
             self.usual_seconds = max(loop.time() - started_at, self.usual_seconds * USUAL_DECAY)
         except (OSError, TimeoutError) as error:
-            connection.drop()
+            connection.abort()
             code = SLOW if isinstance(error, TimeoutError) else BROKE
             raise FaultError(Fault("connect", addr, str(error) or "no answer", code, unsent=True)) from error
         except BaseException:
-            connection.drop()
+            connection.abort()
             raise
         return connection
 
@@ -134,12 +134,12 @@
             connection = await self.open(addr, limit)
         objection = admission_check()
         if objection:
-            if connection.usable():
-                self.put(connection)
+            if connection.is_open():
+                self.keep_idle(connection)
             raise FaultError(Fault("gate", addr, objection, CROWD, unsent=True))
         remaining = deadline - asyncio.get_running_loop().time()
-        if not connection.usable() or remaining <= 0:
-            connection.drop()
+        if not connection.is_open() or remaining <= 0:
+            connection.abort()
             raise FaultError(Fault("connect", addr, "closed before a byte was written", unsent=True))
         data = [method.encode(), b" ", target, b" HTTP/1.1\r\n"]
         for name, value in headers:
@@ -199,7 +199,7 @@
         try:
             connection = await self.open(addr, self.connect_timeout)
             connection.usable_until = 0.0
-            self.put(connection)
+            self.keep_idle(connection)
             self.probe_passed_at[addr] = loop.time()
         except FaultError as error:
             if error.fault.code != SLOW or self.last_received <= silent_since:
@@ -208,7 +208,7 @@
                 return
             for connection in list(self.opened.get(addr, ())):
                 if connection.exchange is None:
-                    connection.drop()
+                    connection.abort()
                 elif connection.patience and connection.last_received <= silent_since:
                     connection.fail(connection.fault_step(), "nothing came, and no connection was taken", SLOW)
         finally:
--- a/postpass/gateway/load_exchange.py
+++ b/postpass/gateway/load_exchange.py
@@ -170,14 +170,14 @@
         return None
 
     async def _report_to(self, name: str) -> None:
-        own = dict(self.own_use())
-        response = await self._send_request(name, {"by": self.settings.name, "use": report_as_json(own)})
+        own_report = dict(self.own_use())
+        response = await self._send_request(name, {"by": self.settings.name, "use": report_as_json(own_report)})
         if response is not None:
-            self._set_picture(subtract_report(report_from_json(response["use"]), own))
+            self._set_picture(subtract_report(report_from_json(response["use"]), own_report))
 
     async def _exchange_with(self, name: str) -> None:
-        own = report_as_json(self._members_sum())
-        response = await self._send_request(name, {"by": self.settings.name, "hub": True, "use": own})
+        own_report = report_as_json(self._members_sum())
+        response = await self._send_request(name, {"by": self.settings.name, "hub": True, "use": own_report})
         if response is not None:
             self.hub_sums.replace(name, TimedReport(now(), report_from_json(response["use"])))
 
--- a/postpass/gateway/upstream_connection.py
+++ b/postpass/gateway/upstream_connection.py
@@ -79,10 +79,10 @@
     silence_timeout: float
     last_received: float
 
-    def put(self, connection: UpstreamConnection) -> None:
+    def keep_idle(self, connection: UpstreamConnection) -> None:
         """Keeps an idle connection for later requests."""
 
-    def forget(self, connection: UpstreamConnection) -> None:
+    def remove(self, connection: UpstreamConnection) -> None:
         """Removes a connection that is being closed."""
 
     def schedule_probes(self, patience: float) -> None:
@@ -228,7 +228,7 @@
     def data_received(self, data: bytes) -> None:
         """Called by the event loop: parses what the worker sent, and ends the exchange at its end or on an error."""
         if self.exchange is None:
-            self.drop()
+            self.abort()
             return
         self.last_received = self.pool.last_received = asyncio.get_running_loop().time()
         if self.phase is Phase.NOTHING or self.phase is Phase.HEAD:
@@ -352,18 +352,18 @@
         exchange, self.exchange = self.exchange, None
         assert exchange is not None
         self._stop_timer()
-        if self.keep_alive and not self.has_surplus and self.usable() and self.transport.get_write_buffer_size() == 0:  # type: ignore[union-attr]
+        if self.keep_alive and not self.has_surplus and self.is_open() and self.transport.get_write_buffer_size() == 0:  # type: ignore[union-attr]
             self.resume()
-            self.pool.put(self)
+            self.pool.keep_idle(self)
         else:
-            self.drop()
+            self.abort()
         exchange.end(None)
 
     def fail(self, step: str, why: str, code: int = BROKE, hint: str = "") -> None:
         """Closes the connection, and ends its exchange, if there is one, with a fault."""
         exchange, self.exchange = self.exchange, None
         self._stop_timer()
-        self.drop()
+        self.abort()
         if exchange is not None:
             exchange.end(Fault(step, self.addr, why, code, hint))
 
@@ -372,22 +372,22 @@
             self.timer.cancel()
             self.timer = None
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         """Closes the connection. It must have no exchange."""
-        self.pool.forget(self)
+        self.pool.remove(self)
         if self.transport is not None and not self.transport.is_closing():
             self.transport.abort()
 
-    def usable(self) -> bool:
+    def is_open(self) -> bool:
         """Returns whether the connection is open on this side."""
         return self.transport is not None and not self.transport.is_closing()
 
     def pause(self) -> None:
         """Pauses reading from the worker."""
-        if self.usable():
+        if self.is_open():
             self.transport.pause_reading()  # type: ignore[union-attr]
 
     def resume(self) -> None:
         """Resumes reading from the worker."""
-        if self.usable():
+        if self.is_open():
             self.transport.resume_reading()  # type: ignore[union-attr]
--- a/postpass/gateway/worker_load.py
+++ b/postpass/gateway/worker_load.py
@@ -65,7 +65,7 @@
     in_flight: Counter[str] = field(default_factory=Counter)
     in_flight_at_poll: int = 0  # requests of this process in progress there at the last poll
     peak_use: float = 0.0  # decaying peak of recent live use, which sets the reserve of batch classes
-    logged: str = ""  # the last logged value of `unusable_reason`
+    logged_reason: str = ""  # the last value of `unusable_reason` that was logged
     broken_at: float = NEVER  # when a connection to it last broke; it may have been restarted since
 
     def note_report(self, new_report: Report, wanted_weights: str) -> None:
@@ -122,7 +122,7 @@
             state = self.workers[worker] = WorkerState()
         return state
 
-    def signal(self) -> None:
+    def wake_waiters(self) -> None:
         """Wakes all tasks that wait for `polled`."""
         self.polled.set()
         self.polled = asyncio.Event()
@@ -169,7 +169,7 @@
                     state.polled_at, state.unusable_reason, state.peak_use = polled_at, row["why"], row["peak"]
                     state.report = report_from_json(row["seen"]) if row["seen"] else None
                     state.in_flight_at_poll = state.in_flight.total()
-            self.signal()
+            self.wake_waiters()
             return True
         return False
 
@@ -255,8 +255,8 @@
         except (FaultError, aiohttp.ClientError, OSError, TimeoutError) as error:
             state.failures += 1
             state.unusable_reason = str(error) or repr(error)
-        if state.unusable_reason != state.logged:
-            state.logged = state.unusable_reason
+        if state.unusable_reason != state.logged_reason:
+            state.logged_reason = state.unusable_reason
             log_events.emit(
                 Event.WORKER_STATE_CHANGED,
                 self.own_name,
@@ -264,7 +264,7 @@
                 server=worker.name,
                 state=state.unusable_reason or "up",
             )
-        self.signal()
+        self.wake_waiters()
 
     async def _check_health(self, url: str, limit: float) -> None:
         """Raises FaultError if a worker of a plain pool doesn't report that it is healthy."""
--- a/tests/gateway/test_upstream_connection.py
+++ b/tests/gateway/test_upstream_connection.py
@@ -296,8 +296,8 @@
         assert 0.03 < await seconds_to_fail() < 0.05
         # With distant workers or a slow machine, the usual time there applies.
         loop.net.near = 0.01
-        for link in list(pool.opened["w:1"]):
-            link.drop()
+        for connection in list(pool.opened["w:1"]):
+            connection.abort()
         assert await ask(pool) == (200, b"ok")
         assert 0.15 < await seconds_to_fail() < 0.25
 
