--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -520,7 +520,7 @@
         assert scene.ran[0] == failed
         reported_use = scene.relay.workers.own_use()
         assert reported_use["w1"] == WorkerUse(failed=1) and reported_use["w2"] == WorkerUse(answered=1)
-        await asyncio.sleep(scene.relay.settings.bounds.exchange * OUTCOME_INTERVALS * 2)
+        await asyncio.sleep(scene.relay.settings.bounds.load_exchange_interval * OUTCOME_INTERVALS * 2)
         assert scene.relay.workers.own_use() == {}
 
     play({"w1": refusing("500 Oops"), "w2": answer_ok}, main)
