--- a/postpass/gateway/upstream_connection.py
+++ b/postpass/gateway/upstream_connection.py
@@ -46,8 +46,8 @@
 
 
 def configure_socket(sock: socket.socket, silence_timeout: float) -> None:
-    """Sets the socket's options so that a dead or unreachable peer is noticed after about `silence_timeout` seconds, also while
-    nothing is written."""
+    """Sets the socket's options so that a dead or unreachable peer is noticed after about `silence_timeout` seconds,
+    also while nothing is written."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     probe_interval = max(1, round(silence_timeout / 3))
@@ -79,14 +79,14 @@
     silence_timeout: float
     last_received: float
 
-    def put(self, connection: UpstreamConnection) -> None:
+    def keep_idle(self, connection: UpstreamConnection) -> None:
         """Keeps an idle connection for later requests."""
 
-    def forget(self, connection: UpstreamConnection) -> None:
+    def remove(self, connection: UpstreamConnection) -> None:
         """Removes a connection that is being closed."""
 
     def schedule_probes(self, patience: float) -> None:
-        """Makes sure that workers are checked for silence, for an exchange that may be silent for `patience` seconds."""
+        """Schedules a check for silent workers, for an exchange that may be silent for `patience` seconds."""
 
 
 class Exchange:
@@ -206,7 +206,7 @@
         self.idle_seconds = DEFAULT_IDLE  # for which the worker is sure to keep it open while idle
         self.usable_until = 0.0  # while idle: until when it may be used again
         self.last_received = 0.0  # when something was last received, or when the request was sent
-        self.patience = 0.0  # seconds of silence after which the worker is probed; 0: it is never probed, and its answer is waited for
+        self.patience = 0.0  # seconds of silence after which the worker is probed; 0: never, its answer is waited for
         self.bodiless = False  # the answer has no body, because the request's method is HEAD
         self.head_bytes = 0
         self.phase = Phase.NOTHING
@@ -228,7 +228,7 @@
     def data_received(self, data: bytes) -> None:
         """Called by the event loop: parses what the worker sent, and ends the exchange at its end or on an error."""
         if self.exchange is None:
-            self.drop()
+            self.abort()
             return
         self.last_received = self.pool.last_received = asyncio.get_running_loop().time()
         if self.phase is Phase.NOTHING or self.phase is Phase.HEAD:
@@ -352,18 +352,18 @@
         exchange, self.exchange = self.exchange, None
         assert exchange is not None
         self._stop_timer()
-        if self.keep_alive and not self.has_surplus and self.usable() and self.transport.get_write_buffer_size() == 0:  # type: ignore[union-attr]
+        if self.keep_alive and not self.has_surplus and self.is_open() and self.transport.get_write_buffer_size() == 0:  # type: ignore[union-attr]
             self.resume()
-            self.pool.put(self)
+            self.pool.keep_idle(self)
         else:
-            self.drop()
+            self.abort()
         exchange.end(None)
 
     def fail(self, step: str, why: str, code: int = PEER_FAILED, hint: str = "") -> None:
         """Closes the connection, and ends its exchange, if there is one, with a fault."""
         exchange, self.exchange = self.exchange, None
         self._stop_timer()
-        self.drop()
+        self.abort()
         if exchange is not None:
             exchange.end(Fault(step, self.addr, why, code, hint))
 
@@ -372,22 +372,22 @@
             self.timer.cancel()
             self.timer = None
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         """Closes the connection. It must have no exchange."""
-        self.pool.forget(self)
+        self.pool.remove(self)
         if self.transport is not None and not self.transport.is_closing():
             self.transport.abort()
 
-    def usable(self) -> bool:
+    def is_open(self) -> bool:
         """Returns whether the connection is open on this side."""
         return self.transport is not None and not self.transport.is_closing()
 
     def pause(self) -> None:
         """Pauses reading from the worker."""
-        if self.usable():
+        if self.is_open():
             self.transport.pause_reading()  # type: ignore[union-attr]
 
     def resume(self) -> None:
         """Resumes reading from the worker."""
-        if self.usable():
+        if self.is_open():
             self.transport.resume_reading()  # type: ignore[union-attr]
--- a/postpass/gateway/worker_load.py
+++ b/postpass/gateway/worker_load.py
@@ -1,7 +1,7 @@
 """The load of workers as one process sees it: what they report about themselves, and how much each may be given.
 
-Workers are polled (`WorkerLoad.poll_loop`) in fleets whose machines are listed rather than announce themselves. If there
-are many edges, a few in each zone poll for all, and the others copy their results.
+Workers are polled (`WorkerLoad.poll_loop`) in fleets whose machines are listed rather than announce themselves. If
+there are many edges, a few in each zone poll for all, and the others copy their results.
 """
 
 from __future__ import annotations
@@ -65,7 +65,7 @@
     in_flight: Counter[str] = field(default_factory=Counter)
     in_flight_at_poll: int = 0  # requests of this process in progress there at the last poll
     peak_use: float = 0.0  # decaying peak of recent live use, which sets the reserve of batch classes
-    logged: str = ""  # the last logged value of `unusable_reason`
+    logged_reason: str = ""  # the last value of `unusable_reason` that was logged
     broken_at: float = NEVER  # when a connection to it last broke; it may have been restarted since
 
     def note_report(self, new_report: Report, wanted_weights: str) -> None:
@@ -77,7 +77,7 @@
 
 
 def integer_share(total: int, position: int, shares: int) -> int:
-    """Returns one of the `shares` into which `total` is split, so that they add up to it exactly; 0 shares: all of it."""
+    """Returns one of the `shares` into which `total` is split so that they add up to it exactly; 0 shares: all."""
     return total // shares + (1 if position % shares < total % shares else 0) if shares else total
 
 
@@ -122,7 +122,7 @@
             state = self.workers[worker] = WorkerState()
         return state
 
-    def signal(self) -> None:
+    def wake_waiters(self) -> None:
         """Wakes all tasks that wait for `polled`."""
         self.polled.set()
         self.polled = asyncio.Event()
@@ -169,7 +169,7 @@
                     state.polled_at, state.unusable_reason, state.peak_use = polled_at, row["why"], row["peak"]
                     state.report = report_from_json(row["seen"]) if row["seen"] else None
                     state.in_flight_at_poll = state.in_flight.total()
-            self.signal()
+            self.wake_waiters()
             return True
         return False
 
@@ -255,8 +255,8 @@
         except (FaultError, aiohttp.ClientError, OSError, TimeoutError) as error:
             state.failures += 1
             state.unusable_reason = str(error) or repr(error)
-        if state.unusable_reason != state.logged:
-            state.logged = state.unusable_reason
+        if state.unusable_reason != state.logged_reason:
+            state.logged_reason = state.unusable_reason
             log_events.emit(
                 Event.WORKER_STATE_CHANGED,
                 self.own_name,
@@ -264,7 +264,7 @@
                 server=worker.name,
                 state=state.unusable_reason or "up",
             )
-        self.signal()
+        self.wake_waiters()
 
     async def _check_health(self, url: str, limit: float) -> None:
         """Raises FaultError if a worker of a plain pool doesn't report that it is healthy."""
@@ -274,8 +274,10 @@
 
     # --- how much may be placed on workers
     def barred_reason(self, pool: str, name: str, max_age: float) -> str:
-        """Returns why a worker gets no new requests, or an empty string if it may. `max_age`: seconds for which a poll is
-        valid."""
+        """Returns why a worker gets no new requests, or an empty string if it may.
+
+        `max_age`: seconds for which a poll is valid.
+        """
         configuration = self.configuration_view.manifest
         server = configuration["pools"].get(pool, {"servers": {}})["servers"].get(name) if configuration else None  # type: ignore[call-overload]
         if configuration is None or server is None:
@@ -316,8 +318,8 @@
         """
         slots = self.usable_slots(pool, name)
         total = math.ceil(slots * OVERCOMMIT) if self.warm_part(pool, name) >= 1 else slots
-        # The remainder of one worker is dealt out from the edge where that of the previous worker ended, so that no edge
-        # is left out while another has two more than it.
+        # The remainder of one worker starts at the edge where that of the previous worker ended, so that no edge is
+        # left out while another has two more than it.
         servers = self.configuration["pools"][pool]["servers"]
         offset = sum(math.ceil(s["slots"] * OVERCOMMIT) % edges for n, s in servers.items() if n < name)
         return integer_share(total, (rank - offset) % edges, edges)
--- a/tests/gateway/test_upstream_connection.py
+++ b/tests/gateway/test_upstream_connection.py
@@ -1,4 +1,4 @@
-"""Tests requests to simulated workers on the simulated loop: what is proved about each, and which connections are kept."""
+"""Tests requests to simulated workers: what is proved about each, and which connections are kept."""
 
 from __future__ import annotations
 
@@ -10,9 +10,8 @@
 from postpass.runtime.errors import FaultError
 from sim.loop import Host, SimLoop, run_sim
 
-Play = Callable[
-    [int, int, bytes, asyncio.StreamWriter], Awaitable[None]
-]  # number of the connection, number of the request on it, head, writer
+# Answers a request. Parameters: number of the connection, number of the request on it, head of the request, writer.
+Play = Callable[[int, int, bytes, asyncio.StreamWriter], Awaitable[None]]
 
 
 class Worker:
@@ -297,8 +296,8 @@
         assert 0.03 < await seconds_to_fail() < 0.05
         # With distant workers or a slow machine, the usual time there applies.
         loop.net.near = 0.01
-        for link in list(pool.opened["w:1"]):
-            link.drop()
+        for connection in list(pool.opened["w:1"]):
+            connection.abort()
         assert await ask(pool) == (200, b"ok")
         assert 0.15 < await seconds_to_fail() < 0.25
 
