--- a/sim/announced.py
+++ b/sim/announced.py
@@ -313,11 +313,11 @@
         if box.host is not host or host.dead:
             return
         daemon = box.daemon
-        stop_requested = daemon is not None and daemon.stop.is_set() and getattr(daemon, "failed", None) is None
+        stop_requested = daemon is not None and daemon.stop.is_set() and getattr(daemon, "fatal_fault", None) is None
         super().kill(name)
         if not stop_requested:
             # The machine counts as running throughout, so no disturbance by the platform is recorded.
-            self.log({"ev": "ended_itself", "machine": name, "why": str(getattr(daemon, "failed", ""))})
+            self.log({"ev": "ended_itself", "machine": name, "why": str(getattr(daemon, "fatal_fault", ""))})
             self.loop.call_later(1.0, self.start, name, False, context=contextvars.Context())
 
     def trouble(self, name: str, what: str, on: bool | None = None) -> None:
--- a/tests/support/membership_drill.py
+++ b/tests/support/membership_drill.py
@@ -326,7 +326,7 @@
             up = [c.settings.name for c in self.fleet.controls() if not self.fleet.nodes[c.settings.name].host.frozen]
             if up:
                 via = up[0]
-                verb = "retired" if asked else "retire"
+                verb = "query_retirement" if asked else "retire"
                 present = self.disks_there()
                 try:
                     got = await asyncio.wait_for(self.fleet.ask(via, lambda c, v=verb: getattr(c, v)(name)), 4.0)  # type: ignore[misc]
