--- a/postpass/cli/doctor.py
+++ b/postpass/cli/doctor.py
@@ -119,10 +119,13 @@
 
 
 def _owned_partition_findings(partition: PartitionStatus) -> Iterator[Finding]:
-    """Yields the faults that a partition's owner reports: replicas that don't answer or lag behind, and lost data."""
+    """Yields the faults that a partition's owner reports: replicas that don't answer or lag behind, and lost data.
+
+    In the printed texts a mirror is a replica, and a lot is a job.
+    """
     where = f"partition {partition.number}"
     for name, replica in partition.replicas.items():
-        lag = partition.last - replica.persisted
+        lag = partition.last - replica.persisted  # `last` is the number of the owner's last record
         if replica.silent:
             yield Finding("D07", where, f"mirror {name} is silent",
                           "start it, or declare it gone so that another takes its place")  # fmt: skip
--- a/postpass/cli/fleet_client.py
+++ b/postpass/cli/fleet_client.py
@@ -120,6 +120,7 @@
             except (aiohttp.ClientError, OSError, TimeoutError) as error:
                 reason = f"{addr}: {str(error) or 'no answer in time'}"
                 if method != "GET":
+                    # The user has to find out whether a machine accepted the request; it is not repeated here.
                     reason_unknown = f"{reason}; it is not known whether it was taken, ask again"
                     raise CommandError(ExitCode.UNKNOWN, reason_unknown) from error
             else:
--- a/postpass/cli/main.py
+++ b/postpass/cli/main.py
@@ -241,11 +241,11 @@
             pages = asyncio.run(fleet_client.fleet_status_pages(addrs, self._program))
         except CommandError as error:
             # Without a primary the configuration can't be read, but the control members still report their own status.
-            members = asyncio.run(fleet_client.control_status_pages(addrs))
+            member_pages = asyncio.run(fleet_client.control_status_pages(addrs))
             if raw:
-                print_json(members)
+                print_json(member_pages)
             else:
-                print("\n".join([f"{self._program}: {error.reason}", *health_lines(members)]))
+                print("\n".join([f"{self._program}: {error.reason}", *health_lines(member_pages)]))
             return ExitCode.UNKNOWN
         if raw:
             print_json(pages)
--- a/postpass/configuration/configuration.py
+++ b/postpass/configuration/configuration.py
@@ -223,7 +223,7 @@
 
 
 def members(configuration: Configuration, part: int) -> tuple[str, ...]:
-    """Returns the stores that should hold the replicas of partition number `part`, in the order in which they own it.
+    """Returns the stores that should hold the replicas of partition number `part`, the preferred owner first.
 
     They are in distinct zones as long as there are enough zones. Every daemon computes the same order, which is rotated
     by the partition's number so that ownership is spread over the stores. The result is empty if there are no stores,
--- a/postpass/configuration/nginx_import.py
+++ b/postpass/configuration/nginx_import.py
@@ -23,6 +23,8 @@
 def carry_over(path: str) -> Result[tuple[JsonObject, list[str]], list[str]]:
     """Converts upstreams to pools with a plain class each, and locations to entries of `ways`.
 
+    A plain class has the kind `plain`: its requests are passed on, by their path prefix, to back ends of a plain pool.
+
     :param path: the main file of the nginx configuration.
     :returns: the parts of a configuration, and notes for the operator: a line for each directive that was not converted
         and for each server whose zone has to be filled in; or the errors of the parser.
@@ -31,8 +33,8 @@
     if parsed["status"] != "ok":
         return Err([f"{e.get('file', path)}:{e.get('line') or '?'}: {e['error']}" for e in parsed["errors"]])
     conversion = _Conversion()
-    for settings in parsed["config"]:
-        conversion.add_blocks(settings["file"], settings["parsed"])
+    for parsed_file in parsed["config"]:
+        conversion.add_blocks(parsed_file["file"], parsed_file["parsed"])
     conversion.add_direct_back_ends(path)
     return Ok((conversion.document(), conversion.unconverted + conversion.missing_zones()))
 
--- a/postpass/configuration/schema.py
+++ b/postpass/configuration/schema.py
@@ -102,8 +102,9 @@
     displayed_path = path or "(top)"
     origin = _origin_of(expected_type)
     if origin in (Union, types.UnionType):
+        # `k` is one of the alternative types of the union.
         errors_by_alternative = [validation_errors(k, value, path) for k in get_args(expected_type)]
-        return [] if any(not t for t in errors_by_alternative) else min(errors_by_alternative, key=len)
+        return [] if any(not errors for errors in errors_by_alternative) else min(errors_by_alternative, key=len)
     if origin is Literal:
         return (
             []
@@ -116,13 +117,15 @@
         element_type = _arguments_of(expected_type)[0]
         if element_type in _UNRESTRICTED_TYPES and all(type(v) is element_type for v in value):
             return []
-        return [f for i, v in enumerate(value) for f in validation_errors(element_type, v, f"{path}[{i}]")]
+        return [error for i, v in enumerate(value) for error in validation_errors(element_type, v, f"{path}[{i}]")]
     if origin is dict:
         if not isinstance(value, dict):
             return [f"{displayed_path}: want an object, got {value!r:.40}"]
         element_type = get_args(expected_type)[1]
         return [
-            f for k, v in value.items() for f in validation_errors(element_type, v, f"{path}.{k}" if path else str(k))
+            error
+            for k, v in value.items()
+            for error in validation_errors(element_type, v, f"{path}.{k}" if path else str(k))
         ]
     if expected_type is float:
         is_valid = isinstance(value, (int, float)) and not isinstance(value, bool)
--- a/postpass/feed/follower.py
+++ b/postpass/feed/follower.py
@@ -174,6 +174,8 @@
     async def prove_fresh(self) -> None:
         """Waits until the view is proved no older than the configuration in force when the daemon started.
 
+        `Bounds.manifest` is the longest time, in seconds, until every daemon has applied an accepted configuration.
+
         A daemon that starts serves nothing before. Control confirms the revision in force by a round trip between its
         machines. If control doesn't answer for `Bounds.manifest`, the other machines are asked: a revision that was
         acknowledged to the operator has been applied by every machine that serves, so the view is fresh once more than
